--- a/bench/contracts_bench.cpp
+++ b/bench/contracts_bench.cpp
@@ -10,9 +10,10 @@
 
 contracts::Contracts make(std::size_t teams) {
   contracts::Service s;
-  for (const auto& [name, freshness] :
-       {std::pair{"desk-view", Freshness::bounded}, {"history", Freshness::any}, {"gate-check", Freshness::fresh},
-        {"bid-submit", Freshness::write}}) {
+  for (const auto& [name, freshness] : {std::pair{"desk-view", Freshness::bounded},
+                                        {"history", Freshness::any},
+                                        {"gate-check", Freshness::fresh},
+                                        {"bid-submit", Freshness::write}}) {
     RequestClass c;
     c.name = name, c.aim = 300ms, c.deadline = 1s, c.freshness = freshness;
     s.classes.push_back(c);
@@ -55,7 +56,8 @@
   auto c = make(static_cast<std::size_t>(state.range(0)));
   Time now{1'700'000'000'000'000};
   std::vector<contracts::Breach> breaches;
-  for (auto _ : state) c.step(now += 100ms, {{GroupId{1}, true, false}, {GroupId{1}, false, false}}, breaches);
+  for (auto _ : state)
+    c.step(now += 100ms, {{GroupId{1}, true, false}, {GroupId{1}, false, false}}, breaches);
 }
 BENCHMARK(step)->Arg(3)->Arg(250)->Arg(10000);
 
--- a/bench/levels_bench.cpp
+++ b/bench/levels_bench.cpp
@@ -1,4 +1,5 @@
-// What a gate's verdict costs, with eight levels of pressure and the default faults, and whether it allocates.
+// What a gate's verdict costs, with eight levels of pressure and the default faults, and whether it
+// allocates.
 #include <benchmark/benchmark.h>
 
 #include <atomic>
@@ -25,9 +26,10 @@
 
 levels::Service service() {
   levels::Service s;
-  for (const auto& [name, freshness] :
-       {std::pair{"desk-view", Freshness::bounded}, {"history", Freshness::any}, {"gate-check", Freshness::fresh},
-        {"bid-submit", Freshness::write}}) {
+  for (const auto& [name, freshness] : {std::pair{"desk-view", Freshness::bounded},
+                                        {"history", Freshness::any},
+                                        {"gate-check", Freshness::fresh},
+                                        {"bid-submit", Freshness::write}}) {
     RequestClass c;
     c.name = name, c.aim = 300ms, c.deadline = 1s, c.freshness = freshness, c.bound = 200ms;
     s.classes.push_back(c);
--- a/include/cedarring/router.h
+++ b/include/cedarring/router.h
@@ -58,7 +58,7 @@
   RepeatScope scope = RepeatScope::all;
   Duration window{};  // how long a keyed repeat is dropped
   Freshness freshness = Freshness::any;
-  Duration bound{};  // of bounded reads
+  Duration bound{};            // of bounded reads
   std::uint32_t attempts = 0;  // for a request, at most; 0: the settings' max_attempts
 };
 bool operator==(const RequestClass& a, const RequestClass& b);
@@ -84,8 +84,8 @@
   Duration max_retry_after{1'000'000};
   Duration ask_within{10'000'000};
   Duration drain_grace{1'000'000};  // nothing new to a host this long after it was told draining or gone
-  Duration cold_for{};   // a started host is warm after this
-  double cold_from = 1;  // and begins with this share of its capacity
+  Duration cold_for{};              // a started host is warm after this
+  double cold_from = 1;             // and begins with this share of its capacity
   double tip_multiple = 3;
   Duration tip_after{1'000'000};
   Duration quantum{5'000};
@@ -169,7 +169,8 @@
   RequestId request;
   HostId host;
   Time stop_at{};
-  bool only_there = false;  // no other host can take it, or one has been left already: a slow connection is waited for
+  bool only_there =
+      false;  // no other host can take it, or one has been left already: a slow connection is waited for
 };
 struct Cancel {
   RequestId request;
@@ -197,12 +198,12 @@
 /// What the module believes of a group.
 struct GroupView {
   GroupId group;
-  bool primary = false;          // one is known that may be used now
-  int hosts = 0, out = 0;        // listed as ready; of them ejected or silent
-  int avoided = 0;               // of those out, sent nothing for two longest aims: no trial, no short pause
-  int replicas = 0, lagging = 0; // of them, known no better than past the tightest bound of a class
+  bool primary = false;           // one is known that may be used now
+  int hosts = 0, out = 0;         // listed as ready; of them ejected or silent
+  int avoided = 0;                // of those out, sent nothing for two longest aims: no trial, no short pause
+  int replicas = 0, lagging = 0;  // of them, known no better than past the tightest bound of a class
   int in_flight = 0, waiting = 0;
-  double window = 0;  // requests in flight that its hosts are believed to take well, over all
+  double window = 0;          // requests in flight that its hosts are believed to take well, over all
   int primary_in_flight = 0;  // of these, the primary's; of those waiting, what only the primary can take
   double primary_window = 0;
   int primary_waiting = 0;
@@ -211,12 +212,12 @@
 struct Tuning {
   double probe_rate = 1;    // 0.1 to 10
   double retry_budget = 1;  // 0 to 1
-  double spill = 1;         // 0 to 1: of the primary's window that reads may fill while replicas are only busy
+  double spill = 1;  // 0 to 1: of the primary's window that reads may fill while replicas are only busy
 };
 
 struct Knowledge;  // cedarring/knowledge.h
-/// hosts: these alone. split: the other router begins now, and what may be spent is from here on in two parts, of which
-/// the other's is told; all but the sessions.
+/// hosts: these alone. split: the other router begins now, and what may be spent is from here on in two
+/// parts, of which the other's is told; all but the sessions.
 enum class Tell { all, hosts, split };
 
 /// One router's decisions. Not thread-safe; shares nothing with other instances.
@@ -239,11 +240,11 @@
   /// By group. The time must not go back; no event is taken and nothing decided.
   void view(Time now, std::vector<GroupView>& out);
   void tune(const Tuning& tuning);
-  /// How many attempts may be out at once, 1 or more; what finds no place waits within its time. Those that are out
-  /// already stay.
+  /// How many attempts may be out at once, 1 or more; what finds no place waits within its time. Those that
+  /// are out already stay.
   void limit(int places);
-  /// Other settings from now on. Classes keep their numbers: there are as many as before or more, and one whose
-  /// requests are open must not change. Throws as the constructor does, and then changes nothing.
+  /// Other settings from now on. Classes keep their numbers: there are as many as before or more, and one
+  /// whose requests are open must not change. Throws as the constructor does, and then changes nothing.
   void retune(Settings settings);
 
   /// What it knows, for a router that takes its place.
@@ -252,8 +253,8 @@
   void learn(Time now, const Knowledge& knowledge);
   /// Another router may be spending, too, and has not told yet how much: nothing may be spent.
   void follow();
-  /// From one window on this one may use this part of what may be spent on cold hosts: 1 where no other spends any more,
-  /// less where one does and has not been heard.
+  /// From one window on this one may use this part of what may be spent on cold hosts: 1 where no other
+  /// spends any more, less where one does and has not been heard.
   void widen(Time now, double part);
 
   /// How many entries are held (requests, hosts, sessions): it stays bounded.
--- a/src/app/calendar.cpp
+++ b/src/app/calendar.cpp
@@ -42,7 +42,8 @@
   // The C library takes a zone that it does not know for UTC, without a word.
   if (zone.empty() || zone.front() == '/' || zone.find("..") != std::string::npos) return false;
   const char* folder = std::getenv("TZDIR");
-  return zone == "UTC" || ::access((std::string(folder ? folder : "/usr/share/zoneinfo") + "/" + zone).c_str(), R_OK) == 0;
+  return zone == "UTC" ||
+         ::access((std::string(folder ? folder : "/usr/share/zoneinfo") + "/" + zone).c_str(), R_OK) == 0;
 }
 
 std::vector<contracts::ClosureWindow> closures_around(const Calendar& calendar, Time now, int days) {
@@ -65,8 +66,10 @@
   std::sort(all.begin(), all.end(), [](const auto& a, const auto& b) { return a.from < b.from; });
   std::vector<contracts::ClosureWindow> merged;
   for (const auto& w : all)
-    if (!merged.empty() && w.from <= merged.back().to) merged.back().to = std::max(merged.back().to, w.to);
-    else merged.push_back(w);
+    if (!merged.empty() && w.from <= merged.back().to)
+      merged.back().to = std::max(merged.back().to, w.to);
+    else
+      merged.push_back(w);
   return merged;
 }
 
--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -59,7 +59,8 @@
   std::string value;
   if (v.IsArray())
     for (const auto& item : v.GetArray()) value += (value.empty() ? "" : ",") + plain(item);
-  else value = plain(v);
+  else
+    value = plain(v);
   out += path + "=" + value + " ";
 }
 
@@ -181,7 +182,9 @@
     c.settings.holding_costs =
         true;  // PROTOCOL: refused after half its time and never sent costs 0.3 of its worth
     check(c.settings);
-  } catch (const std::exception& e) { throw ConfigError(path + "settings." + e.what() + ": bad value"); }
+  } catch (const std::exception& e) {
+    throw ConfigError(path + "settings." + e.what() + ": bad value");
+  }
   c.budgets = read_budgets(settings->value, c.settings.routers);
 }
 
@@ -312,7 +315,9 @@
     mysql->Accept(writer);
     try {
       c.mysql = parse_mysql_config(buffer.GetString(), c.platform);
-    } catch (const ConfigError& e) { throw ConfigError(name + ": /mysql: " + e.what()); }
+    } catch (const ConfigError& e) {
+      throw ConfigError(name + ": /mysql: " + e.what());
+    }
   }
 }
 
--- a/src/app/contracts_config.cpp
+++ b/src/app/contracts_config.cpp
@@ -28,7 +28,8 @@
   Calendar c;
   c.zone = v["zone"].GetString();
   if (!zone_known(c.zone))
-    throw flaw_at(file, "/contracts/calendar/zone", "a zone by its IANA name that this machine has", shown(v["zone"]));
+    throw flaw_at(file, "/contracts/calendar/zone", "a zone by its IANA name that this machine has",
+                  shown(v["zone"]));
   for (const auto& item : v["closures"].GetArray()) {
     Closure one;
     const std::string at = item["at"].GetString();
@@ -66,7 +67,8 @@
   t.mode = mode == "enforce" ? contracts::Mode::enforce : contracts::Mode::count;
   if (const auto* x = member(*section, "gateways")) t.gateways = x->GetUint();
   if (const auto* x = member(*section, "part_most")) t.part_most = x->GetDouble();
-  if (const auto* x = member(*section, "part_memory_ms")) t.part_memory = std::chrono::milliseconds(x->GetInt64());
+  if (const auto* x = member(*section, "part_memory_ms"))
+    t.part_memory = std::chrono::milliseconds(x->GetInt64());
   if (const auto* x = member(*section, "window_ms")) t.window = std::chrono::milliseconds(x->GetInt64());
   if (const auto* x = member(*section, "retry_share")) t.retry_share = x->GetDouble();
   if (const auto* x = member(*section, "retry_burst")) t.retry_burst = x->GetDouble();
@@ -81,7 +83,8 @@
     for (rapidjson::SizeType k = 0; k < names.Size(); ++k) {
       const auto it = std::find(tenants.begin(), tenants.end(), std::string(names[k].GetString()));
       if (it == tenants.end())
-        throw flaw_at(file.name, at + "/tenants/" + std::to_string(k), "a tenant of the settings", shown(names[k]));
+        throw flaw_at(file.name, at + "/tenants/" + std::to_string(k), "a tenant of the settings",
+                      shown(names[k]));
       team.tenants.push_back(static_cast<std::int32_t>(it - tenants.begin()));
     }
     team.classes.resize(service.classes.size());
@@ -90,7 +93,8 @@
         const auto it = std::find_if(service.classes.begin(), service.classes.end(),
                                      [&](const RequestClass& k) { return k.name == m.name.GetString(); });
         if (it == service.classes.end())
-          throw flaw_at(file.name, at + "/classes/" + m.name.GetString(), "a class of the settings", "another name");
+          throw flaw_at(file.name, at + "/classes/" + m.name.GetString(), "a class of the settings",
+                        "another name");
         contracts::ClassTerms terms;
         contracts::Terms base;
         base.wanted = it->aim;
--- a/src/app/contracts_runner.cpp
+++ b/src/app/contracts_runner.cpp
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-telemetry::Record record_of(const contracts::Breach& b, const std::string& front, const contracts::Config& config,
-                            const contracts::Service& service) {
+telemetry::Record record_of(const contracts::Breach& b, const std::string& front,
+                            const contracts::Config& config, const contracts::Service& service) {
   telemetry::Record r;
   r.at = b.to;
   r.kind = "breach";
@@ -39,14 +39,16 @@
 }
 
 /// `cedarring report contracts` reads these: the names of readings are its columns.
-telemetry::Record record_of(const contracts::Closed& c, const std::string& front, const contracts::Config& config,
-                            const contracts::Service& service) {
+telemetry::Record record_of(const contracts::Closed& c, const std::string& front,
+                            const contracts::Config& config, const contracts::Service& service) {
   telemetry::Record r;
   r.at = c.to;
   r.kind = "ledger";
   r.subject = front + " " + config.teams[c.team].name + " " + service.classes[c.cls].name;
   const auto& e = c.entry;
-  const auto count = [&](const char* name, std::uint64_t n) { r.readings.emplace_back(name, static_cast<double>(n)); };
+  const auto count = [&](const char* name, std::uint64_t n) {
+    r.readings.emplace_back(name, static_cast<double>(n));
+  };
   r.readings.emplace_back("from_ms", static_cast<double>(c.from.count() / 1000));
   count("asked", e.asked), count("within", e.within), count("beyond", e.beyond);
   count("in_time", e.in_time), count("late", e.late), count("failed", e.failed), count("left", e.left);
@@ -58,8 +60,8 @@
 }
 
 ContractsRunner::ContractsRunner(ev::loop_ref loop, std::string front, ContractsConfig config,
-                                 contracts::Service service, memory::Broker& broker, memory::Broker::Clock clock,
-                                 telemetry::Log& log)
+                                 contracts::Service service, memory::Broker& broker,
+                                 memory::Broker::Clock clock, telemetry::Log& log)
     : front_(std::move(front)),
       service_(service),
       calendar_(config.calendar),
@@ -102,7 +104,9 @@
   w.StartObject();
   w.Key("front"), w.String(front_.c_str());
   w.Key("mode");
-  w.String(config.mode == contracts::Mode::enforce ? "enforce" : config.mode == contracts::Mode::count ? "count" : "off");
+  w.String(config.mode == contracts::Mode::enforce ? "enforce"
+           : config.mode == contracts::Mode::count ? "count"
+                                                   : "off");
   w.Key("closure"), w.Bool(contracts_.closure(clock_()));
   w.Key("teams");
   w.StartArray();
--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -134,8 +134,10 @@
   }
   for (auto& s : services_) s->limit(whole_of(*s));
   log_courses();
-  if (before) follow(std::move(before->link));
-  else make_admin(), wait_for_next(), serving_.start(0, serving_every);
+  if (before)
+    follow(std::move(before->link));
+  else
+    make_admin(), wait_for_next(), serving_.start(0, serving_every);
   if (!c.control.empty())
     door_ = std::make_unique<wire::ControlDoor>(
         loop, reaper_, c.control, [this](const wire::DoorCall& call) { return this->call(call); });
--- a/src/app/gateway_file.cpp
+++ b/src/app/gateway_file.cpp
@@ -35,11 +35,14 @@
 /// Reads levels in the names of one service; knows where it is, for errors.
 class LadderReader {
  public:
-  LadderReader(const std::string& file, const levels::Service& service, const std::vector<std::string>& tenants)
+  LadderReader(const std::string& file, const levels::Service& service,
+               const std::vector<std::string>& tenants)
       : file_(file), service_(service), tenants_(tenants) {}
 
-  /// The levels in their order on the axis, from the normal one up. `where` gets each one's place in the file.
-  std::vector<levels::Level> read(const Json& ladder, const std::string& pointer, std::vector<std::string>& where) {
+  /// The levels in their order on the axis, from the normal one up. `where` gets each one's place in the
+  /// file.
+  std::vector<levels::Level> read(const Json& ladder, const std::string& pointer,
+                                  std::vector<std::string>& where) {
     std::vector<levels::Level> all;
     std::map<std::string, std::size_t> by_name;
     for (rapidjson::SizeType i = 0; i < ladder.Size(); ++i) {
@@ -120,7 +123,8 @@
     const bool of_class = levels::info(c.reading).scope == levels::Scope::cls;
     const auto* cls = member(v, "class");
     if (of_class && !cls) throw flaw_at(file_, pointer, "a class for the reading " + name, "none");
-    if (!of_class && cls) throw flaw_at(file_, pointer + "/class", "no class: " + name + " is not of a class", shown(*cls));
+    if (!of_class && cls)
+      throw flaw_at(file_, pointer + "/class", "no class: " + name + " is not of a class", shown(*cls));
     if (cls) c.cls = class_id(*cls, pointer + "/class");
     const auto* above = member(v, "above");
     const auto* below = member(v, "below");
@@ -148,10 +152,12 @@
             if (service_.classes[i].freshness == freshness) s.classes.push_back(static_cast<std::int32_t>(i));
     }
     // An empty list means every class: one that was named and has none must not come to mean that.
-    if (named && s.classes.empty()) throw flaw_at(file_, pointer + "/needs", "needs that some class has", "none");
+    if (named && s.classes.empty())
+      throw flaw_at(file_, pointer + "/needs", "needs that some class has", "none");
     if (const auto* tenant = member(v, "tenant")) {
       const auto it = std::find(tenants_.begin(), tenants_.end(), std::string(tenant->GetString()));
-      if (it == tenants_.end()) throw flaw_at(file_, pointer + "/tenant", "a tenant of the settings", shown(*tenant));
+      if (it == tenants_.end())
+        throw flaw_at(file_, pointer + "/tenant", "a tenant of the settings", shown(*tenant));
       s.tenant = static_cast<std::int32_t>(it - tenants_.begin());
     }
     s.only_beyond_budget = text_of(v, "budget", "any") == "beyond";
@@ -197,7 +203,8 @@
 }
 
 std::optional<levels::Config> levels_of(const GatewayFile& file, const std::string& front,
-                                        const levels::Service& service, const std::vector<std::string>& tenants) {
+                                        const levels::Service& service,
+                                        const std::vector<std::string>& tenants) {
   const auto* section = file.section("levels");
   if (!section) return std::nullopt;
   const auto mode = text_of(*section, "mode");
@@ -286,7 +293,8 @@
           if (!s.classes.empty()) {
             w.Key("classes");
             w.StartArray();
-            for (const auto c : s.classes) w.String(service.classes[static_cast<std::size_t>(c)].name.c_str());
+            for (const auto c : s.classes)
+              w.String(service.classes[static_cast<std::size_t>(c)].name.c_str());
             w.EndArray();
           }
           if (s.tenant >= 0) text("tenant", tenants[static_cast<std::size_t>(s.tenant)]);
--- a/src/app/json_schema.cpp
+++ b/src/app/json_schema.cpp
@@ -30,7 +30,8 @@
 
 ConfigError flaw_at(const std::string& file, const std::string& pointer, const std::string& expected,
                     const std::string& found) {
-  return ConfigError(file + ": " + (pointer.empty() ? "/" : pointer) + ": expected " + expected + ", found " + found);
+  return ConfigError(file + ": " + (pointer.empty() ? "/" : pointer) + ": expected " + expected + ", found " +
+                     found);
 }
 
 std::string shown(const rapidjson::Value& value) {
@@ -47,11 +48,13 @@
   rapidjson::Document d;
   d.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseFullPrecisionFlag>(text.c_str(), text.size());
   if (d.HasParseError()) {
-    const auto line = 1 + std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(
-                                                                      std::min(d.GetErrorOffset(), text.size())),
-                                     '\n');
-    throw flaw_at(file, "", "a JSON object",
-                  std::string(rapidjson::GetParseError_En(d.GetParseError())) + " Line " + std::to_string(line));
+    const auto line =
+        1 + std::count(text.begin(),
+                       text.begin() + static_cast<std::ptrdiff_t>(std::min(d.GetErrorOffset(), text.size())),
+                       '\n');
+    throw flaw_at(
+        file, "", "a JSON object",
+        std::string(rapidjson::GetParseError_En(d.GetParseError())) + " Line " + std::to_string(line));
   }
   if (!d.IsObject()) throw flaw_at(file, "", "a JSON object", shown(d));
   return d;
@@ -71,13 +74,16 @@
   if (keyword == "additionalProperties") {
     // The pointer is that of the member or of its object, by the library's version.
     auto name = value && rule ? unknown_member(*value, *rule) : "";
-    if (!name.empty()) where += "/" + name;
-    else name = where.substr(where.rfind('/') + 1);
+    if (!name.empty())
+      where += "/" + name;
+    else
+      name = where.substr(where.rfind('/') + 1);
     throw flaw_at(file, where, "no such key", "'" + name + "'");
   }
   std::string expected = keyword;
   if (rule && rule->IsObject())
-    if (const auto it = rule->FindMember(keyword.c_str()); it != rule->MemberEnd()) expected += " " + shown(it->value);
+    if (const auto it = rule->FindMember(keyword.c_str()); it != rule->MemberEnd())
+      expected += " " + shown(it->value);
   throw flaw_at(file, where, expected, value ? shown(*value) : "nothing");
 }
 
--- a/src/app/levels_runner.cpp
+++ b/src/app/levels_runner.cpp
@@ -25,7 +25,8 @@
 
 }  // namespace
 
-telemetry::Record record_of(const levels::AxisChange& event, const std::string& front, const levels::Service& service) {
+telemetry::Record record_of(const levels::AxisChange& event, const std::string& front,
+                            const levels::Service& service) {
   const auto& c = event.change;
   telemetry::Record r;
   r.at = c.at;
@@ -37,7 +38,8 @@
   for (const auto& read : c.reads) {
     const auto subject = subject_of(read.condition, service);
     r.readings.emplace_back(subject, read.value);
-    const bool holds = read.use == levels::Use::usable && (read.value > read.condition.bound) == read.condition.above;
+    const bool holds =
+        read.use == levels::Use::usable && (read.value > read.condition.bound) == read.condition.above;
     if (holds && c.cause != levels::Cause::held)
       r.rule += (r.rule.find(':') == std::string::npos ? ": " : ", ") + subject +
                 (read.condition.above ? " above " : " not above ") + number(read.condition.bound) + " for " +
@@ -45,14 +47,17 @@
     if (read.use != levels::Use::usable)
       r.note += (r.note.empty() ? "" : ", ") + subject + " is " + levels::name_of(read.use);
   }
-  if (c.until) r.note = "until " + std::to_string(c.until->count() / 1000);
+  if (c.until)
+    r.note = "until " + std::to_string(c.until->count() / 1000);
   else if (c.cause == levels::Cause::entered || c.cause == levels::Cause::left)
-    r.note += (r.note.empty() ? "" : "; ") + ("stays " + std::to_string(c.stay.count() / 1000) + " ms at the least");
+    r.note += (r.note.empty() ? "" : "; ") +
+              ("stays " + std::to_string(c.stay.count() / 1000) + " ms at the least");
   return r;
 }
 
-LevelsRunner::LevelsRunner(ev::loop_ref loop, std::string front, levels::Config config, levels::Service service,
-                           memory::Broker& broker, memory::Broker::Clock clock, Hooks hooks, telemetry::Log& log)
+LevelsRunner::LevelsRunner(ev::loop_ref loop, std::string front, levels::Config config,
+                           levels::Service service, memory::Broker& broker, memory::Broker::Clock clock,
+                           Hooks hooks, telemetry::Log& log)
     : front_(std::move(front)),
       service_(service),
       levels_(std::move(config), std::move(service)),
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -74,8 +74,10 @@
   const auto read = [&](const char* name, auto record, const auto& use) {
     const auto it = told.find(name);
     if (it == told.end()) return;
-    if (auto r = handover::from_text<decltype(record)>(it->second)) use(std::move(*r));
-    else spoilt.emplace_back(name);
+    if (auto r = handover::from_text<decltype(record)>(it->second))
+      use(std::move(*r));
+    else
+      spoilt.emplace_back(name);
   };
   read(
       "sessions", handover::SessionsPart{}, [&](auto p) { broker_.learn(std::move(p.k)); });
--- a/src/contracts/contracts.cpp
+++ b/src/contracts/contracts.cpp
@@ -7,15 +7,16 @@
 namespace cedarring::contracts {
 namespace {
 
-constexpr double cost_gain = 0.02;       // of one answer on the learnt cost of its class
-constexpr double flow_memory = 1;        // seconds, of what teams ask of a resource
-constexpr double headroom = 1.05;        // over what a contended resource has served
-constexpr double growth = 1.05;          // of the capacity for each step without contention
-constexpr double cut = 0.9;              // of it for each step in which the router turned work away
-constexpr double lend_growth = 1.02;     // of what is lent beyond contracts, for each step without contention
-constexpr double lent_least = 0.02;      // of what is served: less than this is as good as nothing lent
-constexpr double flow_burst = 0.1;       // seconds of a share that may come at once: lent shares return within that
-constexpr Duration eased{2'000'000};     // without contention, after which nothing is shared out any more
+constexpr double cost_gain = 0.02;    // of one answer on the learnt cost of its class
+constexpr double flow_memory = 1;     // seconds, of what teams ask of a resource
+constexpr double headroom = 1.05;     // over what a contended resource has served
+constexpr double growth = 1.05;       // of the capacity for each step without contention
+constexpr double cut = 0.9;           // of it for each step in which the router turned work away
+constexpr double lend_growth = 1.02;  // of what is lent beyond contracts, for each step without contention
+constexpr double lent_least = 0.02;   // of what is served: less than this is as good as nothing lent
+constexpr double flow_burst =
+    0.1;  // seconds of a share that may come at once: lent shares return within that
+constexpr Duration eased{2'000'000};  // without contention, after which nothing is shared out any more
 constexpr Duration flow_kept{10'000'000};
 constexpr std::size_t flows_most = 65536;
 
@@ -25,14 +26,16 @@
 Duration spread(Duration wait, Duration most, double draw) {
   const auto width = std::max(std::min(wait, most), Duration(100'000));
   const auto from = std::clamp(wait, Duration::zero(), std::max(Duration::zero(), most - width / 2));
-  return std::min(most, from + Duration(static_cast<std::int64_t>(static_cast<double>(width.count()) * draw)));
+  return std::min(most,
+                  from + Duration(static_cast<std::int64_t>(static_cast<double>(width.count()) * draw)));
 }
 
 }  // namespace
 
 std::size_t Contracts::FlowHash::operator()(const FlowKey& k) const {
   auto h = static_cast<std::uint64_t>(k.group) * 0x9e3779b97f4a7c15ULL;
-  h ^= (static_cast<std::uint64_t>(static_cast<std::uint32_t>(k.team)) << 1U | (k.primary ? 1U : 0U)) + (h >> 29U);
+  h ^= (static_cast<std::uint64_t>(static_cast<std::uint32_t>(k.team)) << 1U | (k.primary ? 1U : 0U)) +
+       (h >> 29U);
   return h * 0xbf58476d1ce4e5b9ULL;
 }
 
@@ -93,7 +96,8 @@
     teams[t] = teams_[from];
     for (std::size_t c = 0; c < classes; ++c) cells[t * classes + c] = std::move(at(from, c));
   }
-  // Shares of teams by their old numbers would be somebody else's now; requests that are open are charged to nobody.
+  // Shares of teams by their old numbers would be somebody else's now; requests that are open are charged to
+  // nobody.
   flows_.clear();
   resources_.clear();
   open_.clear();
@@ -162,8 +166,8 @@
   for (const auto& [key, r] : resources_)
     all.resources.push_back({GroupId{key.first}, key.second, r.served, r.capacity, r.lend});
   for (const auto& [key, f] : flows_)
-    all.flows.push_back({GroupId{key.group}, config_.teams[static_cast<std::size_t>(key.team)].name, key.primary,
-                         f.within, f.beyond});
+    all.flows.push_back({GroupId{key.group}, config_.teams[static_cast<std::size_t>(key.team)].name,
+                         key.primary, f.within, f.beyond});
   set_rates(now);
   return all;
 }
@@ -177,7 +181,8 @@
 void Contracts::unheard(Time now) {
   stage_ = handover::Stage::begins;
   for (std::size_t t = 0; t < teams_.size(); ++t)
-    for (std::size_t c = 0; c < service_.classes.size(); ++c) at(t, c).share = handover::portion(stage_, burst(t, c));
+    for (std::size_t c = 0; c < service_.classes.size(); ++c)
+      at(t, c).share = handover::portion(stage_, burst(t, c));
   set_rates(now);
   for (std::size_t t = 0; t < teams_.size(); ++t) teams_[t].retries.spend_all(retry_rate(t, stage_), now);
   for (auto& cell : cells_) cell.bucket.spend_all(cell.rate, now);
@@ -187,7 +192,8 @@
   unheard(now);  // of what is not told nothing is left
   const auto sane = [](double v, double most) { return v >= 0 && v <= most ? v : 0; };
   for (std::size_t c = 0; c < service_.classes.size(); ++c)
-    if (const auto it = told.costs.find(service_.classes[c].name); it != told.costs.end() && sane(it->second, 1e9) > 0)
+    if (const auto it = told.costs.find(service_.classes[c].name);
+        it != told.costs.end() && sane(it->second, 1e9) > 0)
       costs_[c] = it->second;
   for (std::size_t t = 0; t < teams_.size(); ++t) {
     const auto team = told.teams.find(config_.teams[t].name);
@@ -204,10 +210,12 @@
   }
   for (const auto& r : told.resources) {
     auto& mine = resources_[{r.group.value, r.primary}];
-    mine.served = sane(r.served, 1e12), mine.capacity = r.capacity, mine.lend = r.lend, mine.last_contended = now;
+    mine.served = sane(r.served, 1e12), mine.capacity = r.capacity, mine.lend = r.lend,
+    mine.last_contended = now;
   }
   for (const auto& f : told.flows) {
-    const auto team = std::find_if(config_.teams.begin(), config_.teams.end(), [&](const Team& o) { return o.name == f.team; });
+    const auto team = std::find_if(config_.teams.begin(), config_.teams.end(),
+                                   [&](const Team& o) { return o.name == f.team; });
     if (team == config_.teams.end() || flows_.size() >= flows_most) continue;
     auto& mine = flows_[{f.group.value, static_cast<std::int32_t>(team - config_.teams.begin()), f.primary}];
     mine.within = sane(f.within, 1e12), mine.beyond = sane(f.beyond, 1e12), mine.used = now;
@@ -259,8 +267,7 @@
   v.admitted = false;
   v.by = gates::Decider::contracts;
   v.why = why;
-  if (service_.pauses)
-    v.pause = spread(wait, service_.max_pause, static_cast<double>(random_()) * 0x1p-32);
+  if (service_.pauses) v.pause = spread(wait, service_.max_pause, static_cast<double>(random_()) * 0x1p-32);
   return v;
 }
 
@@ -298,7 +305,8 @@
       if (may >= 0 && (within || terms->beyond == Beyond::borrow)) {
         const auto rate = Rate::of(may, std::max(cost, may * flow_burst));
         if (!bucket.conforms(rate, now))
-          return refuse(within ? gates::Reason::contention : gates::Reason::over_contract, bucket.wait(rate, now));
+          return refuse(within ? gates::Reason::contention : gates::Reason::over_contract,
+                        bucket.wait(rate, now));
         bucket.take(rate, cost, now);
       }
     }
@@ -342,17 +350,25 @@
       ++(in_time ? book.now.in_time : book.now.late);
       book.times.add(ending.elapsed);
       break;
-    case gates::End::failed: ++book.now.failed; break;
-    case gates::End::left: ++book.now.left; break;
+    case gates::End::failed:
+      ++book.now.failed;
+      break;
+    case gates::End::left:
+      ++book.now.left;
+      break;
     case gates::End::refused:
-      if (ending.by == gates::Decider::levels) ++book.now.refused_levels;
-      else if (ending.by != gates::Decider::contracts) ++book.now.refused_router;
-      else if (ending.why == gates::Reason::contention) ++book.now.refused_contention;
-      else ++book.now.refused_contract;
+      if (ending.by == gates::Decider::levels)
+        ++book.now.refused_levels;
+      else if (ending.by != gates::Decider::contracts)
+        ++book.now.refused_router;
+      else if (ending.why == gates::Reason::contention)
+        ++book.now.refused_contention;
+      else
+        ++book.now.refused_contract;
       break;
   }
-  // The gateway's promise is about what was within the contract, and about what it has refused of that in contention.
-  // A client that leaves by itself has not waited for the promise.
+  // The gateway's promise is about what was within the contract, and about what it has refused of that in
+  // contention. A client that leaves by itself has not waited for the promise.
   if (((admitted && !beyond) || ending.why == gates::Reason::contention) && ending.end != gates::End::left) {
     ++book.now.within_ended;
     if (in_time) ++book.now.within_in_time;
@@ -361,10 +377,11 @@
   auto& resource = resources_[{ask.group.value, needs_primary(c)}];
   if (ending.end == gates::End::refused && ending.by == gates::Decider::router) ++resource.refused;
   if (ending.end == gates::End::served) {
-    // What an answer took beyond the quick ones is waiting, not work: an expectile on the low side, which a queue
-    // before the hosts moves little.
+    // What an answer took beyond the quick ones is waiting, not work: an expectile on the low side, which a
+    // queue before the hosts moves little.
     const double took = std::max(0.1, static_cast<double>(ending.elapsed.count()) / 1000);
-    costs_[c] += (took < costs_[c] ? cost_gain : cost_gain / 20) * (std::min(took, costs_[c] * 3) - costs_[c]);
+    costs_[c] +=
+        (took < costs_[c] ? cost_gain : cost_gain / 20) * (std::min(took, costs_[c] * 3) - costs_[c]);
     resource.served += charged;
   } else if (!ending.ran) {
     // What never ran is not the team's to pay.
@@ -383,7 +400,8 @@
     };
     all.push_back({v.group, true, tight(v.primary_waiting, v.primary_in_flight, v.primary_window)});
     all.push_back({v.group, false,
-                   tight(v.waiting - v.primary_waiting, v.in_flight - v.primary_in_flight, v.window - v.primary_window)});
+                   tight(v.waiting - v.primary_waiting, v.in_flight - v.primary_in_flight,
+                         v.window - v.primary_window)});
   }
   return all;
 }
@@ -396,8 +414,9 @@
   stepped_ = now;
   if (passed > 0) {
     const double keep = std::exp(-passed / flow_memory);
-    // A gateway's part: even, until more than that arrives here for a while. It cannot know what arrives elsewhere, so
-    // it never holds more than `part_most` even parts: all gateways together overshoot by that factor at the worst.
+    // A gateway's part: even, until more than that arrives here for a while. It cannot know what arrives
+    // elsewhere, so it never holds more than `part_most` even parts: all gateways together overshoot by that
+    // factor at the worst.
     const double even = 1.0 / std::max(1U, config_.gateways), most = std::min(1.0, even * config_.part_most);
     const double move = 1 - std::exp(-passed / std::max(0.1, seconds(config_.part_memory)));
     for (std::size_t t = 0; t < teams_.size(); ++t) {
@@ -405,7 +424,8 @@
       for (std::size_t c = 0; c < service_.classes.size(); ++c) {
         auto& cell = at(t, c);
         cell.demand *= keep;
-        if (const auto* terms = this->terms(t, c, closure_)) asked += cell.demand * costs_[c], promised += terms->rate * costs_[c];
+        if (const auto* terms = this->terms(t, c, closure_))
+          asked += cell.demand * costs_[c], promised += terms->rate * costs_[c];
       }
       const double wanted = promised > 0 ? std::clamp(asked / flow_memory / promised, even, most) : even;
       teams_[t].part += (wanted - teams_[t].part) * move;
@@ -430,9 +450,10 @@
     auto& flows = by_resource[{s.group.value, s.primary}];
     std::sort(flows.begin(), flows.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
     const double served = r.served / flow_memory;
-    // Work that was let through and that the router turned away, or windows that are full: more is let through than
-    // there is. What is lent goes first, by half at each step, and comes back slowly; only once next to nothing is lent
-    // is what was promised shared out: a little more than comes back served, cut where the router turns work away.
+    // Work that was let through and that the router turned away, or windows that are full: more is let
+    // through than there is. What is lent goes first, by half at each step, and comes back slowly; only once
+    // next to nothing is lent is what was promised shared out: a little more than comes back served, cut
+    // where the router turns work away.
     const bool refused = std::exchange(r.refused, 0) > 0, trouble = refused || s.contended;
     double within = 0, beyond = 0;
     for (const auto& [f, team] : flows) within += f->within / flow_memory, beyond += f->beyond / flow_memory;
@@ -445,9 +466,12 @@
       if (now - r.last_contended > eased && beyond < r.lend) r.lend = -1;
     }
     if (trouble && !lending) {
-      if (r.capacity < 0) r.capacity = std::max(1.0, served * headroom);
-      else if (refused) r.capacity = std::max({1.0, served, r.capacity * cut});
-      else r.capacity = std::max(r.capacity, served);
+      if (r.capacity < 0)
+        r.capacity = std::max(1.0, served * headroom);
+      else if (refused)
+        r.capacity = std::max({1.0, served, r.capacity * cut});
+      else
+        r.capacity = std::max(r.capacity, served);
     } else if (r.capacity >= 0) {
       r.capacity *= growth;
       if (now - r.last_contended > eased && within < r.capacity) r.capacity = -1;
@@ -461,7 +485,7 @@
             weight = std::max(weight, terms->weight);
       claims.push_back({f->within / flow_memory, weight > 0 ? weight : 1, 0});
     }
-    const auto limit = [&](double capacity, double Flow::* may) {
+    const auto limit = [&](double capacity, double Flow::*may) {
       if (capacity >= 0) share_out(claims, capacity);
       for (std::size_t i = 0; i < flows.size(); ++i)
         flows[i].first->*may = capacity < 0 || claims[i].share >= claims[i].demand ? -1 : claims[i].share;
@@ -480,14 +504,18 @@
       if (const auto* terms = this->terms(t, c, closure_)) {
         if (book.now.beyond > 0)
           out.push_back({t, c, Side::team, window_from_, now, book.now.beyond, terms->rate * teams_[t].part,
-                         static_cast<double>(book.now.asked) / std::max(0.001, seconds(now - window_from_)), closure_});
+                         static_cast<double>(book.now.asked) / std::max(0.001, seconds(now - window_from_)),
+                         closure_});
         const auto ended = book.now.within_ended;
-        const double got = ended > 0 ? static_cast<double>(book.now.within_in_time) / static_cast<double>(ended) : 1;
+        const double got =
+            ended > 0 ? static_cast<double>(book.now.within_in_time) / static_cast<double>(ended) : 1;
         if (got < terms->share)
-          out.push_back({t, c, Side::gateway, window_from_, now, ended - book.now.within_in_time, terms->share, got, closure_});
+          out.push_back({t, c, Side::gateway, window_from_, now, ended - book.now.within_in_time,
+                         terms->share, got, closure_});
       }
       if (closed && book.now.asked > 0)
-        closed->push_back({t, c, window_from_, now, book.now, book.times.quantile(0.5), book.times.quantile(0.99)});
+        closed->push_back(
+            {t, c, window_from_, now, book.now, book.times.quantile(0.5), book.times.quantile(0.99)});
       book.before += book.now;
       book.now = {};
     }
@@ -502,7 +530,8 @@
     for (std::size_t o = 0; o < t; ++o)
       if (config.teams[o].name == team.name) return Flaw{at + "/name", "taken by another team"};
     for (const auto tenant : team.tenants) {
-      if (tenant < 0 || static_cast<std::size_t>(tenant) >= owner.size()) return Flaw{at + "/tenants", "no such tenant"};
+      if (tenant < 0 || static_cast<std::size_t>(tenant) >= owner.size())
+        return Flaw{at + "/tenants", "no such tenant"};
       if (owner[static_cast<std::size_t>(tenant)] >= 0) return Flaw{at + "/tenants", "a tenant of two teams"};
       owner[static_cast<std::size_t>(tenant)] = static_cast<std::int32_t>(t);
     }
@@ -510,11 +539,14 @@
     for (const auto& c : team.classes)
       if (c)
         for (const auto* terms : {&c->usual, c->closure ? &*c->closure : &c->usual})
-          if (!(terms->rate >= 0) || !(terms->burst >= 1) || !(terms->weight > 0) || !(terms->share > 0 && terms->share <= 1))
-            return Flaw{at + "/classes", "rate from 0, burst from 1, weight above 0, share above 0 and at most 1"};
+          if (!(terms->rate >= 0) || !(terms->burst >= 1) || !(terms->weight > 0) ||
+              !(terms->share > 0 && terms->share <= 1))
+            return Flaw{at + "/classes",
+                        "rate from 0, burst from 1, weight above 0, share above 0 and at most 1"};
   }
   for (std::size_t i = 0; i < config.closures.size(); ++i)
-    if (config.closures[i].to <= config.closures[i].from || (i > 0 && config.closures[i].from < config.closures[i - 1].to))
+    if (config.closures[i].to <= config.closures[i].from ||
+        (i > 0 && config.closures[i].from < config.closures[i - 1].to))
       return Flaw{"/calendar", "closures that overlap or end before they begin"};
   if (config.gateways < 1) return Flaw{"/gateways", "at least one"};
   return std::nullopt;
--- a/src/contracts/contracts.h
+++ b/src/contracts/contracts.h
@@ -1,5 +1,5 @@
-// Contracts between teams, enforced: the gate that keeps each team to its terms, shares out what is scarce, and books
-// what became of every request. A state machine: requests and times in, verdicts out.
+// Contracts between teams, enforced: the gate that keeps each team to its terms, shares out what is scarce,
+// and books what became of every request. A state machine: requests and times in, verdicts out.
 #pragma once
 
 #include <cstdint>
@@ -50,8 +50,8 @@
   void reload(Config config, Time now);
 
   // Two processes of one gateway, see handover/portion.h.
-  /// Another process begins: its part of what may be spent, and all that has been booked; what is booked here from now on
-  /// begins at nothing, and no window closes here.
+  /// Another process begins: its part of what may be spent, and all that has been booked; what is booked here
+  /// from now on begins at nothing, and no window closes here.
   Carried split(Time now);
   /// This process begins beside another that has not told yet: nothing may be spent.
   void follow(Time now);
@@ -76,7 +76,9 @@
   /// The present window's entry, and all windows together.
   [[nodiscard]] const Entry& entry(std::size_t team, std::size_t cls) const { return booked(team, cls).now; }
   [[nodiscard]] Entry total(std::size_t team, std::size_t cls) const;
-  [[nodiscard]] const AnswerTimes& times(std::size_t team, std::size_t cls) const { return booked(team, cls).times; }
+  [[nodiscard]] const AnswerTimes& times(std::size_t team, std::size_t cls) const {
+    return booked(team, cls).times;
+  }
   /// This gateway's part of the team's rates, 0 to 1.
   [[nodiscard]] double part(std::size_t team) const { return teams_[team].part; }
   /// What a request of the class costs the hosts, in milliseconds, as learnt from answers.
@@ -111,8 +113,8 @@
   };
   /// One team's use of one scarce resource; kept while it is used.
   struct Flow {
-    double within = 0, beyond = 0;              // cost asked for, fading
-    double may_within = -1, may_beyond = -1;    // cost a second; below zero: no limit
+    double within = 0, beyond = 0;            // cost asked for, fading
+    double may_within = -1, may_beyond = -1;  // cost a second; below zero: no limit
     Gcra within_bucket, beyond_bucket;
     Time used{};
   };
@@ -120,23 +122,27 @@
     std::int64_t group;
     std::int32_t team;
     bool primary;
-    bool operator==(const FlowKey& o) const { return group == o.group && team == o.team && primary == o.primary; }
+    bool operator==(const FlowKey& o) const {
+      return group == o.group && team == o.team && primary == o.primary;
+    }
   };
   struct FlowHash {
     std::size_t operator()(const FlowKey& k) const;
   };
   struct Resource {
-    double served = 0;    // cost a second that came back served, smoothed
+    double served = 0;     // cost a second that came back served, smoothed
     double capacity = -1;  // cost a second shared out within contracts; below zero: no limit
     double lend = -1;      // cost a second shared out beyond them; below zero: no limit
     Time last_contended{};
-    int refused = 0;      // by the router, since the last step
+    int refused = 0;  // by the router, since the last step
   };
   struct Open {
     double cost;
     bool beyond;
   };
-  [[nodiscard]] Cell& at(std::size_t team, std::size_t cls) { return cells_[team * service_.classes.size() + cls]; }
+  [[nodiscard]] Cell& at(std::size_t team, std::size_t cls) {
+    return cells_[team * service_.classes.size() + cls];
+  }
   [[nodiscard]] const Cell& at(std::size_t team, std::size_t cls) const {
     return cells_[team * service_.classes.size() + cls];
   }
--- a/src/contracts/fair_share.h
+++ b/src/contracts/fair_share.h
@@ -1,5 +1,5 @@
-// Weighted max-min fairness (Bertsekas and Gallager, Data Networks, 6.5.2): nobody gets more than it asks for, and what
-// one leaves is shared among the others by weight.
+// Weighted max-min fairness (Bertsekas and Gallager, Data Networks, 6.5.2): nobody gets more than it asks
+// for, and what one leaves is shared among the others by weight.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +15,8 @@
   double share = 0;   // what it gets
 };
 
-/// Fills in the shares of `capacity`; returns what is left. Demands and capacity of zero or more, in one unit.
+/// Fills in the shares of `capacity`; returns what is left. Demands and capacity of zero or more, in one
+/// unit.
 inline double share_out(std::vector<Claim>& claims, double capacity) {
   std::vector<std::size_t> order(claims.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
--- a/src/contracts/gcra.h
+++ b/src/contracts/gcra.h
@@ -1,5 +1,5 @@
-// The generic cell rate algorithm (ITU-T I.371): a rate with a burst, kept as one integer. No drift: what has been let
-// through in any window never exceeds rate x window + burst, however long it runs.
+// The generic cell rate algorithm (ITU-T I.371): a rate with a burst, kept as one integer. No drift: what has
+// been let through in any window never exceeds rate x window + burst, however long it runs.
 #pragma once
 
 #include <algorithm>
@@ -24,7 +24,8 @@
     }
     r.interval = std::max<std::int64_t>(1, static_cast<std::int64_t>(std::ceil(1e9 / per_second)));
     // A burst of one unit is what the rate itself lets through.
-    r.tolerance = static_cast<std::int64_t>(std::min(longest, std::max(0.0, burst - 1) * static_cast<double>(r.interval)));
+    r.tolerance = static_cast<std::int64_t>(
+        std::min(longest, std::max(0.0, burst - 1) * static_cast<double>(r.interval)));
     return r;
   }
 };
@@ -68,8 +69,8 @@
     if (rate.interval == 0 || rate.interval >= Rate::none) return;
     due_ = ns(now) + rate.tolerance + rate.interval;
   }
-  /// From a part (0 to 1) of `whole` to the whole: the rate is whole at once, but what might have come at once from the
-  /// other part is another's and may be spent.
+  /// From a part (0 to 1) of `whole` to the whole: the rate is whole at once, but what might have come at
+  /// once from the other part is another's and may be spent.
   void widen(const Rate& whole, double part, Time now) {
     if (whole.interval == 0 || whole.interval >= Rate::none) return;
     const double burst = static_cast<double>(whole.tolerance) + static_cast<double>(whole.interval);
@@ -77,7 +78,8 @@
   }
 
  private:
-  static constexpr std::int64_t debt_most = 10'000'000'000;  // 10 s, or one unit: no correction bars anyone for longer
+  static constexpr std::int64_t debt_most =
+      10'000'000'000;  // 10 s, or one unit: no correction bars anyone for longer
   static std::int64_t ns(Time t) { return t.count() * 1000; }
   std::int64_t due_ = 0;  // the theoretical arrival time of the next unit
 };
--- a/src/fleet/connect_patience.h
+++ b/src/fleet/connect_patience.h
@@ -1,6 +1,6 @@
-// How long a connection to a host may take to come up before a request goes elsewhere: from what connections took
-// lately, as RFC 6298 does for retransmissions. A host that says nothing then costs a request a little of its time, not
-// all of it; nothing was sent, so nothing can have run. No I/O, no clock.
+// How long a connection to a host may take to come up before a request goes elsewhere: from what connections
+// took lately, as RFC 6298 does for retransmissions. A host that says nothing then costs a request a little
+// of its time, not all of it; nothing was sent, so nothing can have run. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -15,8 +15,10 @@
   /// A connection has come up after `took`. Those given up tell nothing of how long they would have taken.
   void took(Duration took) {
     const auto us = static_cast<double>(took.count());
-    if (mean_ < 0) mean_ = us, spread_ = us / 2;
-    else spread_ += (std::abs(us - mean_) - spread_) / 4, mean_ += (us - mean_) / 8;
+    if (mean_ < 0)
+      mean_ = us, spread_ = us / 2;
+    else
+      spread_ += (std::abs(us - mean_) - spread_) / 4, mean_ += (us - mean_) / 8;
     lost_ = 0;
   }
   /// One has been given up. Where none comes up in between the patience doubles: they may all be slow.
--- a/src/fleet/lag_steps.h
+++ b/src/fleet/lag_steps.h
@@ -1,8 +1,8 @@
-// The design's steps: what a replica weighs in the draw by how far behind it seems. Past the bound it has a small
-// fixed share beside those within, where hosts check reads themselves. A gateway that hears seldom believes most
-// replicas past the bound that are not, and its reads crowd on the few it has just heard; so that share follows
-// how often such reads were answered: a host turns one away at no harm but the way there. No I/O, no clock, no
-// randomness.
+// The design's steps: what a replica weighs in the draw by how far behind it seems. Past the bound it has a
+// small fixed share beside those within, where hosts check reads themselves. A gateway that hears seldom
+// believes most replicas past the bound that are not, and its reads crowd on the few it has just heard; so
+// that share follows how often such reads were answered: a host turns one away at no harm but the way there.
+// No I/O, no clock, no randomness.
 #pragma once
 
 #include <algorithm>
@@ -13,10 +13,10 @@
 
 namespace cedarring::fleet {
 
-/// How far behind a replica is believed to be that was `lag` behind when it was last heard, `age` ago. What it did
-/// since nobody knows: with trust it has kept up, without it has stood still, as by its known position alone.
-/// Replicas heard at different times cannot be told apart otherwise: the one heard last would always be the most
-/// advanced, and each of many gateways would stay with one.
+/// How far behind a replica is believed to be that was `lag` behind when it was last heard, `age` ago. What
+/// it did since nobody knows: with trust it has kept up, without it has stood still, as by its known position
+/// alone. Replicas heard at different times cannot be told apart otherwise: the one heard last would always
+/// be the most advanced, and each of many gateways would stay with one.
 [[nodiscard]] inline Duration believed_lag(Duration lag, Duration age, bool trust) {
   return trust ? lag : lag + age;
 }
@@ -26,8 +26,9 @@
 void keep_most_advanced(std::vector<std::pair<Candidate*, double>>& from, Duration level, const Lag& lag) {
   auto least = Duration::max();
   for (const auto& [c, w] : from) least = std::min(least, lag(*c));
-  from.erase(std::remove_if(from.begin(), from.end(), [&](const auto& f) { return lag(*f.first) - level > least; }),
-             from.end());
+  from.erase(
+      std::remove_if(from.begin(), from.end(), [&](const auto& f) { return lag(*f.first) - level > least; }),
+      from.end());
 }
 
 /// Up to the bound: full weight under half of it, half from there.
@@ -42,9 +43,9 @@
   explicit PastShare(double at_first) : answered_(at_first) {}
   /// A read that went to such a replica was answered, or turned away as too old.
   void ended(bool answered) { answered_ += gain * ((answered ? 1.0 : 0.0) - answered_); }
-  /// 0.05 to 0.5, for a group and all groups together: one of hundreds of gateways sees too little of a group by
-  /// itself, and a group that lags is not to be hidden by the others. One in five turned away makes it 0.2,
-  /// every second the least.
+  /// 0.05 to 0.5, for a group and all groups together: one of hundreds of gateways sees too little of a group
+  /// by itself, and a group that lags is not to be hidden by the others. One in five turned away makes it
+  /// 0.2, every second the least.
   [[nodiscard]] static double weight(const PastShare& group, const PastShare& all) {
     const double both = group.answered_ * all.answered_;
     return std::max(least, most * both * both * both * both);
--- a/src/gates/gate.h
+++ b/src/gates/gate.h
@@ -1,6 +1,6 @@
-// What stands between a request and the router: a chain of gates, each of which may turn the request away. A gate
-// decides from what it is handed, without I/O, a clock or randomness of its own, so that the same object runs in
-// the gateway, in simulated time and in tests.
+// What stands between a request and the router: a chain of gates, each of which may turn the request away. A
+// gate decides from what it is handed, without I/O, a clock or randomness of its own, so that the same object
+// runs in the gateway, in simulated time and in tests.
 #pragma once
 
 #include <cstdint>
@@ -33,22 +33,33 @@
 
 constexpr const char* name_of(Decider d) {
   switch (d) {
-    case Decider::nobody: return "nobody";
-    case Decider::levels: return "levels";
-    case Decider::contracts: return "contracts";
-    case Decider::router: return "router";
+    case Decider::nobody:
+      return "nobody";
+    case Decider::levels:
+      return "levels";
+    case Decider::contracts:
+      return "contracts";
+    case Decider::router:
+      return "router";
   }
   return "nobody";
 }
 constexpr const char* name_of(Reason r) {
   switch (r) {
-    case Reason::none: return "none";
-    case Reason::class_shed: return "class shed";
-    case Reason::budget_shed: return "beyond the budget";
-    case Reason::tenant_shed: return "tenant shed";
-    case Reason::no_primary: return "no primary";
-    case Reason::over_contract: return "beyond the contract";
-    case Reason::contention: return "beyond the team's part";
+    case Reason::none:
+      return "none";
+    case Reason::class_shed:
+      return "class shed";
+    case Reason::budget_shed:
+      return "beyond the budget";
+    case Reason::tenant_shed:
+      return "tenant shed";
+    case Reason::no_primary:
+      return "no primary";
+    case Reason::over_contract:
+      return "beyond the contract";
+    case Reason::contention:
+      return "beyond the team's part";
   }
   return "none";
 }
@@ -77,10 +88,14 @@
 enum class End : std::uint8_t { served, refused, failed, left };
 constexpr const char* name_of(End e) {
   switch (e) {
-    case End::served: return "served";
-    case End::refused: return "refused";
-    case End::failed: return "failed";
-    case End::left: return "left";
+    case End::served:
+      return "served";
+    case End::refused:
+      return "refused";
+    case End::failed:
+      return "failed";
+    case End::left:
+      return "left";
   }
   return "failed";
 }
@@ -88,8 +103,8 @@
   End end = End::failed;
   Decider by = Decider::nobody;  // of a refusal, and why where a gate has refused it
   Reason why = Reason::none;
-  bool ran = false;              // an attempt was written to a host, or may have been
-  Duration elapsed{};            // since the request was taken
+  bool ran = false;    // an attempt was written to a host, or may have been
+  Duration elapsed{};  // since the request was taken
 };
 
 class Gate {
@@ -97,8 +112,8 @@
   virtual ~Gate() = default;
   /// Whether the request may go on to the next gate, or the router after the last. Never holds one back.
   virtual Verdict admit(const Ask& ask, Time now) = 0;
-  /// Whether a further attempt may be made for a request that this gate let through; the first needs no asking. One
-  /// that may not ends the attempt as never sent.
+  /// Whether a further attempt may be made for a request that this gate let through; the first needs no
+  /// asking. One that may not ends the attempt as never sent.
   virtual bool may_repeat(const Ask& /*ask*/, Time /*now*/) { return true; }
   /// Told for each request that passed this gate, and for each that it turned away.
   virtual void ended(const Ask& /*ask*/, const Ending& /*ending*/, Time /*now*/) {}
--- a/src/handover/fields.h
+++ b/src/handover/fields.h
@@ -31,10 +31,14 @@
   }
   template <class T>
   void put(const T& v) {
-    if constexpr (std::is_same_v<T, bool>) w_.Bool(v);
-    else if constexpr (std::is_floating_point_v<T>) w_.Double(std::isfinite(v) ? v : 0);
-    else if constexpr (std::is_integral_v<T> && std::is_signed_v<T>) w_.Int64(v);
-    else if constexpr (std::is_integral_v<T>) w_.Uint64(v);
+    if constexpr (std::is_same_v<T, bool>)
+      w_.Bool(v);
+    else if constexpr (std::is_floating_point_v<T>)
+      w_.Double(std::isfinite(v) ? v : 0);
+    else if constexpr (std::is_integral_v<T> && std::is_signed_v<T>)
+      w_.Int64(v);
+    else if constexpr (std::is_integral_v<T>)
+      w_.Uint64(v);
     else {
       w_.StartObject();
       fields(*this, const_cast<T&>(v));  // which only reads it: one function for both ways
@@ -49,8 +53,10 @@
   }
   template <class T>
   void put(const std::optional<T>& v) {
-    if (v) put(*v);
-    else w_.Null();
+    if (v)
+      put(*v);
+    else
+      w_.Null();
   }
   template <class A, class B>
   void put(const std::pair<A, B>& v) {
@@ -86,13 +92,18 @@
   [[nodiscard]] bool good() const { return good_; }
   template <class T>
   void take(const rapidjson::Value& j, T& v) {
-    if constexpr (std::is_same_v<T, bool>) j.IsBool() ? void(v = j.GetBool()) : fail();
-    else if constexpr (std::is_floating_point_v<T>) j.IsNumber() ? void(v = j.GetDouble()) : fail();
-    else if constexpr (std::is_integral_v<T>) whole(j, v);
+    if constexpr (std::is_same_v<T, bool>)
+      j.IsBool() ? void(v = j.GetBool()) : fail();
+    else if constexpr (std::is_floating_point_v<T>)
+      j.IsNumber() ? void(v = j.GetDouble()) : fail();
+    else if constexpr (std::is_integral_v<T>)
+      whole(j, v);
     else {
       const auto* outer = std::exchange(from_, &j);
-      if (j.IsObject()) fields(*this, v);
-      else fail();
+      if (j.IsObject())
+        fields(*this, v);
+      else
+        fail();
       from_ = outer;
     }
   }
--- a/src/levels/ladder.cpp
+++ b/src/levels/ladder.cpp
@@ -17,9 +17,10 @@
   }
 }
 
-/// Every condition's clock is kept, whatever the others say: a rule holds once enough of them have held for as long
-/// as each has to. A reading that cannot be used stops its clock: what is not known has not held.
-Ladder::State Ladder::evaluate(const Rule& rule, std::vector<Clock>& clocks, const Read& read, Change& change) {
+/// Every condition's clock is kept, whatever the others say: a rule holds once enough of them have held for
+/// as long as each has to. A reading that cannot be used stops its clock: what is not known has not held.
+Ladder::State Ladder::evaluate(const Rule& rule, std::vector<Clock>& clocks, const Read& read,
+                               Change& change) {
   std::size_t held = 0, unknown = 0;
   for (std::size_t i = 0; i < rule.conditions.size(); ++i) {
     const auto& c = rule.conditions[i];
@@ -39,17 +40,15 @@
   return held > 0 ? State::yes : unknown > 0 ? State::unknown : State::no;
 }
 
-bool Ladder::may_change() const {
-  return !changed_ || now_ - since_ >= std::max(config_.apart, stay_);
-}
+bool Ladder::may_change() const { return !changed_ || now_ - since_ >= std::max(config_.apart, stay_); }
 
 void Ladder::move(std::size_t to, Cause cause, Change change, std::vector<Change>& out) {
   change.at = now_;
   change.cause = cause;
   change.from = present().name;
   change.to = config_.levels[to].name;
-  // A level left not long ago and wanted again was left too soon: it stays longer this time, within a bound. Without
-  // this a load that the level itself relieves would swing it for ever at the least distance.
+  // A level left not long ago and wanted again was left too soon: it stays longer this time, within a bound.
+  // Without this a load that the level itself relieves would swing it for ever at the least distance.
   auto& left = clocks_[level_];
   if (to < level_) left.left = now_, left.was_left = true, left.stay = stay_;
   stay_ = config_.levels[to].stay;
@@ -79,8 +78,8 @@
 
 void Ladder::step(Time now, const Read& read, std::vector<Change>& out) {
   now = begun_ ? std::max(now, now_) : now;
-  // After a gap nobody knows whether a condition has held all the while: a stopped loop or a clock that leapt must
-  // not stand for time that was watched.
+  // After a gap nobody knows whether a condition has held all the while: a stopped loop or a clock that leapt
+  // must not stand for time that was watched.
   if (begun_ && now - now_ > config_.max_gap)
     for (auto& c : clocks_)
       for (auto* clocks : {&c.enter, &c.exit})
@@ -100,9 +99,9 @@
   Change up_change, down_change, scratch;
   for (std::size_t i = 1; i < config_.levels.size(); ++i) {
     Change change;
-    const bool entered = i > level_ ? look(config_.levels[i].enter, clocks_[i].enter, change)
-                                    : evaluate(config_.levels[i].enter, clocks_[i].enter, read, scratch) ==
-                                          State::yes;
+    const bool entered =
+        i > level_ ? look(config_.levels[i].enter, clocks_[i].enter, change)
+                   : evaluate(config_.levels[i].enter, clocks_[i].enter, read, scratch) == State::yes;
     if (entered && i > up) up = i, up_change = std::move(change);
   }
   const bool down = level_ > 0 && look(present().exit, clocks_[level_].exit, down_change);
@@ -129,11 +128,14 @@
     return;
   }
   if (may_change()) {
-    if (up > level_) return move(config_.step_by_step ? level_ + 1 : up, Cause::entered, std::move(up_change), out);
+    if (up > level_)
+      return move(config_.step_by_step ? level_ + 1 : up, Cause::entered, std::move(up_change), out);
     if (down) return move(level_ - 1, Cause::left, std::move(down_change), out);
   }
-  if (unknown && level_ > 0) hold(std::move(why_unknown), out);
-  else if (!unknown) told_held_ = false;
+  if (unknown && level_ > 0)
+    hold(std::move(why_unknown), out);
+  else if (!unknown)
+    told_held_ = false;
 }
 
 bool Ladder::pin(const std::string& level, Time until, Time now) {
@@ -168,7 +170,8 @@
   since_ = now_ - std::max(Duration::zero(), told.since);
   stay_ = std::clamp(told.stay, Duration::zero(), std::max(config_.longest_stay, it->stay));
   changed_ = told.changed;
-  if (!told.pinned.empty() && told.pinned_for > Duration::zero() && pin(told.pinned, now_ + told.pinned_for, now_))
+  if (!told.pinned.empty() && told.pinned_for > Duration::zero() &&
+      pin(told.pinned, now_ + told.pinned_for, now_))
     pin_->told = true;
 }
 
@@ -195,8 +198,10 @@
     }
   const auto from = old.levels[level_].name;
   const auto pinned = pin_ ? find(old.levels[pin_->level].name) : std::nullopt;
-  if (pinned) pin_->level = *pinned;
-  else pin_.reset();
+  if (pinned)
+    pin_->level = *pinned;
+  else
+    pin_.reset();
   config_ = std::move(config);
   reset_clocks();
   level_ = to;
@@ -232,7 +237,9 @@
       if (!same(x, y)) continue;
       const auto p = range_of(x), q = range_of(y);
       const Range both{std::max(p.from, q.from), std::min(p.to, q.to),
-                       p.from > q.from ? p.closed : q.from > p.from ? q.closed : p.closed && q.closed};
+                       p.from > q.from   ? p.closed
+                       : q.from > p.from ? q.closed
+                                         : p.closed && q.closed};
       if (empty(both)) return false;
     }
   return true;
--- a/src/levels/ladder.h
+++ b/src/levels/ladder.h
@@ -1,5 +1,5 @@
-// One axis of levels: a ladder from `normal` upwards, its conditions, hysteresis, least stay and bound on changes.
-// A state machine: readings and times in, level changes out. Equal input gives equal output.
+// One axis of levels: a ladder from `normal` upwards, its conditions, hysteresis, least stay and bound on
+// changes. A state machine: readings and times in, level changes out. Equal input gives equal output.
 #pragma once
 
 #include <cstddef>
@@ -43,7 +43,7 @@
   double probe_rate = 1;    // 0.1 to 10
   double retry_budget = 1;  // 0 to 1: attempts after the first
   double pool_size = 1;     // 0.1 to 1: host connections
-  double spill = 1;         // 0 to 1: of the primary's window that reads may fill while replicas are only busy
+  double spill = 1;  // 0 to 1: of the primary's window that reads may fill while replicas are only busy
 };
 
 struct Level {
@@ -67,12 +67,18 @@
 enum class Cause : std::uint8_t { entered, left, pinned, pin_ended, reloaded, held };
 constexpr const char* name_of(Cause c) {
   switch (c) {
-    case Cause::entered: return "entered";
-    case Cause::left: return "left";
-    case Cause::pinned: return "pinned";
-    case Cause::pin_ended: return "pin ended";
-    case Cause::reloaded: return "reloaded";
-    case Cause::held: return "held";
+    case Cause::entered:
+      return "entered";
+    case Cause::left:
+      return "left";
+    case Cause::pinned:
+      return "pinned";
+    case Cause::pin_ended:
+      return "pin ended";
+    case Cause::reloaded:
+      return "reloaded";
+    case Cause::held:
+      return "held";
   }
   return "held";
 }
@@ -86,9 +92,9 @@
   };
   Time at{};
   Cause cause = Cause::entered;
-  std::string from, to;      // names; equal where the level is held
-  std::vector<Read> reads;   // of the rule that decided, as they were
-  Duration stay{};           // least time in the new level
+  std::string from, to;       // names; equal where the level is held
+  std::vector<Read> reads;    // of the rule that decided, as they were
+  Duration stay{};            // least time in the new level
   std::optional<Time> until;  // of a pin
 };
 
@@ -97,19 +103,20 @@
   using Read = std::function<Sample(const Condition&)>;
   explicit Ladder(LadderConfig config);
 
-  /// Looks at the readings at `now` (a time before the last one counts as the last one) and appends at most one
-  /// change, beside one word on what holds the level where a reading that it needs cannot be used.
+  /// Looks at the readings at `now` (a time before the last one counts as the last one) and appends at most
+  /// one change, beside one word on what holds the level where a reading that it needs cannot be used.
   void step(Time now, const Read& read, std::vector<Change>& out);
 
-  /// Holds the level from when the bound on changes allows it to `until`. False for a level that is not there or an
-  /// end that is not ahead.
+  /// Holds the level from when the bound on changes allows it to `until`. False for a level that is not there
+  /// or an end that is not ahead.
   bool pin(const std::string& level, Time until, Time now);
   void unpin();
-  /// Other levels from now on. Where the present one is not among them, the nearest one below it is taken: the
-  /// change is the reload's and is recorded as such.
+  /// Other levels from now on. Where the present one is not among them, the nearest one below it is taken:
+  /// the change is the reload's and is recorded as such.
   void reload(LadderConfig config, Time now, std::vector<Change>& out);
 
-  /// For the process that follows, and taken over by it: the level of that name, where there is one, with its time.
+  /// For the process that follows, and taken over by it: the level of that name, where there is one, with its
+  /// time.
   [[nodiscard]] CarriedLadder carried(Time now) const;
   void take(const CarriedLadder& told, Time now);
 
@@ -154,7 +161,8 @@
   std::optional<Pin> pin_;
 };
 
-/// What is wrong with a ladder: where (a path of keys below the ladder's own) and what. None if it can be used.
+/// What is wrong with a ladder: where (a path of keys below the ladder's own) and what. None if it can be
+/// used.
 struct Flaw {
   std::string where, what;
 };
--- a/src/levels/levels.cpp
+++ b/src/levels/levels.cpp
@@ -7,7 +7,8 @@
 namespace cedarring::levels {
 namespace {
 
-constexpr Duration settle{1'000'000};  // after a primary's return, until what its absence has held up is through
+constexpr Duration settle{
+    1'000'000};  // after a primary's return, until what its absence has held up is through
 
 }  // namespace
 
@@ -28,7 +29,8 @@
   compile_all();
 }
 
-/// The shares that a level sheds, by class, budget and whether the group has a primary: a verdict is one look-up.
+/// The shares that a level sheds, by class, budget and whether the group has a primary: a verdict is one
+/// look-up.
 void Levels::compile(const Level& level, std::vector<Cell>& table, std::vector<TenantShed>* tenants) const {
   table.assign(service_.classes.size() * 4, Cell{});
   if (tenants) tenants->clear();
@@ -42,7 +44,8 @@
       continue;
     }
     for (std::int32_t cls = 0; cls < classes; ++cls) {
-      if (!s.classes.empty() && std::find(s.classes.begin(), s.classes.end(), cls) == s.classes.end()) continue;
+      if (!s.classes.empty() && std::find(s.classes.begin(), s.classes.end(), cls) == s.classes.end())
+        continue;
       for (const bool beyond : {false, true})
         for (const bool lost : {false, true}) {
           if ((s.only_beyond_budget && !beyond) || (s.only_without_primary && !lost)) continue;
@@ -59,8 +62,8 @@
   for (auto& [id, g] : groups_) compile(g.faults.present(), g.table, nullptr);
 }
 
-/// The caller's place in [0, 1): the same for all its requests while the episode lasts, so that the same callers
-/// are shed, a retry meets the same answer, and a larger share sheds those of a smaller one and more.
+/// The caller's place in [0, 1): the same for all its requests while the episode lasts, so that the same
+/// callers are shed, a retry meets the same answer, and a larger share sheds those of a smaller one and more.
 double Levels::place(const gates::Ask& ask) const {
   const auto who = ask.caller != 0 ? ask.caller : ask.request.value;
   return static_cast<double>(XXH3_64bits_withSeed(&who, sizeof who, episode_) >> 11U) * 0x1p-53;
@@ -81,7 +84,8 @@
   if (group != groups_.end()) {
     const auto& c = group->second.table[at];
     // One that the router can hold until the primary is there is better served late than refused.
-    if (c.share > 0 && !(c.only_hopeless && remaining() < ask.time_left)) fault = static_cast<double>(c.share);
+    if (c.share > 0 && !(c.only_hopeless && remaining() < ask.time_left))
+      fault = static_cast<double>(c.share);
   }
   double share = static_cast<double>(table_[at].share);
   auto why = gates::Reason::class_shed;
@@ -98,8 +102,10 @@
   v.admitted = false;
   v.by = gates::Decider::levels;
   v.why = why;
-  if (why == gates::Reason::no_primary) ++counter.refused_without_primary;
-  else ++counter.shed;
+  if (why == gates::Reason::no_primary)
+    ++counter.refused_without_primary;
+  else
+    ++counter.shed;
   if (!service_.pauses) return v;
   // Until a primary is expected, or as long as a level stays at the least.
   const auto expected =
@@ -119,9 +125,12 @@
 
 Sample Levels::sample(const Condition& c, const Group* group, Time now) {
   switch (info(c.reading).scope) {
-    case Scope::cls: return {meter_.read(c.reading, c.cls, now), now, true};
-    case Scope::gateway: return samples_[static_cast<std::size_t>(c.reading)];
-    case Scope::group: break;
+    case Scope::cls:
+      return {meter_.read(c.reading, c.cls, now), now, true};
+    case Scope::gateway:
+      return samples_[static_cast<std::size_t>(c.reading)];
+    case Scope::group:
+      break;
   }
   if (!group) return {};
   return c.reading == Reading::primary_lost ? group->primary_lost
@@ -135,8 +144,16 @@
   if (it == groups_.end()) {
     if (groups_.size() >= config_.groups_most) return nullptr;
     it = groups_
-             .emplace(id, Group{Ladder(config_.faults), Takeover(config_.takeover_hint), true, {}, false,
-                                {}, {}, {}, {}, {}})
+             .emplace(id, Group{Ladder(config_.faults),
+                                Takeover(config_.takeover_hint),
+                                true,
+                                {},
+                                false,
+                                {},
+                                {},
+                                {},
+                                {},
+                                {}})
              .first;
     compile(it->second.faults.present(), it->second.table, nullptr);
   }
@@ -148,16 +165,19 @@
     if (info(v.reading).scope == Scope::gateway)
       samples_[static_cast<std::size_t>(v.reading)] = {v.value, v.at, true};
   samples_[static_cast<std::size_t>(Reading::retries)] = {asks_ < 1 ? 0 : retries_ / asks_, now, true};
-  const double keep = 1 - static_cast<double>(config_.beat.count()) / static_cast<double>(config_.memory.count());
+  const double keep =
+      1 - static_cast<double>(config_.beat.count()) / static_cast<double>(config_.memory.count());
   asks_ *= std::max(0.0, keep), retries_ *= std::max(0.0, keep);
   std::vector<Change> changes;
   const auto before = pressure_.level();
-  pressure_.step(now, [&](const Condition& c) { return sample(c, nullptr, now); }, changes);
+  pressure_.step(
+      now, [&](const Condition& c) { return sample(c, nullptr, now); }, changes);
   if (before == 0 && pressure_.level() > 0) ++episode_;
   if (before != pressure_.level()) compile(pressure_.present(), table_, &tenants_);
   for (auto& c : changes) out.push_back({std::nullopt, std::move(c)});
 
-  // A group that is told no more is forgotten once it is back to normal: its state is bounded by those there are.
+  // A group that is told no more is forgotten once it is back to normal: its state is bounded by those there
+  // are.
   const Time at = state.groups_at;
   for (const auto& told : state.groups) {
     auto* known = watched(told.group);
@@ -180,7 +200,8 @@
       continue;
     }
     changes.clear();
-    g.faults.step(now, [&](const Condition& c) { return sample(c, &g, now); }, changes);
+    g.faults.step(
+        now, [&](const Condition& c) { return sample(c, &g, now); }, changes);
     if (!changes.empty()) compile(g.faults.present(), g.table, nullptr);
     for (auto& c : changes) out.push_back({it->first, std::move(c)});
     ++it;
@@ -259,9 +280,10 @@
     state.groups.push_back({v.group, v.primary, share(v.out, v.hosts), share(v.lagging, v.replicas)});
   }
   state.groups_at = now;
-  for (const auto& [reading, value] :
-       {std::pair{Reading::hosts_out, share(out, hosts)}, {Reading::lagging, share(lagging, replicas)},
-        {Reading::in_flight, share(in_flight, window)}, {Reading::waiting, share(waiting, std::max(1.0, in_flight))}})
+  for (const auto& [reading, value] : {std::pair{Reading::hosts_out, share(out, hosts)},
+                                       {Reading::lagging, share(lagging, replicas)},
+                                       {Reading::in_flight, share(in_flight, window)},
+                                       {Reading::waiting, share(waiting, std::max(1.0, in_flight))}})
     state.values.push_back({reading, value, now});
 }
 
@@ -270,7 +292,7 @@
   if (config_.mode != Mode::on) return all;
   const auto take = [&](const Changes& c) {
     // A rate that is stretched on one axis and raised on another: the hosts' relief comes first.
-    all.probe_rate = c.probe_rate < 1 ? std::min(all.probe_rate, c.probe_rate)
+    all.probe_rate = c.probe_rate < 1     ? std::min(all.probe_rate, c.probe_rate)
                      : all.probe_rate < 1 ? all.probe_rate
                                           : std::max(all.probe_rate, c.probe_rate);
     all.retry_budget = std::min(all.retry_budget, c.retry_budget);
@@ -316,8 +338,10 @@
     }
     bool all_others = true, some_write = false;
     for (std::size_t c = 0; c < classes; ++c)
-      if (service.classes[c].freshness == Freshness::write) some_write |= share[c] > 0;
-      else all_others &= share[c] >= 1;
+      if (service.classes[c].freshness == Freshness::write)
+        some_write |= share[c] > 0;
+      else
+        all_others &= share[c] >= 1;
     if (some_write && !all_others)
       return Flaw{"/pressure/" + std::to_string(i) + "/shed",
                   "writes within their budget are shed before everything else is"};
@@ -332,13 +356,16 @@
   for (std::size_t i = 0; i < service.classes.size(); ++i) {
     const auto id = static_cast<std::int32_t>(i);
     const auto& k = service.classes[i];
-    if (needs_primary(k)) current.push_back(id);
-    else if (k.freshness == Freshness::any) any.push_back(id);
-    else reads.push_back(id);
+    if (needs_primary(k))
+      current.push_back(id);
+    else if (k.freshness == Freshness::any)
+      any.push_back(id);
+    else
+      reads.push_back(id);
   }
   const auto ms = [](std::int64_t n) { return Duration(n * 1000); };
-  // Pressure is told by what matters most: by how those that need the primary fare. The way out asks for slack at the
-  // hosts as well: what a level relieves looks well for as long as the level lasts.
+  // Pressure is told by what matters most: by how those that need the primary fare. The way out asks for
+  // slack at the hosts as well: what a level relieves looks well for as long as the level lasts.
   const auto rule = [&](bool all, double refused, double late, Duration hold, bool above) {
     Rule r;
     r.all = all;
@@ -349,7 +376,8 @@
     if (all) r.conditions.push_back({Reading::in_flight, -1, false, slack, hold});
     return r;
   };
-  // Heavier pressure is believed sooner: the bound on changes would hold the first level reached for ten seconds.
+  // Heavier pressure is believed sooner: the bound on changes would hold the first level reached for ten
+  // seconds.
   const auto level = [&](const char* name, double refused, double late, Duration hold) {
     Level l;
     l.name = name;
--- a/src/levels/levels.h
+++ b/src/levels/levels.h
@@ -1,5 +1,6 @@
-// Levels of reduced service: two axes, pressure (of the gateway) and faults (of each group), never mixed into one
-// number. For a request the stricter of the two counts. The gate of requests, and the state machine behind it.
+// Levels of reduced service: two axes, pressure (of the gateway) and faults (of each group), never mixed into
+// one number. For a request the stricter of the two counts. The gate of requests, and the state machine
+// behind it.
 #pragma once
 
 #include <map>
@@ -88,9 +89,9 @@
     Ladder faults;
     Takeover takeover;
     bool primary = true;
-    Time lost{};      // when its primary was, while it is
+    Time lost{};        // when its primary was, while it is
     bool back = false;  // it has been lost and is back
-    Time found{};     // since when
+    Time found{};       // since when
     Sample primary_lost, out, lagging;
     std::vector<Cell> table;
   };
@@ -125,7 +126,7 @@
   std::vector<Cell> table_;      // of the pressure level
   std::vector<TenantShed> tenants_;
   std::vector<Counters> counters_;  // by class
-  double asks_ = 0, retries_ = 0;  // since the last evaluation, and faded before
+  double asks_ = 0, retries_ = 0;   // since the last evaluation, and faded before
   std::uint64_t episode_ = 1;       // of pressure: which callers are shed is drawn anew in each
   pcg32 random_;
 };
--- a/src/levels/meter.h
+++ b/src/levels/meter.h
@@ -16,12 +16,15 @@
     double latency = 0, late = 0, served = 0, refused = 0, asked = 0;
     Time at{};
   };
-  Meter(std::vector<Duration> aims, Duration memory) : aims_(std::move(aims)), by_(aims_.size()), memory_(memory) {}
+  Meter(std::vector<Duration> aims, Duration memory)
+      : aims_(std::move(aims)), by_(aims_.size()), memory_(memory) {}
 
   /// Requests that a gate has turned away do not count: a level must not be kept up by what it sheds itself.
   void add(ClassId cls, const gates::Ending& e, Time now) {
-    if (cls.value < 0 || static_cast<std::size_t>(cls.value) >= by_.size() || e.end == gates::End::left) return;
-    if (e.end == gates::End::refused && e.by != gates::Decider::router && e.by != gates::Decider::nobody) return;
+    if (cls.value < 0 || static_cast<std::size_t>(cls.value) >= by_.size() || e.end == gates::End::left)
+      return;
+    if (e.end == gates::End::refused && e.by != gates::Decider::router && e.by != gates::Decider::nobody)
+      return;
     auto& c = by_[static_cast<std::size_t>(cls.value)];
     fade(c, now);
     c.asked += 1;
@@ -31,7 +34,8 @@
     }
     const auto aim = aims_[static_cast<std::size_t>(cls.value)];
     c.served += 1;
-    c.latency += static_cast<double>(e.elapsed.count()) / static_cast<double>(std::max<std::int64_t>(aim.count(), 1));
+    c.latency +=
+        static_cast<double>(e.elapsed.count()) / static_cast<double>(std::max<std::int64_t>(aim.count(), 1));
     c.late += e.elapsed > aim ? 1 : 0;
   }
 
@@ -49,7 +53,8 @@
  private:
   void fade(Class& c, Time now) const {
     if (now <= c.at) return;
-    const double keep = std::exp(-static_cast<double>((now - c.at).count()) / static_cast<double>(memory_.count()));
+    const double keep =
+        std::exp(-static_cast<double>((now - c.at).count()) / static_cast<double>(memory_.count()));
     for (auto* x : {&c.latency, &c.late, &c.served, &c.refused, &c.asked}) *x *= keep;
     c.at = now;
   }
--- a/src/levels/readings.h
+++ b/src/levels/readings.h
@@ -43,8 +43,8 @@
 
 inline constexpr Duration seconds_of(double s) { return Duration(static_cast<std::int64_t>(s * 1e6)); }
 
-/// By the order of `Reading`. A level is evaluated ten times a second; readings are as fresh as that, unless their
-/// source has stopped: two seconds without one is a fault of the source and no news about the hosts.
+/// By the order of `Reading`. A level is evaluated ten times a second; readings are as fresh as that, unless
+/// their source has stopped: two seconds without one is a fault of the source and no news about the hosts.
 inline constexpr std::array<ReadingInfo, reading_count> reading_table{{
     {"latency", Scope::cls, 1e4, seconds_of(2)},
     {"late", Scope::cls, 1, seconds_of(2)},
@@ -68,11 +68,16 @@
 enum class Use : std::uint8_t { usable, missing, stale, absurd, ahead };
 constexpr const char* name_of(Use u) {
   switch (u) {
-    case Use::usable: return "usable";
-    case Use::missing: return "never read";
-    case Use::stale: return "too old";
-    case Use::absurd: return "absurd";
-    case Use::ahead: return "from the future";
+    case Use::usable:
+      return "usable";
+    case Use::missing:
+      return "never read";
+    case Use::stale:
+      return "too old";
+    case Use::absurd:
+      return "absurd";
+    case Use::ahead:
+      return "from the future";
   }
   return "usable";
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -25,8 +25,8 @@
   return 0;
 }
 
-/// Says what a gateway's file comes to. With the platform's configuration beside it (ROUTER_CONFIG) levels are read
-/// against its classes, else only the file's form can be checked.
+/// Says what a gateway's file comes to. With the platform's configuration beside it (ROUTER_CONFIG) levels
+/// are read against its classes, else only the file's form can be checked.
 int check(const std::string& file) {
   using namespace cedarring::app;
   if (std::getenv("ROUTER_CONFIG")) {
@@ -37,11 +37,15 @@
       for (const auto& b : s.budgets) tenants.push_back(b.tenant);
       std::cout << front << " listens at " << s.listen << ", " << s.settings.classes.size() << " classes, "
                 << tenants.size() << " tenants\n"
-                << front << " levels: " << (s.levels ? levels_json(*s.levels, s.for_levels(), tenants) : "off") << '\n';
+                << front
+                << " levels: " << (s.levels ? levels_json(*s.levels, s.for_levels(), tenants) : "off")
+                << '\n';
     };
     show("postgresql", c.platform);
-    if (c.mysql) show("mysql", *c.mysql);
-    else std::cout << "mysql: off\n";
+    if (c.mysql)
+      show("mysql", *c.mysql);
+    else
+      std::cout << "mysql: off\n";
   } else {
     std::ifstream in(file);
     std::stringstream text;
@@ -67,7 +71,8 @@
 
 bool is_tool(const std::string& word) {
   if (word.empty() || word == "serve" || word == "check" || word == "version" || word == "help") return false;
-  return word.find_first_not_of("abcdefghijklmnopqrstuvwxyz0123456789-") == std::string::npos && word[0] != '-';
+  return word.find_first_not_of("abcdefghijklmnopqrstuvwxyz0123456789-") == std::string::npos &&
+         word[0] != '-';
 }
 
 }  // namespace
@@ -76,10 +81,12 @@
   if (argc > 1 && is_tool(argv[1])) run_tool(argv);
   CLI::App app("cedarring, a gateway for ledgers kept by replica groups", "cedarring");
   std::string file, checked;
-  app.add_option("--config", file, "The gateway's own file; else CEDARRING_GATEWAY, else deploy/gateway.json");
+  app.add_option("--config", file,
+                 "The gateway's own file; else CEDARRING_GATEWAY, else deploy/gateway.json");
   app.add_subcommand("serve", "Serve until SIGTERM; the same as no command")
       ->add_option("--config", file, "The gateway's own file");
-  auto* check_command = app.add_subcommand("check", "Say whether a gateway's file can be used, and what it comes to");
+  auto* check_command =
+      app.add_subcommand("check", "Say whether a gateway's file can be used, and what it comes to");
   check_command->add_option("FILE", checked, "The file")->required();
   auto* version_command = app.add_subcommand("version", "Say which version this is");
   app.footer("Any other command NAME runs cedarring-NAME beside this program, such as: ctl");
--- a/src/memory/broker.cpp
+++ b/src/memory/broker.cpp
@@ -50,8 +50,10 @@
     const auto cls = with_attempts(c, settings);
     const auto same = std::find_if(contracts_.begin(), contracts_.end(),
                                    [&](const Contract& k) { return k.until == forever && k.cls == cls; });
-    if (same == contracts_.end()) fresh.push_back(cls);
-    else kept[static_cast<std::size_t>(same - contracts_.begin())] = true;
+    if (same == contracts_.end())
+      fresh.push_back(cls);
+    else
+      kept[static_cast<std::size_t>(same - contracts_.begin())] = true;
   }
   for (std::size_t i = 0; i < contracts_.size(); ++i) {
     if (kept[i] || contracts_[i].until != forever) continue;
@@ -75,8 +77,10 @@
   for (auto& b : budgets) {
     const auto old =
         std::find_if(budgets_.begin(), budgets_.end(), [&](const Budget& o) { return o.tenant == b.tenant; });
-    if (old == budgets_.end()) budgets_.push_back(std::move(b));
-    else old->named = true, old->per_second = b.per_second;
+    if (old == budgets_.end())
+      budgets_.push_back(std::move(b));
+    else
+      old->named = true, old->per_second = b.per_second;
   }
   settings.classes.clear();
   for (const auto& c : contracts_) settings.classes.push_back(c.cls);
@@ -98,8 +102,10 @@
   const auto rejection =
       take(ask, ClassId{static_cast<std::int32_t>(contract - contracts_.begin())}, front, id);
   // The front tells the client: what is worded as a refusal counts as one.
-  if (rejection == Rejection::overfull || rejection == Rejection::late) ++contract->counts->shed;
-  else if (rejection != Rejection::none) ++contract->counts->errors;
+  if (rejection == Rejection::overfull || rejection == Rejection::late)
+    ++contract->counts->shed;
+  else if (rejection != Rejection::none)
+    ++contract->counts->errors;
   return rejection;
 }
 
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -1,5 +1,7 @@
 // The decision module: every choice the router makes. Its interface is include/cedarring/router.h.
 // It reads as a router works: membership, positions, primary, health, selection, admission, attempts, timers.
+#include "cedarring/router.h"
+
 #include <algorithm>
 #include <numeric>
 #include <random>
@@ -7,7 +9,6 @@
 #include <utility>
 
 #include "cedarring/knowledge.h"
-#include "cedarring/router.h"
 #include "fleet/draw.h"
 #include "handover/knowledge.h"
 #include "router/state.h"
@@ -41,7 +42,7 @@
 constexpr double queue_news = 1.3;   // useful probe periods for which a reported queue is believed
 constexpr double busy_util = 0.9;    // reported use of cores from which a host counts as full
 constexpr double group_seconds = 12,
-                 rate_seconds = 3;  // memory of one group's load (few samples), of rates
+                 rate_seconds = 3;                   // memory of one group's load (few samples), of rates
 constexpr double load_samples = 12, load_prior = 3;  // samples remembered; own ones that outweigh all groups
 constexpr double admit_least = 0.03;                 // share of the work that is always admitted
 constexpr double retry_ratio = 0.2, retry_cap = 10;  // further attempts earned by a request, saved at most
@@ -52,8 +53,8 @@
 constexpr double probe_load = 0.01;    // urgent probes of all routers: so many in a typical latency
 constexpr double probe_points = 0.01;  // probing may cost about this much of the result
 constexpr double probe_cap = 10, probe_kept = 0.5;  // probes saved at most; share kept for urgent ones
-constexpr double hold_share = 0.45;    // of its time that a request may wait unsent, where holding costs
-constexpr double forget_aims = 60;     // longest aims after which a session's last write becomes the floor
+constexpr double hold_share = 0.45;  // of its time that a request may wait unsent, where holding costs
+constexpr double forget_aims = 60;   // longest aims after which a session's last write becomes the floor
 
 }  // namespace
 
@@ -524,8 +525,7 @@
     // Like writes, a read that has nowhere else to go uses it in spite of its errors.
     const double spill = nowhere ? 1 : tuning_.spill;
     if (top && (nowhere ? usable(*top) : healthy(*top)) && !jammed(*top, r) && spill > 0 &&
-        room(*top, spill * (value(r) > write_value_ ? 1 : read_share)) &&
-        cold_turn(r, *top, 1, true))
+        room(*top, spill * (value(r) > write_value_ ? 1 : read_share)) && cold_turn(r, *top, 1, true))
       return top;
     return nullptr;
   }
@@ -676,8 +676,10 @@
         continue;
       }
       r.waiting = false;
-      if (to && permitted(r, to) && admitted(r, *to)) dispatch(r, *to);
-      else give_up(r);
+      if (to && permitted(r, to) && admitted(r, *to))
+        dispatch(r, *to);
+      else
+        give_up(r);
     }
     g.waiting = std::move(left);
   }
@@ -694,8 +696,7 @@
   /// Where holding costs, what found no host by then is refused while its client can still try elsewhere.
   /// Harm: a request that a host would have taken in the rest of its time is refused.
   bool held_long(const Request& r) const {
-    return s_.holding_costs && !r.reached &&
-           now_ - r.arrived >= scale(r.deadline - r.arrived, hold_share);
+    return s_.holding_costs && !r.reached && now_ - r.arrived >= scale(r.deadline - r.arrived, hold_share);
   }
 
   bool still_possible(const Request& r) const {
@@ -707,8 +708,10 @@
   void give_up(Request& r) {
     if (r.ended) return;
     r.ended = true;
-    if (permitted(r, nullptr)) out_->push_back(Refuse{r.id, pause(scale(class_latency_[r.cls.value], 2))});
-    else out_->push_back(Fail{r.id});
+    if (permitted(r, nullptr))
+      out_->push_back(Refuse{r.id, pause(scale(class_latency_[r.cls.value], 2))});
+    else
+      out_->push_back(Fail{r.id});
     forget(r.id);
   }
 
@@ -769,8 +772,10 @@
     } else if (r.out == 0) {
       again(r, e.outcome, now_ - a.sent);
     }
-    if (full) pump_all();
-    else pump(group);
+    if (full)
+      pump_all();
+    else
+      pump(group);
   }
 
   /// Whatever an outcome tells of its host.
@@ -786,8 +791,12 @@
       case Outcome::ok:
         if (!r.started) took(h, r, a);
         break;
-      case Outcome::miss: h.heard = now_; break;
-      case Outcome::error: h.heard = now_, failed(h, 1); break;
+      case Outcome::miss:
+        h.heard = now_;
+        break;
+      case Outcome::error:
+        h.heard = now_, failed(h, 1);
+        break;
       case Outcome::full:
         h.heard = now_;
         note_load(h, load_full);
@@ -797,9 +806,12 @@
         // Refused at once: no process. Not set up in time: a slow or crowded one (handshake), one failure.
         if (const bool refused = !e.silent && e.elapsed < s_.connect_timeout / 2; refused)
           ++h.refusals, failed(h, refused_weight);
-        else failed(h, 1);
+        else
+          failed(h, 1);
+        break;
+      case Outcome::reset:
+        failed(h, 1);
         break;
-      case Outcome::reset: failed(h, 1); break;
       case Outcome::timeout:
         if (h.heard <= a.sent) failed(h, 1);
         congested(h, r, std::min(now_ - a.sent, scale(aim, timeout_loads * h.load)), false);
@@ -807,7 +819,8 @@
       case Outcome::cancelled:
         if (a.cancelled && !r.ended && h.heard <= a.sent) failed(h, 1);
         break;
-      default: break;
+      default:
+        break;
     }
   }
 
@@ -835,8 +848,10 @@
       h.util = report.util.value_or(0);
       note_load(h, *report.queue >= 1 ? load_full / 2 : h.util > busy_util ? load_shut : load_open * h.util);
     }
-    if (report.role && report.position) learn_role(h, *report.role, *report.position);
-    else if (report.role) learn_role(h, *report.role, now_ - shortest_aim_);
+    if (report.role && report.position)
+      learn_role(h, *report.role, *report.position);
+    else if (report.role)
+      learn_role(h, *report.role, now_ - shortest_aim_);
   }
 
   /// A further attempt, under a budget that counts the work behind it: guards against retry storms, leaves
@@ -877,8 +892,7 @@
       if (c.effect == Effect::keyed && now_ - std::min(r.maybe_ran, a.sent) > c.window / 2) continue;
       const auto h = hosts_.find(a.host);
       // Nowhere else to go: the host would do it anew, behind what it still holds, for each of the routers.
-      const bool same =
-          h != hosts_.end() && only_primary(r.cls.value) && primary(r.group) == &h->second;
+      const bool same = h != hosts_.end() && only_primary(r.cls.value) && primary(r.group) == &h->second;
       if (h != hosts_.end() && (same || !silent(h->second)) &&
           (h->second.heard <= a.sent || now_ - a.sent <= scale(expected(h->second, r.cls), lost_latencies)))
         continue;
@@ -1027,10 +1041,10 @@
   double probe_doubt_ = 0;              // EWMA: hosts answer requests although their probes were lost
   std::multiset<Time> warm_at_;         // when the cold ones of them will be warm
   int ready_ = 0;                       // hosts listed as ready
-  Tuning tuning_;  // while service is reduced
+  Tuning tuning_;                       // while service is reduced
   int places_ = 1 << 30, attempts_out_ = 0;  // attempts that may be out at once; that are
   GroupId turn_{INT64_MIN};                  // which sent last where places are short
-  double write_value_ = 0;  // worth over cost of the dearest write class
+  double write_value_ = 0;                   // worth over cost of the dearest write class
 };
 
 Router::Router(Settings settings) : impl_(std::make_unique<Impl>(std::move(settings))) {}
--- a/src/router/settings_parser.h
+++ b/src/router/settings_parser.h
@@ -1,4 +1,5 @@
-// Settings and load reports, read from text. The one parser of both: the gateway and the simulator's adapter use it.
+// Settings and load reports, read from text. The one parser of both: the gateway and the simulator's adapter
+// use it.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +12,9 @@
 
 namespace cedarring {
 
-/// Settings from name=value pairs by path, as an `enlist` line has them. Adds the names of zones to `zones`, sets
-/// `base_time` to what positions on that wire are counted from. Throws std::invalid_argument naming the key.
+/// Settings from name=value pairs by path, as an `enlist` line has them. Adds the names of zones to `zones`,
+/// sets `base_time` to what positions on that wire are counted from. Throws std::invalid_argument naming the
+/// key.
 Settings parse_settings(std::string_view facts, std::uint64_t seed, std::string_view zone,
                         std::vector<std::string>& zones, Time& base_time);
 
--- a/src/router/state.h
+++ b/src/router/state.h
@@ -44,7 +44,7 @@
   ZoneId zone;
   HostState state = HostState::ready;
   bool listed = true;
-  bool named = false;  // as the primary, by the list
+  bool named = false;       // as the primary, by the list
   Time cold_since = never;  // start of the present process, if it may still be cold
   // positions
   Time position = never;     // a lower bound of what it holds; never regresses
@@ -59,11 +59,11 @@
   double window = 1;
   Time window_cut_at = never;
   fleet::Outlier outlier{{}};  // whose terms are set when it is first listed
-  Time heard = never;      // last sign of life: an answer or a probe
-  Time seen = never;       // last answered probe
-  double queued = 0;       // requests waiting there, as last reported
-  double util = 0;         // how busy its cores are, as last reported
-  Time queued_at = never;  // when that was learnt
+  Time heard = never;          // last sign of life: an answer or a probe
+  Time seen = never;           // last answered probe
+  double queued = 0;           // requests waiting there, as last reported
+  double util = 0;             // how busy its cores are, as last reported
+  Time queued_at = never;      // when that was learnt
   int lost_probes = 0;
   int refusals = 0;       // connections refused in a row
   Duration report_age{};  // of the last report, where the report dates itself
@@ -73,7 +73,8 @@
   std::multiset<Time> out;  // when each attempt in flight was sent
   /// How far behind it is believed to be, see fleet::believed_lag.
   Duration lag(Time now, bool trust) const {
-    return position == never ? forever : fleet::believed_lag(position_at - position, now - position_at, trust);
+    return position == never ? forever
+                             : fleet::believed_lag(position_at - position, now - position_at, trust);
   }
   int in_flight() const { return static_cast<int>(out.size()); }
   void settled(Time sent) {  // one of those in flight has been answered, or has ended
@@ -91,7 +92,7 @@
   Time sent{};
   bool out = true;
   bool cancelled = false;
-  bool noted = false;  // counted as overdue
+  bool noted = false;   // counted as overdue
   bool behind = false;  // at a replica believed too far behind
 };
 
@@ -165,7 +166,7 @@
   Time next_sweep = never;
   int held = 0;               // requests without an end
   Duration period = forever;  // of its probes, if any
-  fleet::PastShare past{1};  // of all that is known of it
+  fleet::PastShare past{1};   // of all that is known of it
   struct {
     Time until = never;
   } asked[2];  // when replicas, or the primary, were last asked for what waits
@@ -180,7 +181,8 @@
   }
   /// How long between two requests that this router would send to a host of the group.
   Duration send_gap() const {
-    return Duration(static_cast<std::int64_t>(1e6 * static_cast<double>(members.size()) / std::max(rate, 0.01)));
+    return Duration(
+        static_cast<std::int64_t>(1e6 * static_cast<double>(members.size()) / std::max(rate, 0.01)));
   }
   /// Old writes leave the map for one floor: a read of a session not found must have reached it.
   void forget(Time before) {
@@ -198,17 +200,18 @@
   }
 };
 
-/// What the module has learnt and what it may spend: all that another process of the same gateway may be told.
+/// What the module has learnt and what it may spend: all that another process of the same gateway may be
+/// told.
 struct Learnt {
   explicit Learnt(fleet::ProbeBudget probes) : probes_(probes) {}
   std::map<HostId, Host> hosts_;
   std::map<GroupId, Group> groups_;
   std::vector<Duration> class_latency_;
-  Load load_[2];             // of replicas, of primaries
-  Recent wanted_[2];         // work asked of them
+  Load load_[2];                // of replicas, of primaries
+  Recent wanted_[2];            // work asked of them
   fleet::PastShare past_{0.5};  // of all groups; half: nothing is known
-  Recent arrived_, served_;  // requests that came or are tried again; work answered
-  Time started_ = never;     // when the first event came
+  Recent arrived_, served_;     // requests that came or are tried again; work answered
+  Time started_ = never;        // when the first event came
   double retry_tokens_ = 0;
   /// Probes are paid for by requests: one of hundreds of routers sees few, and what each asks for a read of
   /// its own comes to more probes than requests over all. Half of what is saved is kept for groups whose
--- a/src/sim/adapter.cpp
+++ b/src/sim/adapter.cpp
@@ -297,11 +297,20 @@
   if (verb == "fleet") {
     MembersListed event;
     switch (l.need_int("kind")) {
-      case 0: event.kind = ListKind::delta; break;
-      case 1: event.kind = ListKind::full; break;
-      case 2: event.kind = ListKind::cached; break;
-      case 3: event.kind = ListKind::failed; break;
-      default: return;
+      case 0:
+        event.kind = ListKind::delta;
+        break;
+      case 1:
+        event.kind = ListKind::full;
+        break;
+      case 2:
+        event.kind = ListKind::cached;
+        break;
+      case 3:
+        event.kind = ListKind::failed;
+        break;
+      default:
+        return;
     }
     std::int64_t ref = 0;
     if (event.kind != ListKind::failed) {
--- a/src/telemetry/figures.cpp
+++ b/src/telemetry/figures.cpp
@@ -12,8 +12,10 @@
   std::string out;
   for (const char c : text) {
     if (c == '\\' || c == '"') out += '\\';
-    if (c == '\n') out += "\\n";
-    else out += c;
+    if (c == '\n')
+      out += "\\n";
+    else
+      out += c;
   }
   return out;
 }
--- a/src/telemetry/log.cpp
+++ b/src/telemetry/log.cpp
@@ -17,10 +17,14 @@
 
 const char* word(Level level) {
   switch (level) {
-    case Level::debug: return "debug";
-    case Level::info: return "info";
-    case Level::warning: return "warning";
-    case Level::error: return "error";
+    case Level::debug:
+      return "debug";
+    case Level::info:
+      return "info";
+    case Level::warning:
+      return "warning";
+    case Level::error:
+      return "error";
   }
   return "info";
 }
@@ -54,7 +58,9 @@
     if (!config.records_file.empty())
       file = make("records", std::make_shared<spdlog::sinks::rotating_file_sink_st>(
                                  config.records_file, config.records_bytes, config.records_files));
-  } catch (const spdlog::spdlog_ex& e) { throw std::runtime_error(std::string("records.file: ") + e.what()); }
+  } catch (const spdlog::spdlog_ex& e) {
+    throw std::runtime_error(std::string("records.file: ") + e.what());
+  }
   if (!out_) out_ = make("log", std::make_shared<spdlog::sinks::stderr_sink_st>());
   file_ = std::move(file);
   config_ = config;
@@ -116,7 +122,8 @@
   if (record.at == std::chrono::microseconds{}) record.at = clock_();
   const auto line = to_json(record, instance_);
   std::uint32_t left_out = 0;
-  if (Level::info >= config_.least && let_through("record", left_out)) out_->info(plain_ ? to_text(record) : line);
+  if (Level::info >= config_.least && let_through("record", left_out))
+    out_->info(plain_ ? to_text(record) : line);
   if (file_) file_->info(line);
   records_.push_back(std::move(record));
   if (records_.size() > config_.records_kept) records_.pop_front();
--- a/src/telemetry/log.h
+++ b/src/telemetry/log.h
@@ -1,5 +1,5 @@
-// The structured log: one JSON object a line on standard error (plain text on a terminal), bounded for each cause,
-// and the records of decisions, which go through the same sink and into a file of their own.
+// The structured log: one JSON object a line on standard error (plain text on a terminal), bounded for each
+// cause, and the records of decisions, which go through the same sink and into a file of their own.
 #pragma once
 
 #include <chrono>
@@ -48,12 +48,12 @@
   Log(const Log&) = delete;
   Log& operator=(const Log&) = delete;
 
-  /// One line. `cause` is a constant that names what brings it about; beyond `per_cause` lines of it in ten seconds
-  /// the next line that gets through tells how many were left out.
+  /// One line. `cause` is a constant that names what brings it about; beyond `per_cause` lines of it in ten
+  /// seconds the next line that gets through tells how many were left out.
   void write(Level level, std::string_view cause, const std::string& message,
              std::initializer_list<Field> fields = {});
-  /// Keeps the record, logs it, and appends it to the file. A file that can no longer be written is one line, and
-  /// changes nothing else.
+  /// Keeps the record, logs it, and appends it to the file. A file that can no longer be written is one line,
+  /// and changes nothing else.
   void record(Record record);
   /// Other bounds from now on. Throws as the constructor does, and then nothing has changed.
   void reload(LogConfig config);
--- a/src/telemetry/record.cpp
+++ b/src/telemetry/record.cpp
@@ -30,8 +30,10 @@
     w.StartObject();
     for (const auto& [name, value] : r.readings) {
       w.Key(name.data(), static_cast<rapidjson::SizeType>(name.size()));
-      if (std::isfinite(value)) w.Double(value);
-      else w.Null();
+      if (std::isfinite(value))
+        w.Double(value);
+      else
+        w.Null();
     }
     w.EndObject();
   }
--- a/src/telemetry/record.h
+++ b/src/telemetry/record.h
@@ -1,5 +1,5 @@
-// The record of a decision: what has changed, when, from what to what, on which readings, by which rule. Made once;
-// the log line, the report and the test read the same one.
+// The record of a decision: what has changed, when, from what to what, on which readings, by which rule. Made
+// once; the log line, the report and the test read the same one.
 #pragma once
 
 #include <chrono>
--- a/src/tools/ctl/main.cpp
+++ b/src/tools/ctl/main.cpp
@@ -1,5 +1,5 @@
-// cedarring ctl: what a running gateway says of itself, and the few things that an operator may set, over its admin
-// socket.
+// cedarring ctl: what a running gateway says of itself, and the few things that an operator may set, over its
+// admin socket.
 #include <CLI/CLI.hpp>
 #include <iostream>
 
@@ -30,7 +30,8 @@
   set->add_option("AXIS", axis, "pressure, or the number of a group")->required();
   set->add_option("LEVEL", level, "Its name")->required();
   set->add_option("SECONDS", seconds, "How long")->required()->check(CLI::Range(1, 86400));
-  set->callback([&] { line = "set-level " + front + " " + axis + " " + level + " " + std::to_string(seconds); });
+  set->callback(
+      [&] { line = "set-level " + front + " " + axis + " " + level + " " + std::to_string(seconds); });
   auto* unset = app.add_subcommand("unset-level", "Take a held level back");
   unset->add_option("FRONT", front, "postgresql or mysql")->required();
   unset->add_option("AXIS", axis, "pressure, or the number of a group")->required();
--- a/src/tools/ctl/show.cpp
+++ b/src/tools/ctl/show.cpp
@@ -33,18 +33,24 @@
 
 bool is_table(const Json& v) {
   return v.IsArray() && !v.Empty() &&
-         std::all_of(v.Begin(), v.End(), [](const Json& row) {
-           return row.IsObject() && std::none_of(row.MemberBegin(), row.MemberEnd(), [](const auto& m) {
-                    return m.value.IsArray() || (m.value.IsObject() && m.name != "readings");
-                  });
-         });
+         std::all_of(
+             v.Begin(), v.End(),
+             [](const Json& row) {
+               return row.IsObject() && std::none_of(
+                                            row.MemberBegin(), row.MemberEnd(),
+                                            [](const auto& m) {
+                                              return m.value.IsArray() ||
+                                                     (m.value.IsObject() && m.name != "readings");
+                                            });
+             });
 }
 
 void put_table(const Json& rows, const std::string& indent, std::string& out) {
   std::vector<std::string> keys;
   for (const auto& row : rows.GetArray())
     for (const auto& m : row.GetObject())
-      if (std::find(keys.begin(), keys.end(), m.name.GetString()) == keys.end()) keys.emplace_back(m.name.GetString());
+      if (std::find(keys.begin(), keys.end(), m.name.GetString()) == keys.end())
+        keys.emplace_back(m.name.GetString());
   std::vector<std::vector<std::string>> cells{keys};
   for (const auto& row : rows.GetArray()) {
     cells.emplace_back();
--- a/src/tools/lab/ledger.cpp
+++ b/src/tools/lab/ledger.cpp
@@ -20,8 +20,8 @@
   return cold_from_ + (1 - cold_from_) * up;
 }
 
-/// A primary stands at the present. A replica has the log up to what was shipped, less what it has not applied; while
-/// the group has no primary nothing is added.
+/// A primary stands at the present. A replica has the log up to what was shipped, less what it has not
+/// applied; while the group has no primary nothing is added.
 Time HostModel::position() const {
   const auto now = timeline_.now();
   if (group_.primary() == this) return now;
@@ -34,7 +34,8 @@
 void HostModel::ship(Time commit) {
   const auto now = timeline_.now();
   while (!log_.empty() && log_.front().second <= now) log_.pop_front();
-  const auto apply = Duration(static_cast<std::int64_t>(static_cast<double>(spec_.apply_write.count()) * slow_apply_));
+  const auto apply =
+      Duration(static_cast<std::int64_t>(static_cast<double>(spec_.apply_write.count()) * slow_apply_));
   apply_free_ = std::max(apply_free_, now + spec_.ship) + apply;
   log_.emplace_back(commit, apply_free_);
 }
@@ -91,7 +92,8 @@
   if (job.write && !primary) return answer(Outcome::miss);
   if (!primary) {
     if (job.freshness == Freshness::fresh) return answer(Outcome::miss);
-    if (job.freshness == Freshness::bounded && spec_.checks && timeline_.now() - position() > job.bound) return answer(Outcome::miss);
+    if (job.freshness == Freshness::bounded && spec_.checks && timeline_.now() - position() > job.bound)
+      return answer(Outcome::miss);
     if (job.needs && spec_.checks && position() < *job.needs) return answer(Outcome::miss);
   }
   waiting_.push_back({number, std::move(job)});
@@ -127,17 +129,22 @@
     }
   }
   const auto it = std::find(gone_.begin(), gone_.end(), number);
-  if (it != gone_.end()) gone_.erase(it);
-  else if (silent_) unsaid_.emplace_back([done = job.done, n, outcome] { done(outcome, n); });
-  else job.done(outcome, n);
+  if (it != gone_.end())
+    gone_.erase(it);
+  else if (silent_)
+    unsaid_.emplace_back([done = job.done, n, outcome] { done(outcome, n); });
+  else
+    job.done(outcome, n);
   next();
 }
 
 void HostModel::cancel(std::uint64_t number) {
   const auto it =
       std::find_if(waiting_.begin(), waiting_.end(), [&](const Entry& e) { return e.number == number; });
-  if (it != waiting_.end()) waiting_.erase(it);
-  else gone_.push_back(number);
+  if (it != waiting_.end())
+    waiting_.erase(it);
+  else
+    gone_.push_back(number);
   if (gone_.size() > 4096) gone_.erase(gone_.begin(), gone_.begin() + 2048);
 }
 
--- a/src/tools/lab/ledger.h
+++ b/src/tools/lab/ledger.h
@@ -1,5 +1,6 @@
-// A model of ledger hosts: cores, a waiting room, service times, the log shipped from a primary to its replicas, and
-// what a host says of itself. Simulated time only; all randomness comes from the generator handed in.
+// A model of ledger hosts: cores, a waiting room, service times, the log shipped from a primary to its
+// replicas, and what a host says of itself. Simulated time only; all randomness comes from the generator
+// handed in.
 #pragma once
 
 #include <algorithm>
@@ -20,13 +21,13 @@
 
 struct HostSpec {
   int cores = 3;
-  int room = 24;              // requests in work and waiting; more are turned away
-  double speed = 1;           // of a core
-  Duration ship{5'000};       // until the log has come
+  int room = 24;                // requests in work and waiting; more are turned away
+  double speed = 1;             // of a core
+  Duration ship{5'000};         // until the log has come
   Duration apply_write{4'000};  // of one write, on the one thread that applies
-  bool checks = true;         // turns away a read that it holds too little for; else answers it all the same
-  int connections = 0;        // that it holds at most; 0: any number
-  Duration handshake{};       // a core's work for each new connection
+  bool checks = true;    // turns away a read that it holds too little for; else answers it all the same
+  int connections = 0;   // that it holds at most; 0: any number
+  Duration handshake{};  // a core's work for each new connection
 };
 
 /// What a host is asked to do.
@@ -34,8 +35,8 @@
   Duration work{};  // on a standard core
   bool write = false;
   Freshness freshness = Freshness::any;
-  Duration bound{};            // of a bounded read
-  std::optional<Time> needs;   // of a session read
+  Duration bound{};           // of a bounded read
+  std::optional<Time> needs;  // of a session read
   std::function<void(Outcome, Note)> done;
 };
 
@@ -46,8 +47,8 @@
   HostModel(Timeline& timeline, Ledger& group, HostId id, HostSpec spec, std::string zone);
   /// Takes the job, or answers at once. Returns a number for `cancel`, 0 where it is over already.
   std::uint64_t offer(Job job);
-  /// A new connection: `up` is called once its handshake is done, at once where that costs nothing. False: it holds as
-  /// many as it can.
+  /// A new connection: `up` is called once its handshake is done, at once where that costs nothing. False: it
+  /// holds as many as it can.
   bool connect(std::function<void()> up);
   void disconnect() { connections_ = std::max(0, connections_ - 1); }
   /// Drops the job if it still waits; what runs goes on, and its answer goes nowhere.
@@ -88,7 +89,7 @@
   HostSpec spec_;
   std::string zone_;
   std::deque<Entry> waiting_;
-  std::vector<std::uint64_t> gone_;  // running, cancelled: nobody takes their answer
+  std::vector<std::uint64_t> gone_;           // running, cancelled: nobody takes their answer
   std::deque<std::function<void()>> unsaid_;  // answers that a silent host owes
   std::uint64_t next_ = 1, life_ = 0;
   int running_ = 0, connections_ = 0;
--- a/src/tools/lab/timeline.h
+++ b/src/tools/lab/timeline.h
@@ -17,11 +17,14 @@
   explicit Timeline(Time start) : now_(start) {}
   [[nodiscard]] Time now() const { return now_; }
   /// A time that is past counts as now.
-  void at(Time due, std::function<void()> what) { queue_.push({due < now_ ? now_ : due, next_++, std::move(what)}); }
+  void at(Time due, std::function<void()> what) {
+    queue_.push({due < now_ ? now_ : due, next_++, std::move(what)});
+  }
   void after(Duration wait, std::function<void()> what) { at(now_ + wait, std::move(what)); }
   void run_until(Time end) {
     while (!queue_.empty() && queue_.top().due <= end) {
-      auto what = std::move(const_cast<Entry&>(queue_.top()).what);  // popped at once: its order no longer matters
+      auto what =
+          std::move(const_cast<Entry&>(queue_.top()).what);  // popped at once: its order no longer matters
       now_ = queue_.top().due;
       queue_.pop();
       ++done_;
--- a/src/tools/lab/world.cpp
+++ b/src/tools/lab/world.cpp
@@ -12,7 +12,7 @@
 using namespace std::chrono_literals;
 
 constexpr double beyond_worth = 0.05;  // of the usual: the users' page
-constexpr Duration hop{100};           // one way between a gateway and a host of its room; three times that to others
+constexpr Duration hop{100};  // one way between a gateway and a host of its room; three times that to others
 constexpr Duration probe_work{300};
 
 struct LabWork : memory::Work {
@@ -113,7 +113,8 @@
     }
     // Load 1 is where the groups are about full: most of the cores' time is then asked for.
     rate1 = 0.92 * c.groups * c.members * c.host.cores * c.host.speed / (mean / shares);
-    for (int g = 0; g < c.gateways; ++g) gateways.push_back(std::make_unique<Gateway>(*this, static_cast<std::size_t>(g)));
+    for (int g = 0; g < c.gateways; ++g)
+      gateways.push_back(std::make_unique<Gateway>(*this, static_cast<std::size_t>(g)));
     result.within.resize(c.classes.size());
     result.beyond.resize(c.classes.size());
     result.by_tenant_class.resize(c.classes.size() * c.tenants.size());
@@ -166,7 +167,8 @@
       arrive(cls);
       double pick = draw();
       std::size_t tenant = 0;
-      for (; tenant + 1 < c.tenants.size() && (pick -= c.tenants[tenant].share) >= 0; ++tenant) {}
+      for (; tenant + 1 < c.tenants.size() && (pick -= c.tenants[tenant].share) >= 0; ++tenant) {
+      }
       come(cls, tenant);
     });
   }
@@ -180,11 +182,13 @@
     r->group = GroupId{1 + static_cast<int>(draw() * c.groups)};
     r->asked = timeline.now();
     r->deadline = r->asked + k.contract.deadline;
-    r->work = k.work_from +
-              Duration(static_cast<std::int64_t>(static_cast<double>((k.work_to - k.work_from).count()) * draw()));
+    r->work =
+        k.work_from +
+        Duration(static_cast<std::int64_t>(static_cast<double>((k.work_to - k.work_from).count()) * draw()));
     ++result.requests;
     std::size_t at = 0;
-    for (double pick = draw(); at + 1 < parts.size() && (pick -= parts[at]) >= 0; ++at) {}
+    for (double pick = draw(); at + 1 < parts.size() && (pick -= parts[at]) >= 0; ++at) {
+    }
     ask(r, at);
   }
 
@@ -198,7 +202,9 @@
       const auto first = static_cast<std::size_t>(draw() * static_cast<double>(replicas.size()));
       std::rotate(replicas.begin(), replicas.begin() + static_cast<std::ptrdiff_t>(first), replicas.end());
       chosen = replicas.front();
-      const auto load = [this](HostModel* h) { return h->waiting() + static_cast<std::size_t>(h->running()) + coming[h]; };
+      const auto load = [this](HostModel* h) {
+        return h->waiting() + static_cast<std::size_t>(h->running()) + coming[h];
+      };
       if (c.spread == WorldConfig::Spread::oracle)
         chosen = *std::min_element(replicas.begin(), replicas.end(),
                                    [&](HostModel* a, HostModel* b) { return load(a) < load(b); });
@@ -301,12 +307,12 @@
     if (!r->counted) {
       r->counted = true;
       r->beyond = gateway.observer.last_beyond;
-      if (measured(*r)) {
+      if (measured(*r))
         for (auto* t : {&tally(*r), &own(*r)}) ++t->asked, t->worth_asked += worth(*r);
-      }
     }
     pending = nullptr;
-    if (rejection != memory::Rejection::none) return answered(r, at, {memory::End::refused, {}, {}, {}, {}, {}});
+    if (rejection != memory::Rejection::none)
+      return answered(r, at, {memory::End::refused, {}, {}, {}, {}, {}});
     if (early) return answered(r, at, *std::exchange(early, std::nullopt));
     open[at][id.value] = r;
   }
@@ -389,9 +395,8 @@
         // The list names the death and the successor seconds late; the old one comes back cold, as a replica.
         timeline.after(3s, [this] { tell(); });
         timeline.after(loss.takeover + 3s, [this] { tell(); });
-        timeline.after(loss.takeover + 2s, [this, old] {
-          old->start(c.host.cores > 0 ? Duration(14s) : Duration{}, 0.17);
-        });
+        timeline.after(loss.takeover + 2s,
+                       [this, old] { old->start(c.host.cores > 0 ? Duration(14s) : Duration{}, 0.17); });
       });
     timeline.run_until(start + c.length + 10s);
     for (const auto& o : open) result.unanswered += o.size();
@@ -423,8 +428,8 @@
   std::optional<memory::FinalAnswer> early;
   std::uint64_t names = 0;
   mutable std::uint64_t version = 0;
-  std::vector<double> parts;                       // of the traffic, by gateway
-  std::vector<std::vector<std::uint32_t>> reads;   // by host and 100 ms
+  std::vector<double> parts;                           // of the traffic, by gateway
+  std::vector<std::vector<std::uint32_t>> reads;       // by host and 100 ms
   std::unordered_map<HostModel*, std::size_t> coming;  // sent there, not there yet
   std::uint64_t looks = 0, unfair = 0;
   WorldResult result;
@@ -445,8 +450,9 @@
   service.classes = settings.classes;
   service.tenants = budgets.size();
   service.seed = settings.seed;
-  broker = std::make_unique<memory::Broker>(settings, std::move(budgets), std::vector<std::string>{"a", "b", "c"},
-                                            [&w] { return w.timeline.now(); }, upstream);
+  broker = std::make_unique<memory::Broker>(
+      settings, std::move(budgets), std::vector<std::string>{"a", "b", "c"},
+      [&w] { return w.timeline.now(); }, upstream);
   if (w.c.contracts) {
     contracts::Service terms;
     terms.classes = settings.classes;
@@ -461,7 +467,9 @@
   broker->add_gate(*levels);
 }
 
-void Gateway::finish(RequestId request, memory::FinalAnswer answer) { world.finish(number, request, std::move(answer)); }
+void Gateway::finish(RequestId request, memory::FinalAnswer answer) {
+  world.finish(number, request, std::move(answer));
+}
 
 void SimUpstream::start(memory::AttemptKey key, HostId, const std::string& address,
                         const std::shared_ptr<const memory::Work>& work, Time stop_at, bool /*only_there*/) {
@@ -534,13 +542,14 @@
   auto* host = world_.host(address);
   t.after(hop * 2 + probe_work, [this, id, host, began, &t] {
     const bool ok = host->alive() && !host->silent();
-    world_.gateways[gateway_]->broker->probe_ended(id, ok ? Outcome::ok : Outcome::connect_failed, t.now() - began,
-                                                  ok ? host->report() : Report{});
+    world_.gateways[gateway_]->broker->probe_ended(id, ok ? Outcome::ok : Outcome::connect_failed,
+                                                   t.now() - began, ok ? host->report() : Report{});
   });
 }
 
 void SimUpstream::watch() {
-  world_.timeline.after(1ms, [this] { world_.gateways[gateway_]->broker->listed(world_.list()); });
+  world_.timeline.after(
+      1ms, [this] { world_.gateways[gateway_]->broker->listed(world_.list()); });
 }
 
 void SimUpstream::wake_at(Time due) {
@@ -566,8 +575,8 @@
 
 WorldConfig sapporo() {
   WorldConfig c;
-  const auto add = [&](const char* name, double share, Duration from, Duration to, Freshness freshness, Duration aim,
-                       Duration deadline, double worth, double late) {
+  const auto add = [&](const char* name, double share, Duration from, Duration to, Freshness freshness,
+                       Duration aim, Duration deadline, double worth, double late) {
     ClassSpec k;
     k.contract.name = name;
     k.contract.aim = aim;
--- a/src/tools/plan/main.cpp
+++ b/src/tools/plan/main.cpp
@@ -80,7 +80,8 @@
       if (cost == d["cost_ms"].MemberEnd())
         throw app::flaw_at(fleet_file, "/cost_ms", "a cost of the class " + cls.name, "none");
       for (const bool closure : {false, true}) {
-        const auto& terms = closure && team.classes[c]->closure ? *team.classes[c]->closure : team.classes[c]->usual;
+        const auto& terms =
+            closure && team.classes[c]->closure ? *team.classes[c]->closure : team.classes[c]->usual;
         promises.push_back({team.name, cls.name, closure ? "around closure" : "usual", terms.rate,
                             cost->value.GetDouble(),
                             cls.freshness == Freshness::write || cls.freshness == Freshness::fresh,
@@ -101,8 +102,8 @@
     if (answer.trim[i] > 1e-6)
       std::printf("  cheapest change: %s, %s, %s: %.2f a second less of %.2f\n", promises[i].team.c_str(),
                   promises[i].cls.c_str(), promises[i].period.c_str(), answer.trim[i], promises[i].rate);
-  std::printf("certificate: %s\n",
-              answer.certificate_flaw.empty() ? "checked, trim and dual values agree" : answer.certificate_flaw.c_str());
+  std::printf("certificate: %s\n", answer.certificate_flaw.empty() ? "checked, trim and dual values agree"
+                                                                   : answer.certificate_flaw.c_str());
   return answer.certificate_flaw.empty() ? (answer.fits ? 0 : 3) : 4;
 }
 
@@ -112,7 +113,9 @@
   CLI::App app("Whether the promises of a gateway's file fit the fleet", "cedarring plan");
   std::string gateway, platform, fleet;
   app.add_option("FILE", gateway, "The gateway's file, with the section contracts")->required();
-  app.add_option("--platform", platform, "The platform's configuration, for classes and tenants")->envname("ROUTER_CONFIG")->required();
+  app.add_option("--platform", platform, "The platform's configuration, for classes and tenants")
+      ->envname("ROUTER_CONFIG")
+      ->required();
   app.add_option("--fleet", fleet, "Groups, hosts and costs, as JSON")->required();
   app.footer("Ends with 0 where all fits, 3 where it does not, 1 for what cannot be read");
   CLI11_PARSE(app, argc, argv);
--- a/src/tools/plan/plan.cpp
+++ b/src/tools/plan/plan.cpp
@@ -36,7 +36,8 @@
   without("all well", none);
   if (fleet.lose_host && g.cores.size() > 1) {
     auto lost = none;
-    lost[static_cast<std::size_t>(std::max_element(g.cores.begin() + 1, g.cores.end()) - g.cores.begin())] = true;
+    lost[static_cast<std::size_t>(std::max_element(g.cores.begin() + 1, g.cores.end()) - g.cores.begin())] =
+        true;
     without("a replica lost", lost);
   }
   if (fleet.lose_room)
@@ -83,14 +84,17 @@
     return answer;
   }
   // Variables: the trims. Rows: what is trimmed has to cover what is over the limit.
-  const std::unique_ptr<glp_prob, void (*)(glp_prob*)> lp(glp_create_prob(), [](glp_prob* p) { glp_delete_prob(p); });
+  const std::unique_ptr<glp_prob, void (*)(glp_prob*)> lp(glp_create_prob(),
+                                                          [](glp_prob* p) { glp_delete_prob(p); });
   glp_term_out(GLP_OFF);
   glp_set_obj_dir(lp.get(), GLP_MIN);
   glp_add_cols(lp.get(), n);
   for (int i = 1; i <= n; ++i) {
     const auto& p = promises[static_cast<std::size_t>(i - 1)];
-    if (p.rate > 0) glp_set_col_bnds(lp.get(), i, GLP_DB, 0, p.rate);
-    else glp_set_col_bnds(lp.get(), i, GLP_FX, 0, 0);
+    if (p.rate > 0)
+      glp_set_col_bnds(lp.get(), i, GLP_DB, 0, p.rate);
+    else
+      glp_set_col_bnds(lp.get(), i, GLP_FX, 0, 0);
     glp_set_obj_coef(lp.get(), i, p.value);
   }
   glp_add_rows(lp.get(), m);
@@ -101,7 +105,8 @@
     glp_set_row_bnds(lp.get(), j, GLP_LO, answer.use[static_cast<std::size_t>(j - 1)] - l.limit, 0);
     columns.resize(1), values.resize(1);
     for (int i = 1; i <= n; ++i)
-      if (l.a[static_cast<std::size_t>(i - 1)] != 0) columns.push_back(i), values.push_back(l.a[static_cast<std::size_t>(i - 1)]);
+      if (l.a[static_cast<std::size_t>(i - 1)] != 0)
+        columns.push_back(i), values.push_back(l.a[static_cast<std::size_t>(i - 1)]);
     glp_set_mat_row(lp.get(), j, static_cast<int>(columns.size()) - 1, columns.data(), values.data());
   }
   glp_smcp how;
@@ -113,14 +118,16 @@
     throw std::runtime_error("the solver gives up");
   answer.cost = glp_get_obj_val(lp.get());
   for (int i = 1; i <= n; ++i) answer.trim[static_cast<std::size_t>(i - 1)] = glp_get_col_prim(lp.get(), i);
-  for (int j = 1; j <= m; ++j) answer.dual[static_cast<std::size_t>(j - 1)] = std::max(0.0, glp_get_row_dual(lp.get(), j));
+  for (int j = 1; j <= m; ++j)
+    answer.dual[static_cast<std::size_t>(j - 1)] = std::max(0.0, glp_get_row_dual(lp.get(), j));
   answer.fits = answer.cost <= tolerance;
   answer.certificate_flaw = check_certificate(promises, limits, answer);
   return answer;
 }
 
-/// min v.x with 0 <= x <= r and A x >= b has the dual max b.y - r.z with y, z >= 0 and A'y - z <= v. For given y the best
-/// z is max(0, A'y - v): where both sides come to the same, x is the best there is, whoever found it.
+/// min v.x with 0 <= x <= r and A x >= b has the dual max b.y - r.z with y, z >= 0 and A'y - z <= v. For
+/// given y the best z is max(0, A'y - v): where both sides come to the same, x is the best there is, whoever
+/// found it.
 std::string check_certificate(const std::vector<Promise>& promises, const std::vector<Limit>& limits,
                               const Answer& answer) {
   double scale = 1;
@@ -161,7 +168,8 @@
       alone = alone && use <= limits[j].limit;
       names += (names.empty() ? "" : ", ") + team;
     }
-    if (by_team.size() > 1 && alone) all.push_back(names + ": each fits alone, together they overload " + limits[j].what);
+    if (by_team.size() > 1 && alone)
+      all.push_back(names + ": each fits alone, together they overload " + limits[j].what);
   }
   return all;
 }
--- a/src/tools/report/contracts.cpp
+++ b/src/tools/report/contracts.cpp
@@ -11,9 +11,20 @@
 namespace cedarring::report {
 namespace {
 
-constexpr const char* columns[] = {"asked",  "within",           "beyond",             "in_time",        "late",
-                                   "failed", "left",             "refused_contract",   "refused_contention",
-                                   "refused_levels", "refused_router", "promised", "kept", "cost_ms"};
+constexpr const char* columns[] = {"asked",
+                                   "within",
+                                   "beyond",
+                                   "in_time",
+                                   "late",
+                                   "failed",
+                                   "left",
+                                   "refused_contract",
+                                   "refused_contention",
+                                   "refused_levels",
+                                   "refused_router",
+                                   "promised",
+                                   "kept",
+                                   "cost_ms"};
 
 std::string number(double v) {
   char text[32];
@@ -43,8 +54,9 @@
       return it != d.MemberEnd() && it->value.IsString() ? std::string(it->value.GetString()) : std::string();
     };
     const auto kind = text("record"), subject = text("subject");
-    if (kind == "breach") ++(text("rule").rfind("the team", 0) == 0 ? merged.by_subject[subject].by_team
-                                                                    : merged.by_subject[subject].by_gateway);
+    if (kind == "breach")
+      ++(text("rule").rfind("the team", 0) == 0 ? merged.by_subject[subject].by_team
+                                                : merged.by_subject[subject].by_gateway);
     if (kind != "ledger") continue;
     auto& use = merged.by_subject[subject];
     ++use.windows;
@@ -86,9 +98,11 @@
   std::string out;
   for (const auto& row : rows) {
     for (std::size_t i = 0; i < row.size(); ++i)
-      if (form == Form::csv) out += (i > 0 ? "," : "") + row[i];
-      else out += i == 0 ? row[i] + std::string(width[i] - row[i].size(), ' ')
-                         : "  " + std::string(width[i] - row[i].size(), ' ') + row[i];
+      if (form == Form::csv)
+        out += (i > 0 ? "," : "") + row[i];
+      else
+        out += i == 0 ? row[i] + std::string(width[i] - row[i].size(), ' ')
+                      : "  " + std::string(width[i] - row[i].size(), ' ') + row[i];
     out += '\n';
   }
   return out;
--- a/src/tools/report/contracts.h
+++ b/src/tools/report/contracts.h
@@ -16,7 +16,8 @@
 };
 struct Merged {
   std::map<std::string, Use> by_subject;
-  std::size_t lines = 0, unreadable = 0;  // a torn last line is one that cannot be read, and no reason to stop
+  std::size_t lines = 0,
+              unreadable = 0;  // a torn last line is one that cannot be read, and no reason to stop
 };
 
 /// Adds the records of a stream of JSON lines; records of other kinds are passed over.
--- a/src/tools/report/main.cpp
+++ b/src/tools/report/main.cpp
@@ -11,8 +11,11 @@
   CLI::App app("Reports from gateways' records", "cedarring report");
   std::vector<std::string> files;
   bool json = false, csv = false;
-  auto* contracts = app.add_subcommand("contracts", "Each team's use against its contract, over all gateways");
-  contracts->add_option("RECORDS", files, "Files of records, of one gateway or several")->required()->check(CLI::ExistingFile);
+  auto* contracts =
+      app.add_subcommand("contracts", "Each team's use against its contract, over all gateways");
+  contracts->add_option("RECORDS", files, "Files of records, of one gateway or several")
+      ->required()
+      ->check(CLI::ExistingFile);
   contracts->add_flag("--json", json, "As JSON");
   contracts->add_flag("--csv", csv, "As comma-separated values")->excludes("--json");
   std::size_t rows = 20;
@@ -37,6 +40,7 @@
   }
   std::cout << print(merged, json ? Form::json : csv ? Form::csv : Form::table);
   if (merged.unreadable > 0)
-    std::cerr << "cedarring report: " << merged.unreadable << " of " << merged.lines << " lines could not be read\n";
+    std::cerr << "cedarring report: " << merged.unreadable << " of " << merged.lines
+              << " lines could not be read\n";
   return 0;
 }
--- a/src/tools/rig/links.cpp
+++ b/src/tools/rig/links.cpp
@@ -142,12 +142,21 @@
       wire::pg::put_complete(out, "SELECT 1");
       wire::pg::put_ready(out);
       return say(out);
-    case 1: return say(answer.substr(0, answer.size() / 2));
-    case 2: return say(std::string(64, '\xff'));
-    case 3: put_row(out, request_); return say(out + answer);
-    case 4: say(answer.substr(0, answer.size() / 3)); return drop(false);
-    case 5: wire::pg::put_complete(out, "SELECT 1"); return say(out + answer);
-    default: return drip();
+    case 1:
+      return say(answer.substr(0, answer.size() / 2));
+    case 2:
+      return say(std::string(64, '\xff'));
+    case 3:
+      put_row(out, request_);
+      return say(out + answer);
+    case 4:
+      say(answer.substr(0, answer.size() / 3));
+      return drop(false);
+    case 5:
+      wire::pg::put_complete(out, "SELECT 1");
+      return say(out + answer);
+    default:
+      return drip();
   }
 }
 
@@ -282,7 +291,8 @@
       wire::pg::put_error(out, false, "XX000", "failed");
       over(Over::error, {});
       break;
-    default: return drop(true);  // its process has ended
+    default:
+      return drop(true);  // its process has ended
   }
   status();
   if (spoils) return spoil(out);
@@ -407,8 +417,10 @@
   open_ = true;
   std::string out;
   wire::pg::put_startup(out, "svc", "main");
-  if (probe_) wire::pg::put_query(out, "");
-  else if (!sql_.empty()) wire::pg::put_query(out, sql_);
+  if (probe_)
+    wire::pg::put_query(out, "");
+  else if (!sql_.empty())
+    wire::pg::put_query(out, sql_);
   write(out);
 }
 
@@ -427,8 +439,10 @@
   if (closed()) return;
   if (!open_ || way == Way::close) return drop();
   if (way == Way::half_close) return shut_down_writing();  // what still comes goes nowhere
-  if (way == Way::reset) reset();
-  else write(std::string("X\0\0\0\4", 5));
+  if (way == Way::reset)
+    reset();
+  else
+    write(std::string("X\0\0\0\4", 5));
   drop();
 }
 
--- a/src/tools/rig/main.cpp
+++ b/src/tools/rig/main.cpp
@@ -100,7 +100,8 @@
   for (const auto& f : s.faults)
     if (f.what == rig::Do::kill && f.on.kind == rig::Pick::Kind::primary && f.on.numbers.size() == 1)
       c.losses.push_back({f.at, f.on.numbers[0], s.takeover});
-    else ++left_out;
+    else
+      ++left_out;
   const auto r = lab::run(c);
   std::printf("%s in simulated time, %zu faults left out\n%-12s %8s %8s\n", s.name.c_str(), left_out, "class",
               "asked", "in time");
--- a/src/tools/rig/relay.cpp
+++ b/src/tools/rig/relay.cpp
@@ -152,7 +152,8 @@
     const int many = twice < way.twice ? 2 : 1;
     counts_.doubled += many - 1;
     for (int k = 0; k < many; ++k) {
-      if (wait <= Duration::zero()) pass(from, to, text);
+      if (wait <= Duration::zero())
+        pass(from, to, text);
       else
         timeline_.after(
             wait,
--- a/src/tools/rig/report.cpp
+++ b/src/tools/rig/report.cpp
@@ -64,8 +64,10 @@
     if (r.seconds[t].worst_lateness_ms > 100)
       put("  second %zu: sent up to %.0f ms late\n", t, r.seconds[t].worst_lateness_ms);
   if (r.crashes > 0) put("%llu gateways CRASHED\n", static_cast<unsigned long long>(r.crashes));
-  if (r.broken == 0) put("rules kept\n");
-  else put("%llu times a rule was BROKEN\n", static_cast<unsigned long long>(r.broken));
+  if (r.broken == 0)
+    put("rules kept\n");
+  else
+    put("%llu times a rule was BROKEN\n", static_cast<unsigned long long>(r.broken));
   for (std::size_t i = 0; i < r.violations.size() && i < 10; ++i)
     out += "  " + r.violations[i].rule + ": " + r.violations[i].request + ' ' + r.violations[i].text + '\n';
   return out;
--- a/src/tools/rig/rig.cpp
+++ b/src/tools/rig/rig.cpp
@@ -29,13 +29,13 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration ready_within = 20s;   // all gateways, from the start
+constexpr Duration ready_within = 20s;      // all gateways, from the start
 constexpr Duration upgrade_binds = 2500ms;  // after the start of the second process: 2 s after its yes
-constexpr Duration upgrade_after = 1s;   // the old process is told to end
-constexpr Duration patience = 100ms;     // of a client, behind its deadline: an answer may be on its way
-constexpr Duration stood_still = 25ms;   // behind what was due: the machine is too busy to judge times
-constexpr Duration settle = 500ms;       // a gateway that was stopped sees to what has waited
-constexpr double lateness_most_ms = 20;  // of the rig's own sends; later ones spoil the figures
+constexpr Duration upgrade_after = 1s;      // the old process is told to end
+constexpr Duration patience = 100ms;        // of a client, behind its deadline: an answer may be on its way
+constexpr Duration stood_still = 25ms;      // behind what was due: the machine is too busy to judge times
+constexpr Duration settle = 500ms;          // a gateway that was stopped sees to what has waited
+constexpr double lateness_most_ms = 20;     // of the rig's own sends; later ones spoil the figures
 constexpr double lateness_hopeless_ms = 2000;
 constexpr double late_share_most = 0.01;
 constexpr int wildcard_from = 2000;  // links from which a host has one listener for all of them
@@ -209,8 +209,10 @@
 void Rig::tell(int gateway) {
   const auto& t = trouble_of(gateway, -1);
   if (t.back) return;
-  if (t.delay > Duration::zero()) timeline_.after(t.delay, [this, gateway] { tell_now(gateway); });
-  else tell_now(gateway);
+  if (t.delay > Duration::zero())
+    timeline_.after(t.delay, [this, gateway] { tell_now(gateway); });
+  else
+    tell_now(gateway);
 }
 
 void Rig::tell_now(int gateway) {
@@ -301,11 +303,20 @@
   const auto set = [&](int a, int b) {
     auto& w = ways_[{a, b}];
     switch (f.what) {
-      case Do::cut: w.cut = on; break;
-      case Do::delay: w.delay = on ? Duration(static_cast<std::int64_t>(f.factor * 1000)) : Duration{}; break;
-      case Do::loss: w.loss = on ? f.factor : 0; break;
-      case Do::twice: w.twice = on ? f.factor : 0; break;
-      default: w.late = on ? f.factor : 0;
+      case Do::cut:
+        w.cut = on;
+        break;
+      case Do::delay:
+        w.delay = on ? Duration(static_cast<std::int64_t>(f.factor * 1000)) : Duration{};
+        break;
+      case Do::loss:
+        w.loss = on ? f.factor : 0;
+        break;
+      case Do::twice:
+        w.twice = on ? f.factor : 0;
+        break;
+      default:
+        w.late = on ? f.factor : 0;
     }
     if (w.clear()) ways_.erase({a, b});
   };
@@ -572,10 +583,18 @@
   if (r.asked < begun_ + s_.warm_up) return;
   auto& c = result_.classes[r.cls];
   switch (answer) {
-    case Answer::served: ++(in_time ? c.in_time : c.late), c.ms.push_back(static_cast<float>(ms)); break;
-    case Answer::refused: ++c.refused; break;
-    case Answer::failed: ++c.failed; break;
-    case Answer::lost: ++c.lost; break;
+    case Answer::served:
+      ++(in_time ? c.in_time : c.late), c.ms.push_back(static_cast<float>(ms));
+      break;
+    case Answer::refused:
+      ++c.refused;
+      break;
+    case Answer::failed:
+      ++c.failed;
+      break;
+    case Answer::lost:
+      ++c.lost;
+      break;
   }
 }
 
@@ -742,7 +761,8 @@
         for (const int h : on) pairs.emplace(g, h);
       const auto set = [this, pairs, on](bool silent) {
         for (const int h : on)
-          if (h >= 0) hosts_[static_cast<std::size_t>(h)].model->set_silent(silent);
+          if (h >= 0)
+            hosts_[static_cast<std::size_t>(h)].model->set_silent(silent);
           else
             for (int g = 0; g < s_.gateways; ++g) trouble(g, -1) = {silent, silent, {}};
         see_to(pairs, false);
@@ -775,8 +795,10 @@
       for (const int g : on)
         for (const int h : picked(f.to, number * 2 + 1)) {
           Trouble t;
-          if (f.what == Do::cut) t.there = f.there, t.back = f.back;
-          else t.delay = Duration(static_cast<std::int64_t>(f.factor * 1000));
+          if (f.what == Do::cut)
+            t.there = f.there, t.back = f.back;
+          else
+            t.delay = Duration(static_cast<std::int64_t>(f.factor * 1000));
           trouble(g, h) = t;
           pairs.emplace(g, h);
         }
--- a/src/tools/rig/rules.cpp
+++ b/src/tools/rig/rules.cpp
@@ -131,7 +131,8 @@
     const auto ran = std::find_if(r.attempts.begin(), r.attempts.end() - 1,
                                   [](const Attempt& a) { return !a.ended || may_have_run(a.how); });
     if (c.effect != Effect::safe && ran != r.attempts.end() - 1) {
-      if (c.effect == Effect::unsafe) broke("never again what may have run", id, "sent again");
+      if (c.effect == Effect::unsafe)
+        broke("never again what may have run", id, "sent again");
       else if (at - ran->at >= c.window + limits_.grace)
         broke("never again what may have run", id, "behind its window");
       else if (c.scope == RepeatScope::group && ran->group != group)
@@ -177,8 +178,10 @@
 }
 
 void Rules::told(int gateway, int host, bool open, Time at) {
-  if (open) closed_.erase({gateway, host});
-  else closed_.try_emplace({gateway, host}, std::max({at, goes_on(gateway, at), binds_[gateway]}));
+  if (open)
+    closed_.erase({gateway, host});
+  else
+    closed_.try_emplace({gateway, host}, std::max({at, goes_on(gateway, at), binds_[gateway]}));
 }
 
 void Rules::anew(int gateway) {
--- a/src/tools/rig/rules.h
+++ b/src/tools/rig/rules.h
@@ -59,8 +59,10 @@
   /// The rig itself, or its machine, stood still: no time limit can be judged.
   void stood_still(Time from, Time to) {
     auto& all = harmed_[everybody];
-    if (!all.empty() && from <= all.back().second) all.back().second = std::max(all.back().second, to);
-    else all.emplace_back(from, to);
+    if (!all.empty() && from <= all.back().second)
+      all.back().second = std::max(all.back().second, to);
+    else
+      all.emplace_back(from, to);
     if (all.size() > 10'000) all.erase(all.begin());
   }
   /// The last byte of a statement has come to a host; the number of the attempt is returned. `given_up`: its
--- a/src/tools/rig/scenario.cpp
+++ b/src/tools/rig/scenario.cpp
@@ -105,13 +105,18 @@
     case Do::twice:
     case Do::disorder:
     case Do::cut:
-    case Do::delay: return kind == Pick::Kind::gateways;
+    case Do::delay:
+      return kind == Pick::Kind::gateways;
     case Do::mute:
     case Do::tear:
-    case Do::refuse: return kind == Pick::Kind::discovery;
-    case Do::kill: return kind != Pick::Kind::discovery;
-    case Do::silent: return kind != Pick::Kind::gateways;
-    default: return kind == Pick::Kind::hosts || kind == Pick::Kind::primary;
+    case Do::refuse:
+      return kind == Pick::Kind::discovery;
+    case Do::kill:
+      return kind != Pick::Kind::discovery;
+    case Do::silent:
+      return kind != Pick::Kind::gateways;
+    default:
+      return kind == Pick::Kind::hosts || kind == Pick::Kind::primary;
   }
 }
 
--- a/src/wire/admin.cpp
+++ b/src/wire/admin.cpp
@@ -152,7 +152,8 @@
   const timeval wait{10, 0};
   setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof wait);
   const auto said = line + "\n";
-  if (::send(fd.get(), said.data(), said.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(said.size())) return failed();
+  if (::send(fd.get(), said.data(), said.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(said.size()))
+    return failed();
   char bytes[4096];
   for (;;) {
     const auto n = ::recv(fd.get(), bytes, sizeof bytes, 0);
--- a/src/wire/admin.h
+++ b/src/wire/admin.h
@@ -1,5 +1,5 @@
-// The operators' socket: a Unix domain stream socket on which a client says one line of words and gets one answer.
-// Bounded in clients, bytes and time; no decision waits for it.
+// The operators' socket: a Unix domain stream socket on which a client says one line of words and gets one
+// answer. Bounded in clients, bytes and time; no decision waits for it.
 #pragma once
 
 #include <ev++.h>
--- a/src/wire/client.cpp
+++ b/src/wire/client.cpp
@@ -182,8 +182,10 @@
 void Client::stamp() {
   received_ += in_.size() - left_;
   left_ = in_.size();
-  if (marks_.size() < marks_most) marks_.emplace_back(received_, owner_.broker().now());
-  else marks_.back().first = received_;
+  if (marks_.size() < marks_most)
+    marks_.emplace_back(received_, owner_.broker().now());
+  else
+    marks_.back().first = received_;
 }
 
 /// When the last byte of the command just taken off the buffer came.
@@ -204,7 +206,8 @@
 void Client::take() {
   if (taking_) return;
   taking_ = true;
-  while (!closed() && !last_ && room_for_one() && take_one()) {}
+  while (!closed() && !last_ && room_for_one() && take_one()) {
+  }
   taking_ = false;
   left_ = in_.size();
   if (in_.empty()) marks_.clear();
@@ -284,7 +287,8 @@
 void ClientSet::drain() {
   io_.stop();
   // Whoever waits in the listener's queue believes to be connected: closing it would reset them.
-  for (int i = 0; i < 16 && listening() && !give_ && take_waiting(); ++i) {}
+  for (int i = 0; i < 16 && listening() && !give_ && take_waiting(); ++i) {
+  }
   rest_.stop();
   listener_.reset();
   if (give_) return;  // those there are go over as they fall idle
@@ -301,8 +305,10 @@
     last = room_->next();
     const auto it =
         std::find_if(clients_.begin(), clients_.end(), [&](const auto& c) { return c.first == last; });
-    if (it == clients_.end()) room_->leave(last);
-    else it->second->room_made();
+    if (it == clients_.end())
+      room_->leave(last);
+    else
+      it->second->room_made();
   }
 }
 
@@ -423,8 +429,10 @@
     auto client = make_(std::move(fd), *this);
     auto* raw = client.get();
     clients_.emplace(raw, std::move(client));
-    if (full) raw->turn_away();
-    else raw->greet();
+    if (full)
+      raw->turn_away();
+    else
+      raw->greet();
   }
   return true;
 }
--- a/src/wire/connection.cpp
+++ b/src/wire/connection.cpp
@@ -227,9 +227,12 @@
     message.msg_iov = parts;
     message.msg_iovlen = static_cast<std::size_t>(out_.filled(parts));
     const auto n = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
-    if (n >= 0) out_.consume(static_cast<std::size_t>(n)), sent_ += static_cast<std::uint64_t>(n);
-    else if (errno == EAGAIN || errno == EWOULDBLOCK) return;
-    else if (errno != EINTR) write_error_ = errno;
+    if (n >= 0)
+      out_.consume(static_cast<std::size_t>(n)), sent_ += static_cast<std::uint64_t>(n);
+    else if (errno == EAGAIN || errno == EWOULDBLOCK)
+      return;
+    else if (errno != EINTR)
+      write_error_ = errno;
   }
 }
 
--- a/src/wire/discovery.cpp
+++ b/src/wire/discovery.cpp
@@ -33,10 +33,14 @@
   const auto cell = v.FindMember("cell");
   m.group = GroupId{cell != v.MemberEnd() && cell->value.IsInt64() ? cell->value.GetInt64() : 0};
   const auto state = text_of(v, "state");
-  if (state == "SERVING") m.state = HostState::ready;
-  else if (state == "DRAINING") m.state = HostState::draining;
-  else if (state == "DELETED") m.state = HostState::gone;
-  else return false;
+  if (state == "SERVING")
+    m.state = HostState::ready;
+  else if (state == "DRAINING")
+    m.state = HostState::draining;
+  else if (state == "DELETED")
+    m.state = HostState::gone;
+  else
+    return false;
   m.weight = number_of(v, "weight", 1);
   m.primary = text_of(v, "recovery") == "off";
   const double started = number_of(v, "started_ms", 0);
@@ -100,9 +104,12 @@
       bytes.remove_prefix(i + 1);
     };
     if (quoted_) {
-      if (escaped_) escaped_ = false;
-      else if (c == '\\') escaped_ = true;
-      else if (c == '"') quoted_ = false;
+      if (escaped_)
+        escaped_ = false;
+      else if (c == '\\')
+        escaped_ = true;
+      else if (c == '"')
+        quoted_ = false;
     } else if (depth_ > 0) {
       quoted_ = c == '"';
       depth_ += (c == '{' || c == '[') ? 1 : (c == '}' || c == ']') ? -1 : 0;
@@ -167,10 +174,15 @@
     std::string object;
     for (;;) {
       switch (splitter_.next(bytes, object)) {
-        case ObjectSplitter::Found::nothing: return true;
-        case ObjectSplitter::Found::bad: return false;
-        case ObjectSplitter::Found::heartbeat: owner_.heard(); continue;
-        case ObjectSplitter::Found::object: break;
+        case ObjectSplitter::Found::nothing:
+          return true;
+        case ObjectSplitter::Found::bad:
+          return false;
+        case ObjectSplitter::Found::heartbeat:
+          owner_.heard();
+          continue;
+        case ObjectSplitter::Found::object:
+          break;
       }
       const auto list = parse_members(object);
       if (!list) return false;
@@ -273,8 +285,10 @@
 }
 
 void DiscoveryWatch::failed() {
-  if (kept_) again_.start(seconds(terms_.after_end()));
-  else events_.failed();
+  if (kept_)
+    again_.start(seconds(terms_.after_end()));
+  else
+    events_.failed();
 }
 
 /// A machine that was cut off says nothing: its watch would look calm for ever. One that was heard before is
--- a/src/wire/dns.cpp
+++ b/src/wire/dns.cpp
@@ -90,21 +90,34 @@
     std::string out;
     const auto fixed = [&](std::size_t n) { out += bytes(n); };
     switch (type) {
-      case type_a: fixed(4); break;
-      case type_aaaa: fixed(16); break;
+      case type_a:
+        fixed(4);
+        break;
+      case type_aaaa:
+        fixed(16);
+        break;
       case type_ns:
       case type_cname:
-      case type_ptr: out += name(); break;
-      case type_mx: fixed(2), out += name(); break;
-      case type_srv: fixed(6), out += name(); break;
-      case type_soa: out += name(), out += name(), fixed(20); break;
+      case type_ptr:
+        out += name();
+        break;
+      case type_mx:
+        fixed(2), out += name();
+        break;
+      case type_srv:
+        fixed(6), out += name();
+        break;
+      case type_soa:
+        out += name(), out += name(), fixed(20);
+        break;
       case type_txt:
         while (ok_ && at_ < end) {
           const auto n = static_cast<unsigned char>(in_[at_]);
           fixed(1U + n);
         }
         break;
-      default: fixed(end - at_);
+      default:
+        fixed(end - at_);
     }
     return out;
   }
@@ -150,8 +163,10 @@
     const char c = i < text.size() ? text[i] : '\n';
     if (open) {
       if (c == '\n') return false;
-      if (c == '"') open = false, end_token();
-      else token.text += c;
+      if (c == '"')
+        open = false, end_token();
+      else
+        token.text += c;
       if (c == '\\' && i + 1 < text.size() && text[i + 1] != '\n') token.text += text[++i];
       continue;
     }
@@ -224,8 +239,10 @@
 bool put_number(std::string& out, const std::string& text, std::int64_t most) {
   const auto n = to_int(text);
   if (!n || *n > most) return false;
-  if (most > 0xffff) put32(out, static_cast<std::uint32_t>(*n));
-  else put16(out, static_cast<std::uint32_t>(*n));
+  if (most > 0xffff)
+    put32(out, static_cast<std::uint32_t>(*n));
+  else
+    put16(out, static_cast<std::uint32_t>(*n));
   return true;
 }
 
@@ -249,8 +266,10 @@
     }
     case type_ns:
     case type_cname:
-    case type_ptr: return count == 1 && name(0);
-    case type_mx: return count == 2 && number(0, 0xffff) && name(1);
+    case type_ptr:
+      return count == 1 && name(0);
+    case type_mx:
+      return count == 2 && number(0, 0xffff) && name(1);
     case type_srv:
       return count == 4 && number(0, 0xffff) && number(1, 0xffff) && number(2, 0xffff) && name(3);
     case type_soa:
@@ -266,7 +285,8 @@
         out += text;
       }
       return count > 0;
-    default: return false;
+    default:
+      return false;
   }
 }
 
@@ -451,8 +471,10 @@
     }
   }
   if (!absolute && !end_label()) return std::nullopt;
-  if (absolute) out += '\0';
-  else out += origin;
+  if (absolute)
+    out += '\0';
+  else
+    out += origin;
   if (out.size() > name_most || out.back() != '\0') return std::nullopt;
   return out;
 }
@@ -487,8 +509,10 @@
       const auto name = name_from_text(t[1].text, origin);
       const auto ttl = to_int(t[1].text);
       if (t[0].text == "$ORIGIN" ? !name : !ttl || *ttl > 0x7fffffff) return fail(line.number);
-      if (t[0].text == "$ORIGIN") origin = *name;
-      else default_ttl = static_cast<std::uint32_t>(*ttl);
+      if (t[0].text == "$ORIGIN")
+        origin = *name;
+      else
+        default_ttl = static_cast<std::uint32_t>(*ttl);
       continue;
     }
     std::size_t at = 0;
@@ -504,7 +528,8 @@
     for (; at < t.size(); ++at)  // TTL and class, in either order
       if (const auto ttl = to_int(t[at].text); ttl && *ttl <= 0x7fffffff)
         r.ttl = last_ttl = static_cast<std::uint32_t>(*ttl);
-      else if (t[at].text != "IN" && t[at].text != "in") break;
+      else if (t[at].text != "IN" && t[at].text != "in")
+        break;
     const auto type = at < t.size() ? type_from_text(t[at].text) : std::nullopt;
     if (!type || !data_from_text(r.type = *type, t, at + 1, origin, r.data)) return fail(line.number);
     if (r.type == type_soa && (r.name != zone.origin || has(zone, r.name, type_soa)))
--- a/src/wire/door.cpp
+++ b/src/wire/door.cpp
@@ -10,13 +10,20 @@
 
 const char* reason_of(int status) {
   switch (status) {
-    case 200: return "OK";
-    case 400: return "Bad Request";
-    case 404: return "Not Found";
-    case 405: return "Method Not Allowed";
-    case 413: return "Content Too Large";
-    case 431: return "Request Header Fields Too Large";
-    default: return "Service Unavailable";
+    case 200:
+      return "OK";
+    case 400:
+      return "Bad Request";
+    case 404:
+      return "Not Found";
+    case 405:
+      return "Method Not Allowed";
+    case 413:
+      return "Content Too Large";
+    case 431:
+      return "Request Header Fields Too Large";
+    default:
+      return "Service Unavailable";
   }
 }
 
--- a/src/wire/mysql.cpp
+++ b/src/wire/mysql.cpp
@@ -15,8 +15,10 @@
     case 0x03:
     case 0x08:
     case 0x09:
-    case 0x0d: return true;
-    default: return false;
+    case 0x0d:
+      return true;
+    default:
+      return false;
   }
 }
 
@@ -282,27 +284,40 @@
   switch (error.code) {
     case 1290:
     case 1792:
-    case 1836: return Outcome::miss;  // read-only: this is no primary
+    case 1836:
+      return Outcome::miss;  // read-only: this is no primary
     case 1040:
     case 1203:
-    case 3168: return Outcome::full;  // too many connections, not available: never ran
-    case 1243: return Outcome::moot;  // it does not know the statement: never ran
-    default: return error.state == "72000" ? Outcome::miss : Outcome::error;  // too far behind
+    case 3168:
+      return Outcome::full;  // too many connections, not available: never ran
+    case 1243:
+      return Outcome::moot;  // it does not know the statement: never ran
+    default:
+      return error.state == "72000" ? Outcome::miss : Outcome::error;  // too far behind
   }
 }
 
 std::optional<std::size_t> value_size(std::uint16_t type, std::string_view in) {
   std::uint64_t size = 0;
   switch (type & type_mask) {
-    case 0x06: return 0;         // NULL
-    case 0x01: size = 1; break;  // TINY
+    case 0x06:
+      return 0;  // NULL
+    case 0x01:
+      size = 1;
+      break;  // TINY
     case 0x02:
-    case 0x0d: size = 2; break;  // SHORT, YEAR
+    case 0x0d:
+      size = 2;
+      break;  // SHORT, YEAR
     case 0x03:
     case 0x04:
-    case 0x09: size = 4; break;  // LONG, FLOAT, INT24
+    case 0x09:
+      size = 4;
+      break;  // LONG, FLOAT, INT24
     case 0x05:
-    case 0x08: size = 8; break;  // DOUBLE, LONGLONG
+    case 0x08:
+      size = 8;
+      break;  // DOUBLE, LONGLONG
     case 0x07:
     case 0x0a:
     case 0x0b:
@@ -329,7 +344,8 @@
       if (!r.ok() || length > r.rest().size()) return std::nullopt;
       return in.size() - r.rest().size() + length;
     }
-    default: return std::nullopt;
+    default:
+      return std::nullopt;
   }
   if (size > in.size()) return std::nullopt;
   return size;
@@ -423,8 +439,10 @@
       if (c == '?') ++shape.placeholders;
       if (c != '\'' && c != '"' && c != '`') continue;
       for (++i; i < sql.size(); ++i)
-        if (sql[i] == '\\' && c != '`') ++i;
-        else if (sql[i] == c) break;  // a doubled quote opens the next piece at once
+        if (sql[i] == '\\' && c != '`')
+          ++i;
+        else if (sql[i] == c)
+          break;  // a doubled quote opens the next piece at once
       if (i >= sql.size()) return shape.whole = false, shape;
     }
   }
--- a/src/wire/mysql_client.cpp
+++ b/src/wire/mysql_client.cpp
@@ -26,8 +26,10 @@
       continue;
     }
     const auto c = static_cast<unsigned char>(sql[i]);
-    if (std::isalnum(c) != 0 || c == '_') words.back() += static_cast<char>(std::toupper(c));
-    else if (!words.back().empty()) words.emplace_back();
+    if (std::isalnum(c) != 0 || c == '_')
+      words.back() += static_cast<char>(std::toupper(c));
+    else if (!words.back().empty())
+      words.emplace_back();
   }
   words.resize(std::max(words.size(), most));
   return words;
@@ -104,8 +106,10 @@
   sequence_ = static_cast<std::uint8_t>(packet.sequence + 1);
   const std::string payload(packet.payload);
   in_.consume(packet.size);
-  if (welcomed_) spoke(), command(payload);
-  else shake_hands(payload);
+  if (welcomed_)
+    spoke(), command(payload);
+  else
+    shake_hands(payload);
   return !closed();
 }
 
@@ -136,14 +140,22 @@
   const auto body = payload.substr(1);
   Reader in(body);
   switch (static_cast<unsigned char>(payload[0])) {
-    case com_quit: return leave();
+    case com_quit:
+      return leave();
     case com_ping:
-    case com_init_db: return ok();
-    case com_reset_connection: statements_.clear(); return ok();
-    case com_query: return query(payload);
-    case com_stmt_prepare: return prepare(body);
-    case com_stmt_execute: return execute(payload);
-    case com_stmt_send_long_data: return long_data(body);
+    case com_init_db:
+      return ok();
+    case com_reset_connection:
+      statements_.clear();
+      return ok();
+    case com_query:
+      return query(payload);
+    case com_stmt_prepare:
+      return prepare(body);
+    case com_stmt_execute:
+      return execute(payload);
+    case com_stmt_send_long_data:
+      return long_data(body);
     case com_stmt_close:  // by the protocol without an answer
       statements_.erase(static_cast<std::uint32_t>(in.fixed(4)));
       return;
@@ -153,9 +165,12 @@
       s->drop_long_data();
       return ok();
     }
-    case com_stmt_fetch: return error(1235, "42000", "This gateway doesn't yet support 'cursors'");
-    case com_set_option: return error(1235, "42000", "This gateway doesn't yet support 'multi-statements'");
-    default: return error(1047, "08S01", "Unknown command");
+    case com_stmt_fetch:
+      return error(1235, "42000", "This gateway doesn't yet support 'cursors'");
+    case com_set_option:
+      return error(1235, "42000", "This gateway doesn't yet support 'multi-statements'");
+    default:
+      return error(1047, "08S01", "Unknown command");
   }
 }
 
@@ -287,12 +302,18 @@
   if (const auto lacks = lacking(work->info); !lacks.empty())
     return error(1210, "HY000", "the statement lacks " + std::string(lacks));
   switch (ask(work->info, work)) {
-    case memory::Rejection::none: return;
-    case memory::Rejection::unknown_contract: return error(1210, "HY000", "unknown class in c");
-    case memory::Rejection::unknown_tenant: return error(1210, "HY000", "unknown tenant in t");
-    case memory::Rejection::unknown_group: return error(1049, "42000", "unknown group in cluster");
-    case memory::Rejection::name_in_use: return error(1210, "HY000", "id of another open request");
-    case memory::Rejection::overfull: return error(1040, "08004", "Too many requests");
+    case memory::Rejection::none:
+      return;
+    case memory::Rejection::unknown_contract:
+      return error(1210, "HY000", "unknown class in c");
+    case memory::Rejection::unknown_tenant:
+      return error(1210, "HY000", "unknown tenant in t");
+    case memory::Rejection::unknown_group:
+      return error(1049, "42000", "unknown group in cluster");
+    case memory::Rejection::name_in_use:
+      return error(1210, "HY000", "id of another open request");
+    case memory::Rejection::overfull:
+      return error(1040, "08004", "Too many requests");
     case memory::Rejection::late:
       return error(3168, "HY000", "Its time ran out before its turn, nothing has run");
   }
--- a/src/wire/mysql_host.cpp
+++ b/src/wire/mysql_host.cpp
@@ -47,8 +47,10 @@
   std::string out;
   std::uint8_t sequence = 0;
   put_packet(out, sequence, payload);
-  if (request) write_request(out);
-  else write(out);
+  if (request)
+    write_request(out);
+  else
+    write(out);
 }
 
 void MysqlHost::submit() {
@@ -98,16 +100,22 @@
   if (packet.sequence != sequence_) return false;  // of another answer than the one that is due
   ++sequence_;
   switch (state_) {
-    case State::greeting: return take_greeting(p);
-    case State::login: return take_login(p);
-    case State::idle: return false;  // nothing is due
-    case State::preparing: return take_prepared(p);
+    case State::greeting:
+      return take_greeting(p);
+    case State::login:
+      return take_login(p);
+    case State::idle:
+      return false;  // nothing is due
+    case State::preparing:
+      return take_prepared(p);
     case State::prepare_rest:
       if (--left_ == 0) prepared(preparing_);
       return true;
-    case State::first: return take_first(packet);
+    case State::first:
+      return take_first(packet);
     case State::columns:
-    case State::rows: break;
+    case State::rows:
+      break;
   }
   std::uint8_t sequence = packet.sequence;
   put_packet(answer_, sequence, p);
@@ -157,8 +165,10 @@
     command(close, false);
   }
   left_ = columns + parameters;
-  if (left_ == 0) prepared(preparing_);
-  else state_ = State::prepare_rest;
+  if (left_ == 0)
+    prepared(preparing_);
+  else
+    state_ = State::prepare_rest;
   return true;
 }
 
--- a/src/wire/pg.cpp
+++ b/src/wire/pg.cpp
@@ -68,10 +68,14 @@
   if (in.size() < length) return Frame::partial;
   const auto code = read_u32(in.substr(4));
   out.size = length;
-  if (code == 80877103) out.kind = StartupKind::ssl;
-  else if (code == 80877104) out.kind = StartupKind::gss;
-  else if (code == 80877102) out.kind = StartupKind::cancel;
-  else out.kind = code >> 16U == 3 ? StartupKind::startup : StartupKind::unknown;
+  if (code == 80877103)
+    out.kind = StartupKind::ssl;
+  else if (code == 80877104)
+    out.kind = StartupKind::gss;
+  else if (code == 80877102)
+    out.kind = StartupKind::cancel;
+  else
+    out.kind = code >> 16U == 3 ? StartupKind::startup : StartupKind::unknown;
   return Frame::whole;
 }
 
--- a/src/wire/pg_client.cpp
+++ b/src/wire/pg_client.cpp
@@ -46,10 +46,16 @@
   in_.consume(startup.size);
   switch (startup.kind) {
     case pg::StartupKind::ssl:
-    case pg::StartupKind::gss: reply("N"); return true;
-    case pg::StartupKind::cancel: leave(); return false;
-    case pg::StartupKind::unknown: return fatal("08P01", "unsupported protocol version");
-    case pg::StartupKind::startup: break;
+    case pg::StartupKind::gss:
+      reply("N");
+      return true;
+    case pg::StartupKind::cancel:
+      leave();
+      return false;
+    case pg::StartupKind::unknown:
+      return fatal("08P01", "unsupported protocol version");
+    case pg::StartupKind::startup:
+      break;
   }
   welcomed_ = true;
   std::string out;
@@ -107,8 +113,10 @@
   const auto bare = trimmed(sql);
   const auto verb = verb_of(bare);
   if (bare.empty() || verb == "SET" || verb == "RESET" || verb == "DISCARD") {
-    if (bare.empty()) pg::put_empty(out);
-    else pg::put_complete(out, verb == "DISCARD" ? "DISCARD ALL" : verb);
+    if (bare.empty())
+      pg::put_empty(out);
+    else
+      pg::put_complete(out, verb == "DISCARD" ? "DISCARD ALL" : verb);
     pg::put_ready(out);
     return reply(out);
   }
@@ -119,13 +127,20 @@
   if (!parse_statement(work->sql, work->info, missing))
     return refuse("08P01", "the statement lacks " + missing);
   switch (ask(work->info, work)) {
-    case memory::Rejection::none: return;
-    case memory::Rejection::unknown_contract: return refuse("08P01", "unknown class in c");
-    case memory::Rejection::unknown_tenant: return refuse("08P01", "unknown tenant in t");
-    case memory::Rejection::unknown_group: return refuse("3D000", "unknown group in cluster");
-    case memory::Rejection::name_in_use: return refuse("08P01", "id of another open request");
-    case memory::Rejection::overfull: return refuse("53300", "too many requests");
-    case memory::Rejection::late: return refuse("53300", "its time ran out before its turn, nothing has run");
+    case memory::Rejection::none:
+      return;
+    case memory::Rejection::unknown_contract:
+      return refuse("08P01", "unknown class in c");
+    case memory::Rejection::unknown_tenant:
+      return refuse("08P01", "unknown tenant in t");
+    case memory::Rejection::unknown_group:
+      return refuse("3D000", "unknown group in cluster");
+    case memory::Rejection::name_in_use:
+      return refuse("08P01", "id of another open request");
+    case memory::Rejection::overfull:
+      return refuse("53300", "too many requests");
+    case memory::Rejection::late:
+      return refuse("53300", "its time ran out before its turn, nothing has run");
   }
 }
 
@@ -138,7 +153,9 @@
 
 void PgClient::put_answer(memory::FinalAnswer answer, std::string& out) {
   switch (answer.end) {
-    case memory::End::served: out = std::move(answer.value); break;
+    case memory::End::served:
+      out = std::move(answer.value);
+      break;
     case memory::End::refused: {
       const auto ms = std::chrono::ceil<std::chrono::milliseconds>(answer.pause).count();
       pg::put_error(out, false, "53300", refusal_text(answer.verdict), ms > 0 ? std::to_string(ms) : "");
--- a/src/wire/pg_host.cpp
+++ b/src/wire/pg_host.cpp
@@ -126,8 +126,10 @@
       if (!answer || next_ != Next::complete || !pg::take_text(body) || !body.empty()) return false;
       next_ = Next::ready;
       break;
-    case 'E': return take_error(body);
-    case 'Z': return body == "I" && (!welcomed_ || (answer && next_ == Next::ready));
+    case 'E':
+      return take_error(body);
+    case 'Z':
+      return body == "I" && (!welcomed_ || (answer && next_ == Next::ready));
     case 'S': {
       const auto name = pg::take_text(body);
       const auto value = pg::take_text(body);
@@ -135,10 +137,14 @@
       set_note(*name, *value, note_);
       return true;
     }
-    case 'R': return !welcomed_ && body == std::string_view("\0\0\0\0", 4);
-    case 'K': return !welcomed_;
-    case 'N': return true;
-    default: return false;
+    case 'R':
+      return !welcomed_ && body == std::string_view("\0\0\0\0", 4);
+    case 'K':
+      return !welcomed_;
+    case 'N':
+      return true;
+    default:
+      return false;
   }
   rows_ += whole;
   return rows_.size() <= pg_message_most;
--- a/src/wire/statement.cpp
+++ b/src/wire/statement.cpp
@@ -19,14 +19,22 @@
 
 bool set_field(std::string_view name, std::string_view value, StatementInfo& info) {
   const auto number = [&](std::optional<std::int64_t>& field) { return (field = to_int(value)).has_value(); };
-  if (name == "id") info.id = value;
-  else if (name == "c") info.contract = value;
-  else if (name == "t") info.tenant = value;
-  else if (name == "k") info.key = value;
-  else if (name == "r") info.retry = value == "1";
-  else if (name == "d") return number(info.deadline_ms);
-  else if (name == "cluster") return number(info.cluster);
-  else if (name == "after") return number(info.after_ms);
+  if (name == "id")
+    info.id = value;
+  else if (name == "c")
+    info.contract = value;
+  else if (name == "t")
+    info.tenant = value;
+  else if (name == "k")
+    info.key = value;
+  else if (name == "r")
+    info.retry = value == "1";
+  else if (name == "d")
+    return number(info.deadline_ms);
+  else if (name == "cluster")
+    return number(info.cluster);
+  else if (name == "after")
+    return number(info.after_ms);
   return true;
 }
 
--- a/src/wire/upstream.cpp
+++ b/src/wire/upstream.cpp
@@ -43,7 +43,8 @@
   if (!job_) return;
   auto due = job_->stop_at;
   const auto most = owner_.options().connect_timeout;
-  if (!welcomed_) due = std::min(due, job_->started + (job_->patient ? most : owner_.patience().allowed(most)));
+  if (!welcomed_)
+    due = std::min(due, job_->started + (job_->patient ? most : owner_.patience().allowed(most)));
   timer_.start(seconds(due - owner_.now()));
 }
 
@@ -98,8 +99,10 @@
   const bool go_on = owner_.part(*job_, bytes);
   if (closed() || !job_) return false;
   // While its client takes nothing the host is not to blame.
-  if (go_on) timer_.start(silent_most);
-  else timer_.stop(), hold(true);
+  if (go_on)
+    timer_.start(silent_most);
+  else
+    timer_.stop(), hold(true);
   return go_on;
 }
 
@@ -222,8 +225,10 @@
 void SocketUpstream::done(HostConnection* connection, const Job& job, AttemptResult result, bool keep) {
   const auto host = connection->host();
   if (job.attempt) attempts_.erase({job.attempt->request.value, job.attempt->number});
-  if (keep && !winding_down_ && connections_.size() <= most_) pool_.put(host, connection, clock_());
-  else gone(connection);
+  if (keep && !winding_down_ && connections_.size() <= most_)
+    pool_.put(host, connection, clock_());
+  else
+    gone(connection);
   tell(job, host, std::move(result));
 }
 
@@ -241,8 +246,10 @@
 }
 
 void SocketUpstream::tell(const Job& job, HostId host, AttemptResult result) {
-  if (job.attempt) broker_->attempt_ended(*job.attempt, std::move(result));
-  else broker_->probe_ended(host, result.outcome, clock_() - job.started, result.report);
+  if (job.attempt)
+    broker_->attempt_ended(*job.attempt, std::move(result));
+  else
+    broker_->probe_ended(host, result.outcome, clock_() - job.started, result.report);
 }
 
 void SocketUpstream::wind_down(bool on) {
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -159,10 +159,18 @@
     for (int n = 0; n < 1 + i % 4; ++n) {
       const auto at = random() % text.size();
       switch (random() % 4) {
-        case 0: text[at] = static_cast<char>(random() % 256); break;
-        case 1: text.erase(at, random() % 40); break;
-        case 2: text.insert(at, text.substr(random() % text.size(), 30)); break;
-        default: text.insert(at, std::string(1 + random() % 30, '9')); break;
+        case 0:
+          text[at] = static_cast<char>(random() % 256);
+          break;
+        case 1:
+          text.erase(at, random() % 40);
+          break;
+        case 2:
+          text.insert(at, text.substr(random() % text.size(), 30));
+          break;
+        default:
+          text.insert(at, std::string(1 + random() % 30, '9'));
+          break;
       }
     }
     const auto p = play(text);
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -354,7 +354,8 @@
   EXPECT_EQ(pool.retire(Time(90)).size(), 90U);
   EXPECT_EQ(pool.hosts(), 10U);
   for (std::uint32_t i = 90; i < 95; ++i) EXPECT_EQ(pool.take(HostId{i}), &a);
-  while (pool.oldest()) {}
+  while (pool.oldest()) {
+  }
   EXPECT_EQ(pool.hosts(), 0U);
 }
 
--- a/tests/contracts_test.cpp
+++ b/tests/contracts_test.cpp
@@ -1,4 +1,5 @@
-// Contracts in simulated time: rates, fairness, conservation, parts, the ledger. No sockets, a clock set by hand.
+// Contracts in simulated time: rates, fairness, conservation, parts, the ledger. No sockets, a clock set by
+// hand.
 #include "contracts/contracts.h"
 
 #include <gtest/gtest.h>
@@ -18,8 +19,9 @@
 
 Service service(std::size_t tenants = 3) {
   Service s;
-  for (const auto& [name, need] :
-       {std::pair{"desk-view", Freshness::bounded}, {"history", Freshness::any}, {"bid-submit", Freshness::write}}) {
+  for (const auto& [name, need] : {std::pair{"desk-view", Freshness::bounded},
+                                   {"history", Freshness::any},
+                                   {"bid-submit", Freshness::write}}) {
     RequestClass c;
     c.name = name, c.aim = 200ms, c.deadline = 1s, c.freshness = need;
     s.classes.push_back(c);
@@ -65,8 +67,10 @@
   gates::Verdict serve(std::int32_t tenant, std::int32_t cls, Duration took = 50ms) {
     const auto a = ask(tenant, cls);
     const auto v = contracts.admit(a, now);
-    if (v.admitted) contracts.ended(a, {gates::End::served, {}, {}, true, took}, now);
-    else contracts.ended(a, {gates::End::refused, v.by, v.why, false, {}}, now);
+    if (v.admitted)
+      contracts.ended(a, {gates::End::served, {}, {}, true, took}, now);
+    else
+      contracts.ended(a, {gates::End::refused, v.by, v.why, false, {}}, now);
     return v;
   }
   void step(bool contended = false) {
@@ -76,30 +80,33 @@
 
 // ---- hard case 8: properties ----
 TEST(Contracts, NoWindowLetsThroughMoreThanRateTimesTimePlusBurst) {
-  EXPECT_TRUE(rc::check("GCRA", [] {
-    // From one in ten minutes to some hundreds a second.
-    const double rate = *rc::gen::inRange(1, 2000) / *rc::gen::element(3.0, 600.0), burst = *rc::gen::inRange(1, 50);
-    const auto gaps = *rc::gen::container<std::vector<int>>(rc::gen::element(0, 300, 30'000, 40'000'000));
-    const auto r = Rate::of(rate, burst);
-    Gcra g;
-    Time now{1'700'000'000'000'000};
-    std::vector<Time> taken;
-    for (const int gap : gaps) {
-      now += Duration(gap);
-      if (!g.conforms(r, now)) {
-        RC_ASSERT(g.wait(r, now) > Duration::zero());
-        RC_ASSERT(g.conforms(r, now + g.wait(r, now)));  // and then it does conform
-        continue;
-      }
-      g.take(r, 1, now);
-      taken.push_back(now);
-    }
-    for (std::size_t i = 0; i < taken.size(); ++i)
-      for (std::size_t j = i; j < taken.size(); ++j) {
-        const double window = static_cast<double>((taken[j] - taken[i]).count()) / 1e6;
-        RC_ASSERT(static_cast<double>(j - i + 1) <= rate * window + burst + 1e-6);
-      }
-  }));
+  EXPECT_TRUE(rc::check(
+      "GCRA",
+      [] {
+        // From one in ten minutes to some hundreds a second.
+        const double rate = *rc::gen::inRange(1, 2000) / *rc::gen::element(3.0, 600.0),
+                     burst = *rc::gen::inRange(1, 50);
+        const auto gaps = *rc::gen::container<std::vector<int>>(rc::gen::element(0, 300, 30'000, 40'000'000));
+        const auto r = Rate::of(rate, burst);
+        Gcra g;
+        Time now{1'700'000'000'000'000};
+        std::vector<Time> taken;
+        for (const int gap : gaps) {
+          now += Duration(gap);
+          if (!g.conforms(r, now)) {
+            RC_ASSERT(g.wait(r, now) > Duration::zero());
+            RC_ASSERT(g.conforms(r, now + g.wait(r, now)));  // and then it does conform
+            continue;
+          }
+          g.take(r, 1, now);
+          taken.push_back(now);
+        }
+        for (std::size_t i = 0; i < taken.size(); ++i)
+          for (std::size_t j = i; j < taken.size(); ++j) {
+            const double window = static_cast<double>((taken[j] - taken[i]).count()) / 1e6;
+            RC_ASSERT(static_cast<double>(j - i + 1) <= rate * window + burst + 1e-6);
+          }
+      }));
 }
 
 TEST(Contracts, AYearOfARateDriftsByNothing) {
@@ -122,61 +129,70 @@
 }
 
 TEST(Contracts, SharesAreMaxMinFair) {
-  EXPECT_TRUE(rc::check("max-min", [] {
-    const auto demands = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 100));
-    std::vector<Claim> claims;
-    for (const int d : demands) claims.push_back({static_cast<double>(d), 1.0 + *rc::gen::inRange(0, 5), 0});
-    const double capacity = *rc::gen::inRange(0, 400);
-    const double rest = share_out(claims, capacity);
-    double given = 0, asked = 0;
-    for (const auto& c : claims) {
-      RC_ASSERT(c.share <= c.demand + 1e-9);
-      given += c.share, asked += c.demand;
-    }
-    RC_ASSERT(std::abs(given + rest - capacity) < 1e-6);
-    RC_ASSERT(rest < 1e-6 || asked <= capacity + 1e-6);  // work-conserving
-    // The reference: nobody who is short has less, by weight, than anybody who has something.
-    for (const auto& short_one : claims)
-      if (short_one.share < short_one.demand - 1e-6)
-        for (const auto& other : claims)
-          RC_ASSERT(other.share / other.weight <= short_one.share / short_one.weight + 1e-6);
-  }));
+  EXPECT_TRUE(rc::check(
+      "max-min",
+      [] {
+        const auto demands = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 100));
+        std::vector<Claim> claims;
+        for (const int d : demands)
+          claims.push_back({static_cast<double>(d), 1.0 + *rc::gen::inRange(0, 5), 0});
+        const double capacity = *rc::gen::inRange(0, 400);
+        const double rest = share_out(claims, capacity);
+        double given = 0, asked = 0;
+        for (const auto& c : claims) {
+          RC_ASSERT(c.share <= c.demand + 1e-9);
+          given += c.share, asked += c.demand;
+        }
+        RC_ASSERT(std::abs(given + rest - capacity) < 1e-6);
+        RC_ASSERT(rest < 1e-6 || asked <= capacity + 1e-6);  // work-conserving
+        // The reference: nobody who is short has less, by weight, than anybody who has something.
+        for (const auto& short_one : claims)
+          if (short_one.share < short_one.demand - 1e-6)
+            for (const auto& other : claims)
+              RC_ASSERT(other.share / other.weight <= short_one.share / short_one.weight + 1e-6);
+      }));
 }
 
 TEST(Contracts, WhatIsAskedIsBookedExactlyOnce) {
-  EXPECT_TRUE(rc::check("conservation", [] {
-    Rig r(config(2, terms(20, 3, *rc::gen::element(Beyond::refuse, Beyond::borrow, Beyond::count))));
-    std::vector<gates::Ask> open;
-    std::uint64_t asked = 0;
-    for (const int what : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 8))) {
-      r.now += 7ms;
-      if (what < 4) {
-        const auto a = r.ask(what % 3, what % 2 == 0 ? history : bid);  // tenant 2 has no team
-        asked += a.tenant < 2 ? 1 : 0;
-        const auto v = r.contracts.admit(a, r.now);
-        if (v.admitted) open.push_back(a);
-        else r.contracts.ended(a, {gates::End::refused, v.by, v.why, false, {}}, r.now);
-      } else if (what < 7 && !open.empty()) {
-        const auto end = what == 4 ? gates::End::served : what == 5 ? gates::End::failed : gates::End::left;
-        r.contracts.ended(open.back(), {end, {}, {}, what != 6, 30ms}, r.now);
-        open.pop_back();
-      } else {
-        r.step(what == 7);
-      }
-    }
-    for (const auto& a : open) r.contracts.ended(a, {gates::End::failed, {}, {}, true, {}}, r.now);
-    std::uint64_t sum = 0, ended = 0;
-    for (std::size_t t = 0; t < 2; ++t)
-      for (std::size_t c = 0; c < 3; ++c) {
-        const auto e = r.contracts.total(t, c);
-        RC_ASSERT(e.within + e.beyond == e.asked);
-        RC_ASSERT(e.within_in_time <= e.within_ended);
-        sum += e.asked, ended += e.ended();
-      }
-    RC_ASSERT(sum == asked);
-    RC_ASSERT(ended == asked);  // asked = served + refused + failed + left
-    RC_ASSERT(r.contracts.held() <= 4U);  // no request is kept, at most a flow a team and resource
-  }));
+  EXPECT_TRUE(rc::check(
+      "conservation",
+      [] {
+        Rig r(config(2, terms(20, 3, *rc::gen::element(Beyond::refuse, Beyond::borrow, Beyond::count))));
+        std::vector<gates::Ask> open;
+        std::uint64_t asked = 0;
+        for (const int what : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 8))) {
+          r.now += 7ms;
+          if (what < 4) {
+            const auto a = r.ask(what % 3, what % 2 == 0 ? history : bid);  // tenant 2 has no team
+            asked += a.tenant < 2 ? 1 : 0;
+            const auto v = r.contracts.admit(a, r.now);
+            if (v.admitted)
+              open.push_back(a);
+            else
+              r.contracts.ended(a, {gates::End::refused, v.by, v.why, false, {}}, r.now);
+          } else if (what < 7 && !open.empty()) {
+            const auto end = what == 4   ? gates::End::served
+                             : what == 5 ? gates::End::failed
+                                         : gates::End::left;
+            r.contracts.ended(open.back(), {end, {}, {}, what != 6, 30ms}, r.now);
+            open.pop_back();
+          } else {
+            r.step(what == 7);
+          }
+        }
+        for (const auto& a : open) r.contracts.ended(a, {gates::End::failed, {}, {}, true, {}}, r.now);
+        std::uint64_t sum = 0, ended = 0;
+        for (std::size_t t = 0; t < 2; ++t)
+          for (std::size_t c = 0; c < 3; ++c) {
+            const auto e = r.contracts.total(t, c);
+            RC_ASSERT(e.within + e.beyond == e.asked);
+            RC_ASSERT(e.within_in_time <= e.within_ended);
+            sum += e.asked, ended += e.ended();
+          }
+        RC_ASSERT(sum == asked);
+        RC_ASSERT(ended == asked);            // asked = served + refused + failed + left
+        RC_ASSERT(r.contracts.held() <= 4U);  // no request is kept, at most a flow a team and resource
+      }));
 }
 
 // ---- enforcement ----
@@ -260,7 +276,8 @@
   }
   EXPECT_GT(served[1], 120) << "starved";
   EXPECT_NEAR(static_cast<double>(served[0]) / served[1], 3, 0.9);
-  EXPECT_GT(served[0] + served[1], 900);  // of 1,200 that it could: work-conserving but for the control's swing
+  EXPECT_GT(served[0] + served[1],
+            900);  // of 1,200 that it could: work-conserving but for the control's swing
   const auto broken = [&](std::size_t team, Side side) {
     return std::any_of(r.breaches.begin(), r.breaches.end(),
                        [&](const Breach& b) { return b.team == team && b.cls == bid && b.side == side; });
@@ -305,7 +322,8 @@
       for (std::size_t g = 0; g < 3; ++g) {
         auto& r = *gateways[g];
         r.now += 1ms;
-        if (every_ms[g] > 0 && t.count() / 1000 % every_ms[g] == 0) let[g] += r.serve(0, history).admitted ? 1 : 0;
+        if (every_ms[g] > 0 && t.count() / 1000 % every_ms[g] == 0)
+          let[g] += r.serve(0, history).admitted ? 1 : 0;
         if (t.count() / 1000 % 100 == 99) r.step();
       }
     return let;
@@ -335,7 +353,8 @@
   c.closures = {{start + 10s, start + 20s}, {start + 30s, start + 40s}};
   ASSERT_FALSE(find_flaw(c, service()));
   Rig r(c);
-  for (const auto& [at, open] : {std::pair{5s, true}, {10s, false}, {19s, false}, {20s, true}, {31s, false}, {40s, true}}) {
+  for (const auto& [at, open] :
+       {std::pair{5s, true}, {10s, false}, {19s, false}, {20s, true}, {31s, false}, {40s, true}}) {
     r.now = start + at;
     r.step();
     EXPECT_EQ(r.serve(0, history).admitted, open) << at.count();
@@ -356,7 +375,7 @@
   EXPECT_FALSE(r.serve(0, history).admitted);  // no new burst by reloading
   EXPECT_EQ(r.contracts.entry(0, history).asked, 7U);
   r.contracts.ended(held, {gates::End::served, {}, {}, true, 50ms}, r.now);  // of a team that is no more
-  EXPECT_TRUE(r.serve(1, history).admitted);                                  // its tenant has no contract now
+  EXPECT_TRUE(r.serve(1, history).admitted);                                 // its tenant has no contract now
   auto none = config(1, terms(0));
   r.contracts.reload(none, r.now);
   r.now += 1h;
@@ -379,17 +398,23 @@
     std::string where;
   };
   EXPECT_FALSE(find_flaw(config(2, terms(1)), service()));
-  for (const auto& k : std::vector<Case>{
-           {[](Config& c) { c.teams[1].name = "team0"; }, "/teams/1/name"},
-           {[](Config& c) { c.teams[1].tenants = {0}; }, "/teams/1/tenants"},
-           {[](Config& c) { c.teams[1].tenants = {9}; }, "/teams/1/tenants"},
-           {[](Config& c) { c.teams[0].classes.pop_back(); }, "/teams/0/classes"},
-           {[](Config& c) { c.teams[0].classes[0]->usual.rate = -1; }, "/teams/0/classes"},
-           {[](Config& c) { c.teams[0].classes[0]->usual.weight = 0; }, "/teams/0/classes"},
-           {[](Config& c) { c.teams[0].classes[0]->usual.share = 1.5; }, "/teams/0/classes"},
-           {[](Config& c) { c.closures = {{Time{5}, Time{5}}}; }, "/calendar"},
-           {[](Config& c) { c.closures = {{Time{5}, Time{9}}, {Time{8}, Time{12}}}; }, "/calendar"},
-           {[](Config& c) { c.gateways = 0; }, "/gateways"}}) {
+  for (const auto& k :
+       std::vector<Case>{{[](Config& c) { c.teams[1].name = "team0"; }, "/teams/1/name"},
+                         {[](Config& c) { c.teams[1].tenants = {0}; }, "/teams/1/tenants"},
+                         {[](Config& c) { c.teams[1].tenants = {9}; }, "/teams/1/tenants"},
+                         {[](Config& c) { c.teams[0].classes.pop_back(); }, "/teams/0/classes"},
+                         {[](Config& c) { c.teams[0].classes[0]->usual.rate = -1; }, "/teams/0/classes"},
+                         {[](Config& c) { c.teams[0].classes[0]->usual.weight = 0; }, "/teams/0/classes"},
+                         {[](Config& c) { c.teams[0].classes[0]->usual.share = 1.5; }, "/teams/0/classes"},
+                         {[](Config& c) {
+                            c.closures = {{Time{5}, Time{5}}};
+                          },
+                          "/calendar"},
+                         {[](Config& c) {
+                            c.closures = {{Time{5}, Time{9}}, {Time{8}, Time{12}}};
+                          },
+                          "/calendar"},
+                         {[](Config& c) { c.gateways = 0; }, "/gateways"}}) {
     auto c = config(2, terms(1));
     k.spoil(c);
     const auto flaw = find_flaw(c, service());
@@ -441,7 +466,8 @@
   const auto share = [&](const lab::WorldResult& r) {  // of the first two members, all classes
     double asked = 0, in_time = 0;
     for (std::size_t i = 0; i < 2 * c.classes.size(); ++i)
-      asked += static_cast<double>(r.by_tenant_class[i].asked), in_time += static_cast<double>(r.by_tenant_class[i].in_time);
+      asked += static_cast<double>(r.by_tenant_class[i].asked),
+          in_time += static_cast<double>(r.by_tenant_class[i].in_time);
     return in_time / asked;
   };
   EXPECT_GE(share(with), share(usual) - 0.01);
--- a/tests/dns_test.cpp
+++ b/tests/dns_test.cpp
@@ -216,11 +216,12 @@
   std::ofstream(file) << head << "a A 127.0.0.1\n_mysql._tcp.g1 SRV 0 0 " << port << " a\n";
   PgStandIn platform;
   platform.primary = true;
-  Program first(with_key(config_json("127.0.0.1:1", list_of(1, {member("p", platform.address(), true)})),
-                         R"("control":"127.0.0.1:0")"),
-                R"({"enabled":true,"listen":"127.0.0.1:0","dns":{"origin":"ledger.test.","listen":"127.0.0.1:0",)"
-                R"("zone_file":")" +
-                    file + "\"}}");
+  Program first(
+      with_key(config_json("127.0.0.1:1", list_of(1, {member("p", platform.address(), true)})),
+               R"("control":"127.0.0.1:0")"),
+      R"({"enabled":true,"listen":"127.0.0.1:0","dns":{"origin":"ledger.test.","listen":"127.0.0.1:0",)"
+      R"("zone_file":")" +
+          file + "\"}}");
   MysqlRaw c(first.mysql());
   const auto run = [&](const std::string& id) {
     c.command(wire::mysql::query_packet({}, statement(id, "pay")));
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -148,7 +148,8 @@
   for (int i = 0; i < 4; ++i) group.ended(false), all.ended(false);
   EXPECT_LT(PastShare::weight(group, all), 0.1) << "four turned away in a row";
   for (int i = 0; i < 20; ++i) other.ended(true), all.ended(true);
-  EXPECT_LT(PastShare::weight(group, all), PastShare::weight(other, all)) << "others' answers do not hide a group";
+  EXPECT_LT(PastShare::weight(group, all), PastShare::weight(other, all))
+      << "others' answers do not hide a group";
   double last = PastShare::weight(group, all);
   for (int i = 0; i < 50; ++i) {
     group.ended(true);
