--- a/tests/gateway_file_test.cpp
+++ b/tests/gateway_file_test.cpp
@@ -1,4 +1,5 @@
-// deploy/gateway.json: what is wrong with it is told with file, pointer, what was expected and what was found.
+// deploy/gateway.json: what is wrong with it is told with file, pointer, what was expected and what was
+// found.
 #include "app/gateway_file.h"
 
 #include <gtest/gtest.h>
@@ -18,10 +19,13 @@
 
 levels::Service service() {
   levels::Service s;
-  for (const auto& [name, need] : {std::pair{"view", Freshness::bounded}, {"history", Freshness::any},
-                                   {"gate", Freshness::fresh}, {"bid", Freshness::write}}) {
+  for (const auto& [name, need] : {std::pair{"view", Freshness::bounded},
+                                   {"history", Freshness::any},
+                                   {"gate", Freshness::fresh},
+                                   {"bid", Freshness::write}}) {
     RequestClass c;
-    c.name = name, c.aim = std::chrono::milliseconds(300), c.deadline = std::chrono::seconds(1), c.freshness = need;
+    c.name = name, c.aim = std::chrono::milliseconds(300), c.deadline = std::chrono::seconds(1),
+    c.freshness = need;
     s.classes.push_back(c);
   }
   s.tenants = 1;
@@ -33,7 +37,9 @@
     const auto file = parse_gateway_file(text, "g.json");
     levels_of(file, "postgresql", service(), {"acme"});
     return "";
-  } catch (const ConfigError& e) { return e.what(); }
+  } catch (const ConfigError& e) {
+    return e.what();
+  }
 }
 
 TEST(GatewayFile, WhatIsWrongIsToldWithItsPlace) {
@@ -60,8 +66,8 @@
       {R"({"levels":{"mode":"on","pressure":[]}})", "/levels/pressure", "minItems 1", "[]"},
       {ladder(R"({"name":"a","enter":{"any":[{"reading":"mood","above":1}]}})"),
        "/levels/pressure/1/enter/any/0/reading", "latency", "\"mood\""},
-      {ladder(R"({"name":"a","enter":{"any":[{"reading":"refused","above":1}]}})"), "/levels/pressure/1/enter/any/0",
-       "a class", "none"},
+      {ladder(R"({"name":"a","enter":{"any":[{"reading":"refused","above":1}]}})"),
+       "/levels/pressure/1/enter/any/0", "a class", "none"},
       {ladder(R"({"name":"a","enter":{"any":[{"reading":"memory","class":"gate","above":1}]}})"),
        "/levels/pressure/1/enter/any/0/class", "no class", "\"gate\""},
       {ladder(R"({"name":"a","enter":{"any":[{"reading":"refused","class":"tea","above":1}]}})"),
@@ -70,29 +76,32 @@
        "either above or below", "neither"},
       {ladder(R"({"name":"a","enter":{"any":[{"reading":"memory","above":1,"below":2}]}})"),
        "/levels/pressure/1/enter/any/0", "either above or below", "both"},
-      {ladder(R"({"name":"a",)" + up + R"(,"shed":[{"classes":["tea"]}]})"), "/levels/pressure/1/shed/0/classes/0",
-       "a class of the settings", "'tea'"},
-      {ladder(R"({"name":"a",)" + up + R"(,"shed":[{"needs":["session"]}]})"), "/levels/pressure/1/shed/0/needs",
-       "needs that some class has", "none"},
-      {ladder(R"({"name":"a",)" + up + R"(,"shed":[{"tenant":"nobody"}]})"), "/levels/pressure/1/shed/0/tenant",
-       "a tenant of the settings", "nobody"},
-      {ladder(R"({"name":"a",)" + up + R"(,"shed":[{"share":2}]})"), "/levels/pressure/1/shed/0/share", "maximum 1", "2"},
+      {ladder(R"({"name":"a",)" + up + R"(,"shed":[{"classes":["tea"]}]})"),
+       "/levels/pressure/1/shed/0/classes/0", "a class of the settings", "'tea'"},
+      {ladder(R"({"name":"a",)" + up + R"(,"shed":[{"needs":["session"]}]})"),
+       "/levels/pressure/1/shed/0/needs", "needs that some class has", "none"},
+      {ladder(R"({"name":"a",)" + up + R"(,"shed":[{"tenant":"nobody"}]})"),
+       "/levels/pressure/1/shed/0/tenant", "a tenant of the settings", "nobody"},
+      {ladder(R"({"name":"a",)" + up + R"(,"shed":[{"share":2}]})"), "/levels/pressure/1/shed/0/share",
+       "maximum 1", "2"},
       {ladder(R"({"name":"a",)" + up + R"(,"shed":[{"only_hopeless":true}]})"),
        "/levels/pressure/1/shed/0/only_hopeless", "without_primary", "none"},
       {ladder(R"({"name":"a","after":"b",)" + up + R"(},{"name":"b","after":"a",)" + up + "}"),
        "/levels/pressure/1/after", "a way up from the first level", "a cycle"},
-      {ladder(R"({"name":"a",)" + up + R"(},{"name":"b","after":"normal",)" + up + "}"), "/levels/pressure/2/after",
-       "no other one follows", "'normal'"},
-      {ladder(R"({"name":"a","after":"c",)" + up + "}"), "/levels/pressure/1/after", "the name of a level", "'c'"},
-      {ladder(R"({"name":"normal",)" + up + "}"), "/levels/pressure/1/name", "a name of its own", "'normal' twice"},
+      {ladder(R"({"name":"a",)" + up + R"(},{"name":"b","after":"normal",)" + up + "}"),
+       "/levels/pressure/2/after", "no other one follows", "'normal'"},
+      {ladder(R"({"name":"a","after":"c",)" + up + "}"), "/levels/pressure/1/after", "the name of a level",
+       "'c'"},
+      {ladder(R"({"name":"normal",)" + up + "}"), "/levels/pressure/1/name", "a name of its own",
+       "'normal' twice"},
       // what only the decisions' own check sees, at the place of the file, whatever the order there
-      {ladder(R"({"name":"b","after":"a"},{"name":"a","after":"normal",)" + up + "}"), "/levels/pressure/1/enter",
-       "unreachable", ""},
+      {ladder(R"({"name":"b","after":"a"},{"name":"a","after":"normal",)" + up + "}"),
+       "/levels/pressure/1/enter", "unreachable", ""},
       {ladder(R"({"name":"a","enter":{"any":[{"reading":"refused","class":"gate","above":0.2}]},)"
               R"("exit":{"all":[{"reading":"refused","class":"gate","below":0.3}]}})"),
        "/levels/pressure/1/exit", "overlaps", ""},
-      {ladder(R"({"name":"a",)" + up + R"(,"shed":[{"classes":["bid"],"share":0.1}]})"), "/levels/pressure/1/shed",
-       "writes within their budget", ""},
+      {ladder(R"({"name":"a",)" + up + R"(,"shed":[{"classes":["bid"],"share":0.1}]})"),
+       "/levels/pressure/1/shed", "writes within their budget", ""},
   };
   for (const auto& c : cases) {
     const auto flaw = flaw_in(c.text);
@@ -108,40 +117,52 @@
   s.classes = service().classes;
   s.tenants = 2;
   try {
-    contracts_of(parse_gateway_file("{\"contracts\":" + section + "}", "g.json"), "postgresql", s, {"acme", "batch"});
+    contracts_of(parse_gateway_file("{\"contracts\":" + section + "}", "g.json"), "postgresql", s,
+                 {"acme", "batch"});
     return "";
-  } catch (const ConfigError& e) { return e.what(); }
+  } catch (const ConfigError& e) {
+    return e.what();
+  }
 }
 
 TEST(GatewayFile, WhatIsWrongWithContractsIsToldWithItsPlace) {
   const auto teams = [](const std::string& list) { return R"({"mode":"count","teams":[)" + list + "]}"; };
-  const auto calendar = [](const std::string& c) { return R"({"mode":"count","teams":[],"calendar":)" + c + "}"; };
+  const auto calendar = [](const std::string& c) {
+    return R"({"mode":"count","teams":[],"calendar":)" + c + "}";
+  };
   struct Case {
     std::string text, where, expected;
   };
-  for (const auto& c : std::vector<Case>{
-           {"{}", "/contracts", "required"},
-           {R"({"mode":"maybe","teams":[]})", "/contracts/mode", "enforce"},
-           {teams(R"({"name":"a"})"), "/contracts/teams/0", "tenants"},
-           {teams(R"({"name":"a","tenants":["nobody"]})"), "/contracts/teams/0/tenants/0", "a tenant of the settings"},
-           {teams(R"({"name":"a","tenants":["acme"]},{"name":"b","tenants":["acme"]})"), "/contracts/teams/1/tenants",
-            "a tenant of two teams"},
-           {teams(R"({"name":"a","tenants":[]},{"name":"a","tenants":[]})"), "/contracts/teams/1/name", "taken"},
-           {teams(R"({"name":"a","tenants":[],"classes":{"tea":{"rate":1}}})"), "/contracts/teams/0/classes/tea",
-            "a class of the settings"},
-           {teams(R"({"name":"a","tenants":[],"classes":{"bid":{"rate":-1}}})"), "/contracts/teams/0/classes/bid/rate",
-            "minimum 0"},
-           {teams(R"({"name":"a","tenants":[],"classes":{"bid":{"rate":1,"closure":{"rate":1,"beyond":"beg"}}}})"),
-            "/contracts/teams/0/classes/bid/closure/beyond", "borrow"},
-           {calendar(R"({"zone":"Asia/Nowhere","closures":[]})"), "/contracts/calendar/zone", "IANA"},
-           {calendar(R"({"zone":"../../etc/passwd","closures":[]})"), "/contracts/calendar/zone", "pattern"},
-           {calendar(R"({"zone":"UTC","closures":[{"at":"9"}]})"), "/contracts/calendar/closures/0/at", "pattern"},
-           {calendar(R"({"zone":"UTC","closures":[{"at":"25:00"}]})"), "/contracts/calendar/closures/0/at", "a time of day"}}) {
+  for (
+      const auto& c : std::vector<Case>{
+          {"{}", "/contracts", "required"},
+          {R"({"mode":"maybe","teams":[]})", "/contracts/mode", "enforce"},
+          {teams(R"({"name":"a"})"), "/contracts/teams/0", "tenants"},
+          {teams(R"({"name":"a","tenants":["nobody"]})"), "/contracts/teams/0/tenants/0",
+           "a tenant of the settings"},
+          {teams(R"({"name":"a","tenants":["acme"]},{"name":"b","tenants":["acme"]})"),
+           "/contracts/teams/1/tenants", "a tenant of two teams"},
+          {teams(R"({"name":"a","tenants":[]},{"name":"a","tenants":[]})"), "/contracts/teams/1/name",
+           "taken"},
+          {teams(R"({"name":"a","tenants":[],"classes":{"tea":{"rate":1}}})"),
+           "/contracts/teams/0/classes/tea", "a class of the settings"},
+          {teams(R"({"name":"a","tenants":[],"classes":{"bid":{"rate":-1}}})"),
+           "/contracts/teams/0/classes/bid/rate", "minimum 0"},
+          {teams(
+               R"({"name":"a","tenants":[],"classes":{"bid":{"rate":1,"closure":{"rate":1,"beyond":"beg"}}}})"),
+           "/contracts/teams/0/classes/bid/closure/beyond", "borrow"},
+          {calendar(R"({"zone":"Asia/Nowhere","closures":[]})"), "/contracts/calendar/zone", "IANA"},
+          {calendar(R"({"zone":"../../etc/passwd","closures":[]})"), "/contracts/calendar/zone", "pattern"},
+          {calendar(R"({"zone":"UTC","closures":[{"at":"9"}]})"), "/contracts/calendar/closures/0/at",
+           "pattern"},
+          {calendar(R"({"zone":"UTC","closures":[{"at":"25:00"}]})"), "/contracts/calendar/closures/0/at",
+           "a time of day"}}) {
     const auto flaw = contracts_flaw(c.text);
     EXPECT_EQ(flaw.rfind("g.json: " + c.where + ": ", 0), 0U) << c.text << "\n" << flaw;
     EXPECT_NE(flaw.find(c.expected), std::string::npos) << c.text << "\n" << flaw;
   }
-  EXPECT_EQ(contracts_flaw(teams(R"({"name":"a","tenants":["acme"],"classes":{"bid":{"rate":5,"closure":{"rate":9}}}})")),
+  EXPECT_EQ(contracts_flaw(teams(
+                R"({"name":"a","tenants":["acme"],"classes":{"bid":{"rate":5,"closure":{"rate":9}}}})")),
             "");
 }
 
@@ -191,7 +212,8 @@
 }
 
 TEST(GatewayFile, SectionsThatAreAbsentAreOff) {
-  for (const auto* text : {"{}", R"({"levels":{"mode":"off"}})", R"({"levels":{"mode":"on","fronts":["mysql"]}})"}) {
+  for (const auto* text :
+       {"{}", R"({"levels":{"mode":"off"}})", R"({"levels":{"mode":"on","fronts":["mysql"]}})"}) {
     const auto f = parse_gateway_file(text, "g.json");
     EXPECT_TRUE(f.admin_socket.empty());
     EXPECT_TRUE(f.log.records_file.empty());
@@ -202,10 +224,11 @@
 TEST(GatewayFile, LevelsAreOrderedByWhatTheyFollow) {
   const std::string up = R"("enter":{"any":[{"reading":"refused","class":"gate","above":0.2}]},)"
                          R"("exit":{"all":[{"reading":"refused","class":"gate","below":0.1}]})";
-  const auto f = parse_gateway_file(R"({"levels":{"mode":"watch","apart_ms":20000,"pressure":[{"name":"normal"},)"
-                                    R"({"name":"third","after":"second",)" +
-                                        up + R"(},{"name":"second","after":"normal",)" + up + "}]}}",
-                                    "g.json");
+  const auto f =
+      parse_gateway_file(R"({"levels":{"mode":"watch","apart_ms":20000,"pressure":[{"name":"normal"},)"
+                         R"({"name":"third","after":"second",)" +
+                             up + R"(},{"name":"second","after":"normal",)" + up + "}]}}",
+                         "g.json");
   const auto c = levels_of(f, "postgresql", service(), {"acme"});
   ASSERT_TRUE(c);
   ASSERT_EQ(c->pressure.levels.size(), 3U);
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -277,7 +277,8 @@
       break;
   ASSERT_LT(until, 200);
   const auto before = f.left.count() + f.right.count();
-  for (int i = 0; i < 40; ++i) EXPECT_EQ(c.query(statement("c" + std::to_string(i), "history")).types, "TDCZ");
+  for (int i = 0; i < 40; ++i)
+    EXPECT_EQ(c.query(statement("c" + std::to_string(i), "history")).types, "TDCZ");
   EXPECT_EQ(f.left.count() + f.right.count(), before);
 }
 
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -51,7 +51,9 @@
   void take(const std::pair<int, int>& s, const Use& use) {
     now += gaps[s.second];
     switch (s.first) {
-      case use_old: use(*old); break;
+      case use_old:
+        use(*old);
+        break;
       case use_new:
         if (next) use(*next);
         break;
@@ -70,7 +72,8 @@
         next.reset();
         if (split) old->alone(now);
         break;
-      default: break;
+      default:
+        break;
     }
   }
 };
@@ -183,8 +186,10 @@
     gates::Ask a;
     a.request = RequestId{++next}, a.cls = ClassId{0}, a.group = GroupId{1}, a.tenant = 0;
     const auto v = contracts.admit(a, now);
-    if (v.admitted) contracts.ended(a, {gates::End::served, {}, {}, true, 50ms}, now);
-    else contracts.ended(a, {gates::End::refused, v.by, v.why, false, {}}, now);
+    if (v.admitted)
+      contracts.ended(a, {gates::End::served, {}, {}, true, 50ms}, now);
+    else
+      contracts.ended(a, {gates::End::refused, v.by, v.why, false, {}}, now);
     return v.admitted;
   }
 };
--- a/tests/ladder_model_test.cpp
+++ b/tests/ladder_model_test.cpp
@@ -1,5 +1,5 @@
-// The code against models/ladder.pml: its twin here takes the same steps, over every short sequence of inputs and over
-// long random ones.
+// The code against models/ladder.pml: its twin here takes the same steps, over every short sequence of inputs
+// and over long random ones.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -22,8 +22,12 @@
   c.damping = 1;
   c.levels.push_back({"0", {}, {}, {}, {}, {}});
   for (const auto& [name, bound] : {std::pair{"1", 0.5}, {"2", 0.8}})
-    c.levels.push_back({name, {false, {{Reading::memory, -1, true, bound, hold * 1s}}},
-                        {true, {{Reading::memory, -1, false, 0.2, hold * 1s}}}, {}, {}, {}});
+    c.levels.push_back({name,
+                        {false, {{Reading::memory, -1, true, bound, hold * 1s}}},
+                        {true, {{Reading::memory, -1, false, 0.2, hold * 1s}}},
+                        {},
+                        {},
+                        {}});
   return c;
 }
 
@@ -43,8 +47,10 @@
     enters1 = in.reading == 2 || in.reading == 3 ? enters1 + 1 : 0;
     enters2 = in.reading == 3 ? enters2 + 1 : 0;
     exits = in.reading == 0 && level > 0 ? exits + 1 : 0;
-    if (pinned && pin_left == 0) pinned = false;
-    else if (pinned) --pin_left;
+    if (pinned && pin_left == 0)
+      pinned = false;
+    else if (pinned)
+      --pin_left;
     if (changed && since < apart) return;
     const bool up = (enters1 > hold && level < 1) || (enters2 > hold && level < 2);
     if (pinned) {
@@ -65,9 +71,12 @@
     now += 1s;
     if (in.pin >= 0 && !pinned) ladder.pin(std::to_string(in.pin), now + pin_length * 1s, now - 1s);
     out.clear();
-    ladder.step(now, [&](const Condition&) { 
-      return in.reading == unreadable ? Sample{} : Sample{reading_of[in.reading], now, true};
-    }, out);
+    ladder.step(
+        now,
+        [&](const Condition&) {
+          return in.reading == unreadable ? Sample{} : Sample{reading_of[in.reading], now, true};
+        },
+        out);
   }
 };
 
--- a/tests/levels_test.cpp
+++ b/tests/levels_test.cpp
@@ -1,12 +1,12 @@
 // The ladder and both axes in simulated time: no sockets, a clock set by hand.
+#include "levels/levels.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <limits>
 #include <map>
 
-#include "levels/levels.h"
-
 namespace cedarring::test {
 namespace {
 
@@ -62,7 +62,8 @@
     a.time_left = 800ms;
     return a;
   }
-  gates::Verdict admit(std::int32_t c, std::int64_t group = 1, std::uint64_t caller = 0, bool beyond = false) {
+  gates::Verdict admit(std::int32_t c, std::int64_t group = 1, std::uint64_t caller = 0,
+                       bool beyond = false) {
     return levels.admit(ask(c, group, caller, beyond), now);
   }
   /// `refused` of 20 gate-checks a beat fail at the hosts, for `length`.
@@ -157,7 +158,8 @@
   for (std::uint64_t caller = 1; caller <= 2000; ++caller) {
     const auto first = r.admit(history, 1, caller);
     shed += first.admitted ? 0 : 1;
-    EXPECT_EQ(r.admit(history, 1, caller).admitted, first.admitted) << caller;  // a retry meets the same answer
+    EXPECT_EQ(r.admit(history, 1, caller).admitted, first.admitted)
+        << caller;  // a retry meets the same answer
     if (!first.admitted) {
       EXPECT_EQ(first.by, gates::Decider::levels);
       EXPECT_EQ(first.why, gates::Reason::class_shed);
@@ -259,8 +261,10 @@
     for (int k = 0; k < 5; ++k) {
       r.run(500ms, 0);
       const bool admitted = r.admit(bid).admitted;
-      if (r.primary[1]) refused_with += admitted ? 0 : 1;
-      else if (r.faults(1) == "no-writes") admitted_without += admitted ? 1 : 0;
+      if (r.primary[1])
+        refused_with += admitted ? 0 : 1;
+      else if (r.faults(1) == "no-writes")
+        admitted_without += admitted ? 1 : 0;
     }
   }
   EXPECT_GE(r.closest(GroupId{1}), 10s);
@@ -426,10 +430,14 @@
       {"no way in", [](Config& c) { c.pressure.levels[1].enter.conditions.clear(); }, "/pressure/1/enter"},
       {"no way out", [](Config& c) { c.pressure.levels[1].exit.conditions.clear(); }, "/pressure/1/exit"},
       {"a share over one is never",
-       [](Config& c) { c.pressure.levels[1].enter = {false, {{Reading::refused, gate, true, 1.0, {}}}}; },
+       [](Config& c) {
+         c.pressure.levels[1].enter = {false, {{Reading::refused, gate, true, 1.0, {}}}};
+       },
        "/pressure/1/enter/0"},
       {"below nothing is never",
-       [](Config& c) { c.pressure.levels[1].exit = {true, {{Reading::refused, gate, false, -0.1, {}}}}; },
+       [](Config& c) {
+         c.pressure.levels[1].exit = {true, {{Reading::refused, gate, false, -0.1, {}}}};
+       },
        "/pressure/1/exit/0"},
       {"both sides at once is never",
        [](Config& c) {
@@ -438,24 +446,36 @@
        },
        "/pressure/1/enter"},
       {"the way out overlaps the way in",
-       [](Config& c) { c.pressure.levels[1].exit = {true, {{Reading::refused, gate, false, 0.5, {}}}}; },
+       [](Config& c) {
+         c.pressure.levels[1].exit = {true, {{Reading::refused, gate, false, 0.5, {}}}};
+       },
        "/pressure/1/exit"},
       {"the way out does not look at what let it in",
-       [](Config& c) { c.pressure.levels[1].exit = {true, {{Reading::loop_lag, -1, false, 0.5, {}}}}; },
+       [](Config& c) {
+         c.pressure.levels[1].exit = {true, {{Reading::loop_lag, -1, false, 0.5, {}}}};
+       },
        "/pressure/1/exit"},
       {"a group's reading on the gateway's axis",
-       [](Config& c) { c.pressure.levels[1].enter = {false, {{Reading::primary_lost, -1, true, 1, {}}}}; },
+       [](Config& c) {
+         c.pressure.levels[1].enter = {false, {{Reading::primary_lost, -1, true, 1, {}}}};
+       },
        "/pressure/1/enter/0/reading"},
       {"a gateway's reading on a group's axis",
-       [](Config& c) { c.faults.levels[1].enter = {false, {{Reading::memory, -1, true, 0.5, {}}}}; },
+       [](Config& c) {
+         c.faults.levels[1].enter = {false, {{Reading::memory, -1, true, 0.5, {}}}};
+       },
        "/faults/1/enter/0/reading"},
       {"a bound that is no number",
        [](Config& c) {
          c.pressure.levels[1].enter.conditions[0].bound = std::numeric_limits<double>::quiet_NaN();
        },
        "/pressure/1/enter/0"},
-      {"a share over one", [](Config& c) { c.pressure.levels[1].sheds[0].share = 1.5; }, "/pressure/1/shed/0/share"},
-      {"writes before the rest", [](Config& c) { c.pressure.levels[1].sheds.push_back({{bid}, -1, false, false, false, 0.1}); },
+      {"a share over one", [](Config& c) { c.pressure.levels[1].sheds[0].share = 1.5; },
+       "/pressure/1/shed/0/share"},
+      {"writes before the rest",
+       [](Config& c) {
+         c.pressure.levels[1].sheds.push_back({{bid}, -1, false, false, false, 0.1});
+       },
        "/pressure/1/shed"},
       {"a tenant on the faults' axis", [](Config& c) { c.faults.levels[1].sheds[0].tenant = 1; },
        "/faults/1/shed/0/tenant"},
@@ -510,7 +530,8 @@
   EXPECT_EQ(r.pressure(), "shed-history");
   EXPECT_EQ(r.events.back().change.cause, Cause::pinned);
   EXPECT_EQ(r.events.back().change.until, until);
-  ASSERT_TRUE(r.levels.pin(std::nullopt, "normal", until, r.now));  // at once would be two changes in a second
+  ASSERT_TRUE(
+      r.levels.pin(std::nullopt, "normal", until, r.now));  // at once would be two changes in a second
   r.quiet(1s);
   EXPECT_EQ(r.pressure(), "shed-history");
   ASSERT_TRUE(r.levels.pin(std::nullopt, "shed-history", until, r.now));
@@ -518,8 +539,9 @@
   EXPECT_EQ(r.pressure(), "shed-history");  // whatever the readings say
   r.run(2s, 0.9);
   EXPECT_EQ(r.pressure(), "protect-gate");  // from there on the readings decide again, a step at a time
-  EXPECT_TRUE(std::any_of(r.events.begin(), r.events.end(),
-                          [&](const AxisChange& e) { return e.change.cause == Cause::pin_ended && e.change.at >= until; }));
+  EXPECT_TRUE(std::any_of(r.events.begin(), r.events.end(), [&](const AxisChange& e) {
+    return e.change.cause == Cause::pin_ended && e.change.at >= until;
+  }));
   EXPECT_GE(r.closest(), 10s);
 }
 
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -274,8 +274,10 @@
   for (int i = 0; i < 60; ++i) {
     auto& c = clients[static_cast<std::size_t>(i)]->socket;
     auto& o = others[static_cast<std::size_t>(i)]->socket;
-    if (i % 5 == 3) c.reset(), o.reset();
-    else ::shutdown(c.fd(), SHUT_WR), ::shutdown(o.fd(), SHUT_WR);
+    if (i % 5 == 3)
+      c.reset(), o.reset();
+    else
+      ::shutdown(c.fd(), SHUT_WR), ::shutdown(o.fd(), SHUT_WR);
     if (i % 5 == 4) clients[static_cast<std::size_t>(i)].reset(), others[static_cast<std::size_t>(i)].reset();
   }
   ASSERT_TRUE(w.wait_active(0, 2s)) << "they leave waiting lines, budgets and counts: " << w.active();
@@ -421,7 +423,8 @@
     f.discovery.answers = false;
     const int before = f.discovery.calls;
     next = std::make_unique<Program>(old, old.pg());
-    for (const auto until = Clock::now() + patience; f.discovery.calls == before && Clock::now() < until;) {}
+    for (const auto until = Clock::now() + patience; f.discovery.calls == before && Clock::now() < until;) {
+    }
   }
 };
 
--- a/tests/plan_test.cpp
+++ b/tests/plan_test.cpp
@@ -16,7 +16,8 @@
   return {team, "class", "usual", rate, cost_ms, primary, value};
 }
 
-/// The cheapest trim by trying every corner: of three variables, those where three of the conditions are tight.
+/// The cheapest trim by trying every corner: of three variables, those where three of the conditions are
+/// tight.
 double brute_force(const std::vector<Promise>& p, const std::vector<Limit>& limits) {
   const std::size_t n = p.size();
   std::vector<std::pair<std::vector<double>, double>> tight;  // a.x = b
@@ -78,20 +79,26 @@
 }
 
 TEST(Plan, SmallCasesAgreeWithBruteForceAndTheirCertificatesHold) {
-  EXPECT_TRUE(rc::check("against every corner", [] {
-    std::vector<Promise> p;
-    for (int i = 0; i < 3; ++i)
-      p.push_back(promise("t" + std::to_string(i), *rc::gen::inRange(0, 60), *rc::gen::inRange(1, 100),
-                          *rc::gen::arbitrary<bool>(), *rc::gen::inRange(1, 6)));
-    Fleet f;
-    f.lose_host = false;
-    f.groups = {{"1", 1, {static_cast<double>(*rc::gen::inRange(1, 4)), static_cast<double>(*rc::gen::inRange(1, 4))}, {"a", "b"}}};
-    const auto limits = limits_of(p, f);
-    const auto answer = solve(p, limits);
-    RC_ASSERT(answer.certificate_flaw.empty());
-    RC_ASSERT(std::abs(answer.cost - brute_force(p, limits)) < 1e-4);
-    RC_ASSERT(answer.fits == (answer.cost <= 1e-6));
-  }));
+  EXPECT_TRUE(rc::check(
+      "against every corner",
+      [] {
+        std::vector<Promise> p;
+        for (int i = 0; i < 3; ++i)
+          p.push_back(promise("t" + std::to_string(i), *rc::gen::inRange(0, 60), *rc::gen::inRange(1, 100),
+                              *rc::gen::arbitrary<bool>(), *rc::gen::inRange(1, 6)));
+        Fleet f;
+        f.lose_host = false;
+        f.groups = {
+            {"1",
+             1,
+             {static_cast<double>(*rc::gen::inRange(1, 4)), static_cast<double>(*rc::gen::inRange(1, 4))},
+             {"a", "b"}}};
+        const auto limits = limits_of(p, f);
+        const auto answer = solve(p, limits);
+        RC_ASSERT(answer.certificate_flaw.empty());
+        RC_ASSERT(std::abs(answer.cost - brute_force(p, limits)) < 1e-4);
+        RC_ASSERT(answer.fits == (answer.cost <= 1e-6));
+      }));
 }
 
 TEST(Plan, TwoTeamsThatFitAloneAndOverloadAPrimaryTogetherAreNamed) {
@@ -121,9 +128,9 @@
     f.lose_host = host, f.lose_room = room;
     return solve(p, limits_of(p, f));
   };
-  EXPECT_TRUE(fits(false, false).fits);         // 8 there
-  EXPECT_NEAR(fits(true, false).cost, 30, 1e-6);   // the largest replica lost: 4
-  EXPECT_NEAR(fits(false, true).cost, 50, 1e-6);   // room b lost: 2
+  EXPECT_TRUE(fits(false, false).fits);           // 8 there
+  EXPECT_NEAR(fits(true, false).cost, 30, 1e-6);  // the largest replica lost: 4
+  EXPECT_NEAR(fits(false, true).cost, 50, 1e-6);  // room b lost: 2
 }
 
 TEST(Plan, ACertificateThatIsWrongIsFound) {
--- a/tests/reduced_test.cpp
+++ b/tests/reduced_test.cpp
@@ -73,7 +73,9 @@
   }
   EXPECT_EQ(types, "TDCZ");
   const auto said = r.records();
-  EXPECT_NE(said.find(R"("subject":"postgresql group 1","from":"normal","to":"no-writes")"), std::string::npos) << said;
+  EXPECT_NE(said.find(R"("subject":"postgresql group 1","from":"normal","to":"no-writes")"),
+            std::string::npos)
+      << said;
   EXPECT_NE(said.find("primary_lost"), std::string::npos);
   std::istringstream lines(said);
   for (std::string line; std::getline(lines, line);) {
@@ -98,17 +100,20 @@
   EXPECT_EQ(refused.code, "53300");
   EXPECT_GT(std::atoi(refused.detail.c_str()), 0);
   EXPECT_EQ(c.query(statement("a2", "gate")).types, "TDCZ");
-  ASSERT_TRUE(r.wait_levels(R"("pressure":{"level":"normal")"));  // past its end, and past the least time between changes
+  ASSERT_TRUE(r.wait_levels(
+      R"("pressure":{"level":"normal")"));  // past its end, and past the least time between changes
   EXPECT_EQ(c.query(statement("a3", "history")).types, "TDCZ");
   const auto said = r.program->ctl("records");
-  for (const auto* word : {"pinned", "pin ended", "left"}) EXPECT_NE(said.find(word), std::string::npos) << said;
+  for (const auto* word : {"pinned", "pin ended", "left"})
+    EXPECT_NE(said.find(word), std::string::npos) << said;
 }
 
 TEST(Reduced, ALoadThatSwingsChangesNoMoreOftenThanTheBoundAndEachChangeIsExplained) {
-  Reduced r(R"({"admin":{"socket":"@DIR@/admin.sock"},"records":{"file":"@DIR@/records.jsonl"},"levels":{"mode":"watch",)"
-            R"("apart_ms":1000,"damping":1,"memory_ms":100,"pressure":[{"name":"normal"},{"name":"less",)"
-            R"("enter":{"any":[{"reading":"retries","above":0.7}]},)"
-            R"("exit":{"all":[{"reading":"retries","below":0.3}]}}]}})");
+  Reduced r(
+      R"({"admin":{"socket":"@DIR@/admin.sock"},"records":{"file":"@DIR@/records.jsonl"},"levels":{"mode":"watch",)"
+      R"("apart_ms":1000,"damping":1,"memory_ms":100,"pressure":[{"name":"normal"},{"name":"less",)"
+      R"("enter":{"any":[{"reading":"retries","above":0.7}]},)"
+      R"("exit":{"all":[{"reading":"retries","below":0.3}]}}]}})");
   PgClient c(r.program->pg());
   const auto changes = [&] {
     std::vector<std::int64_t> at;
@@ -116,8 +121,10 @@
     for (std::string line; std::getline(lines, line);) {
       rapidjson::Document d;
       d.Parse(line.c_str());
-      EXPECT_TRUE(d.IsObject() && d.HasMember("rule") && d.HasMember("readings") && d.HasMember("at_ms")) << line;
-      if (d.IsObject() && std::string(d["from"].GetString()) != d["to"].GetString()) at.push_back(d["at_ms"].GetInt64());
+      EXPECT_TRUE(d.IsObject() && d.HasMember("rule") && d.HasMember("readings") && d.HasMember("at_ms"))
+          << line;
+      if (d.IsObject() && std::string(d["from"].GetString()) != d["to"].GetString())
+        at.push_back(d["at_ms"].GetInt64());
     }
     return at;
   };
@@ -171,8 +178,10 @@
   // The report of the same records twice, as of two gateways, with a torn line at their end.
   const auto copy = r.program->dir() + "/next.json";
   std::ofstream(copy) << r.records() << "{\"record\":\"led";
-  FILE* pipe = ::popen((std::string(CEDARRING_GATEWAY) + " report contracts --csv " + copy + " " + r.program->dir() +
-                        "/records.jsonl 2>&1").c_str(), "r");
+  FILE* pipe = ::popen((std::string(CEDARRING_GATEWAY) + " report contracts --csv " + copy + " " +
+                        r.program->dir() + "/records.jsonl 2>&1")
+                           .c_str(),
+                       "r");
   std::string report;
   char bytes[512];
   for (std::size_t n = 0; (n = ::fread(bytes, 1, sizeof bytes, pipe)) > 0;) report.append(bytes, n);
@@ -193,9 +202,10 @@
   auto config = config_json(r.discovery->address(), list);
   const std::string realm = R"({"name":"acme","quota_per_s":100})";
   config.insert(config.find(realm) + realm.size(), R"(,{"name":"batch","quota_per_s":100})");
-  Program program(config, "", R"({"contracts":{"mode":"enforce","teams":[{"name":"desks","tenants":["acme"]},)"
-                              R"({"name":"settlement","tenants":["batch"],)"
-                              R"("classes":{"history":{"rate":0.01,"burst":20,"beyond":"refuse"}}}]}})");
+  Program program(config, "",
+                  R"({"contracts":{"mode":"enforce","teams":[{"name":"desks","tenants":["acme"]},)"
+                  R"({"name":"settlement","tenants":["batch"],)"
+                  R"("classes":{"history":{"rate":0.01,"burst":20,"beyond":"refuse"}}}]}})");
   PgClient desk(program.pg());
   int asked = 0, refused = 0, served = 0;
   const auto pipelined = [&] {
@@ -214,7 +224,8 @@
     if (i % 50 != 0) continue;
     EXPECT_EQ(desk.query(statement("desk" + std::to_string(i), "history")).types, "TDCZ") << i;
   }
-  // Each comes back at once with as many, on its own connection; one that has been closed meanwhile stays away.
+  // Each comes back at once with as many, on its own connection; one that has been closed meanwhile stays
+  // away.
   for (int round = 0; round < 2; ++round)
     for (auto& c : batch) {
       bool there = true;
@@ -251,7 +262,7 @@
     ASSERT_GT(::send(stuck.back().get(), "lev", 3, MSG_NOSIGNAL), 0);  // half a line, and nothing more
   }
   PgClient c(r.program->pg());
-  EXPECT_EQ(c.query(statement("a1", "history")).types, "TDCZ");  // requests do not notice
+  EXPECT_EQ(c.query(statement("a1", "history")).types, "TDCZ");           // requests do not notice
   EXPECT_NE(r.program->ctl("levels").find("exit 1"), std::string::npos);  // the places are taken
   char byte = 0;
   for (auto& fd : stuck) EXPECT_EQ(::recv(fd.get(), &byte, 1, 0), 0);  // closed after their time
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -197,7 +197,9 @@
   const auto flaw = [](const std::string& text) -> std::string {
     try {
       parse_scenario(text, "s.json");
-    } catch (const app::ConfigError& e) { return e.what(); }
+    } catch (const app::ConfigError& e) {
+      return e.what();
+    }
     return "";
   };
   const auto fault = [](const std::string& f) {
@@ -242,8 +244,7 @@
       // A port that is free for both kinds: the real one's, at another address.
       peers.push_back({real, "127.9.2." + std::to_string(i) + real.substr(real.rfind(':'))});
     }
-    relay = std::make_unique<Relay>(
-        loop, timeline, 1, peers, [this](int a, int b) { return ways[{a, b}]; });
+    relay = std::make_unique<Relay>(loop, timeline, 1, peers, [this](int a, int b) { return ways[{a, b}]; });
   }
   static sockaddr_in at(const std::string& address) {
     sockaddr_in a{};
@@ -487,11 +488,12 @@
   expect_rules_kept(p);
 }
 
-/// Connections that come up late, rest for a moment only, break off in the middle of work and of answers; answers
-/// that are none; watches that fall silent or end within a list just before hosts drain; clients that leave in
-/// each of the ways there are; gateways that end while hosts are silent.
+/// Connections that come up late, rest for a moment only, break off in the middle of work and of answers;
+/// answers that are none; watches that fall silent or end within a list just before hosts drain; clients that
+/// leave in each of the ways there are; gateways that end while hosts are silent.
 TEST(Rig, AtRareMomentsEachRuleIsKept) {
-  const auto p = play(R"({"name":"moments","gateways":6,"groups":2,"members":3,"zones":["a","b","c"],"seconds":11,
+  const auto p =
+      play(R"({"name":"moments","gateways":6,"groups":2,"members":3,"zones":["a","b","c"],"seconds":11,
     "warm_up_s":1,"load":0.35,"takeover_s":1,"cold_s":3,"leaving":0.25,"connections":40,"handshake_ms":3,"faults":[
       {"at_s":1,"do":"mute","on":{"of":"discovery"}},
       {"at_s":1.2,"do":"drain","on":{"of":"hosts","numbers":[4]},"for_s":8},
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -327,8 +327,9 @@
   EXPECT_EQ(b.last_host[b.ask(bounded)], 3U);
 }
 
-/// Of replicas heard at different times the last one heard would always seem the most advanced: each of many routers
-/// would stay with one. Where reads past the bound are answered, what counts is how far behind each was when heard.
+/// Of replicas heard at different times the last one heard would always seem the most advanced: each of many
+/// routers would stay with one. Where reads past the bound are answered, what counts is how far behind each
+/// was when heard.
 TEST(Fallback, AmongReplicasHeardLongAgoThoseThatWereLevelAreDrawn) {
   auto s = make_settings();
   s.checks = StaleCheck::refuse;
@@ -793,8 +794,8 @@
   EXPECT_LE(f.fullest(), 1);
 }
 
-/// Where some queues are known and others not, those heard last must not have all reads until others are heard: the
-/// others count as usual ones. Nobody is asked for its queue alone.
+/// Where some queues are known and others not, those heard last must not have all reads until others are
+/// heard: the others count as usual ones. Nobody is asked for its queue alone.
 TEST(Size, AReplicaWhoseQueueIsNotKnownIsDrawnAsAUsualOne) {
   auto s = make_settings();
   s.probe_price = 0.05;
@@ -809,7 +810,8 @@
   auto to = b.spread(any, 3000);
   for (const std::uint32_t h : {2, 3, 4}) EXPECT_NEAR(to[h], 1000, 150) << h;
   EXPECT_EQ(b.probes.size(), asked);
-  b.report(2, b.now, false, 3.0);  // what is heard of one says something of all, and no more of it than of them
+  b.report(2, b.now, false,
+           3.0);  // what is heard of one says something of all, and no more of it than of them
   to = b.spread(any, 3000);
   for (const std::uint32_t h : {2, 3, 4}) EXPECT_NEAR(to[h], 1000, 150) << h;
   b.report(3, b.now, false, 0.0);  // a known queue tells them apart
@@ -1141,7 +1143,8 @@
   EXPECT_EQ(b.attempts[first], 2U) << "both hosts once";
 }
 
-// A hundred routers that took writes back from a slow primary and sent them there again only made its queue longer.
+// A hundred routers that took writes back from a slow primary and sent them there again only made its queue
+// longer.
 TEST(Health, WhatOnlyThePrimaryCanTakeIsNotTakenBackFromItToBeSentThereAgain) {
   Bench b;
   b.report(1, b.now, true);
@@ -1167,8 +1170,10 @@
       const auto r = b.ask(any);
       ASSERT_TRUE(b.sent(r));
       b.now += 20ms;
-      if (i >= 100 && b.last_host[r] == 2) bad = 2, b.end(r, Outcome::error, {}, true);
-      else b.end(r, Outcome::ok, Note{Role::replica, {}});
+      if (i >= 100 && b.last_host[r] == 2)
+        bad = 2, b.end(r, Outcome::error, {}, true);
+      else
+        b.end(r, Outcome::ok, Note{Role::replica, {}});
       b.pass(thin ? 4s : 5ms);
     }
     ASSERT_EQ(bad, 2U);
@@ -1212,9 +1217,7 @@
   const auto w = b.ask(keyed, 1);
   for (int i = 0; i < 40 && b.refused.count(w) == 0; ++i) {
     if (b.sent(w)) b.end(w, Outcome::miss, Note{Role::replica, {}});
-    if (b.now < Time(100s) + 200ms) {
-      EXPECT_LE(b.attempts[w], 2U) << "each host once in a while";
-    }
+    if (b.now < Time(100s) + 200ms) EXPECT_LE(b.attempts[w], 2U) << "each host once in a while";
     b.pass(50ms);
   }
   EXPECT_LE(b.attempts[w], 5U);
@@ -1228,7 +1231,8 @@
   std::size_t answered = 0;
   for (int i = 0; i < 300; ++i) {  // reads that have to know a position: they may use half of what is saved
     const auto r = b.ask(bounded);
-    for (; answered < b.probes.size(); ++answered) b.report(b.probes[answered], b.now, b.probes[answered] == 1, 0.0);
+    for (; answered < b.probes.size(); ++answered)
+      b.report(b.probes[answered], b.now, b.probes[answered] == 1, 0.0);
     if (b.sent(r)) b.end(r, Outcome::ok, Note{Role::replica, {}});
     b.pass(50ms);
   }
@@ -1364,7 +1368,9 @@
   try {
     Router router(s);
     FAIL();
-  } catch (const std::invalid_argument& e) { EXPECT_STREQ(e.what(), "cold_from"); }
+  } catch (const std::invalid_argument& e) {
+    EXPECT_STREQ(e.what(), "cold_from");
+  }
 }
 
 TEST(OddInput, MemoryStaysBounded) {
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -125,7 +125,8 @@
   c.socket.send(pg_query(statement("a", "history")));
   EXPECT_EQ(s.call("GET", "/-/ready").status, 200);
   s.program->signal(SIGTERM);
-  while (s.call("GET", "/-/ready").status == 200) {}
+  while (s.call("GET", "/-/ready").status == 200) {
+  }
   EXPECT_EQ(s.call("GET", "/-/ready").status, 503);
 }
 
@@ -150,9 +151,11 @@
     gone.socket.send(pg_query(statement("e", "bid")));
     PgClient waits(s.program->pg());
     waits.socket.send(pg_query(statement("f", "bid")));
-    while (s.figure("app_active") != 2) {}
+    while (s.figure("app_active") != 2) {
+    }
+  }
+  while (s.figure("app_active") != 0) {
   }
-  while (s.figure("app_active") != 0) {}
   const auto last = s.call("GET", "/-/metrics").body;
   EXPECT_EQ(figure(last, "app_ok{kind=\"pay\"}"), 5);
   EXPECT_EQ(figure(last, "app_errors{kind=\"pay\"}"), 1);
@@ -187,9 +190,11 @@
   // A whole list, one without it, one with it again: it is still out.
   const auto only = list_of(2, {s.members[0]});
   s.discovery->tell(only);
-  while (s.figure("app_pool_size") != 1) {}
+  while (s.figure("app_pool_size") != 1) {
+  }
   s.discovery->tell(list_of(3, s.members));
-  while (s.figure("app_pool_size") != 2) {}
+  while (s.figure("app_pool_size") != 2) {
+  }
   EXPECT_EQ(served_by_replica("c"), 0U);
   EXPECT_EQ(s.call("POST", "/-/database-hosts/r%2F1/enable").status, 200);
   EXPECT_EQ(s.figure("app_pool_ejected"), 0);
@@ -317,7 +322,8 @@
   auto& next = *u.next;
   EXPECT_EQ(s.call("GET", "/-/ready").status, 503);
   EXPECT_EQ(call(next.control(), "POST", "/-/database-hosts/r%2F1/disable").status, 200);
-  while (s.figure("app_pool_ejected") != 1) {}
+  while (s.figure("app_pool_ejected") != 1) {
+  }
   s.program->signal(SIGTERM);
   s.primary.act = Act::serve;
   EXPECT_EQ(busy.read_answer().types, "TDCZ");
@@ -355,7 +361,9 @@
       app::check_successor(good, next);
       app::parse_config(next);
       return true;
-    } catch (const std::exception&) { return false; }
+    } catch (const std::exception&) {
+      return false;
+    }
   };
   EXPECT_TRUE(fits(good));
   for (std::size_t cut = 0; cut < good.size(); ++cut) EXPECT_FALSE(fits(good.substr(0, cut))) << cut;
@@ -624,7 +632,8 @@
       if (peer.get() < 0) return;
       for (const auto& packet : says_) ::send(peer.get(), packet.data(), packet.size(), MSG_NOSIGNAL);
       char byte = 0;
-      while (::recv(peer.get(), &byte, 1, 0) > 0) {}  // hangs until the other end goes
+      while (::recv(peer.get(), &byte, 1, 0) > 0) {
+      }  // hangs until the other end goes
     });
   }
   ~Impostor() {
@@ -673,7 +682,9 @@
   state.front = "postgresql";
   state.list = *wire::parse_members(list_of(1, s.members));
   state.out = {"r/1"};
-  state.parts = {{"hosts", "[1,{\"hosts\":[{\"host\":7}]}]"}, {"sessions", "[1,{\"sessions\":[],\"more\":1}]"}, {"new", "?"}};
+  state.parts = {{"hosts", "[1,{\"hosts\":[{\"host\":7}]}]"},
+                 {"sessions", "[1,{\"sessions\":[],\"more\":1}]"},
+                 {"new", "?"}};
   const std::map<std::string, app::StateParts> rest{
       {"postgresql", {{"tenants", "[2,{}]"}, {"contracts", "["}, {"levels", "[1,{}]"}}}};
   Impostor impostor(path, {wire::seal("state", app::to_text({state})), wire::seal("whole", ""),
@@ -684,7 +695,8 @@
   EXPECT_TRUE(dropped("hosts") && dropped("tenants") && dropped("contracts"));
   EXPECT_FALSE(dropped("sessions") || dropped("levels") || dropped("new"));
   EXPECT_EQ(call(next.control(), "GET", "/-/ready").status, 200);
-  EXPECT_EQ(figure(call(next.control(), "GET", "/-/metrics").body, "app_pool_ejected"), 1);  // what could be read is used
+  EXPECT_EQ(figure(call(next.control(), "GET", "/-/metrics").body, "app_pool_ejected"),
+            1);  // what could be read is used
 }
 
 /// One class, so that all its requests are alike; `from` what replaces the first in the configuration.
@@ -693,8 +705,9 @@
     const auto at = config.find(from) + from.size();
     config.replace(at, config.find(to, at) - at, with);
   };
-  cut(R"("classes":[)", "]", R"({"name":"history","aim":2000,"deadline":5000,"importance":1,"late_worth":0.5,)"
-                             R"("effect":"read_like","group":"cell","window":3000})");
+  cut(R"("classes":[)", "]",
+      R"({"name":"history","aim":2000,"deadline":5000,"importance":1,"late_worth":0.5,)"
+      R"("effect":"read_like","group":"cell","window":3000})");
   cut(R"("class_bound":[)", "]", "0");
   cut(R"("needs_by_class":[)", "]", R"("eventual")");
   return config;
@@ -708,7 +721,9 @@
       threads_.emplace_back([this, address, t] {
         PgClient c(address);
         for (int i = 0; !stop_; ++i)
-          c.query(statement("h" + std::to_string(t) + "-" + std::to_string(i), "history")).types == "TDCZ" ? ++served : ++others;
+          c.query(statement("h" + std::to_string(t) + "-" + std::to_string(i), "history")).types == "TDCZ"
+              ? ++served
+              : ++others;
       });
   }
   void stop() {
@@ -728,12 +743,14 @@
   PgStandIn primary, warm, cold;
   primary.primary = true;
   const auto now_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
-                          std::chrono::system_clock::now().time_since_epoch()).count();
+                          std::chrono::system_clock::now().time_since_epoch())
+                          .count();
   const auto list = list_of(1, {member("p", primary.address(), true), member("w", warm.address(), false),
                                 member("c", cold.address(), false, "SERVING", now_ms)});
   Discovery discovery(list);
   // Two seconds of what a host that is just starting can do, and a tenth of that.
-  const auto config = with_key(replaced(only_history(config_json(discovery.address(), list)), "\"tip_multiple\":2", "\"tip_multiple\":0.5"),
+  const auto config = with_key(replaced(only_history(config_json(discovery.address(), list)),
+                                        "\"tip_multiple\":2", "\"tip_multiple\":0.5"),
                                R"("control":"127.0.0.1:0")");
   Program old(config);
   Hammer hammer(old.pg(), 4);
@@ -752,7 +769,8 @@
   EXPECT_EQ(hammer.others, 0);
   RecordProperty("cold_before", static_cast<int>(before));
   RecordProperty("cold_in_all", static_cast<int>(sent));
-  std::cout << "cold host: " << before << " before, " << sent << " in all; the bound " << 0.5 * 0.17 * 2 * a_host << std::endl;
+  std::cout << "cold host: " << before << " before, " << sent << " in all; the bound "
+            << 0.5 * 0.17 * 2 * a_host << std::endl;
   EXPECT_GT(before, 0U);
   EXPECT_LE(static_cast<double>(sent), 0.5 * 0.17 * 2 * a_host);
 }
@@ -764,20 +782,24 @@
   // Errors at each trial make the ejection longer, to half a minute at the most.
   const auto until = Clock::now() + 3s;
   int asked = 0;
-  while (Clock::now() < until) EXPECT_EQ(c.query(statement("a" + std::to_string(++asked), "history")).types, "TDCZ");
+  while (Clock::now() < until)
+    EXPECT_EQ(c.query(statement("a" + std::to_string(++asked), "history")).types, "TDCZ");
   const auto before = s.replica.count();
   Program next(*s.program, s.program->pg());
   ASSERT_TRUE(s.program->wait_output("followed", 1));
   const auto came = s.replica.count();
-  for (int i = 0; i < 40; ++i) EXPECT_EQ(c.query(statement("b" + std::to_string(i), "history")).types, "TDCZ");
-  std::cout << "ejected host: " << before << " of " << asked << " before, " << s.replica.count() - came << " of 40 after" << std::endl;
+  for (int i = 0; i < 40; ++i)
+    EXPECT_EQ(c.query(statement("b" + std::to_string(i), "history")).types, "TDCZ");
+  std::cout << "ejected host: " << before << " of " << asked << " before, " << s.replica.count() - came
+            << " of 40 after" << std::endl;
   EXPECT_LE(s.replica.count() - came, 1U);  // its time may be up just then
 }
 
 TEST(Upgrade, InTheMiddleOfAContractsBurstItIsNotToBeHadTwice) {
   Service s;
-  const std::string contract = R"({"contracts":{"mode":"enforce","teams":[{"name":"desks","tenants":["acme"],)"
-                               R"("classes":{"history":{"rate":0.001,"burst":10,"beyond":"refuse"}}}]}})";
+  const std::string contract =
+      R"({"contracts":{"mode":"enforce","teams":[{"name":"desks","tenants":["acme"],)"
+      R"("classes":{"history":{"rate":0.001,"burst":10,"beyond":"refuse"}}}]}})";
   s.program = std::make_unique<Program>(s.config, "", contract);
   PgClient c(s.program->pg());
   int served = 0, refused = 0;
@@ -796,14 +818,15 @@
   EXPECT_EQ(s.program->wait_exit(), 0);
   ask(20);
   std::cout << "contract of 10: 6 before, " << served - 6 << " of 20 after" << std::endl;
-  EXPECT_EQ(served, 8);  // half of the four that were left was the old one's
+  EXPECT_EQ(served, 8);             // half of the four that were left was the old one's
   c.query(statement("z", "gate"));  // and the rest of the service is not touched
   EXPECT_EQ(c.query(statement("y", "gate")).types, "TDCZ");
 }
 
 TEST(Upgrade, ASessionSeesItsWriteAtTheNextProcess) {
   Service s;
-  const auto config = replaced(replaced(s.config, "\"brought\"", "\"kept\""), "[\"lag_bound\"", "[\"causal\"");
+  const auto config =
+      replaced(replaced(s.config, "\"brought\"", "\"kept\""), "[\"lag_bound\"", "[\"causal\"");
   s.replica.behind_ms = 10'000;
   s.program = std::make_unique<Program>(config);
   PgClient c(s.program->pg());
@@ -921,7 +944,8 @@
   s.replica.act = Act::mute;
   Program other(s.config);  // has no connection to it yet
   PgClient c(other.pg());
-  EXPECT_EQ(c.query(statement("w", "bid")).types, "TDCZ");  // the primary's connection tells how long one takes
+  EXPECT_EQ(c.query(statement("w", "bid")).types,
+            "TDCZ");  // the primary's connection tells how long one takes
   for (int i = 0; i < 30; ++i)
     EXPECT_EQ(c.query(statement("a" + std::to_string(i), "history", 900)).types, "TDCZ") << i;
   EXPECT_GE(s.replica.count(), 1U);
--- a/tests/support/bad_gateway.cpp
+++ b/tests/support/bad_gateway.cpp
@@ -145,7 +145,8 @@
   std::thread([] {  // is told of all changes; `deaf` takes no notice
     auto s = Socket::to(discovery);
     s.send("GET /catalog/members?follow=1&since=0 HTTP/1.1\r\nHost: d\r\n\r\n");
-    while (s.read(1)) {}
+    while (s.read(1)) {
+    }
   })
       .detach();
   for (;;) {
--- a/tests/support/stand_in.cpp
+++ b/tests/support/stand_in.cpp
@@ -254,7 +254,8 @@
       return pg_message('S', name + std::string(1, '\0') + value + std::string(1, '\0'));
     };
     const auto answer = [&] {
-      return pg_row("from " + address() + std::string(static_cast<std::size_t>(padding), 'x')) + status("recovery", primary ? "off" : "on") +
+      return pg_row("from " + address() + std::string(static_cast<std::size_t>(padding), 'x')) +
+             status("recovery", primary ? "off" : "on") +
              status("lsn_ms", now_ms(primary ? 5 : behind_ms.load())) + ready;
     };
     switch (arrived(id_of(sql))) {
@@ -266,15 +267,27 @@
         while (act == Act::hold) std::this_thread::sleep_for(1ms);
         s.send(answer());
         break;
-      case Act::serve: s.send(answer()); break;
-      case Act::serve_last: s.send(answer(), true); return;
+      case Act::serve:
+        s.send(answer());
+        break;
+      case Act::serve_last:
+        s.send(answer(), true);
+        return;
       case Act::mute:
-      case Act::hang: return hang(s);
+      case Act::hang:
+        return hang(s);
       case Act::reset:
-      case Act::reset_once: return s.reset();
-      case Act::full: s.send(error("53300")); break;
-      case Act::miss: s.send(error(sql[0] == 'I' ? "25006" : "72000")); break;
-      case Act::error: s.send(error("XX000")); break;
+      case Act::reset_once:
+        return s.reset();
+      case Act::full:
+        s.send(error("53300"));
+        break;
+      case Act::miss:
+        s.send(error(sql[0] == 'I' ? "25006" : "72000"));
+        break;
+      case Act::error:
+        s.send(error("XX000"));
+        break;
     }
   }
 }
@@ -342,17 +355,29 @@
       continue;
     }
     switch (arrived(attribute_id.empty() ? id_of(sql) : attribute_id)) {
-      case Act::raw: s.send(raw()); break;
+      case Act::raw:
+        s.send(raw());
+        break;
       case Act::hold:
       case Act::serve_last:
-      case Act::serve: rows(row); break;
+      case Act::serve:
+        rows(row);
+        break;
       case Act::mute:
-      case Act::hang: return hang(s);
+      case Act::hang:
+        return hang(s);
       case Act::reset:
-      case Act::reset_once: return s.reset();
-      case Act::full: say(my::error_packet({1040, "08004", "stand-in"})); break;
-      case Act::miss: say(my::error_packet({1290, "HY000", "stand-in"})); break;
-      case Act::error: say(my::error_packet({1146, "42S02", "no such table"})); break;
+      case Act::reset_once:
+        return s.reset();
+      case Act::full:
+        say(my::error_packet({1040, "08004", "stand-in"}));
+        break;
+      case Act::miss:
+        say(my::error_packet({1290, "HY000", "stand-in"}));
+        break;
+      case Act::error:
+        say(my::error_packet({1146, "42S02", "no such table"}));
+        break;
     }
   }
 }
@@ -558,7 +583,8 @@
 void Program::stand_still() const {
   signal(SIGSTOP);
   int status = 0;
-  while (::waitpid(pid_, &status, WUNTRACED) == pid_ && !WIFSTOPPED(status)) {}
+  while (::waitpid(pid_, &status, WUNTRACED) == pid_ && !WIFSTOPPED(status)) {
+  }
 }
 
 void Program::signal(int number) const { ::kill(pid_, number); }
@@ -575,13 +601,15 @@
     return n;
   };
   std::string line;
-  while (count() < times && read_line(line)) {}
+  while (count() < times && read_line(line)) {
+  }
   return count() >= times;
 }
 
 int Program::wait_exit() {
   std::string line;
-  while (read_line(line)) {}
+  while (read_line(line)) {
+  }
   if (!status_) {
     int status = 0;
     waitpid(pid_, &status, 0);
--- a/tests/support/stand_in.h
+++ b/tests/support/stand_in.h
@@ -58,7 +58,7 @@
   void say_once(const std::string& bytes);  // in place of its next answer
   std::atomic<bool> ends_after_raw{false};  // closes behind that
   std::atomic<bool> primary{false};
-  std::atomic<int> padding{0};  // bytes behind its value (PostgreSQL)
+  std::atomic<int> padding{0};     // bytes behind its value (PostgreSQL)
   std::atomic<int> behind_ms{20};  // of what it says it holds
   std::atomic<int> places{
       1 << 20};  // connections that it holds; one beyond is told so and closed (PostgreSQL)
--- a/tests/telemetry_test.cpp
+++ b/tests/telemetry_test.cpp
@@ -28,14 +28,18 @@
   std::chrono::microseconds now{1'700'000'000s};
   LogConfig config;
   Logged() { config.form = LogConfig::Form::json, config.per_cause = 3; }
-  std::unique_ptr<Log> open() { return std::make_unique<Log>("n1", config, [this] { return now; }); }
+  std::unique_ptr<Log> open() {
+    return std::make_unique<Log>(
+        "n1", config, [this] { return now; });
+  }
 };
 
 TEST(Telemetry, LinesOfOneCauseAreBoundedAndWhatIsLeftOutIsTold) {
   Logged l;
   testing::internal::CaptureStderr();
   auto log = l.open();
-  for (int i = 0; i < 10; ++i) log->write(Level::info, "storm", "again \"and\" again\n", {{"n", std::to_string(i)}});
+  for (int i = 0; i < 10; ++i)
+    log->write(Level::info, "storm", "again \"and\" again\n", {{"n", std::to_string(i)}});
   log->write(Level::error, "other", "something else");
   log->write(Level::debug, "quiet", "below the least level");
   l.now += 11s;
@@ -46,7 +50,8 @@
     rapidjson::Document d;
     d.Parse(line.c_str());
     ASSERT_TRUE(d.IsObject()) << line;
-    for (const auto* key : {"at_ms", "instance", "level", "cause", "message"}) EXPECT_TRUE(d.HasMember(key)) << line;
+    for (const auto* key : {"at_ms", "instance", "level", "cause", "message"})
+      EXPECT_TRUE(d.HasMember(key)) << line;
   }
   EXPECT_NE(lines[4].find("\"left_out\":7"), std::string::npos);
 }
@@ -75,7 +80,8 @@
   testing::internal::CaptureStderr();
   {
     auto log = l.open();
-    for (int i = 0; i < 300; ++i) log->record({{}, "level", "pressure", "a", "b", "rule " + std::to_string(i), {}, ""});
+    for (int i = 0; i < 300; ++i)
+      log->record({{}, "level", "pressure", "a", "b", "rule " + std::to_string(i), {}, ""});
     EXPECT_EQ(log->records().size(), 10U);
     EXPECT_EQ(log->records().back().rule, "rule 299");
     // A file that cannot be opened changes nothing.
@@ -93,7 +99,8 @@
     ++files;
     EXPECT_LE(s.st_size, 4096);
     std::ifstream in(path);
-    for (std::string line; std::getline(in, line);) last += line.find("\"after\"") != std::string::npos ? 1 : 0;
+    for (std::string line; std::getline(in, line);)
+      last += line.find("\"after\"") != std::string::npos ? 1 : 0;
     ::unlink(path.c_str());
   }
   EXPECT_EQ(files, 3U);  // the present one and two before
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -24,7 +24,9 @@
   return c;
 }
 
-std::uint64_t broken(const WorldResult& r) { return r.overlapping + r.too_many + r.unanswered + r.late_answers; }
+std::uint64_t broken(const WorldResult& r) {
+  return r.overlapping + r.too_many + r.unanswered + r.late_answers;
+}
 
 TEST(World, EqualSeedsGiveEqualRunsAndOthersOthers) {
   auto c = short_one(1.3, true);
@@ -64,8 +66,8 @@
 }
 
 TEST(World, CoresAreSharedAsAQueueWithSeveralServersIs) {
-  // One host alone, without a gateway: M/M/c would need exponential work; here work is constant, and at a low rate
-  // nobody waits, at twice what the cores can do the room fills and the rest is turned away.
+  // One host alone, without a gateway: M/M/c would need exponential work; here work is constant, and at a low
+  // rate nobody waits, at twice what the cores can do the room fills and the rest is turned away.
   for (const auto& [gap, least, most] : {std::tuple{100ms, 0, 0}, {10ms, 900, 1100}}) {
     Timeline t(Time{1'000'000'000});
     Ledger group(t, GroupId{1});
