--- a/src/app/json_schema.cpp
+++ b/src/app/json_schema.cpp
@@ -40,7 +40,10 @@
   value.Accept(writer);
   std::string text(buffer.GetString(), buffer.GetSize());
   constexpr std::size_t most = 80;
-  if (text.size() > most) text = text.substr(0, most - 3) + "...";
+  if (text.size() > most) {
+    text.resize(most - 3);
+    text += "...";
+  }
   return text;
 }
 
--- a/src/fleet/outlier.h
+++ b/src/fleet/outlier.h
@@ -27,7 +27,7 @@
   /// Far before any clock, near enough to subtract.
   static constexpr Time unset{-40'000'000'000'000'000};
 
-  explicit Outlier(Terms terms) : terms_(terms) {}
+  explicit Outlier(const Terms& terms) : terms_(terms) {}
   [[nodiscard]] const Known& known() const { return k_; }
   /// Takes over what another process has learnt where that is news: the later ejection, the later outcome.
   void learn(const Known& other) {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -62,7 +62,9 @@
   char self[PATH_MAX] = "";
   const auto n = ::readlink("/proc/self/exe", self, sizeof self - 1);
   std::string path = n > 0 ? std::string(self, static_cast<std::size_t>(n)) : argv[0];
-  path = path.substr(0, path.rfind('/') + 1) + "cedarring-" + argv[1];
+  path.resize(path.rfind('/') + 1);
+  path += "cedarring-";
+  path += argv[1];
   ::execv(path.c_str(), argv + 1);
   std::cerr << "cedarring: no command '" << argv[1] << "' (" << path << ": " << std::strerror(errno)
             << "); try cedarring --help\n";
--- a/src/memory/broker.cpp
+++ b/src/memory/broker.cpp
@@ -22,9 +22,9 @@
 
 }  // namespace
 
-Broker::Broker(Settings settings, std::vector<Budget> budgets, std::vector<std::string> zones, Clock clock,
-               Upstream& upstream, std::size_t max_requests)
-    : budgets_(std::make_move_iterator(budgets.begin()), std::make_move_iterator(budgets.end())),
+Broker::Broker(Settings settings, const std::vector<Budget>& budgets, std::vector<std::string> zones,
+               Clock clock, Upstream& upstream, std::size_t max_requests)
+    : budgets_(budgets.begin(), budgets.end()),
       clock_(std::move(clock)),
       upstream_(upstream),
       max_requests_(max_requests),
--- a/src/memory/broker.h
+++ b/src/memory/broker.h
@@ -144,7 +144,7 @@
 
  public:
   using Clock = std::function<Time()>;
-  Broker(Settings settings, std::vector<Budget> budgets, std::vector<std::string> zones, Clock clock,
+  Broker(Settings settings, const std::vector<Budget>& budgets, std::vector<std::string> zones, Clock clock,
          Upstream& upstream, std::size_t max_requests = 20000);
   /// Puts a gate behind those there are: a request passes them in this order, then the router. Not owned.
   void add_gate(gates::Gate& gate) { gates_.push_back(&gate); }
--- a/src/router/state.h
+++ b/src/router/state.h
@@ -203,7 +203,7 @@
 /// What the module has learnt and what it may spend: all that another process of the same gateway may be
 /// told.
 struct Learnt {
-  explicit Learnt(fleet::ProbeBudget probes) : probes_(probes) {}
+  explicit Learnt(const fleet::ProbeBudget& probes) : probes_(probes) {}
   std::map<HostId, Host> hosts_;
   std::map<GroupId, Group> groups_;
   std::vector<Duration> class_latency_;
--- a/src/telemetry/log.cpp
+++ b/src/telemetry/log.cpp
@@ -12,7 +12,6 @@
 namespace cedarring::telemetry {
 namespace {
 
-using namespace std::chrono_literals;
 constexpr std::size_t causes_most = 64;
 
 const char* word(Level level) {
@@ -31,12 +30,12 @@
 
 }  // namespace
 
-Log::Log(std::string instance, LogConfig config, Clock clock)
+Log::Log(std::string instance, const LogConfig& config, Clock clock)
     : instance_(std::move(instance)), clock_(std::move(clock)) {
   open(config);
 }
 
-void Log::reload(LogConfig config) {
+void Log::reload(const LogConfig& config) {
   if (!(config == config_)) open(config);
 }
 
@@ -79,7 +78,7 @@
   }
   auto& c = it->second;
   const auto now = clock_();
-  if (now - c.since >= 10s || now < c.since) {
+  if (now - c.since >= std::chrono::seconds(10) || now < c.since) {
     left_out = c.left_out;
     c = {now, 0, 0};
   }
--- a/src/telemetry/log.h
+++ b/src/telemetry/log.h
@@ -43,7 +43,7 @@
   using Field = std::pair<std::string_view, std::string>;
   using Clock = std::function<std::chrono::microseconds()>;  // Unix time
   /// Throws std::runtime_error where the file of records cannot be opened.
-  Log(std::string instance, LogConfig config, Clock clock);
+  Log(std::string instance, const LogConfig& config, Clock clock);
   ~Log();
   Log(const Log&) = delete;
   Log& operator=(const Log&) = delete;
@@ -56,7 +56,7 @@
   /// and changes nothing else.
   void record(Record record);
   /// Other bounds from now on. Throws as the constructor does, and then nothing has changed.
-  void reload(LogConfig config);
+  void reload(const LogConfig& config);
   [[nodiscard]] const std::deque<Record>& records() const { return records_; }
   [[nodiscard]] const LogConfig& config() const { return config_; }
   [[nodiscard]] const std::string& instance() const { return instance_; }
--- a/src/tools/lab/ledger.cpp
+++ b/src/tools/lab/ledger.cpp
@@ -4,7 +4,7 @@
 
 namespace cedarring::lab {
 
-HostModel::HostModel(Timeline& timeline, Ledger& group, HostId id, HostSpec spec, std::string zone)
+HostModel::HostModel(Timeline& timeline, Ledger& group, HostId id, const HostSpec& spec, std::string zone)
     : timeline_(timeline),
       group_(group),
       id_(id),
@@ -172,7 +172,7 @@
   next();
 }
 
-HostModel& Ledger::add(HostId id, HostSpec spec, std::string zone) {
+HostModel& Ledger::add(HostId id, const HostSpec& spec, std::string zone) {
   hosts_.push_back(std::make_unique<HostModel>(timeline_, *this, id, spec, std::move(zone)));
   if (!primary_) primary_ = hosts_.back().get();
   return *hosts_.back();
--- a/src/tools/lab/ledger.h
+++ b/src/tools/lab/ledger.h
@@ -44,7 +44,7 @@
 
 class HostModel {
  public:
-  HostModel(Timeline& timeline, Ledger& group, HostId id, HostSpec spec, std::string zone);
+  HostModel(Timeline& timeline, Ledger& group, HostId id, const HostSpec& spec, std::string zone);
   /// Takes the job, or answers at once. Returns a number for `cancel`, 0 where it is over already.
   std::uint64_t offer(Job job);
   /// A new connection: `up` is called once its handshake is done, at once where that costs nothing. False: it
@@ -107,7 +107,7 @@
 class Ledger {
  public:
   Ledger(Timeline& timeline, GroupId id) : timeline_(timeline), id_(id) {}
-  HostModel& add(HostId id, HostSpec spec, std::string zone);
+  HostModel& add(HostId id, const HostSpec& spec, std::string zone);
   [[nodiscard]] GroupId id() const { return id_; }
   [[nodiscard]] HostModel* primary() const { return primary_; }
   /// When the last primary was lost.
--- a/src/tools/rig/main.cpp
+++ b/src/tools/rig/main.cpp
@@ -48,7 +48,7 @@
                               {"worst second's p99, ms", false, p99}};
 
 /// Both on equal seeds, in turn; per figure the mean difference with its interval (Student's t, 95%).
-int compare(rig::Scenario s, rig::Options one, const std::string& other, int pairs) {
+int compare(rig::Scenario s, const rig::Options& one, const std::string& other, int pairs) {
   constexpr double t95[] = {0, 12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23};
   std::vector<std::vector<double>> differences(std::size(figures));
   const auto first = s.seed;
