--- a/bench/contracts_bench.cpp
+++ b/bench/contracts_bench.cpp
@@ -9,13 +9,13 @@
 using namespace std::chrono_literals;
 
 contracts::Contracts make(std::size_t teams) {
-  contracts::Service s;
+  contracts::ServiceInfo s;
   for (const auto& [name, freshness] : {std::pair{"desk-view", Freshness::bounded},
                                         {"history", Freshness::any},
                                         {"gate-check", Freshness::fresh},
                                         {"bid-submit", Freshness::write}}) {
     RequestClass c;
-    c.name = name, c.aim = 300ms, c.deadline = 1s, c.freshness = freshness;
+    c.name = name, c.latency_target = 300ms, c.deadline = 1s, c.freshness = freshness;
     s.classes.push_back(c);
   }
   s.tenants = teams;
@@ -37,7 +37,7 @@
 void admit_and_end(benchmark::State& state) {
   const auto teams = static_cast<std::size_t>(state.range(0));
   auto c = make(teams);
-  gates::Ask a;
+  gates::GateRequest a;
   a.group = GroupId{1};
   Time now{1'700'000'000'000'000};
   std::uint64_t n = 0;
@@ -47,7 +47,7 @@
     a.cls = ClassId{static_cast<std::int32_t>(n & 3U)};
     now += 1us;
     benchmark::DoNotOptimize(c.admit(a, now));
-    c.ended(a, {gates::End::served, {}, {}, true, 50ms}, now);
+    c.on_request_end(a, {gates::RequestEnd::served, {}, {}, true, 50ms}, now);
   }
 }
 BENCHMARK(admit_and_end)->Arg(3)->Arg(250)->Arg(10000);
--- a/bench/levels_bench.cpp
+++ b/bench/levels_bench.cpp
@@ -23,15 +23,15 @@
 
 using namespace cedarring;
 
-levels::Service service() {
-  levels::Service s;
+levels::ServiceInfo service() {
+  levels::ServiceInfo s;
   for (const auto& [name, freshness] : {std::pair{"desk-view", Freshness::bounded},
                                         {"history", Freshness::any},
                                         {"gate-check", Freshness::fresh},
                                         {"bid-submit", Freshness::write}}) {
     RequestClass c;
-    c.name = name, c.aim = std::chrono::milliseconds(300), c.deadline = std::chrono::seconds(1),
-    c.freshness = freshness, c.bound = std::chrono::milliseconds(200);
+    c.name = name, c.latency_target = std::chrono::milliseconds(300), c.deadline = std::chrono::seconds(1),
+    c.freshness = freshness, c.staleness_bound = std::chrono::milliseconds(200);
     s.classes.push_back(c);
   }
   s.tenants = 3;
@@ -62,7 +62,7 @@
 
 void verdict(benchmark::State& state, bool lost) {
   auto l = make(static_cast<std::size_t>(state.range(0)), lost);
-  gates::Ask a;
+  gates::GateRequest a;
   a.tenant = 1;
   a.time_left = std::chrono::milliseconds(100);
   const auto before = allocations.load();
@@ -83,14 +83,14 @@
 
 void ending(benchmark::State& state) {
   auto l = make(2, false);
-  gates::Ask a;
-  gates::Ending e;
-  e.end = gates::End::served;
+  gates::GateRequest a;
+  gates::RequestResult e;
+  e.end = gates::RequestEnd::served;
   e.elapsed = std::chrono::milliseconds(50);
   Time now{1'010'000'000};
   for (auto _ : state) {
     a.cls = ClassId{static_cast<std::int32_t>(now.count() & 3)};
-    l.ended(a, e, now += std::chrono::microseconds(37));
+    l.on_request_end(a, e, now += std::chrono::microseconds(37));
   }
 }
 BENCHMARK(ending);
--- a/include/cedarring/router.h
+++ b/include/cedarring/router.h
@@ -30,17 +30,17 @@
 using SessionId = Id<struct SessionTag, std::uint64_t>;
 using RequestId = Id<struct RequestTag, std::uint64_t>;
 
-enum class Effect { safe, keyed, unsafe };    // what a repeat of the request does
-enum class RepeatScope { all, zone, group };  // where a keyed repeat is dropped
+enum class Idempotency { safe, keyed, unsafe };  // what a repeat of the request does
+enum class DedupScope { all, zone, group };      // where a keyed repeat is dropped
 enum class Freshness { any, bounded, session, fresh, write };
-enum class StaleCheck { none, refuse, wait };  // what a host does with a read it is too far behind for
-enum class ListRole { none, late, start };     // how the list's primary flag follows the role
+enum class StaleReadPolicy { none, refuse, wait };  // what a host does with a read it is too far behind for
+enum class ListedRole { none, late, start };        // how the list's primary flag follows the role
 enum class TokenMode { remembered, carried };
-enum class DiscoveryMode { push, ask };
+enum class DiscoveryMode { push, poll };
 enum class Role { unknown, primary, replica };
 enum class HostState { gone, draining, ready };
 enum class ListKind { delta, full, cached, failed };
-enum class Outcome { ok, error, full, timeout, connect_failed, reset, cancelled, moot, miss };
+enum class Outcome { ok, error, full, timeout, connect_failed, reset, cancelled, not_sent, too_stale };
 /// moot: never sent, and no fault of the host's.
 constexpr const char* name_of(Outcome o) {
   constexpr const char* names[] = {"ok",    "error",     "full", "timeout", "connect_failed",
@@ -50,48 +50,48 @@
 
 struct RequestClass {
   std::string name;
-  Duration aim{};       // answers within this earn full worth
-  Duration deadline{};  // what a client waits over all its tries
-  double worth = 1;
-  double late_worth = 0;
-  Effect effect = Effect::safe;
-  RepeatScope scope = RepeatScope::all;
-  Duration window{};  // how long a keyed repeat is dropped
+  Duration latency_target{};  // answers within this earn full worth
+  Duration deadline{};        // what a client waits over all its tries
+  double value = 1;
+  double late_value = 0;
+  Idempotency idempotency = Idempotency::safe;
+  DedupScope dedup_scope = DedupScope::all;
+  Duration dedup_window{};  // how long a keyed repeat is dropped
   Freshness freshness = Freshness::any;
-  Duration bound{};            // of bounded reads
-  std::uint32_t attempts = 0;  // for a request, at most; 0: the settings' max_attempts
+  Duration staleness_bound{};      // of bounded reads
+  std::uint32_t max_attempts = 0;  // for a request, at most; 0: the settings' max_attempts
 };
 bool operator==(const RequestClass& a, const RequestClass& b);
 
 struct Settings {
   std::uint64_t seed = 0;
-  std::uint32_t position = 0;  // of this router among `routers`
-  std::uint32_t routers = 1;
+  std::uint32_t instance_index = 0;  // of this router among `routers`
+  std::uint32_t instance_count = 1;
   ZoneId zone{};
   std::vector<RequestClass> classes;
-  StaleCheck checks = StaleCheck::none;
-  ListRole list_role = ListRole::none;
-  TokenMode tokens = TokenMode::remembered;
-  DiscoveryMode discovery = DiscoveryMode::push;
+  StaleReadPolicy stale_read_policy = StaleReadPolicy::none;
+  ListedRole listed_role = ListedRole::none;
+  TokenMode token_mode = TokenMode::remembered;
+  DiscoveryMode discovery_mode = DiscoveryMode::push;
   bool answers_carry_position = false;
-  bool may_probe = true;
-  bool may_cancel = false;
-  bool second_copies = false;
-  bool retry_after = false;
-  bool only_draining_binds = false;
-  bool holding_costs = false;  // a late refusal of what was never sent costs more than an early one
+  bool probes_allowed = true;
+  bool cancel_allowed = false;
+  bool hedging_allowed = false;
+  bool retry_after_allowed = false;
+  bool removed_hosts_stay_usable = false;
+  bool late_refusal_costs = false;  // a late refusal of what was never sent costs more than an early one
   std::uint32_t max_attempts = 8;
   Duration max_retry_after{1'000'000};
-  Duration ask_within{10'000'000};
+  Duration max_poll_interval{10'000'000};
   Duration drain_grace{1'000'000};  // nothing new to a host this long after it was told draining or gone
-  Duration cold_for{};              // a started host is warm after this
-  double cold_from = 1;             // and begins with this share of its capacity
-  double tip_multiple = 3;
-  Duration tip_after{1'000'000};
+  Duration warm_up_duration{};      // a started host is warm after this
+  double cold_capacity_share = 1;   // and begins with this share of its capacity
+  double overload_multiple = 3;
+  Duration overload_window{1'000'000};
   Duration quantum{5'000};
-  double probe_price = 0;
+  double probe_cost = 0;
   Duration connect_timeout{250'000};  // connections not set up by then fail
-  Duration idle_close{15'000'000};    // idle connections close after this
+  Duration idle_timeout{15'000'000};  // idle connections close after this
 };
 
 /// Throws std::invalid_argument, naming the setting, when the settings contradict themselves.
@@ -106,7 +106,7 @@
   HostState state = HostState::ready;
   bool listed_primary = false;
   double weight = 1;
-  std::optional<Time> born;  // absent: long past
+  std::optional<Time> started_at;  // absent: long past
 };
 struct MembersListed {
   ListKind kind = ListKind::full;
@@ -114,21 +114,21 @@
 };
 struct RequestArrived {
   RequestId request;
-  ClassId cls;
+  ClassId class_id;
   GroupId group;
   Duration time_left{};
   std::optional<SessionId> session;
   std::optional<Duration> token_age;  // carried tokens; absent or zero: no write
 };
 /// A load report. Only what the host told is set.
-struct Report {
+struct LoadReport {
   std::optional<Time> position;
   std::optional<Role> role;
-  std::optional<double> queue;  // requests waiting there
-  std::optional<double> util;   // how busy its cores are, 1 at most
+  std::optional<double> queue_length;  // requests waiting there
+  std::optional<double> utilization;   // how busy its cores are, 1 at most
 };
 /// What an answer tells of its host. For a write that went through, `position` is its commit.
-struct Note {
+struct AnswerMetadata {
   Role role = Role::unknown;
   std::optional<Time> position;
 };
@@ -139,9 +139,10 @@
   Outcome outcome = Outcome::ok;
   Duration elapsed{};
   bool request_ended = false;
-  Note note;
-  Report report;
-  bool silent = false;  // of connect_failed: it did not come up in its time, rather than being refused
+  AnswerMetadata metadata;
+  LoadReport report;
+  bool connect_timed_out =
+      false;  // of connect_failed: it did not come up in its time, rather than being refused
 };
 struct AnswerStarted {
   RequestId request;
@@ -154,7 +155,7 @@
   HostId host;
   Outcome outcome = Outcome::ok;
   Duration elapsed{};
-  Report report;
+  LoadReport report;
 };
 struct TimerFired {
   std::uint64_t timer = 0;
@@ -168,8 +169,8 @@
 struct Send {
   RequestId request;
   HostId host;
-  Time stop_at{};
-  bool only_there =
+  Time give_up_at{};
+  bool sole_candidate =
       false;  // no other host can take it, or one has been left already: a slow connection is waited for
 };
 struct Cancel {
@@ -178,7 +179,7 @@
 };
 struct Refuse {
   RequestId request;
-  Duration pause{};
+  Duration retry_after{};
 };
 struct Fail {
   RequestId request;
@@ -190,35 +191,36 @@
   std::uint64_t timer = 0;
   Time due{};
 };
-struct Watch {};
-using Action = std::variant<Send, Cancel, Refuse, Fail, Probe, SetTimer, Watch>;
+struct OpenWatch {};
+using Action = std::variant<Send, Cancel, Refuse, Fail, Probe, SetTimer, OpenWatch>;
 
 // ---- what those who watch may see and change ------------------------------------------------------
 
 /// What the module believes of a group.
 struct GroupView {
   GroupId group;
-  bool primary = false;           // one is known that may be used now
-  int hosts = 0, out = 0;         // listed as ready; of them ejected or silent
+  bool has_primary = false;        // one is known that may be used now
+  int hosts = 0, unavailable = 0;  // listed as ready; of them ejected or silent
   int avoided = 0;                // of those out, sent nothing for two longest aims: no trial, no short pause
   int replicas = 0, lagging = 0;  // of them, known no better than past the tightest bound of a class
   int in_flight = 0, waiting = 0;
-  double window = 0;          // requests in flight that its hosts are believed to take well, over all
-  int primary_in_flight = 0;  // of these, the primary's; of those waiting, what only the primary can take
-  double primary_window = 0;
+  double concurrency_limit = 0;  // requests in flight that its hosts are believed to take well, over all
+  int primary_in_flight = 0;     // of these, the primary's; of those waiting, what only the primary can take
+  double primary_concurrency_limit = 0;
   int primary_waiting = 0;
 };
 /// Factors on the module's own figures, set while service is reduced.
 struct Tuning {
   double probe_rate = 1;    // 0.1 to 10
   double retry_budget = 1;  // 0 to 1
-  double spill = 1;  // 0 to 1: of the primary's window that reads may fill while replicas are only busy
+  double read_spillover =
+      1;  // 0 to 1: of the primary's window that reads may fill while replicas are only busy
 };
 
-struct Knowledge;  // cedarring/knowledge.h
+struct RouterSnapshot;  // cedarring/snapshot.h
 /// hosts: these alone. split: the other router begins now, and what may be spent is from here on in two
 /// parts, of which the other's is told; all but the sessions.
-enum class Tell { all, hosts, split };
+enum class SnapshotScope { all, hosts, split };
 
 /// One router's decisions. Not thread-safe; shares nothing with other instances.
 class Router {
@@ -235,30 +237,30 @@
   void handle(Time now, const Event& event, std::vector<Action>& out);
 
   /// Whether the host is still of interest; an id that is not may be forgotten by the caller.
-  [[nodiscard]] bool knows(HostId host) const;
+  [[nodiscard]] bool tracks(HostId host) const;
 
   /// By group. The time must not go back; no event is taken and nothing decided.
-  void view(Time now, std::vector<GroupView>& out);
-  void tune(const Tuning& tuning);
+  void group_views(Time now, std::vector<GroupView>& out);
+  void set_tuning(const Tuning& tuning);
   /// How many attempts may be out at once, 1 or more; what finds no place waits within its time. Those that
   /// are out already stay.
-  void limit(int places);
+  void set_max_in_flight(int places);
   /// Other settings from now on. Classes keep their numbers: there are as many as before or more, and one
   /// whose requests are open must not change. Throws as the constructor does, and then changes nothing.
-  void retune(Settings settings);
+  void update_settings(Settings settings);
 
   /// What it knows, for a router that takes its place.
-  [[nodiscard]] Knowledge known(Time now, Tell what);
+  [[nodiscard]] RouterSnapshot snapshot(Time now, SnapshotScope what);
   /// Takes over what another has told, where that is news; of hosts and classes that are known here.
-  void learn(Time now, const Knowledge& knowledge);
+  void merge_snapshot(Time now, const RouterSnapshot& knowledge);
   /// Another router may be spending, too, and has not told yet how much: nothing may be spent.
-  void follow();
+  void suspend_spending();
   /// From one window on this one may use this part of what may be spent on cold hosts: 1 where no other
   /// spends any more, less where one does and has not been heard.
-  void widen(Time now, double part);
+  void set_slow_start_share(Time now, double part);
 
   /// How many entries are held (requests, hosts, sessions): it stays bounded.
-  [[nodiscard]] std::size_t held() const;
+  [[nodiscard]] std::size_t entry_count() const;
 
  private:
   class Impl;
--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -65,14 +65,14 @@
 }
 
 /// Shares are over all gateways together: each keeps its part.
-std::vector<memory::Budget> read_budgets(const Json& settings, std::uint32_t gateways) {
-  std::vector<memory::Budget> budgets;
+std::vector<broker::TenantBudget> read_budgets(const Json& settings, std::uint32_t gateways) {
+  std::vector<broker::TenantBudget> budgets;
   const auto realms = settings.FindMember("realms");
   if (realms == settings.MemberEnd()) return budgets;
   if (!realms->value.IsArray()) throw ConfigError("settings.realms: not a list");
   for (const auto& r : realms->value.GetArray()) {
     if (!r.IsObject()) throw ConfigError("settings.realms: not a list of objects");
-    memory::Budget b;
+    broker::TenantBudget b;
     b.tenant = need_text(r, "name");
     const auto quota = r.FindMember("quota_per_s");
     if (quota != r.MemberEnd() && quota->value.IsNumber()) b.per_second = quota->value.GetDouble() / gateways;
@@ -179,13 +179,13 @@
   c.zones.clear();
   try {
     c.settings = parse_settings(facts, seed, "", c.zones, base);
-    c.settings.holding_costs =
+    c.settings.late_refusal_costs =
         true;  // PROTOCOL: refused after half its time and never sent costs 0.3 of its worth
     check(c.settings);
   } catch (const std::exception& e) {
     throw ConfigError(path + "settings." + e.what() + ": bad value");
   }
-  c.budgets = read_budgets(settings->value, c.settings.routers);
+  c.budgets = read_budgets(settings->value, c.settings.instance_count);
 }
 
 }  // namespace
@@ -293,19 +293,19 @@
   return c;
 }
 
-gates::Service ServiceConfig::for_gate(std::uint64_t salt) const {
-  gates::Service s;
+gates::ServiceInfo ServiceConfig::for_gate(std::uint64_t salt) const {
+  gates::ServiceInfo s;
   s.classes = settings.classes;
   s.tenants = budgets.size();
   s.max_pause = settings.max_retry_after;
-  s.pauses = settings.retry_after;
+  s.pauses = settings.retry_after_allowed;
   s.seed = settings.seed ^ salt;  // neither the router's own draws nor another gate's
   return s;
 }
 
-levels::Service ServiceConfig::for_levels() const { return for_gate(0x6c6576656c73ULL); }
+levels::ServiceInfo ServiceConfig::for_levels() const { return for_gate(0x6c6576656c73ULL); }
 
-contracts::Service ServiceConfig::for_contracts() const { return for_gate(0x7465726d73ULL); }
+contracts::ServiceInfo ServiceConfig::for_contracts() const { return for_gate(0x7465726d73ULL); }
 
 void read_gateway_file(const std::string& text, const std::string& name, Config& c) {
   c.file = parse_gateway_file(text, name);
--- a/src/app/config.h
+++ b/src/app/config.h
@@ -7,7 +7,7 @@
 #include "app/contracts_config.h"
 #include "app/gateway_file.h"
 #include "app/json_schema.h"
-#include "memory/broker.h"
+#include "broker/broker.h"
 #include "wire/dns.h"
 
 namespace cedarring::app {
@@ -17,18 +17,18 @@
   std::string listen, discovery;
   std::string zone_updates;  // where dynamic updates of the zone are taken; empty: there is no zone
   wire::dns::Zone zone;
-  memory::MemberList known;
+  broker::MemberList known;
   Settings settings;
-  std::vector<memory::Budget> budgets;
+  std::vector<broker::TenantBudget> budgets;
   std::vector<std::string> zones;
   std::optional<levels::Config> levels;      // absent: off
   std::optional<ContractsConfig> contracts;  // absent: off
-  [[nodiscard]] contracts::Service for_contracts() const;
+  [[nodiscard]] contracts::ServiceInfo for_contracts() const;
   /// What levels need to know of this service.
-  [[nodiscard]] levels::Service for_levels() const;
+  [[nodiscard]] levels::ServiceInfo for_levels() const;
 
  private:
-  [[nodiscard]] gates::Service for_gate(std::uint64_t salt) const;
+  [[nodiscard]] gates::ServiceInfo for_gate(std::uint64_t salt) const;
 };
 
 struct Config {
--- a/src/app/contracts_config.cpp
+++ b/src/app/contracts_config.cpp
@@ -53,7 +53,7 @@
 }  // namespace
 
 std::optional<ContractsConfig> contracts_of(const GatewayFile& file, const std::string& front,
-                                            const contracts::Service& service,
+                                            const contracts::ServiceInfo& service,
                                             const std::vector<std::string>& tenants) {
   const auto* section = file.section("contracts");
   if (!section) return std::nullopt;
@@ -97,14 +97,14 @@
                         "another name");
         contracts::ClassTerms terms;
         contracts::Terms base;
-        base.wanted = it->aim;
+        base.wanted = it->latency_target;
         terms.usual = terms_of(m.value, base);
         if (const auto* closure = member(m.value, "closure")) terms.closure = terms_of(*closure, terms.usual);
         team.classes[static_cast<std::size_t>(it - service.classes.begin())] = terms;
       }
     t.teams.push_back(std::move(team));
   }
-  if (const auto flaw = contracts::find_flaw(t, service))
+  if (const auto flaw = contracts::find_config_issue(t, service))
     throw ConfigError(file.name + ": /contracts" + flaw->where + ": " + flaw->what);
   return c;
 }
--- a/src/app/contracts_config.h
+++ b/src/app/contracts_config.h
@@ -19,7 +19,7 @@
 /// For the service of a front; nothing where it is off there. Throws ConfigError with the pointer of what
 /// does not fit.
 std::optional<ContractsConfig> contracts_of(const GatewayFile& file, const std::string& front,
-                                            const contracts::Service& service,
+                                            const contracts::ServiceInfo& service,
                                             const std::vector<std::string>& tenants);
 
 }  // namespace cedarring::app
--- a/src/app/contracts_runner.cpp
+++ b/src/app/contracts_runner.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 telemetry::Record record_of(const contracts::Breach& b, const std::string& front,
-                            const contracts::Config& config, const contracts::Service& service) {
+                            const contracts::Config& config, const contracts::ServiceInfo& service) {
   telemetry::Record r;
   r.at = b.to;
   r.kind = "breach";
@@ -40,7 +40,7 @@
 
 /// `cedarring report contracts` reads these: the names of readings are its columns.
 telemetry::Record record_of(const contracts::Closed& c, const std::string& front,
-                            const contracts::Config& config, const contracts::Service& service) {
+                            const contracts::Config& config, const contracts::ServiceInfo& service) {
   telemetry::Record r;
   r.at = c.to;
   r.kind = "ledger";
@@ -60,8 +60,8 @@
 }
 
 ContractsRunner::ContractsRunner(ev::loop_ref loop, std::string front, ContractsConfig config,
-                                 contracts::Service service, memory::Broker& broker,
-                                 memory::Broker::Clock clock, telemetry::Log& log)
+                                 contracts::ServiceInfo service, broker::Broker& broker,
+                                 broker::Broker::Clock clock, telemetry::Log& log)
     : front_(std::move(front)),
       service_(service),
       calendar_(config.calendar),
@@ -83,7 +83,7 @@
     contracts_.set_closures(closures_around(calendar_, now, days_ahead));
   }
   views_.clear();
-  broker_.view(views_);
+  broker_.group_views(views_);
   std::vector<contracts::Breach> breaches;
   std::vector<contracts::Closed> closed;
   contracts_.step(now, contracts::scarcity(views_), breaches, &closed);
--- a/src/app/contracts_runner.h
+++ b/src/app/contracts_runner.h
@@ -8,21 +8,22 @@
 #include <vector>
 
 #include "app/contracts_config.h"
-#include "memory/broker.h"
+#include "broker/broker.h"
 #include "telemetry/log.h"
 
 namespace cedarring::app {
 
 telemetry::Record record_of(const contracts::Breach& breach, const std::string& front,
-                            const contracts::Config& config, const contracts::Service& service);
+                            const contracts::Config& config, const contracts::ServiceInfo& service);
 
 telemetry::Record record_of(const contracts::Closed& closed, const std::string& front,
-                            const contracts::Config& config, const contracts::Service& service);
+                            const contracts::Config& config, const contracts::ServiceInfo& service);
 
 class ContractsRunner {
  public:
-  ContractsRunner(ev::loop_ref loop, std::string front, ContractsConfig config, contracts::Service service,
-                  memory::Broker& broker, memory::Broker::Clock clock, telemetry::Log& log);
+  ContractsRunner(ev::loop_ref loop, std::string front, ContractsConfig config,
+                  contracts::ServiceInfo service, broker::Broker& broker, broker::Broker::Clock clock,
+                  telemetry::Log& log);
   void reload(ContractsConfig config);
   /// What operators see: one JSON object.
   [[nodiscard]] std::string status() const;
@@ -32,11 +33,11 @@
   void beat(ev::timer&, int);
   void fill_closures();
   std::string front_;
-  contracts::Service service_;
+  contracts::ServiceInfo service_;
   Calendar calendar_;
   contracts::Contracts contracts_;
-  memory::Broker& broker_;
-  memory::Broker::Clock clock_;
+  broker::Broker& broker_;
+  broker::Broker::Clock clock_;
   telemetry::Log& log_;
   ev::timer timer_;
   Time filled_{};
--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -9,8 +9,8 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "handover/fields.h"
-#include "handover/knowledge_fields.h"
+#include "handover/json_archive.h"
+#include "handover/snapshot_fields.h"
 #include "wire/mysql_client.h"
 #include "wire/mysql_host.h"
 #include "wire/pg_client.h"
@@ -126,7 +126,7 @@
       if (link_) link_->send("role", std::string(word_of(role)) + ' ' + host);
     });
     // Before the client hears of it: what it asks the other process next finds it known there.
-    service->broker().on_commit([this, front = service->front()](const SessionKnowledge& s) {
+    service->broker().on_commit([this, front = service->front()](const SessionSnapshot& s) {
       if (link_) link_->send("commit", front + ' ' + handover::to_text(s));
     });
     if (const auto* s = known(service->front()); s && !s->parts.empty())
@@ -207,10 +207,10 @@
   const bool on = log_.config().least == telemetry::Level::debug;
   for (auto& s : services_) {
     if (!on) {
-      s->broker().on_course(nullptr);
+      s->broker().on_request_trace(nullptr);
       continue;
     }
-    s->broker().on_course([this](const memory::Course& c) {
+    s->broker().on_request_trace([this](const broker::RequestTrace& c) {
       const auto ms = [](Duration d) {
         char text[32];
         std::snprintf(text, sizeof text, "%.1f", static_cast<double>(d.count()) / 1000);
@@ -276,19 +276,19 @@
   w.StartArray();
   for (const auto& s : services_) {
     std::vector<GroupView> views;
-    s->broker().view(views);
+    s->broker().group_views(views);
     for (const auto& v : views) {
       w.StartObject();
       w.Key("front"), w.String(s->front().c_str());
       w.Key("group"), w.Int64(v.group.value);
-      w.Key("primary"), w.Bool(v.primary);
+      w.Key("primary"), w.Bool(v.has_primary);
       w.Key("hosts"), w.Int(v.hosts);
-      w.Key("out"), w.Int(v.out);
+      w.Key("out"), w.Int(v.unavailable);
       w.Key("replicas"), w.Int(v.replicas);
       w.Key("lagging"), w.Int(v.lagging);
       w.Key("in_flight"), w.Int(v.in_flight);
       w.Key("waiting"), w.Int(v.waiting);
-      w.Key("window"), w.Double(v.window);
+      w.Key("window"), w.Double(v.concurrency_limit);
       w.EndObject();
     }
   }
@@ -343,8 +343,8 @@
 }
 
 std::string Gateway::metrics() {
-  telemetry::Figures f;
-  for (auto& s : services_) s->broker().figures(f);
+  telemetry::Metrics f;
+  for (auto& s : services_) s->broker().collect_metrics(f);
   f.config_applied = applied_;
   f.config_rejected = rejected_;
   return telemetry::to_prometheus(f);
@@ -375,7 +375,7 @@
 
 bool Gateway::set_out(const std::string& host, bool out) {
   bool any = false;
-  for (auto& s : services_) any = s->broker().set_out(host, out) || any;
+  for (auto& s : services_) any = s->broker().set_disabled(host, out) || any;
   if (!any) return false;
   if (link_) link_->send(out ? "out" : "back", host);
   log_.write(telemetry::Level::warning, "operator",
@@ -451,15 +451,15 @@
 void Gateway::keep_in_step(ev::timer&, int) {
   if (!link_) return step_.stop();
   for (auto& s : services_) {
-    handover::HostsPart news;
-    for (auto& h : s->broker().known(Tell::hosts).hosts) {
+    handover::HostsSection news;
+    for (auto& h : s->broker().snapshot(SnapshotScope::hosts).hosts) {
       auto& told = told_[s->front() + ' ' + h.name];
-      const auto until = h.ejected ? clock_.now() + *h.ejected : Time{};
+      const auto until = h.ejection_remaining ? clock_.now() + *h.ejection_remaining : Time{};
       // The other's clock was read at another moment: what is later by less than a beat is the same ejection.
-      if (!h.ejected || until <= told + Duration(100'000)) continue;
+      if (!h.ejection_remaining || until <= told + Duration(100'000)) continue;
       told = until;
-      h.slowness = h.window = 0, h.load = -1;  // estimates are each process's own
-      h.cold.reset(), h.sent.clear();
+      h.relative_latency = h.concurrency_limit = 0, h.load = -1;  // estimates are each process's own
+      h.start_age.reset(), h.slow_start_sends.clear();
       news.k.hosts.push_back(std::move(h));
     }
     if (!news.k.hosts.empty()) link_->send("hosts", s->front() + ' ' + handover::to_text(news));
@@ -497,7 +497,7 @@
   share(true, 0);
 }
 
-handover::Shares Gateway::whole_of(const Service& s) const {
+handover::ResourceShares Gateway::whole_of(const Service& s) const {
   auto whole = s.whole();
   whole.memory = memory_;
   return whole;
@@ -506,7 +506,7 @@
 void Gateway::share(bool ends, std::size_t theirs) {
   for (auto& s : services_) {
     const auto whole = whole_of(*s);
-    const auto part = handover::share(whole, ends, ends ? whole.clients : theirs);
+    const auto part = handover::split_resources(whole, ends, ends ? whole.clients : theirs);
     wire::RingBuffer::set_bound(part.memory);
     s->limit(part);
   }
@@ -537,18 +537,18 @@
     }
     if (waits_for_yes_) serve();
   } else if (p.kind == "commit") {
-    const auto commit = handover::from_text<SessionKnowledge>(rest);
+    const auto commit = handover::from_text<SessionSnapshot>(rest);
     if (auto* s = service(word); s && commit) {
-      Knowledge k;
+      RouterSnapshot k;
       k.sessions.push_back(*commit);
-      s->broker().learn(std::move(k));
+      s->broker().merge_snapshot(std::move(k));
     }
   } else if (p.kind == "hosts") {
-    auto news = handover::from_text<handover::HostsPart>(rest);
+    auto news = handover::from_text<handover::HostsSection>(rest);
     if (auto* s = service(word); s && news) {
       for (const auto& h : news->k.hosts)
-        if (h.ejected) told_[s->front() + ' ' + h.name] = clock_.now() + *h.ejected;
-      s->broker().learn(std::move(news->k));
+        if (h.ejection_remaining) told_[s->front() + ' ' + h.name] = clock_.now() + *h.ejection_remaining;
+      s->broker().merge_snapshot(std::move(news->k));
     }
   } else if (p.kind == "serving" && !follows_ && !handing_) {
     split();  // one of a build that does not ask for it
@@ -573,10 +573,10 @@
     share(false, theirs_);
     make_admin();
   } else if (p.kind == "out" || p.kind == "back") {
-    for (auto& s : services_) s->broker().set_out(p.text, p.kind == "out", true);
+    for (auto& s : services_) s->broker().set_disabled(p.text, p.kind == "out", true);
   } else if (p.kind == "role") {
     if (!two) return;
-    for (auto& s : services_) s->broker().learn(rest, role_of(word), std::nullopt);
+    for (auto& s : services_) s->broker().observe(rest, role_of(word), std::nullopt);
   }
 }
 
@@ -621,7 +621,7 @@
 }
 
 void Gateway::last_call(ev::timer&, int) {
-  for (auto& s : services_) s->broker().last_call();
+  for (auto& s : services_) s->broker().begin_shutdown();
 }
 
 void Gateway::drain(ev::timer&, int) {
--- a/src/app/gateway.h
+++ b/src/app/gateway.h
@@ -57,7 +57,7 @@
   void peer_said(wire::Packet packet);
   void peer_ended();
   void share(bool ends, std::size_t theirs);
-  [[nodiscard]] handover::Shares whole_of(const Service& s) const;
+  [[nodiscard]] handover::ResourceShares whole_of(const Service& s) const;
   void make_admin();
   std::string metrics();
 
--- a/src/app/gateway_file.cpp
+++ b/src/app/gateway_file.cpp
@@ -35,7 +35,7 @@
 /// Reads levels in the names of one service; knows where it is, for errors.
 class LadderReader {
  public:
-  LadderReader(const std::string& file, const levels::Service& service,
+  LadderReader(const std::string& file, const levels::ServiceInfo& service,
                const std::vector<std::string>& tenants)
       : file_(file), service_(service), tenants_(tenants) {}
 
@@ -170,7 +170,7 @@
   }
 
   const std::string& file_;
-  const levels::Service& service_;
+  const levels::ServiceInfo& service_;
   const std::vector<std::string>& tenants_;
 };
 
@@ -203,7 +203,7 @@
 }
 
 std::optional<levels::Config> levels_of(const GatewayFile& file, const std::string& front,
-                                        const levels::Service& service,
+                                        const levels::ServiceInfo& service,
                                         const std::vector<std::string>& tenants) {
   const auto* section = file.section("levels");
   if (!section) return std::nullopt;
@@ -227,7 +227,7 @@
       auto& to = std::string(axis) == "pressure" ? config.pressure : config.faults;
       to.levels = reader.read(*ladder, std::string("/levels/") + axis, where[axis]);
     }
-  if (const auto flaw = levels::find_flaw(config, service)) {
+  if (const auto flaw = levels::find_config_issue(config, service)) {
     // The flaw's path counts levels in the order of the axis; the file has them in its own.
     auto at = "/levels" + flaw->where;
     for (const auto& [axis, places] : where)
@@ -244,7 +244,7 @@
   return config;
 }
 
-std::string levels_json(const levels::Config& config, const levels::Service& service,
+std::string levels_json(const levels::Config& config, const levels::ServiceInfo& service,
                         const std::vector<std::string>& tenants) {
   rapidjson::StringBuffer buffer;
   rapidjson::PrettyWriter<rapidjson::StringBuffer> w(buffer);
--- a/src/app/gateway_file.h
+++ b/src/app/gateway_file.h
@@ -30,11 +30,11 @@
 /// The section `levels` for the service of a front (`postgresql` or `mysql`); nothing where it is off there.
 /// Throws ConfigError with the pointer of what does not fit.
 std::optional<levels::Config> levels_of(const GatewayFile& file, const std::string& front,
-                                        const levels::Service& service,
+                                        const levels::ServiceInfo& service,
                                         const std::vector<std::string>& tenants);
 
 /// The effective ladder as JSON, in the form of the file.
-std::string levels_json(const levels::Config& config, const levels::Service& service,
+std::string levels_json(const levels::Config& config, const levels::ServiceInfo& service,
                         const std::vector<std::string>& tenants);
 
 }  // namespace cedarring::app
--- a/src/app/levels_runner.cpp
+++ b/src/app/levels_runner.cpp
@@ -16,7 +16,7 @@
   return text;
 }
 
-std::string subject_of(const levels::Condition& c, const levels::Service& service) {
+std::string subject_of(const levels::Condition& c, const levels::ServiceInfo& service) {
   std::string text = levels::info(c.reading).name;
   if (c.cls >= 0 && static_cast<std::size_t>(c.cls) < service.classes.size())
     text += "(" + service.classes[static_cast<std::size_t>(c.cls)].name + ")";
@@ -26,7 +26,7 @@
 }  // namespace
 
 telemetry::Record record_of(const levels::AxisChange& event, const std::string& front,
-                            const levels::Service& service) {
+                            const levels::ServiceInfo& service) {
   const auto& c = event.change;
   telemetry::Record r;
   r.at = c.at;
@@ -56,7 +56,7 @@
 }
 
 LevelsRunner::LevelsRunner(ev::loop_ref loop, std::string front, levels::Config config,
-                           levels::Service service, memory::Broker& broker, memory::Broker::Clock clock,
+                           levels::ServiceInfo service, broker::Broker& broker, broker::Broker::Clock clock,
                            Hooks hooks, telemetry::Log& log)
     : front_(std::move(front)),
       service_(service),
@@ -78,7 +78,7 @@
   state_.values.clear();
   state_.groups.clear();
   views_.clear();
-  broker_.view(views_);
+  broker_.group_views(views_);
   levels::tell_views(views_, now, state_);
   const auto inputs = hooks_.inputs();
   const auto tell = [&](levels::Reading r, double value) { state_.values.push_back({r, value, now}); };
@@ -101,7 +101,7 @@
 /// Puts in force what the present levels change besides what they shed.
 void LevelsRunner::carry_out() {
   const auto changes = levels_.changes();
-  broker_.tune({changes.probe_rate, changes.retry_budget, changes.spill});
+  broker_.set_tuning({changes.probe_rate, changes.retry_budget, changes.spill});
   hooks_.pool_size(changes.pool_size);
 }
 
--- a/src/app/levels_runner.h
+++ b/src/app/levels_runner.h
@@ -10,15 +10,15 @@
 #include <string>
 #include <vector>
 
+#include "broker/broker.h"
 #include "levels/levels.h"
-#include "memory/broker.h"
 #include "telemetry/log.h"
 
 namespace cedarring::app {
 
 /// The record of a change, in the words of the configuration.
 telemetry::Record record_of(const levels::AxisChange& event, const std::string& front,
-                            const levels::Service& service);
+                            const levels::ServiceInfo& service);
 
 class LevelsRunner {
  public:
@@ -30,8 +30,8 @@
     std::function<Inputs()> inputs;
     std::function<void(double)> pool_size;  // a factor on the host connections
   };
-  LevelsRunner(ev::loop_ref loop, std::string front, levels::Config config, levels::Service service,
-               memory::Broker& broker, memory::Broker::Clock clock, Hooks hooks, telemetry::Log& log);
+  LevelsRunner(ev::loop_ref loop, std::string front, levels::Config config, levels::ServiceInfo service,
+               broker::Broker& broker, broker::Broker::Clock clock, Hooks hooks, telemetry::Log& log);
   void reload(levels::Config config);
   /// False, with why, where it cannot be.
   bool pin(std::optional<GroupId> group, const std::string& level, Duration length, std::string& error);
@@ -40,18 +40,18 @@
   [[nodiscard]] std::string status() const;
   [[nodiscard]] const levels::Levels& levels() const { return levels_; }
   /// Takes over the levels of the process before.
-  void take(const levels::Carried& told) { levels_.take(told, clock_()), carry_out(); }
-  [[nodiscard]] const levels::Service& service() const { return service_; }
+  void take(const levels::Snapshot& told) { levels_.restore(told, clock_()), carry_out(); }
+  [[nodiscard]] const levels::ServiceInfo& service() const { return service_; }
 
  private:
   void beat(ev::timer&, int);
   void carry_out();
   void publish(std::vector<levels::AxisChange>& events);
   std::string front_;
-  levels::Service service_;
+  levels::ServiceInfo service_;
   levels::Levels levels_;
-  memory::Broker& broker_;
-  memory::Broker::Clock clock_;
+  broker::Broker& broker_;
+  broker::Broker::Clock clock_;
   Hooks hooks_;
   telemetry::Log& log_;
   ev::timer timer_;
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -2,15 +2,15 @@
 
 #include <algorithm>
 
-#include "contracts/carried.h"
-#include "handover/fields.h"
-#include "handover/knowledge_fields.h"
-#include "levels/carried.h"
-#include "memory/places.h"
+#include "broker/connection_limits.h"
+#include "contracts/snapshot.h"
+#include "handover/json_archive.h"
+#include "handover/snapshot_fields.h"
+#include "levels/snapshot.h"
 
 namespace cedarring::app {
 
-Service::Service(ev::loop_ref loop, wire::Reaper& reaper, memory::Broker::Clock clock, const ServiceConfig& c,
+Service::Service(ev::loop_ref loop, wire::Reaper& reaper, broker::Broker::Clock clock, const ServiceConfig& c,
                  const Parts& parts, std::size_t descriptors, std::string front, telemetry::Log& log,
                  wire::Fd listener, const ServiceState* before, wire::Fd updates)
     : loop_(loop),
@@ -23,7 +23,7 @@
       for_levels_(c.for_levels()),
       for_contracts_(c.for_contracts()),
       known_(before ? before->list : c.known),
-      upstream_(loop, reaper, clock, {c.settings.connect_timeout, c.settings.idle_close, descriptors / 4},
+      upstream_(loop, reaper, clock, {c.settings.connect_timeout, c.settings.idle_timeout, descriptors / 4},
                 parts.host, [this] { watch(); }),
       broker_(c.settings, c.budgets, c.zones, clock, upstream_),
       clients_(loop, reaper, broker_, c.listen, descriptors * 3 / 4, parts.client, std::move(listener)) {
@@ -32,40 +32,40 @@
   upstream_.on_full([this] { share_places(); });
   if (!c.discovery.empty())
     discovery_.emplace(
-        loop, reaper, c.discovery, known_.version, fleet::WatchTerms(c.settings.drain_grace),
-        wire::DiscoveryWatch::Events{[this](const memory::MemberList& list) { broker_.listed(list); },
+        loop, reaper, c.discovery, known_.version, fleet::WatchTiming(c.settings.drain_grace),
+        wire::DiscoveryWatch::Events{[this](const broker::MemberList& list) { broker_.listed(list); },
                                      [this] { broker_.list_failed(); }});
   if (!c.zone_updates.empty())
     zone_.emplace(
-        loop, c.zone_updates, c.zone, [this](const memory::MemberList& list) { broker_.listed(list); },
+        loop, c.zone_updates, c.zone, [this](const broker::MemberList& list) { broker_.listed(list); },
         std::move(updates));
   if (c.contracts) contracts_.emplace(loop_, front_, *c.contracts, for_contracts_, broker_, clock_, log_);
   if (c.levels) start_levels(*c.levels);
   broker_.start(known_);
   // Nobody asks for what is pushed, yet it comes on a watch.
-  if (discovery_ && own_.discovery == DiscoveryMode::push) discovery_->keep();
+  if (discovery_ && own_.discovery_mode == DiscoveryMode::push) discovery_->keep();
   if (!before) return;
-  for (const auto& id : before->out) broker_.set_out(id, true, true);
-  for (const auto& h : before->heard) broker_.learn(h.host, h.role, h.position);
+  for (const auto& id : before->out) broker_.set_disabled(id, true, true);
+  for (const auto& h : before->heard) broker_.observe(h.host, h.role, h.position);
   if (before->parts.empty()) return;  // of a build that tells none, and would not tell what is left
-  broker_.follow();
+  broker_.suspend_spending();
   if (contracts_) contracts_->contracts().follow(clock_());
 }
 
 StateParts Service::parts(bool split) {
   StateParts all;
-  auto k = broker_.known(split ? Tell::split : Tell::all);
+  auto k = broker_.snapshot(split ? SnapshotScope::split : SnapshotScope::all);
   // Commits that come after the first telling are told one by one.
-  if (!split) all["sessions"] = handover::to_text(handover::SessionsPart{k});
+  if (!split) all["sessions"] = handover::to_text(handover::SessionsSection{k});
   k.sessions.clear();
-  all["hosts"] = handover::to_text(handover::HostsPart{std::move(k)});
+  all["hosts"] = handover::to_text(handover::HostsSection{std::move(k)});
   if (!split) return all;
   all["tenants"] = handover::to_text(broker_.split_budgets());
   if (contracts_) {
     handed_ = contracts_->contracts().split(clock_());
     all["contracts"] = handover::to_text(*handed_);
   }
-  if (levels_) all["levels"] = handover::to_text(levels_->levels().carried(clock_()));
+  if (levels_) all["levels"] = handover::to_text(levels_->levels().snapshot(clock_()));
   return all;
 }
 
@@ -80,22 +80,22 @@
       spoilt.emplace_back(name);
   };
   read(
-      "sessions", handover::SessionsPart{}, [&](auto p) { broker_.learn(std::move(p.k)); });
+      "sessions", handover::SessionsSection{}, [&](auto p) { broker_.merge_snapshot(std::move(p.k)); });
   read(
-      "hosts", handover::HostsPart{}, [&](auto p) { broker_.learn(std::move(p.k)); });
+      "hosts", handover::HostsSection{}, [&](auto p) { broker_.merge_snapshot(std::move(p.k)); });
   read(
-      "tenants", memory::CarriedBudgets{}, [&](auto p) { broker_.take_budgets(p); });
+      "tenants", broker::BudgetSnapshots{}, [&](auto p) { broker_.take_budgets(p); });
   read(
-      "contracts", contracts::Carried{},
+      "contracts", contracts::Snapshot{},
       [&](auto p) {
-        if (contracts_) contracts_->contracts().take(p, clock_());
+        if (contracts_) contracts_->contracts().restore(p, clock_());
       });
-  read("levels", levels::Carried{}, [&](auto p) {
+  read("levels", levels::Snapshot{}, [&](auto p) {
     if (levels_) levels_->take(p);
   });
   // What cannot be read counts as spent.
   for (const auto& name : spoilt) {
-    if (name == "hosts") broker_.widen(0.5);
+    if (name == "hosts") broker_.set_slow_start_share(0.5);
     if (name == "tenants") broker_.take_budgets({});
     if (name == "contracts" && contracts_) contracts_->contracts().unheard(clock_());
   }
@@ -103,7 +103,7 @@
 }
 
 void Service::unheard() {
-  broker_.unheard();
+  broker_.assume_own_share();
   if (contracts_) contracts_->contracts().unheard(clock_());
 }
 
@@ -115,14 +115,14 @@
 std::vector<std::string> Service::book(const StateParts& told) {
   const auto it = told.find("contracts");
   if (it == told.end() || !contracts_) return {};
-  const auto booked = handover::from_text<contracts::Carried>(it->second);
+  const auto booked = handover::from_text<contracts::Snapshot>(it->second);
   if (!booked) return {"contracts"};
   contracts_->contracts().book(*booked);
   return {};
 }
 
 void Service::alone() {
-  broker_.alone();
+  broker_.resume_full_spending();
   if (!contracts_) return;
   if (handed_) contracts_->contracts().book(*handed_), handed_.reset();
   contracts_->contracts().alone(clock_());
@@ -135,10 +135,10 @@
     return upstream_.set_most(shares_.hosts), upstream_.trim(whole_.hosts);
   }
   const auto all = whole_.clients + whole_.hosts;
-  auto split = memory::split_places(all, clients_.taken(), upstream_.connections());
+  auto split = broker::split_connections(all, clients_.taken(), upstream_.connections());
   upstream_.set_most(split.hosts);
   upstream_.trim(split.hosts);
-  clients_.set_most(memory::split_places(all, clients_.taken(), upstream_.connections()).clients,
+  clients_.set_most(broker::split_connections(all, clients_.taken(), upstream_.connections()).clients,
                     whole_.clients);
 }
 
@@ -161,9 +161,9 @@
   auto settings = c.settings;
   settings.seed = own_.seed;
   settings.zone = own_.zone;
-  upstream_.set_times(settings.connect_timeout, settings.idle_close);
-  if (discovery_ && settings.discovery == DiscoveryMode::push) discovery_->keep();
-  broker_.retune(std::move(settings), c.budgets);
+  upstream_.set_times(settings.connect_timeout, settings.idle_timeout);
+  if (discovery_ && settings.discovery_mode == DiscoveryMode::push) discovery_->keep();
+  broker_.update_settings(std::move(settings), c.budgets);
 }
 
 Duration Service::longest_deadline() const {
--- a/src/app/service.h
+++ b/src/app/service.h
@@ -7,8 +7,8 @@
 #include "app/contracts_runner.h"
 #include "app/levels_runner.h"
 #include "app/successor.h"
-#include "handover/shares.h"
-#include "memory/broker.h"
+#include "broker/broker.h"
+#include "handover/resource_shares.h"
 #include "wire/client.h"
 #include "wire/discovery.h"
 #include "wire/upstream.h"
@@ -22,14 +22,14 @@
     wire::SocketUpstream::Make host;
     wire::ClientSet::Make client;
   };
-  Service(ev::loop_ref loop, wire::Reaper& reaper, memory::Broker::Clock clock, const ServiceConfig& config,
+  Service(ev::loop_ref loop, wire::Reaper& reaper, broker::Broker::Clock clock, const ServiceConfig& config,
           const Parts& parts, std::size_t descriptors, std::string front, telemetry::Log& log,
           wire::Fd listener = wire::Fd(), const ServiceState* before = nullptr,
           wire::Fd updates = wire::Fd());
   /// Whether what it would choose from is known: where lists are pushed, what they say counts from the first
   /// moment, so one has to have come.
   [[nodiscard]] bool informed() const {
-    return !discovery_ || own_.discovery != DiscoveryMode::push || discovery_->told();
+    return !discovery_ || own_.discovery_mode != DiscoveryMode::push || discovery_->told();
   }
   /// Takes clients from here on.
   void begin() { clients_.begin(); }
@@ -61,8 +61,8 @@
   [[nodiscard]] const wire::Fd* updates() const { return zone_ ? &zone_->socket() : nullptr; }
   [[nodiscard]] const wire::Fd& listener() const { return clients_.listener(); }
   [[nodiscard]] std::size_t clients() const { return clients_.size(); }
-  [[nodiscard]] const handover::Shares& whole() const { return whole_; }
-  void limit(const handover::Shares& shares) {
+  [[nodiscard]] const handover::ResourceShares& whole() const { return whole_; }
+  void limit(const handover::ResourceShares& shares) {
     shares_ = shares;
     clients_.set_room(shares.memory / 2);  // a quarter of the memory: buffers may have half
     share_places();
@@ -77,7 +77,7 @@
   /// Where updates of the zone are taken; empty without one.
   [[nodiscard]] std::string zone_address() const { return zone_ ? zone_->address() : std::string(); }
   [[nodiscard]] std::string address() const { return clients_.address(); }
-  [[nodiscard]] const std::deque<memory::Budget>& budgets() const { return broker_.budgets(); }
+  [[nodiscard]] const std::deque<broker::TenantBudget>& budgets() const { return broker_.budgets(); }
   [[nodiscard]] bool empty() const { return clients_.empty(); }
   /// Clients are taken, and there is a host to choose.
   [[nodiscard]] bool ready() const { return clients_.listening() && broker_.ready(); }
@@ -92,7 +92,7 @@
   void reload_contracts(const std::optional<ContractsConfig>& config);
   [[nodiscard]] const ContractsRunner* contracts() const { return contracts_ ? &*contracts_ : nullptr; }
   [[nodiscard]] LevelsRunner* levels() { return levels_ ? &*levels_ : nullptr; }
-  [[nodiscard]] memory::Broker& broker() { return broker_; }
+  [[nodiscard]] broker::Broker& broker() { return broker_; }
 
  private:
   void watch();
@@ -100,15 +100,15 @@
   void start_levels(const levels::Config& config);
   ev::loop_ref loop_;
   std::string front_;
-  memory::Broker::Clock clock_;
+  broker::Broker::Clock clock_;
   telemetry::Log& log_;
-  handover::Shares whole_, shares_;  // alone; now
-  Settings own_;                     // of the start
-  levels::Service for_levels_;
-  contracts::Service for_contracts_;
-  memory::MemberList known_;
+  handover::ResourceShares whole_, shares_;  // alone; now
+  Settings own_;                             // of the start
+  levels::ServiceInfo for_levels_;
+  contracts::ServiceInfo for_contracts_;
+  broker::MemberList known_;
   wire::SocketUpstream upstream_;
-  memory::Broker broker_;
+  broker::Broker broker_;
   // Without either of these the known list is all there is.
   std::optional<wire::DiscoveryWatch> discovery_;
   std::optional<wire::ZoneSource> zone_;
@@ -116,7 +116,7 @@
   std::optional<ContractsRunner>
       contracts_;  // the first gate: what is beyond a contract is what levels shed first
   std::optional<LevelsRunner> levels_;
-  std::optional<contracts::Carried> handed_;  // booked before the split: taken back where the other dies
+  std::optional<contracts::Snapshot> handed_;  // booked before the split: taken back where the other dies
 };
 
 }  // namespace cedarring::app
--- a/src/app/successor.cpp
+++ b/src/app/successor.cpp
@@ -31,13 +31,13 @@
   return role == Role::primary ? "primary" : role == Role::replica ? "replica" : "unknown";
 }
 
-ServiceState state_of(const std::string& front, const memory::HostTable& hosts) {
+ServiceState state_of(const std::string& front, const broker::HostTable& hosts) {
   ServiceState s;
   s.front = front;
   s.list = hosts.list();
-  s.out.assign(hosts.out().begin(), hosts.out().end());
+  s.out.assign(hosts.disabled().begin(), hosts.disabled().end());
   for (const auto& m : s.list.members)
-    if (const auto* h = hosts.heard(m.id); h && (h->position || h->role != Role::unknown))
+    if (const auto* h = hosts.observed(m.id); h && (h->position || h->role != Role::unknown))
       s.heard.push_back({m.id, h->role, h->position});
   return s;
 }
--- a/src/app/successor.h
+++ b/src/app/successor.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "memory/host_table.h"
+#include "broker/host_table.h"
 
 namespace cedarring::app {
 
@@ -16,7 +16,7 @@
 
 struct ServiceState {
   std::string front;
-  memory::MemberList list;
+  broker::MemberList list;
   std::vector<std::string> out;  // hosts left out by hand
   struct Heard {
     std::string host;
@@ -29,7 +29,7 @@
 
 std::string to_text(const std::vector<ServiceState>& services);
 std::optional<std::vector<ServiceState>> services_of(const std::string& text);
-ServiceState state_of(const std::string& front, const memory::HostTable& hosts);
+ServiceState state_of(const std::string& front, const broker::HostTable& hosts);
 Role role_of(const std::string& word);
 const char* word_of(Role role);
 
--- a/src/memory/broker.cpp
+++ b/src/broker/broker.cpp
@@ -1,9 +1,9 @@
-#include "memory/broker.h"
+#include "broker/broker.h"
 
 #include <algorithm>
 #include <iterator>
 
-namespace cedarring::memory {
+namespace cedarring::broker {
 namespace {
 
 // How long a class that was dropped may still be named: clients hear of a reload later than the gateway, 1.2
@@ -16,13 +16,13 @@
 
 /// With the settings' number of attempts, which belongs to what a request came in under.
 RequestClass with_attempts(RequestClass cls, const Settings& settings) {
-  if (cls.attempts == 0) cls.attempts = settings.max_attempts;
+  if (cls.max_attempts == 0) cls.max_attempts = settings.max_attempts;
   return cls;
 }
 
 }  // namespace
 
-Broker::Broker(Settings settings, const std::vector<Budget>& budgets, std::vector<std::string> zones,
+Broker::Broker(Settings settings, const std::vector<TenantBudget>& budgets, std::vector<std::string> zones,
                Clock clock, Upstream& upstream, std::size_t max_requests)
     : budgets_(budgets.begin(), budgets.end()),
       clock_(std::move(clock)),
@@ -41,7 +41,7 @@
   contracts_[index] = {cls, &counts_[cls.name], forever};
 }
 
-void Broker::retune(Settings settings, std::vector<Budget> budgets) {
+void Broker::update_settings(Settings settings, std::vector<TenantBudget> budgets) {
   const Time now = clock_();
   std::vector<bool> open(contracts_.size(), false), kept(contracts_.size(), false);
   for (const auto& [id, r] : requests_) open[static_cast<std::size_t>(r.ask.cls.value)] = true;
@@ -75,8 +75,8 @@
   }
   for (auto& b : budgets_) b.named = false;
   for (auto& b : budgets) {
-    const auto old =
-        std::find_if(budgets_.begin(), budgets_.end(), [&](const Budget& o) { return o.tenant == b.tenant; });
+    const auto old = std::find_if(budgets_.begin(), budgets_.end(),
+                                  [&](const TenantBudget& o) { return o.tenant == b.tenant; });
     if (old == budgets_.end())
       budgets_.push_back(std::move(b));
     else
@@ -85,15 +85,15 @@
   settings.classes.clear();
   for (const auto& c : contracts_) settings.classes.push_back(c.cls);
   settings_ = std::move(settings);
-  router_.retune(settings_);
+  router_.update_settings(settings_);
 }
 
 void Broker::start(const MemberList& known) {
   feed(Started{});
-  feed(MembersListed{ListKind::cached, hosts_.take(known)});
+  feed(MembersListed{ListKind::cached, hosts_.apply(known)});
 }
 
-Rejection Broker::accept(const Ask& ask, Front& front, RequestId& id) {
+Rejection Broker::accept(const ClientRequest& ask, FrontEnd& front, RequestId& id) {
   const Time now = clock_();
   const auto contract = std::find_if(contracts_.begin(), contracts_.end(), [&](const Contract& c) {
     return c.cls.name == ask.contract && now < c.until;
@@ -109,9 +109,9 @@
   return rejection;
 }
 
-Rejection Broker::take(const Ask& ask, ClassId cls, Front& front, RequestId& id) {
+Rejection Broker::take(const ClientRequest& ask, ClassId cls, FrontEnd& front, RequestId& id) {
   const auto budget = std::find_if(budgets_.begin(), budgets_.end(),
-                                   [&](const Budget& b) { return b.named && b.tenant == ask.tenant; });
+                                   [&](const TenantBudget& b) { return b.named && b.tenant == ask.tenant; });
   if (!budgets_.empty() && budget == budgets_.end()) return Rejection::unknown_tenant;
   if (!hosts_.has_group(ask.group)) return Rejection::unknown_group;
   if (requests_.size() >= max_requests_) return Rejection::overfull;
@@ -145,13 +145,13 @@
     // The router never learns of it: the answer is given here and now. The caller's own place for the id may
     // go with it.
     const RequestId mine = id;
-    end(mine, {End::refused, verdict.pause, {}, {}, {}, verdict}, verdict.by);
+    end(mine, {AnswerStatus::refused, verdict.retry_after, {}, {}, {}, verdict}, verdict.decided_by);
     settle(mine);
     return Rejection::none;
   }
   RequestArrived event;
   event.request = id;
-  event.cls = r.ask.cls;
+  event.class_id = r.ask.cls;
   event.group = ask.group;
   event.time_left = deadline - now;
   event.session = ask.session;
@@ -171,7 +171,7 @@
     ++r.gates_asked;
     const auto verdict = gate->admit(r.ask, now);
     if (!verdict.admitted) return verdict;
-    r.ask.beyond_budget |= verdict.beyond;
+    r.ask.beyond_budget |= verdict.beyond_contract;
   }
   return {};
 }
@@ -180,7 +180,7 @@
   const auto it = requests_.find(id.value);
   if (it == requests_.end() || it->second.ended) return;
   close(it->second);
-  count(it->second, gates::End::left);
+  count(it->second, gates::RequestEnd::abandoned);
   it->second.front = nullptr;
   feed(ClientLeft{id});
   give_up(id);
@@ -193,13 +193,13 @@
   const auto attempts = left->second.attempts;
   for (std::uint32_t i = 0; i < attempts.size(); ++i)
     if (attempts[i].out) {
-      upstream_.abandon({id, i});
+      upstream_.cancel({id, i});
       attempt_ended({id, i}, {Outcome::cancelled, {}, {}, {}, {}});
     }
   settle(id);
 }
 
-void Broker::last_call() {
+void Broker::begin_shutdown() {
   closing_ = true;
   std::vector<RequestId> open;
   for (const auto& [id, r] : requests_)
@@ -207,7 +207,7 @@
   for (const auto id : open) {
     const auto it = requests_.find(id.value);
     if (it == requests_.end() || it->second.ended) continue;
-    const auto how = it->second.ran || it->second.out > 0 ? End::failed : End::refused;
+    const auto how = it->second.ran || it->second.out > 0 ? AnswerStatus::failed : AnswerStatus::refused;
     end(id, {how, {}, {}, {}, {}, {}}, gates::Decider::nobody);
     feed(ClientLeft{id});
     give_up(id);
@@ -228,7 +228,7 @@
 void Broker::more(RequestId id) {
   const auto it = requests_.find(id.value);
   if (it == requests_.end() || it->second.ended || !it->second.streaming) return;
-  upstream_.more({id, static_cast<std::uint32_t>(it->second.attempts.size() - 1)});
+  upstream_.resume({id, static_cast<std::uint32_t>(it->second.attempts.size() - 1)});
 }
 
 void Broker::attempt_written(AttemptKey key) {
@@ -236,14 +236,14 @@
   if (it != requests_.end()) ++contracts_[static_cast<std::size_t>(it->second.ask.cls.value)].counts->tries;
 }
 
-void Broker::figures(telemetry::Figures& out) {
+void Broker::collect_metrics(telemetry::Metrics& out) {
   for (const auto& [name, counts] : counts_) out.classes[name] += counts;
   out.active += names_.size();
   out.pool_size += hosts_.listed();
   std::vector<GroupView> views;
-  view(views);
+  group_views(views);
   for (const auto& v : views) out.pool_ejected += static_cast<std::uint64_t>(v.avoided);
-  out.pool_ejected += hosts_.listed_out();
+  out.pool_ejected += hosts_.listed_disabled();
 }
 
 void Broker::attempt_ended(AttemptKey key, AttemptResult result) {
@@ -261,82 +261,83 @@
   event.outcome = result.outcome;
   event.elapsed = a.took = clock_() - a.sent;
   a.outcome = result.outcome;
-  event.note = result.note;
+  event.metadata = result.metadata;
   event.report = result.report;
-  event.silent = result.silent;
+  event.connect_timed_out = result.connect_timed_out;
   r.why = result.outcome;
-  r.ran |= result.outcome != Outcome::connect_failed && result.outcome != Outcome::moot &&
-           result.outcome != Outcome::full && result.outcome != Outcome::miss;
+  r.ran |= result.outcome != Outcome::connect_failed && result.outcome != Outcome::not_sent &&
+           result.outcome != Outcome::full && result.outcome != Outcome::too_stale;
   r.message = std::move(result.message);
   // A write's position is its commit, which its primary alone is known to hold.
   const bool commit =
       contracts_[static_cast<std::size_t>(r.ask.cls.value)].cls.freshness == Freshness::write &&
-      result.note.role != Role::replica;
-  hear(a.host, result.note.role, commit ? std::nullopt : result.note.position);
+      result.metadata.role != Role::replica;
+  hear(a.host, result.metadata.role, commit ? std::nullopt : result.metadata.position);
   // What a host has served ends the request: the router learns of both at once, then the client gets it.
-  Front* front = nullptr;
+  FrontEnd* front = nullptr;
   if (result.outcome == Outcome::ok && !r.ended) {
     front = std::exchange(r.front, nullptr);
     close(r);
-    count(r, gates::End::served);
+    count(r, gates::RequestEnd::served);
     if (commit && commit_ && r.session)
-      commit_({r.ask.group, *r.session, result.note.position.value_or(clock_())});
+      commit_({r.ask.group, *r.session, result.metadata.position.value_or(clock_())});
   }
   event.request_ended = r.ended;
   feed(event);
   settle(key.request);
-  if (front) front->finish(key.request, {End::served, {}, std::move(result.value), {}, {}, {}});
+  if (front) front->finish(key.request, {AnswerStatus::served, {}, std::move(result.value), {}, {}, {}});
 }
 
 void Broker::hear(HostId host, Role role, std::optional<Time> position) {
-  if (hosts_.hear(host, role, position, clock_()) && role_told_) role_told_(hosts_.name(host), role);
+  if (hosts_.observe(host, role, position, clock_()) && role_told_) role_told_(hosts_.name(host), role);
 }
 
-bool Broker::set_out(const std::string& host, bool out, bool sure) {
-  const auto entry = hosts_.set_out(host, out, clock_(), sure);
+bool Broker::set_disabled(const std::string& host, bool out, bool sure) {
+  const auto entry = hosts_.set_disabled(host, out, clock_(), sure);
   if (!entry) return false;
   if (entry->host == HostId{}) return true;  // not listed now: it is still out when it returns
   feed(MembersListed{ListKind::delta, {*entry}});
-  if (entry->state != HostState::ready) upstream_.closed(entry->host);
+  if (entry->state != HostState::ready) upstream_.close_idle(entry->host);
   return true;
 }
 
-void Broker::learn(const std::string& host, Role role, std::optional<Time> position) {
+void Broker::observe(const std::string& host, Role role, std::optional<Time> position) {
   const auto id = hosts_.find(host);
   if (!id) return;
-  hosts_.hear(*id, role, position, clock_());
-  Report report;
+  hosts_.observe(*id, role, position, clock_());
+  LoadReport report;
   // A primary stands at the present, so an old position would make it look like one that has stopped.
   if (role != Role::primary) report.position = position;
   if (role != Role::unknown) report.role = role;
   feed(ProbeEnded{*id, Outcome::ok, std::chrono::milliseconds(1), report});
 }
 
-Knowledge Broker::known(Tell what) {
-  auto k = router_.known(clock_(), what);
+RouterSnapshot Broker::snapshot(SnapshotScope what) {
+  auto k = router_.snapshot(clock_(), what);
   for (auto& h : k.hosts) h.name = hosts_.name(h.host);
   return k;
 }
 
-void Broker::learn(Knowledge k) {
+void Broker::merge_snapshot(RouterSnapshot k) {
   for (auto& h : k.hosts) h.host = hosts_.find(h.name).value_or(HostId{});
-  router_.learn(clock_(), k);
+  router_.merge_snapshot(clock_(), k);
 }
 
-CarriedBudgets Broker::split_budgets() {
-  CarriedBudgets all;
+BudgetSnapshots Broker::split_budgets() {
+  BudgetSnapshots all;
   for (auto& b : budgets_) {
     b.refill(clock_());
-    const double theirs = handover::portion(handover::Stage::begins, b.per_second);
+    const double theirs = handover::budget_share(handover::HandoverStage::incoming, b.per_second);
     all[b.tenant] = {theirs, b.left * theirs};
-    b.part = handover::portion(handover::Stage::ends, b.per_second), b.left *= b.part;
+    b.part = handover::budget_share(handover::HandoverStage::outgoing, b.per_second), b.left *= b.part;
   }
   return all;
 }
 
-void Broker::take_budgets(const CarriedBudgets& told) {
+void Broker::take_budgets(const BudgetSnapshots& told) {
   for (auto& b : budgets_)
-    b.part = handover::portion(handover::Stage::begins, b.per_second), b.left = 0, b.at = clock_();
+    b.part = handover::budget_share(handover::HandoverStage::incoming, b.per_second), b.left = 0,
+    b.at = clock_();
   for (auto& b : budgets_)
     if (const auto it = told.find(b.tenant); it != told.end()) {
       b.at = clock_();
@@ -345,31 +346,31 @@
     }
 }
 
-void Broker::follow() {
-  router_.follow();
+void Broker::suspend_spending() {
+  router_.suspend_spending();
   for (auto& b : budgets_) b.part = b.left = 0, b.at = clock_();
 }
 
-void Broker::unheard() {
-  widen(0.5);
+void Broker::assume_own_share() {
+  set_slow_start_share(0.5);
   take_budgets({});
 }
 
-void Broker::alone() {
-  widen(1);
+void Broker::resume_full_spending() {
+  set_slow_start_share(1);
   for (auto& b : budgets_) b.refill(clock_()), b.part = 1;
 }
 
-void Broker::probe_ended(HostId host, Outcome outcome, Duration elapsed, const Report& report) {
+void Broker::probe_ended(HostId host, Outcome outcome, Duration elapsed, const LoadReport& report) {
   hear(host, report.role.value_or(Role::unknown), report.position);
   feed(ProbeEnded{host, outcome, elapsed, report});
 }
 
 void Broker::listed(const MemberList& list) {
-  feed(MembersListed{list.full ? ListKind::full : ListKind::delta, hosts_.take(list)});
-  for (const auto host : hosts_.closed()) upstream_.closed(host);
+  feed(MembersListed{list.full ? ListKind::full : ListKind::delta, hosts_.apply(list)});
+  for (const auto host : hosts_.closed()) upstream_.close_idle(host);
   // While the router is being fed it has not seen this list yet: it would seem to know none of the new hosts.
-  if (!feeding_) hosts_.prune([this](HostId id) { return router_.knows(id); });
+  if (!feeding_) hosts_.prune([this](HostId id) { return router_.tracks(id); });
 }
 
 void Broker::list_failed() { feed(MembersListed{ListKind::failed, {}}); }
@@ -398,20 +399,20 @@
     const auto it = requests_.find(c->request.value);
     if (it == requests_.end() || c->attempt >= it->second.attempts.size()) return;
     if (!it->second.attempts[c->attempt].out) return;
-    upstream_.abandon({c->request, c->attempt});
+    upstream_.cancel({c->request, c->attempt});
     attempt_ended({c->request, c->attempt}, {Outcome::cancelled, {}, {}, {}, {}});
   } else if (const auto* r = std::get_if<Refuse>(&action)) {
-    end(r->request, {End::refused, r->pause, {}, {}, {}, {}}, gates::Decider::router);
+    end(r->request, {AnswerStatus::refused, r->retry_after, {}, {}, {}, {}}, gates::Decider::router);
     settle(r->request);
   } else if (const auto* f = std::get_if<Fail>(&action)) {
-    end(f->request, {End::failed, {}, {}, {}, {}, {}}, gates::Decider::router);
+    end(f->request, {AnswerStatus::failed, {}, {}, {}, {}, {}}, gates::Decider::router);
     settle(f->request);
   } else if (const auto* p = std::get_if<Probe>(&action)) {
     upstream_.probe(p->host, hosts_.address(p->host));
   } else if (const auto* t = std::get_if<SetTimer>(&action)) {
-    upstream_.wake_at(t->due);
-  } else if (std::holds_alternative<Watch>(action)) {
-    upstream_.watch();
+    upstream_.set_timer(t->due);
+  } else if (std::holds_alternative<OpenWatch>(action)) {
+    upstream_.open_watch();
   }
 }
 
@@ -423,53 +424,57 @@
   r.attempts.push_back({send.host, now, true});
   ++r.out;
   const AttemptKey key{send.request, number};
-  const Time stop_at = send.stop_at > Time::zero() ? std::min(send.stop_at, r.deadline) : r.deadline;
+  const Time stop_at = send.give_up_at > Time::zero() ? std::min(send.give_up_at, r.deadline) : r.deadline;
   // A request that ended while this action waited is not sent at all: nobody would take its answer.
   const bool barred =
       number > 0 && std::any_of(gates_.begin(), gates_.begin() + static_cast<std::ptrdiff_t>(r.gates_asked),
-                                [&](auto* gate) { return !gate->may_repeat(r.ask, now); });
+                                [&](auto* gate) { return !gate->may_retry(r.ask, now); });
   const bool waited = number > 0 || now - r.taken > unseen_most;
   if (!r.ended && waited && r.front && r.front->gone()) return client_left(send.request);
   if (r.ended || barred || clock_() >= stop_at)
-    return attempt_ended(key, {Outcome::moot, {}, {}, {}, {}, {}});
+    return attempt_ended(key, {Outcome::not_sent, {}, {}, {}, {}, {}});
   const auto work = r.work;
-  upstream_.start(key, send.host, hosts_.address(send.host), work, stop_at, send.only_there);
+  upstream_.start(key, send.host, hosts_.address(send.host), work, stop_at, send.sole_candidate);
 }
 
 void Broker::end(RequestId id, FinalAnswer answer, gates::Decider by) {
   const auto it = requests_.find(id.value);
   if (it == requests_.end() || it->second.ended) return;
-  if (it->second.streaming) answer = {}, answer.broken_off = true;
+  if (it->second.streaming) answer = {}, answer.truncated = true;
   close(it->second);
-  count(it->second, answer.end == End::refused ? gates::End::refused : gates::End::failed, by,
-        answer.verdict.why);
-  if (answer.end == End::failed) answer.message = std::move(it->second.message), answer.why = it->second.why;
+  count(it->second,
+        answer.status == AnswerStatus::refused ? gates::RequestEnd::refused : gates::RequestEnd::failed, by,
+        answer.verdict.reason);
+  if (answer.status == AnswerStatus::failed)
+    answer.message = std::move(it->second.message), answer.last_outcome = it->second.why;
   if (auto* front = std::exchange(it->second.front, nullptr)) front->finish(id, std::move(answer));
 }
 
-void Broker::count(Request& r, gates::End end, gates::Decider by, gates::Reason why) {
+void Broker::count(Request& r, gates::RequestEnd end, gates::Decider by, gates::Reason why) {
   r.how = end;
   if (r.gates_asked > 0) {
     const Time now = clock_();
     for (std::size_t i = 0; i < r.gates_asked; ++i)
-      gates_[i]->ended(r.ask, {end, by, why, r.ran, now - r.taken}, now);
+      gates_[i]->on_request_end(r.ask, {end, by, why, r.ran, now - r.taken}, now);
   }
-  if (end == gates::End::left) return;
+  if (end == gates::RequestEnd::abandoned) return;
   auto& counts = *contracts_[static_cast<std::size_t>(r.ask.cls.value)].counts;
-  ++(end == gates::End::served ? counts.ok : end == gates::End::refused ? counts.shed : counts.errors);
+  ++(end == gates::RequestEnd::served    ? counts.ok
+     : end == gates::RequestEnd::refused ? counts.shed
+                                         : counts.errors);
   if (!r.budget) return;
-  ++(end == gates::End::served    ? r.budget->served
-     : end == gates::End::refused ? r.budget->refused
-                                  : r.budget->failed);
+  ++(end == gates::RequestEnd::served    ? r.budget->served
+     : end == gates::RequestEnd::refused ? r.budget->refused
+                                         : r.budget->failed);
 }
 
-void Budget::refill(Time now) {
+void TenantBudget::refill(Time now) {
   const double passed = static_cast<double>((now - at).count()) / 1e6, rate = per_second * part;
   left = at == Time{} ? rate : std::min(rate, left + passed * rate);
   at = now;
 }
 
-bool Budget::draw(Time now) {
+bool TenantBudget::draw(Time now) {
   refill(now);
   if (left < 1) return false;
   left -= 1;
@@ -490,7 +495,7 @@
 }
 
 void Broker::tell_course(const Request& r) const {
-  Course c;
+  RequestTrace c;
   c.name = r.name;
   c.contract = contracts_[static_cast<std::size_t>(r.ask.cls.value)].cls.name;
   c.group = r.ask.group;
@@ -502,4 +507,4 @@
   course_(c);
 }
 
-}  // namespace cedarring::memory
+}  // namespace cedarring::broker
--- a/src/memory/broker.h
+++ b/src/broker/broker.h
@@ -1,4 +1,4 @@
-// The broker: requests, attempts, contracts and budgets. It drives the Router and knows no wire: a Front
+// The broker: requests, attempts, contracts and budgets. It drives the Router and knows no wire: a FrontEnd
 // takes final answers, an Upstream carries attempts out. Decides nothing itself.
 #pragma once
 
@@ -14,22 +14,22 @@
 #include <utility>
 #include <vector>
 
-#include "cedarring/knowledge.h"
+#include "broker/host_table.h"
 #include "cedarring/router.h"
+#include "cedarring/snapshot.h"
 #include "gates/gate.h"
-#include "handover/portion.h"
-#include "memory/host_table.h"
-#include "telemetry/figures.h"
+#include "handover/budget_share.h"
+#include "telemetry/metrics.h"
 
-namespace cedarring::memory {
+namespace cedarring::broker {
 
 /// What a front wants done: opaque here, understood by the upstream of the same protocol.
-struct Work {
-  virtual ~Work() = default;
+struct RequestPayload {
+  virtual ~RequestPayload() = default;
 };
 
 /// A request in the terms of its contract.
-struct Ask {
+struct ClientRequest {
   std::string name;      // its id among the clients' open requests
   std::string contract;  // the class's name
   std::string tenant;
@@ -39,26 +39,26 @@
   std::optional<SessionId> session;
   std::optional<Time> after;  // the position that the read has to see
   bool retry = false;         // marked by the client as one
-  std::shared_ptr<const Work> work;
+  std::shared_ptr<const RequestPayload> work;
 };
 
-enum class End { served, refused, failed };
+enum class AnswerStatus { served, refused, failed };
 struct FinalAnswer {
-  End end = End::failed;
-  Duration pause{};            // of a refusal: when to come back
-  std::string value;           // of what was served: as the upstream gave it
-  std::string message;         // of a failure: what the host said, if anything
-  std::optional<Outcome> why;  // of a failure: how the last attempt ended
-  gates::Verdict verdict;      // of a refusal by a gate: who, and why
-  bool broken_off = false;     // parts of a value have been passed on, and the rest does not come
+  AnswerStatus status = AnswerStatus::failed;
+  Duration retry_after{};               // of a refusal: when to come back
+  std::string value;                    // of what was served: as the upstream gave it
+  std::string message;                  // of a failure: what the host said, if anything
+  std::optional<Outcome> last_outcome;  // of a failure: how the last attempt ended
+  gates::Verdict verdict;               // of a refusal by a gate: who, and why
+  bool truncated = false;               // parts of a value have been passed on, and the rest does not come
 };
 
-class Front {
+class FrontEnd {
  public:
-  virtual ~Front() = default;
+  virtual ~FrontEnd() = default;
   /// A part of a long answer, before the final one: false if no more may come until Broker::more.
   virtual bool part(RequestId /*request*/, std::string_view /*bytes*/) { return true; }
-  /// The one final answer of a request; behind parts its value is what follows them, or `broken_off` is set.
+  /// The one final answer of a request; behind parts its value is what follows them, or `truncated` is set.
   virtual void finish(RequestId request, FinalAnswer answer) = 0;
   /// Whether nobody is there any more to take an answer, heard of or not.
   [[nodiscard]] virtual bool gone() const { return false; }
@@ -72,11 +72,11 @@
 /// How an attempt ended, as told by the upstream.
 struct AttemptResult {
   Outcome outcome = Outcome::ok;
-  Note note;
-  Report report;
+  AnswerMetadata metadata;
+  LoadReport report;
   std::string value;
   std::string message;
-  bool silent = false;  // of connect_failed: nothing came in its time
+  bool connect_timed_out = false;  // of connect_failed: nothing came in its time
 };
 
 /// Carries attempts, probes and the watch out. Results may come before the call returns.
@@ -85,20 +85,20 @@
   virtual ~Upstream() = default;
   /// `only_there`: no other host can take it, so that a connection is waited for as long as may be.
   virtual void start(AttemptKey key, HostId host, const std::string& address,
-                     const std::shared_ptr<const Work>& work, Time stop_at, bool only_there) = 0;
-  virtual void abandon(AttemptKey key) = 0;
+                     const std::shared_ptr<const RequestPayload>& work, Time stop_at, bool only_there) = 0;
+  virtual void cancel(AttemptKey key) = 0;
   virtual void probe(HostId host, const std::string& address) = 0;
-  virtual void watch() = 0;
-  virtual void wake_at(Time due) = 0;
+  virtual void open_watch() = 0;
+  virtual void set_timer(Time due) = 0;
   /// The front has room for more of an attempt's answer.
-  virtual void more(AttemptKey /*key*/) {}
+  virtual void resume(AttemptKey /*key*/) {}
   /// Hosts that are no longer listed as ready: idle connections to them are of no more use.
-  virtual void closed(HostId host) = 0;
+  virtual void close_idle(HostId host) = 0;
 };
 
 /// A tenant's share of the service, and what it has made of it at this gateway. It is kept, not enforced:
 /// what to give up in overload is the router's to decide.
-struct Budget {
+struct TenantBudget {
   std::string tenant;
   double per_second = 0;                                                   // this gateway's part of the share
   std::uint64_t asked = 0, over = 0, served = 0, refused = 0, failed = 0;  // over: asked beyond the share
@@ -112,21 +112,21 @@
 };
 
 /// What is left of a tenant's share, for the process that is told.
-struct CarriedBudget {
+struct BudgetSnapshot {
   double part = 0, left = 0;
 };
-template <class A>
-void fields(A& a, CarriedBudget& b) {
-  a("part", b.part), a("left", b.left);
+template <class Archive>
+void serialize(Archive& archive, BudgetSnapshot& b) {
+  archive("part", b.part), archive("left", b.left);
 }
-using CarriedBudgets = std::map<std::string, CarriedBudget>;  // by tenant
+using BudgetSnapshots = std::map<std::string, BudgetSnapshot>;  // by tenant
 
 /// late: its time ran out before its turn came, nothing has run.
 enum class Rejection { none, unknown_contract, unknown_tenant, unknown_group, name_in_use, overfull, late };
 
 /// A request that is over, for those who look for what became of it.
-struct Course {
-  struct Leg {
+struct RequestTrace {
+  struct AttemptTrace {
     std::string host;
     Duration sent{}, took{};  // since the request was taken; until it ended
     Outcome outcome = Outcome::ok;
@@ -135,8 +135,8 @@
   GroupId group;
   bool retry = false;
   Duration elapsed{};  // until its final answer, or until its client left
-  gates::End end = gates::End::failed;
-  std::vector<Leg> legs;
+  gates::RequestEnd end = gates::RequestEnd::failed;
+  std::vector<AttemptTrace> legs;
 };
 
 class Broker {
@@ -144,18 +144,18 @@
 
  public:
   using Clock = std::function<Time()>;
-  Broker(Settings settings, const std::vector<Budget>& budgets, std::vector<std::string> zones, Clock clock,
-         Upstream& upstream, std::size_t max_requests = 20000);
+  Broker(Settings settings, const std::vector<TenantBudget>& budgets, std::vector<std::string> zones,
+         Clock clock, Upstream& upstream, std::size_t max_requests = 20000);
   /// Puts a gate behind those there are: a request passes them in this order, then the router. Not owned.
   void add_gate(gates::Gate& gate) { gates_.push_back(&gate); }
 
   void start(const MemberList& known);
   /// Takes a request, or says why not; `id` is set before the front can be called.
-  Rejection accept(const Ask& ask, Front& front, RequestId& id);
+  Rejection accept(const ClientRequest& ask, FrontEnd& front, RequestId& id);
   void client_left(RequestId id);
   /// The process is about to be ended: what it still holds is answered at once, refused where nothing may
   /// have run, and what comes from now on is refused. A long answer that is being passed on goes on.
-  void last_call();
+  void begin_shutdown();
   /// The last byte of an attempt has left for its host.
   void attempt_written(AttemptKey key);
   /// A part of a long answer has come. From the first on no other attempt follows. False: wait for
@@ -164,56 +164,58 @@
   /// The front has room for more of what a request is answered with.
   void more(RequestId id);
   void attempt_ended(AttemptKey key, AttemptResult result);
-  void probe_ended(HostId host, Outcome outcome, Duration elapsed, const Report& report);
+  void probe_ended(HostId host, Outcome outcome, Duration elapsed, const LoadReport& report);
   void listed(const MemberList& list);
   void list_failed();
   /// Leaves a host out by hand, or takes it back; false if nobody has the id.
-  bool set_out(const std::string& host, bool out, bool sure = false);
+  bool set_disabled(const std::string& host, bool out, bool sure = false);
   [[nodiscard]] const HostTable& hosts() const { return hosts_; }
   /// What the other process of this gateway has heard of a host.
-  void learn(const std::string& host, Role role, std::optional<Time> position);
+  void observe(const std::string& host, Role role, std::optional<Time> position);
   // Two processes of one gateway, see docs/service.md.
   /// What the router knows, hosts by name.
-  Knowledge known(Tell what);
-  void learn(Knowledge knowledge);
+  RouterSnapshot snapshot(SnapshotScope what);
+  void merge_snapshot(RouterSnapshot knowledge);
   /// What is left of tenants' shares; the other's part is told.
-  CarriedBudgets split_budgets();
-  void take_budgets(const CarriedBudgets& told);
+  BudgetSnapshots split_budgets();
+  void take_budgets(const BudgetSnapshots& told);
   /// Another process may be spending, and has not told yet: nothing is left.
-  void follow();
+  void suspend_spending();
   /// It does not tell: this process has its part from here on, and nothing is saved.
-  void unheard();
+  void assume_own_share();
   /// Of what cold hosts may be sent, `part` may be spent from one window on.
-  void widen(double part) { router_.widen(clock_(), part); }
+  void set_slow_start_share(double part) { router_.set_slow_start_share(clock_(), part); }
   /// No other spends any more.
-  void alone();
+  void resume_full_spending();
   /// Called for each write that went through, before its client hears of it.
-  void on_commit(std::function<void(const SessionKnowledge&)> call) { commit_ = std::move(call); }
+  void on_commit(std::function<void(const SessionSnapshot&)> call) { commit_ = std::move(call); }
   /// Called when a host tells another role than was known.
   void on_role(std::function<void(const std::string& host, Role role)> call) { role_told_ = std::move(call); }
   /// Called for each request once nothing of it is out; an empty one: not at all.
-  void on_course(std::function<void(const Course&)> call) { course_ = std::move(call); }
+  void on_request_trace(std::function<void(const RequestTrace&)> call) { course_ = std::move(call); }
   void timer_fired();
   /// What the router believes of each group, by id.
-  void view(std::vector<GroupView>& out) { router_.view(clock_(), out); }
-  void tune(const Tuning& tuning) { router_.tune(tuning); }
+  void group_views(std::vector<GroupView>& out) { router_.group_views(clock_(), out); }
+  void set_tuning(const Tuning& tuning) { router_.set_tuning(tuning); }
   /// How many attempts may be out at once, 1 or more.
-  void limit(std::size_t attempts) { router_.limit(static_cast<int>(std::max<std::size_t>(attempts, 1))); }
+  void set_max_in_flight(std::size_t attempts) {
+    router_.set_max_in_flight(static_cast<int>(std::max<std::size_t>(attempts, 1)));
+  }
   /// Other settings and budgets from now on, checked already; open requests keep the class that they came in
   /// under.
-  void retune(Settings settings, std::vector<Budget> budgets);
+  void update_settings(Settings settings, std::vector<TenantBudget> budgets);
 
   [[nodiscard]] Time now() const { return clock_(); }
   [[nodiscard]] std::size_t open_requests() const { return requests_.size(); }
   /// Adds what it has counted, and what it holds, to the figures.
-  void figures(telemetry::Figures& out);
+  void collect_metrics(telemetry::Metrics& out);
   /// Whether it knows a host that it might send to.
   [[nodiscard]] bool ready() const { return hosts_.ready() > 0; }
   /// How many entries are held (requests, hosts, the router's own): it stays bounded.
-  [[nodiscard]] std::size_t held() const {
-    return requests_.size() + names_.size() + hosts_.size() + router_.held();
+  [[nodiscard]] std::size_t entry_count() const {
+    return requests_.size() + names_.size() + hosts_.size() + router_.entry_count();
   }
-  [[nodiscard]] const std::deque<Budget>& budgets() const { return budgets_; }
+  [[nodiscard]] const std::deque<TenantBudget>& budgets() const { return budgets_; }
 
  private:
   struct Attempt {
@@ -224,12 +226,12 @@
     Outcome outcome = Outcome::ok;
   };
   struct Request {
-    Front* front = nullptr;
+    FrontEnd* front = nullptr;
     std::string name;
-    std::shared_ptr<const Work> work;
+    std::shared_ptr<const RequestPayload> work;
     std::optional<SessionId> session;
-    Budget* budget = nullptr;
-    gates::Ask ask;
+    TenantBudget* budget = nullptr;
+    gates::GateRequest ask;
     std::size_t gates_asked = 0;  // of the chain, from its front: those are told of the end
     Time taken{}, deadline{};
     std::vector<Attempt> attempts;
@@ -239,12 +241,12 @@
     bool ran = false;  // an attempt was written, or may have been
     bool ended = false;
     Time ended_at{};
-    gates::End how = gates::End::failed;
+    gates::RequestEnd how = gates::RequestEnd::failed;
     bool streaming = false;  // the last attempt's answer is being passed on
   };
 
   void name(std::size_t index, const RequestClass& cls);
-  Rejection take(const Ask& ask, ClassId cls, Front& front, RequestId& id);
+  Rejection take(const ClientRequest& ask, ClassId cls, FrontEnd& front, RequestId& id);
   void feed(Event event);
   void act(const Action& action, Time now);
   void send(const Send& send, Time now);
@@ -252,7 +254,7 @@
   void settle(RequestId id);
   void give_up(RequestId id);
   void close(Request& r);
-  void count(Request& r, gates::End end, gates::Decider by = gates::Decider::nobody,
+  void count(Request& r, gates::RequestEnd end, gates::Decider by = gates::Decider::nobody,
              gates::Reason why = gates::Reason::none);
   gates::Verdict pass_gates(Request& r, Time now);
   void tell_course(const Request& r) const;
@@ -266,7 +268,7 @@
   };
   std::vector<Contract> contracts_;  // by ClassId: one keeps its number while a request of it is open
   std::map<std::string, telemetry::ClassCounts> counts_;
-  std::deque<Budget> budgets_;  // by the tenant's number; requests point into it
+  std::deque<TenantBudget> budgets_;  // by the tenant's number; requests point into it
   std::vector<gates::Gate*> gates_;
   Clock clock_;
   Upstream& upstream_;
@@ -279,11 +281,11 @@
   std::unordered_set<std::string> names_;  // of the open requests
   std::uint64_t next_request_ = 1;
   std::function<void(const std::string&, Role)> role_told_;
-  std::function<void(const Course&)> course_;
-  std::function<void(const SessionKnowledge&)> commit_;
+  std::function<void(const RequestTrace&)> course_;
+  std::function<void(const SessionSnapshot&)> commit_;
   std::deque<std::pair<Time, Event>> events_;
-  bool closing_ = false;  // after last_call
+  bool closing_ = false;  // after begin_shutdown
   bool feeding_ = false;  // guards against feeding the router while it is being fed
 };
 
-}  // namespace cedarring::memory
+}  // namespace cedarring::broker
--- a/src/memory/places.h
+++ b/src/broker/connection_limits.h
@@ -7,12 +7,12 @@
 
 #include "cedarring/router.h"
 
-namespace cedarring::memory {
+namespace cedarring::broker {
 
 /// The fuller the places, the shorter an idle connection may stay. Clients that ask once and then hold their
 /// connection use up what clients may hold together long before they use up our places: without this a crowd
 /// of them, each idle for the usual time, keeps everyone else out.
-struct Places {
+struct IdleConnectionLimits {
   Duration usual{2'000'000};  // what an idle client may stay for when there is room
   Duration floor{150'000};  // and when there is none: a client that asks again at once still finds its place
   double quiet = 1.0 / 6;   // share of the places up to which nothing is closed early
@@ -34,18 +34,18 @@
 /// Places for connections of a front: clients may have three quarters and hosts a quarter; what clients do
 /// not use hosts may have as well, up to a half. An eighth stays free between them, so that a burst of
 /// clients finds places before host connections have gone.
-struct PlaceSplit {
+struct ConnectionSplit {
   std::size_t clients = 0, hosts = 0;
 };
 /// Of `all` places, how many either may have now, with `clients` and `hosts` in use. The two parts never
 /// exceed `all` together by more than what hosts are still to give back; hosts get their quarter and clients
 /// their half in any case.
-inline PlaceSplit split_places(std::size_t all, std::size_t clients, std::size_t hosts) {
+inline ConnectionSplit split_connections(std::size_t all, std::size_t clients, std::size_t hosts) {
   const auto used = clients + all / 8;
-  PlaceSplit s;
+  ConnectionSplit s;
   s.hosts = std::clamp(used < all ? all - used : 0, all / 4, all / 2);
   s.clients = std::min(all * 3 / 4, all - std::min(all / 2, std::max(hosts, all / 4)));
   return s;
 }
 
-}  // namespace cedarring::memory
+}  // namespace cedarring::broker
--- a/src/memory/host_table.cpp
+++ b/src/broker/host_table.cpp
@@ -1,10 +1,10 @@
-#include "memory/host_table.h"
+#include "broker/host_table.h"
 
 #include <algorithm>
 #include <set>
 #include <utility>
 
-namespace cedarring::memory {
+namespace cedarring::broker {
 namespace {
 
 constexpr std::size_t out_most = 4096, back_most = 4096;
@@ -21,24 +21,24 @@
 HostEntry HostTable::entry(HostId id, const Row& row) {
   HostEntry e;
   e.host = id;
-  e.group = row.said.group;
-  e.zone = zone(row.said.zone);
+  e.group = row.listed.group;
+  e.zone = zone(row.listed.zone);
   e.state = row.state;
-  if (e.state == HostState::ready && out_.count(row.said.id) > 0) e.state = HostState::draining;
-  e.listed_primary = row.said.primary;
-  e.weight = row.said.weight;
-  e.born = born(row);
+  if (e.state == HostState::ready && out_.count(row.listed.id) > 0) e.state = HostState::draining;
+  e.listed_primary = row.listed.primary;
+  e.weight = row.listed.weight;
+  e.started_at = started_at(row);
   return e;
 }
 
 /// One that came back may have been restarted meanwhile; untold, it counts as cold from the call on.
-std::optional<Time> HostTable::born(const Row& row) const {
-  const auto back = back_.find(row.said.id);
-  if (back == back_.end()) return row.said.born;
-  return row.said.born ? std::max(*row.said.born, back->second) : back->second;
+std::optional<Time> HostTable::started_at(const Row& row) const {
+  const auto back = back_.find(row.listed.id);
+  if (back == back_.end()) return row.listed.started_at;
+  return row.listed.started_at ? std::max(*row.listed.started_at, back->second) : back->second;
 }
 
-std::vector<HostEntry> HostTable::take(const MemberList& list) {
+std::vector<HostEntry> HostTable::apply(const MemberList& list) {
   std::vector<HostEntry> entries;
   std::set<HostId> named;
   closed_.clear();
@@ -49,7 +49,7 @@
     if (m.state != HostState::ready && m.address.empty()) {
       const auto known = ids_.find(m.id);
       if (known == ids_.end()) continue;
-      m = rows_.at(known->second).said;
+      m = rows_.at(known->second).listed;
       m.state = told.state;
     }
     auto [it, fresh] = ids_.try_emplace(m.id, HostId{next_});
@@ -57,8 +57,8 @@
     const HostId id = it->second;
     auto& row = rows_[id];
     // A host that moved to another address is another process: idle connections to the old one are void.
-    const bool moved = !fresh && row.said.address != m.address;
-    row.said = m;
+    const bool moved = !fresh && row.listed.address != m.address;
+    row.listed = m;
     row.state = m.state;
     named.insert(id);
     ++groups_[m.group];
@@ -71,7 +71,7 @@
   return entries;
 }
 
-std::optional<HostEntry> HostTable::set_out(const std::string& id, bool out, Time now, bool sure) {
+std::optional<HostEntry> HostTable::set_disabled(const std::string& id, bool out, Time now, bool sure) {
   const auto it = ids_.find(id);
   const bool listed = it != ids_.end() && rows_.at(it->second).state != HostState::gone;
   if (!listed && !sure && out_.count(id) == 0) return std::nullopt;
@@ -90,16 +90,18 @@
   return entry(it->second, rows_.at(it->second));
 }
 
-std::size_t HostTable::listed_out() const {
+std::size_t HostTable::listed_disabled() const {
   return static_cast<std::size_t>(std::count_if(
       rows_.begin(), rows_.end(),
-      [&](const auto& r) { return r.second.state == HostState::ready && out_.count(r.second.said.id) > 0; }));
+      [&](const auto& r) {
+        return r.second.state == HostState::ready && out_.count(r.second.listed.id) > 0;
+      }));
 }
 
-bool HostTable::hear(HostId id, Role role, std::optional<Time> position, Time now) {
+bool HostTable::observe(HostId id, Role role, std::optional<Time> position, Time now) {
   const auto it = rows_.find(id);
   if (it == rows_.end()) return false;
-  auto& h = it->second.heard;
+  auto& h = it->second.observed;
   if (position) h.position = h.position ? std::max(*h.position, *position) : *position;
   if (role == Role::unknown) return false;
   h.role_at = now;
@@ -112,9 +114,9 @@
   return it->second;
 }
 
-const Heard* HostTable::heard(const std::string& id) const {
+const ObservedState* HostTable::observed(const std::string& id) const {
   const auto it = ids_.find(id);
-  return it == ids_.end() ? nullptr : &rows_.at(it->second).heard;
+  return it == ids_.end() ? nullptr : &rows_.at(it->second).observed;
 }
 
 MemberList HostTable::list() const {
@@ -122,9 +124,9 @@
   all.version = version_;
   all.full = true;
   for (const auto& [id, row] : rows_) {
-    all.members.push_back(row.said);
+    all.members.push_back(row.listed);
     all.members.back().state = row.state;
-    all.members.back().born = born(row);
+    all.members.back().started_at = started_at(row);
   }
   return all;
 }
@@ -144,13 +146,13 @@
 const std::string& HostTable::address(HostId id) const {
   static const std::string none;
   const auto it = rows_.find(id);
-  return it == rows_.end() ? none : it->second.said.address;
+  return it == rows_.end() ? none : it->second.listed.address;
 }
 
 const std::string& HostTable::name(HostId id) const {
   static const std::string none;
   const auto it = rows_.find(id);
-  return it == rows_.end() ? none : it->second.said.id;
+  return it == rows_.end() ? none : it->second.listed.id;
 }
 
 void HostTable::prune(const std::function<bool(HostId)>& of_interest) {
@@ -159,10 +161,10 @@
       ++it;
       continue;
     }
-    back_.erase(it->second.said.id);
-    ids_.erase(it->second.said.id);
+    back_.erase(it->second.listed.id);
+    ids_.erase(it->second.listed.id);
     it = rows_.erase(it);
   }
 }
 
-}  // namespace cedarring::memory
+}  // namespace cedarring::broker
--- a/src/memory/host_table.h
+++ b/src/broker/host_table.h
@@ -10,7 +10,7 @@
 
 #include "cedarring/router.h"
 
-namespace cedarring::memory {
+namespace cedarring::broker {
 
 /// One entry of a list, in its own words.
 struct Member {
@@ -21,7 +21,7 @@
   HostState state = HostState::ready;
   double weight = 1;
   bool primary = false;
-  std::optional<Time> born;
+  std::optional<Time> started_at;
 };
 struct MemberList {
   std::uint64_t version = 0;
@@ -30,7 +30,7 @@
 };
 
 /// What answers and reports have told of a host.
-struct Heard {
+struct ObservedState {
   std::optional<Time> position;  // a lower bound of what it holds
   Role role = Role::unknown;
   Time role_at{};  // when that was heard
@@ -40,17 +40,17 @@
  public:
   explicit HostTable(std::vector<std::string> zones) : zones_(std::move(zones)) {}
   /// Interns a list's entries for the router.
-  std::vector<HostEntry> take(const MemberList& list);
+  std::vector<HostEntry> apply(const MemberList& list);
   /// Leaves a host out, whatever lists say, or takes it back. The entry to tell the router, or nothing if
   /// nobody has the id. One taken back counts as started at `now` at the latest: it may have been restarted
   /// meanwhile. `sure`: another process of this gateway has found that somebody has it.
-  std::optional<HostEntry> set_out(const std::string& id, bool out, Time now, bool sure = false);
-  [[nodiscard]] const std::set<std::string>& out() const { return out_; }
+  std::optional<HostEntry> set_disabled(const std::string& id, bool out, Time now, bool sure = false);
+  [[nodiscard]] const std::set<std::string>& disabled() const { return out_; }
   /// Of the listed ones, those that are out by hand.
-  [[nodiscard]] std::size_t listed_out() const;
+  [[nodiscard]] std::size_t listed_disabled() const;
   /// What a host has told of itself; true if its role is another than was known.
-  bool hear(HostId id, Role role, std::optional<Time> position, Time now);
-  [[nodiscard]] const Heard* heard(const std::string& id) const;
+  bool observe(HostId id, Role role, std::optional<Time> position, Time now);
+  [[nodiscard]] const ObservedState* observed(const std::string& id) const;
   [[nodiscard]] std::optional<HostId> find(const std::string& id) const;
   /// The whole list as it was last told, for the process that follows.
   [[nodiscard]] MemberList list() const;
@@ -68,12 +68,12 @@
 
  private:
   struct Row {
-    Member said;  // as the list last told
+    Member listed;  // as the list last told
     HostState state = HostState::ready;
-    Heard heard;
+    ObservedState observed;
   };
   /// Its last start: as told, or when it was taken back, if that is later.
-  [[nodiscard]] std::optional<Time> born(const Row& row) const;
+  [[nodiscard]] std::optional<Time> started_at(const Row& row) const;
   /// What the router is told of it: the stricter of the list's word and the operators'.
   HostEntry entry(HostId id, const Row& row);
   ZoneId zone(const std::string& name);
@@ -88,4 +88,4 @@
   std::uint32_t next_ = 1;
 };
 
-}  // namespace cedarring::memory
+}  // namespace cedarring::broker
--- a/src/memory/pool.h
+++ b/src/broker/idle_pool.h
@@ -7,10 +7,10 @@
 
 #include "cedarring/router.h"
 
-namespace cedarring::memory {
+namespace cedarring::broker {
 
 template <class Connection>
-class Pool {
+class IdlePool {
  public:
   void put(HostId host, Connection* connection, Time now) { idle_[host].push_back({connection, now}); }
   /// The one used last: the others may fall idle for good and be retired.
@@ -73,4 +73,4 @@
   std::map<HostId, std::vector<Idle>> idle_;  // none empty; by how long they have been idle, longest first
 };
 
-}  // namespace cedarring::memory
+}  // namespace cedarring::broker
--- a/src/memory/room.h
+++ b/src/broker/memory_budget.h
@@ -10,18 +10,19 @@
 #include <memory>
 #include <utility>
 
-namespace cedarring::memory {
+namespace cedarring::broker {
 
-class Room : public std::enable_shared_from_this<Room> {
+class MemoryBudget : public std::enable_shared_from_this<MemoryBudget> {
  public:
   /// A reservation: `bytes` until it is destroyed.
-  class Hold {
+  class Reservation {
    public:
-    Hold() = default;
-    Hold(std::shared_ptr<Room> room, std::size_t bytes) : room_(std::move(room)), bytes_(bytes) {}
-    ~Hold() { reset(); }
-    Hold(Hold&& o) noexcept : room_(std::move(o.room_)), bytes_(std::exchange(o.bytes_, 0)) {}
-    Hold& operator=(Hold&& o) noexcept {
+    Reservation() = default;
+    Reservation(std::shared_ptr<MemoryBudget> room, std::size_t bytes)
+        : room_(std::move(room)), bytes_(bytes) {}
+    ~Reservation() { reset(); }
+    Reservation(Reservation&& o) noexcept : room_(std::move(o.room_)), bytes_(std::exchange(o.bytes_, 0)) {}
+    Reservation& operator=(Reservation&& o) noexcept {
       if (this != &o) reset(), room_ = std::move(o.room_), bytes_ = std::exchange(o.bytes_, 0);
       return *this;
     }
@@ -31,17 +32,17 @@
     void reset() {
       if (auto room = std::exchange(room_, nullptr)) room->give(std::exchange(bytes_, 0));
     }
-    std::shared_ptr<Room> room_;
+    std::shared_ptr<MemoryBudget> room_;
     std::size_t bytes_ = 0;
   };
 
   /// `total` bytes in all; `freed` is called whenever some come back while somebody waits, from anywhere: it
   /// must not reserve at once, but soon.
-  explicit Room(std::size_t total, std::function<void()> freed = {})
+  explicit MemoryBudget(std::size_t total, std::function<void()> freed = {})
       : total_(total), freed_(std::move(freed)) {}
   /// Reserves for `who` if there is room and nobody else came before; else `who` waits in line. More than all
   /// there is fits once nothing else is held.
-  bool take(const void* who, std::size_t bytes, Hold& out) {
+  bool take(const void* who, std::size_t bytes, Reservation& out) {
     const bool first = waiting_.empty() || waiting_.front() == who;
     if (!first || (used_ > 0 && used_ + bytes > total_)) {
       if (std::find(waiting_.begin(), waiting_.end(), who) == waiting_.end()) waiting_.push_back(who);
@@ -49,7 +50,7 @@
     }
     if (!waiting_.empty()) waiting_.pop_front();
     used_ += bytes;
-    out = Hold(shared_from_this(), bytes);
+    out = Reservation(shared_from_this(), bytes);
     return true;
   }
   /// Waits no more.
@@ -77,4 +78,4 @@
   std::deque<const void*> waiting_;
 };
 
-}  // namespace cedarring::memory
+}  // namespace cedarring::broker
--- a/src/contracts/contracts.cpp
+++ b/src/contracts/contracts.cpp
@@ -39,9 +39,11 @@
   return h * 0xbf58476d1ce4e5b9ULL;
 }
 
-Contracts::Contracts(Config config, Service service) : service_(std::move(service)), random_(service_.seed) {
+Contracts::Contracts(Config config, ServiceInfo service)
+    : service_(std::move(service)), random_(service_.seed) {
   for (const auto& c : service_.classes)
-    costs_.push_back(std::max(1.0, static_cast<double>(c.aim.count()) / 1000 / 4));  // until answers tell
+    costs_.push_back(
+        std::max(1.0, static_cast<double>(c.latency_target.count()) / 1000 / 4));  // until answers tell
   reload(std::move(config), Time{});
 }
 
@@ -108,7 +110,7 @@
   // Of what is new each of two processes has its part from the start.
   for (std::size_t t = 0; t < teams_.size(); ++t)
     for (std::size_t c = 0; c < classes; ++c)
-      if (fresh[t]) at(t, c).share = handover::portion(stage_, burst(t, c));
+      if (fresh[t]) at(t, c).share = handover::budget_share(stage_, burst(t, c));
   set_rates(now);
 }
 
@@ -130,24 +132,24 @@
 }
 
 /// As many as a share of what the team asks for here, and a few at once: never out of another team's.
-Rate Contracts::retry_rate(std::size_t t, handover::Stage stage) const {
+Rate Contracts::retry_rate(std::size_t t, handover::HandoverStage stage) const {
   double demand = 0;
   for (std::size_t c = 0; c < service_.classes.size(); ++c) demand += at(t, c).demand;
-  const double part = handover::portion(stage, config_.retry_burst);
+  const double part = handover::budget_share(stage, config_.retry_burst);
   return Rate::of(std::max(1.0, demand * config_.retry_share) * part, config_.retry_burst * part);
 }
 
-CarriedCell Contracts::counts(std::size_t t, std::size_t c) const {
-  CarriedCell k;
+CellSnapshot Contracts::counts(std::size_t t, std::size_t c) const {
+  CellSnapshot k;
   const auto& book = booked(t, c);
   k.now = book.now, k.before = book.before, k.times = book.times.filled();
   return k;
 }
 
-Carried Contracts::split(Time now) {
-  using handover::Stage;
-  stage_ = Stage::ends;
-  Carried all;
+Snapshot Contracts::split(Time now) {
+  using handover::HandoverStage;
+  stage_ = HandoverStage::outgoing;
+  Snapshot all;
   if (begun_) all.window = now - window_from_;
   for (std::size_t c = 0; c < service_.classes.size(); ++c) all.costs[service_.classes[c].name] = costs_[c];
   for (std::size_t t = 0; t < teams_.size(); ++t) {
@@ -159,8 +161,8 @@
       auto& k = team.classes[service_.classes[c].name] = counts(t, c);
       cell.book.reset();
       k.owed = cell.bucket.owed(now), k.demand = cell.demand;
-      k.share = handover::portion(Stage::begins, burst(t, c));
-      cell.share = handover::portion(Stage::ends, burst(t, c));
+      k.share = handover::budget_share(HandoverStage::incoming, burst(t, c));
+      cell.share = handover::budget_share(HandoverStage::outgoing, burst(t, c));
     }
   }
   for (const auto& [key, r] : resources_)
@@ -173,22 +175,22 @@
 }
 
 void Contracts::follow(Time now) {
-  stage_ = handover::Stage::waits;
+  stage_ = handover::HandoverStage::waiting;
   for (auto& cell : cells_) cell.share = 0;
   set_rates(now);
 }
 
 void Contracts::unheard(Time now) {
-  stage_ = handover::Stage::begins;
+  stage_ = handover::HandoverStage::incoming;
   for (std::size_t t = 0; t < teams_.size(); ++t)
     for (std::size_t c = 0; c < service_.classes.size(); ++c)
-      at(t, c).share = handover::portion(stage_, burst(t, c));
+      at(t, c).share = handover::budget_share(stage_, burst(t, c));
   set_rates(now);
   for (std::size_t t = 0; t < teams_.size(); ++t) teams_[t].retries.spend_all(retry_rate(t, stage_), now);
   for (auto& cell : cells_) cell.bucket.spend_all(cell.rate, now);
 }
 
-void Contracts::take(const Carried& told, Time now) {
+void Contracts::restore(const Snapshot& told, Time now) {
   unheard(now);  // of what is not told nothing is left
   const auto sane = [](double v, double most) { return v >= 0 && v <= most ? v : 0; };
   for (std::size_t c = 0; c < service_.classes.size(); ++c)
@@ -226,13 +228,13 @@
   set_rates(now);
 }
 
-void Contracts::book(const Carried& told) {
+void Contracts::book(const Snapshot& told) {
   for (std::size_t t = 0; t < teams_.size(); ++t) {
     const auto team = told.teams.find(config_.teams[t].name);
     if (team == told.teams.end()) continue;
     for (std::size_t c = 0; c < service_.classes.size(); ++c) {
       const auto it = team->second.classes.find(service_.classes[c].name);
-      const auto& k = it == team->second.classes.end() ? CarriedCell{} : it->second;
+      const auto& k = it == team->second.classes.end() ? CellSnapshot{} : it->second;
       if (k.now.asked + k.now.ended() + k.before.asked + k.before.ended() == 0) continue;
       auto& book = this->book(at(t, c));
       book.now += k.now, book.before += k.before, book.times.add(k.times);
@@ -240,8 +242,8 @@
   }
 }
 
-Carried Contracts::booked() const {
-  Carried all;
+Snapshot Contracts::booked() const {
+  Snapshot all;
   for (std::size_t t = 0; t < teams_.size(); ++t)
     for (std::size_t c = 0; c < service_.classes.size(); ++c)
       if (at(t, c).book) all.teams[config_.teams[t].name].classes[service_.classes[c].name] = counts(t, c);
@@ -249,11 +251,12 @@
 }
 
 void Contracts::alone(Time now) {
-  using handover::Stage;
-  const auto was = std::exchange(stage_, Stage::alone);
-  if (was == Stage::alone) return;
+  using handover::HandoverStage;
+  const auto was = std::exchange(stage_, HandoverStage::single);
+  if (was == HandoverStage::single) return;
   for (std::size_t t = 0; t < teams_.size(); ++t) {
-    teams_[t].retries.widen(retry_rate(t, Stage::alone), handover::portion(was, config_.retry_burst), now);
+    teams_[t].retries.widen(retry_rate(t, HandoverStage::single),
+                            handover::budget_share(was, config_.retry_burst), now);
     for (std::size_t c = 0; c < service_.classes.size(); ++c) {
       auto& cell = at(t, c);
       cell.bucket.widen(rate_of(t, c, 1), std::exchange(cell.share, 1), now);
@@ -265,13 +268,14 @@
 gates::Verdict Contracts::refuse(gates::Reason why, Duration wait) {
   gates::Verdict v;
   v.admitted = false;
-  v.by = gates::Decider::contracts;
-  v.why = why;
-  if (service_.pauses) v.pause = spread(wait, service_.max_pause, static_cast<double>(random_()) * 0x1p-32);
+  v.decided_by = gates::Decider::contracts;
+  v.reason = why;
+  if (service_.pauses)
+    v.retry_after = spread(wait, service_.max_pause, static_cast<double>(random_()) * 0x1p-32);
   return v;
 }
 
-gates::Verdict Contracts::admit(const gates::Ask& ask, Time now) {
+gates::Verdict Contracts::admit(const gates::GateRequest& ask, Time now) {
   now = std::max(now, stepped_);
   const auto team = team_of(ask.tenant);
   if (config_.mode == Mode::off || team < 0 || ask.cls.value < 0 ||
@@ -294,7 +298,7 @@
     (within ? flow->second.within : flow->second.beyond) += cost;
   }
   gates::Verdict v;
-  v.beyond = !within;
+  v.beyond_contract = !within;
   if (config_.mode == Mode::enforce) {
     if (!within && terms->beyond == Beyond::refuse)
       return refuse(gates::Reason::over_contract, cell.bucket.wait(cell.rate, now));
@@ -318,7 +322,7 @@
   return v;
 }
 
-bool Contracts::may_repeat(const gates::Ask& ask, Time now) {
+bool Contracts::may_retry(const gates::GateRequest& ask, Time now) {
   const auto team = team_of(ask.tenant);
   if (config_.mode != Mode::enforce || team < 0) return true;
   const auto t = static_cast<std::size_t>(team);
@@ -328,7 +332,8 @@
   return true;
 }
 
-void Contracts::ended(const gates::Ask& ask, const gates::Ending& ending, Time /*now*/) {
+void Contracts::on_request_end(const gates::GateRequest& ask, const gates::RequestResult& ending,
+                               Time /*now*/) {
   const auto team = team_of(ask.tenant);
   if (config_.mode == Mode::off || team < 0 || ask.cls.value < 0 ||
       static_cast<std::size_t>(ask.cls.value) >= service_.classes.size())
@@ -342,21 +347,22 @@
   const bool beyond = admitted && it->second.beyond;
   const double charged = admitted ? it->second.cost : 0;
   if (admitted) open_.erase(it);
-  const auto wanted = terms && terms->wanted > Duration::zero() ? terms->wanted : service_.classes[c].aim;
+  const auto wanted =
+      terms && terms->wanted > Duration::zero() ? terms->wanted : service_.classes[c].latency_target;
   bool in_time = false;
   switch (ending.end) {
-    case gates::End::served:
+    case gates::RequestEnd::served:
       in_time = ending.elapsed <= wanted;
       ++(in_time ? book.now.in_time : book.now.late);
       book.times.add(ending.elapsed);
       break;
-    case gates::End::failed:
+    case gates::RequestEnd::failed:
       ++book.now.failed;
       break;
-    case gates::End::left:
+    case gates::RequestEnd::abandoned:
       ++book.now.left;
       break;
-    case gates::End::refused:
+    case gates::RequestEnd::refused:
       if (ending.by == gates::Decider::levels)
         ++book.now.refused_levels;
       else if (ending.by != gates::Decider::contracts)
@@ -369,14 +375,15 @@
   }
   // The gateway's promise is about what was within the contract, and about what it has refused of that in
   // contention. A client that leaves by itself has not waited for the promise.
-  if (((admitted && !beyond) || ending.why == gates::Reason::contention) && ending.end != gates::End::left) {
+  if (((admitted && !beyond) || ending.why == gates::Reason::contention) &&
+      ending.end != gates::RequestEnd::abandoned) {
     ++book.now.within_ended;
     if (in_time) ++book.now.within_in_time;
   }
   if (!admitted) return;
   auto& resource = resources_[{ask.group.value, needs_primary(c)}];
-  if (ending.end == gates::End::refused && ending.by == gates::Decider::router) ++resource.refused;
-  if (ending.end == gates::End::served) {
+  if (ending.end == gates::RequestEnd::refused && ending.by == gates::Decider::router) ++resource.refused;
+  if (ending.end == gates::RequestEnd::served) {
     // What an answer took beyond the quick ones is waiting, not work: an expectile on the low side, which a
     // queue before the hosts moves little.
     const double took = std::max(0.1, static_cast<double>(ending.elapsed.count()) / 1000);
@@ -398,10 +405,11 @@
     const auto tight = [](int waiting, int in_flight, double window) {
       return waiting > 0 || (window > 0 && in_flight >= full * window);
     };
-    all.push_back({v.group, true, tight(v.primary_waiting, v.primary_in_flight, v.primary_window)});
+    all.push_back(
+        {v.group, true, tight(v.primary_waiting, v.primary_in_flight, v.primary_concurrency_limit)});
     all.push_back({v.group, false,
                    tight(v.waiting - v.primary_waiting, v.in_flight - v.primary_in_flight,
-                         v.window - v.primary_window)});
+                         v.concurrency_limit - v.primary_concurrency_limit)});
   }
   return all;
 }
@@ -438,7 +446,8 @@
     for (auto& [key, r] : resources_) r.served *= keep;
   }
   set_rates(now);
-  if (stage_ != handover::Stage::ends && now - window_from_ >= config_.window) close_window(now, out, closed);
+  if (stage_ != handover::HandoverStage::outgoing && now - window_from_ >= config_.window)
+    close_window(now, out, closed);
 }
 
 /// Weighted max-min over teams: first what is within contracts, then, of what that leaves, what is beyond.
@@ -522,33 +531,35 @@
   window_from_ = now;
 }
 
-std::optional<Flaw> find_flaw(const Config& config, const Service& service) {
+std::optional<ConfigIssue> find_config_issue(const Config& config, const ServiceInfo& service) {
   std::vector<std::int32_t> owner(service.tenants, -1);
   for (std::size_t t = 0; t < config.teams.size(); ++t) {
     const auto at = "/teams/" + std::to_string(t);
     const auto& team = config.teams[t];
     for (std::size_t o = 0; o < t; ++o)
-      if (config.teams[o].name == team.name) return Flaw{at + "/name", "taken by another team"};
+      if (config.teams[o].name == team.name) return ConfigIssue{at + "/name", "taken by another team"};
     for (const auto tenant : team.tenants) {
       if (tenant < 0 || static_cast<std::size_t>(tenant) >= owner.size())
-        return Flaw{at + "/tenants", "no such tenant"};
-      if (owner[static_cast<std::size_t>(tenant)] >= 0) return Flaw{at + "/tenants", "a tenant of two teams"};
+        return ConfigIssue{at + "/tenants", "no such tenant"};
+      if (owner[static_cast<std::size_t>(tenant)] >= 0)
+        return ConfigIssue{at + "/tenants", "a tenant of two teams"};
       owner[static_cast<std::size_t>(tenant)] = static_cast<std::int32_t>(t);
     }
-    if (team.classes.size() != service.classes.size()) return Flaw{at + "/classes", "not one entry a class"};
+    if (team.classes.size() != service.classes.size())
+      return ConfigIssue{at + "/classes", "not one entry a class"};
     for (const auto& c : team.classes)
       if (c)
         for (const auto* terms : {&c->usual, c->closure ? &*c->closure : &c->usual})
           if (!(terms->rate >= 0) || !(terms->burst >= 1) || !(terms->weight > 0) ||
               !(terms->share > 0 && terms->share <= 1))
-            return Flaw{at + "/classes",
-                        "rate from 0, burst from 1, weight above 0, share above 0 and at most 1"};
+            return ConfigIssue{at + "/classes",
+                               "rate from 0, burst from 1, weight above 0, share above 0 and at most 1"};
   }
   for (std::size_t i = 0; i < config.closures.size(); ++i)
     if (config.closures[i].to <= config.closures[i].from ||
         (i > 0 && config.closures[i].from < config.closures[i - 1].to))
-      return Flaw{"/calendar", "closures that overlap or end before they begin"};
-  if (config.gateways < 1) return Flaw{"/gateways", "at least one"};
+      return ConfigIssue{"/calendar", "closures that overlap or end before they begin"};
+  if (config.gateways < 1) return ConfigIssue{"/gateways", "at least one"};
   return std::nullopt;
 }
 
--- a/src/contracts/contracts.h
+++ b/src/contracts/contracts.h
@@ -10,17 +10,17 @@
 #include <unordered_map>
 #include <vector>
 
-#include "contracts/carried.h"
 #include "contracts/fair_share.h"
 #include "contracts/gcra.h"
 #include "contracts/ledger.h"
+#include "contracts/snapshot.h"
 #include "contracts/terms.h"
 #include "gates/gate.h"
-#include "handover/portion.h"
+#include "handover/budget_share.h"
 
 namespace cedarring::contracts {
 
-using gates::Service;
+using gates::ServiceInfo;
 
 /// What a group's primary, or its replicas together, can bear just now.
 struct Scarcity {
@@ -34,12 +34,12 @@
 
 class Contracts : public gates::Gate {
  public:
-  Contracts(Config config, Service service);
+  Contracts(Config config, ServiceInfo service);
 
-  gates::Verdict admit(const gates::Ask& ask, Time now) override;
-  void ended(const gates::Ask& ask, const gates::Ending& ending, Time now) override;
+  gates::Verdict admit(const gates::GateRequest& ask, Time now) override;
+  void on_request_end(const gates::GateRequest& ask, const gates::RequestResult& ending, Time now) override;
   /// Whether the team may have a further attempt made for this request; the first is free.
-  bool may_repeat(const gates::Ask& ask, Time now) override;
+  bool may_retry(const gates::GateRequest& ask, Time now) override;
 
   /// Shares out what is scarce, moves this gateway's parts and closes windows. To be called every 100 ms.
   /// Windows that close are appended to `closed` where that is wanted.
@@ -49,20 +49,20 @@
   /// Other terms from now on. Buckets and windows of teams that keep their name carry over.
   void reload(Config config, Time now);
 
-  // Two processes of one gateway, see handover/portion.h.
+  // Two processes of one gateway, see handover/budget_share.h.
   /// Another process begins: its part of what may be spent, and all that has been booked; what is booked here
   /// from now on begins at nothing, and no window closes here.
-  Carried split(Time now);
+  Snapshot split(Time now);
   /// This process begins beside another that has not told yet: nothing may be spent.
   void follow(Time now);
   /// It does not tell: this process has its part from here on, and nothing is saved.
   void unheard(Time now);
   /// What that one tells at its split.
-  void take(const Carried& told, Time now);
+  void restore(const Snapshot& told, Time now);
   /// Adds what another has booked.
-  void book(const Carried& told);
+  void book(const Snapshot& told);
   /// What has been booked since the split, for the one that stays.
-  [[nodiscard]] Carried booked() const;
+  [[nodiscard]] Snapshot booked() const;
   /// No other spends any more: rates are whole, what the other had left is not taken.
   void alone(Time now);
 
@@ -150,15 +150,15 @@
   [[nodiscard]] bool needs_primary(std::size_t cls) const;
   void set_rates(Time now);
   [[nodiscard]] Rate rate_of(std::size_t team, std::size_t cls, double share) const;
-  [[nodiscard]] Rate retry_rate(std::size_t team, handover::Stage stage) const;
+  [[nodiscard]] Rate retry_rate(std::size_t team, handover::HandoverStage stage) const;
   [[nodiscard]] double burst(std::size_t team, std::size_t cls) const;
-  [[nodiscard]] CarriedCell counts(std::size_t team, std::size_t cls) const;
+  [[nodiscard]] CellSnapshot counts(std::size_t team, std::size_t cls) const;
   void share(Time now, const std::vector<Scarcity>& scarce);
   void close_window(Time now, std::vector<Breach>& out, std::vector<Closed>* closed);
   gates::Verdict refuse(gates::Reason why, Duration wait);
 
   Config config_;
-  Service service_;
+  ServiceInfo service_;
   std::vector<std::int32_t> team_of_;
   std::vector<TeamState> teams_;
   std::vector<Cell> cells_;
@@ -166,7 +166,7 @@
   std::unordered_map<FlowKey, Flow, FlowHash> flows_;
   std::map<std::pair<std::int64_t, bool>, Resource> resources_;
   std::unordered_map<std::uint64_t, Open> open_;  // by request: what it was charged
-  handover::Stage stage_ = handover::Stage::alone;
+  handover::HandoverStage stage_ = handover::HandoverStage::single;
   bool closure_ = false;
   Time stepped_{}, window_from_{};
   bool begun_ = false;
@@ -174,9 +174,9 @@
 };
 
 /// What cannot be meant: where (a path below the section) and what.
-struct Flaw {
+struct ConfigIssue {
   std::string where, what;
 };
-std::optional<Flaw> find_flaw(const Config& config, const Service& service);
+std::optional<ConfigIssue> find_config_issue(const Config& config, const ServiceInfo& service);
 
 }  // namespace cedarring::contracts
--- a/src/fleet/connect_patience.h
+++ b/src/fleet/connect_timeout.h
@@ -10,7 +10,7 @@
 
 namespace cedarring::fleet {
 
-class ConnectPatience {
+class AdaptiveConnectTimeout {
  public:
   /// A connection has come up after `took`. Those given up tell nothing of how long they would have taken.
   void took(Duration took) {
--- a/src/fleet/outlier.h
+++ b/src/fleet/outlier_detector.h
@@ -10,16 +10,16 @@
 
 namespace cedarring::fleet {
 
-class Outlier {
+class OutlierDetector {
  public:
   /// How outcomes count. `gain` (0 to 1): of one among many. `seconds` (over 0): after which one counts for
   /// nearly all, and a verdict whose time is up has faded. `eject_at` (0 to 1): the score from which the host
   /// is kept out.
-  struct Terms {
+  struct Config {
     double gain, seconds, eject_at;
   };
   /// What another process of the same gateway may be told.
-  struct Known {
+  struct State {
     double fails = 0;  // 0 to 1
     Time judged = unset, ejected_until = unset;
     Duration backoff{};
@@ -27,10 +27,10 @@
   /// Far before any clock, near enough to subtract.
   static constexpr Time unset{-40'000'000'000'000'000};
 
-  explicit Outlier(const Terms& terms) : terms_(terms) {}
-  [[nodiscard]] const Known& known() const { return k_; }
+  explicit OutlierDetector(const Config& terms) : terms_(terms) {}
+  [[nodiscard]] const State& known() const { return k_; }
   /// Takes over what another process has learnt where that is news: the later ejection, the later outcome.
-  void learn(const Known& other) {
+  void learn(const State& other) {
     if (other.judged > k_.judged) k_.fails = std::clamp(other.fails, 0.0, 1.0), k_.judged = other.judged;
     if (other.ejected_until <= k_.ejected_until) return;
     k_.ejected_until = other.ejected_until, k_.backoff = std::max(k_.backoff, other.backoff);
@@ -60,10 +60,10 @@
   /// Ejected and not yet proved well.
   [[nodiscard]] bool ejected() const { return k_.ejected_until != unset; }
   /// Its time is up, and one request may try it.
-  [[nodiscard]] bool on_trial(Time now) const { return ejected() && now >= k_.ejected_until; }
+  [[nodiscard]] bool ready_for_trial(Time now) const { return ejected() && now >= k_.ejected_until; }
   /// The score as it weighs now, 0 to 1. A verdict fades once its time is up: else nobody would try the host
   /// again.
-  [[nodiscard]] double ill(Time now) const {
+  [[nodiscard]] double failure_score(Time now) const {
     if (!ejected() || now <= k_.ejected_until) return k_.fails;
     return k_.fails * std::exp(-seconds(now - k_.ejected_until) / terms_.seconds);
   }
@@ -73,8 +73,8 @@
   [[nodiscard]] double gain(Time now, Time since) const {
     return std::max(terms_.gain, 1 - std::exp(-seconds(now - std::max(k_.judged, since)) / terms_.seconds));
   }
-  Terms terms_;
-  Known k_;
+  Config terms_;
+  State k_;
 };
 
 }  // namespace cedarring::fleet
--- a/src/fleet/probe_budget.h
+++ b/src/fleet/probe_budget.h
@@ -17,13 +17,13 @@
   void earn() { saved_ = std::min(most_, saved_ + earned_); }
   /// Whether there is a probe to be had for what leaves the share `kept` (0 to 1) of `most` to more urgent
   /// ones.
-  [[nodiscard]] bool can(double kept = 0) const { return free_ || saved_ >= 1 + kept * most_; }
+  [[nodiscard]] bool available(double kept = 0) const { return free_ || saved_ >= 1 + kept * most_; }
   /// One is sent, whether or not it was to be had.
-  void take() { saved_ -= free_ ? 0 : 1; }
+  void spend() { saved_ -= free_ ? 0 : 1; }
   /// Half of what is saved, for another process of this gateway.
-  double give() { return saved_ /= 2; }
+  double split_half() { return saved_ /= 2; }
   /// What another process has given, or told to be spent: in place of what was saved.
-  void set(double saved) { saved_ = std::clamp(saved, 0.0, most_); }
+  void set_balance(double saved) { saved_ = std::clamp(saved, 0.0, most_); }
 
  private:
   double earned_, most_, saved_;
--- a/src/fleet/cold_spending.h
+++ b/src/fleet/slow_start_usage.h
@@ -8,7 +8,7 @@
 
 namespace cedarring::fleet {
 
-class ColdSpending {
+class SlowStartUsage {
  public:
   /// When, and how much, in typical requests.
   using Spent = std::pair<Time, double>;
--- a/src/fleet/watch_terms.h
+++ b/src/fleet/watch_timing.h
@@ -9,12 +9,12 @@
 
 namespace cedarring::fleet {
 
-class WatchTerms {
+class WatchTiming {
  public:
   static constexpr Duration heartbeat{2'000'000};
 
   /// `grace`: how long after being told of a drain requests may still go to the host.
-  explicit WatchTerms(Duration grace) : most_(std::clamp(grace / 4, Duration(20'000), Duration(250'000))) {}
+  explicit WatchTiming(Duration grace) : most_(std::clamp(grace / 4, Duration(20'000), Duration(250'000))) {}
   /// The most that it may say nothing whole, a list or a heartbeat: one heartbeat late by half. A call that
   /// is not answered yet may be waiting for its turn; it has failed once that has taken longer than a
   /// heartbeat.
--- a/src/gates/gate.h
+++ b/src/gates/gate.h
@@ -11,7 +11,7 @@
 namespace cedarring::gates {
 
 /// What a gate needs to know of the service that it stands before. Set once; durations in microseconds.
-struct Service {
+struct ServiceInfo {
   std::vector<RequestClass> classes;
   std::size_t tenants = 0;
   Duration max_pause{500'000};  // clients keep to no longer one
@@ -65,7 +65,7 @@
 }
 
 /// A request as gates see it. Everything is a number: a verdict allocates nothing.
-struct Ask {
+struct GateRequest {
   RequestId request;
   ClassId cls;
   GroupId group;
@@ -78,29 +78,30 @@
 
 struct Verdict {
   bool admitted = true;
-  Decider by = Decider::nobody;
-  Reason why = Reason::none;
-  Duration pause{};     // when the caller may come again; zero: nothing is said
-  bool beyond = false;  // admitted, but beyond what was promised: gates behind see it as beyond the budget
+  Decider decided_by = Decider::nobody;
+  Reason reason = Reason::none;
+  Duration retry_after{};  // when the caller may come again; zero: nothing is said
+  bool beyond_contract =
+      false;  // admitted, but beyond what was promised: gates behind see it as beyond the budget
 };
 
 /// How a request that was asked for has ended; told once for each, whoever ended it.
-enum class End : std::uint8_t { served, refused, failed, left };
-constexpr const char* name_of(End e) {
+enum class RequestEnd : std::uint8_t { served, refused, failed, abandoned };
+constexpr const char* name_of(RequestEnd e) {
   switch (e) {
-    case End::served:
+    case RequestEnd::served:
       return "served";
-    case End::refused:
+    case RequestEnd::refused:
       return "refused";
-    case End::failed:
+    case RequestEnd::failed:
       return "failed";
-    case End::left:
+    case RequestEnd::abandoned:
       return "left";
   }
   return "failed";
 }
-struct Ending {
-  End end = End::failed;
+struct RequestResult {
+  RequestEnd end = RequestEnd::failed;
   Decider by = Decider::nobody;  // of a refusal, and why where a gate has refused it
   Reason why = Reason::none;
   bool ran = false;    // an attempt was written to a host, or may have been
@@ -111,12 +112,12 @@
  public:
   virtual ~Gate() = default;
   /// Whether the request may go on to the next gate, or the router after the last. Never holds one back.
-  virtual Verdict admit(const Ask& ask, Time now) = 0;
+  virtual Verdict admit(const GateRequest& ask, Time now) = 0;
   /// Whether a further attempt may be made for a request that this gate let through; the first needs no
   /// asking. One that may not ends the attempt as never sent.
-  virtual bool may_repeat(const Ask& /*ask*/, Time /*now*/) { return true; }
+  virtual bool may_retry(const GateRequest& /*ask*/, Time /*now*/) { return true; }
   /// Told for each request that passed this gate, and for each that it turned away.
-  virtual void ended(const Ask& /*ask*/, const Ending& /*ending*/, Time /*now*/) {}
+  virtual void on_request_end(const GateRequest& /*ask*/, const RequestResult& /*ending*/, Time /*now*/) {}
 };
 
 }  // namespace cedarring::gates
--- a/src/handover/portion.h
+++ b/src/handover/budget_share.h
@@ -9,20 +9,20 @@
 namespace cedarring::handover {
 
 /// waits: it begins, and has not been told yet what the other leaves it.
-enum class Stage { alone, ends, waits, begins };
+enum class HandoverStage { single, outgoing, waiting, incoming };
 
 /// The part, 0 to 1, of a budget of which `burst` units may be spent at once; units are not divided, so one
 /// that is too small for two belongs to the process that begins.
-inline double portion(Stage stage, double burst) {
-  if (stage == Stage::alone) return 1;
-  if (stage == Stage::waits) return 0;
+inline double budget_share(HandoverStage stage, double burst) {
+  if (stage == HandoverStage::single) return 1;
+  if (stage == HandoverStage::waiting) return 0;
   if (burst >= 2) return 0.5;
-  return stage == Stage::begins ? 1 : 0;
+  return stage == HandoverStage::incoming ? 1 : 0;
 }
 
 /// A part of a bound on what is spent in any window of a certain length. It shrinks at once; it grows only
 /// when the windows in which another process may have spent the rest are over.
-class WindowPart {
+class WindowShare {
  public:
   /// Another process begins: half of what this one may use is the other's. Returns what was whole.
   double split(Time now) {
--- a/src/handover/fields.h
+++ b/src/handover/json_archive.h
@@ -1,6 +1,6 @@
-// Records as JSON objects and back. A record names its fields once, in a function `fields(archive, record)`;
-// Put writes them, Take reads them: a field that is not there keeps its value, one that is not known is
-// skipped, one of another kind spoils the whole. No I/O.
+// Records as JSON objects and back. A record names its fields once, in a function `serialize(archive,
+// record)`; JsonWriter writes them, JsonReader reads them: a field that is not there keeps its value, one
+// that is not known is skipped, one of another kind spoils the whole. No I/O.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -22,9 +22,9 @@
 
 namespace cedarring::handover {
 
-class Put {
+class JsonWriter {
  public:
-  explicit Put(rapidjson::StringBuffer& to) : w_(to) {}
+  explicit JsonWriter(rapidjson::StringBuffer& to) : w_(to) {}
   template <class T>
   void operator()(const char* key, const T& v) {
     w_.Key(key), put(v);
@@ -41,7 +41,7 @@
       w_.Uint64(v);
     else {
       w_.StartObject();
-      fields(*this, const_cast<T&>(v));  // which only reads it: one function for both ways
+      serialize(*this, const_cast<T&>(v));  // which only reads it: one function for both ways
       w_.EndObject();
     }
   }
@@ -81,9 +81,9 @@
   rapidjson::Writer<rapidjson::StringBuffer> w_;
 };
 
-class Take {
+class JsonReader {
  public:
-  explicit Take(const rapidjson::Value& from) : from_(&from) {}
+  explicit JsonReader(const rapidjson::Value& from) : from_(&from) {}
   template <class T>
   void operator()(const char* key, T& v) {
     if (!from_->IsObject()) return fail();
@@ -101,7 +101,7 @@
     else {
       const auto* outer = std::exchange(from_, &j);
       if (j.IsObject())
-        fields(*this, v);
+        serialize(*this, v);
       else
         fail();
       from_ = outer;
@@ -159,13 +159,13 @@
   bool good_ = true;
 };
 
-inline constexpr int form = 1;  // of what fields mean; another one cannot be read
+inline constexpr int format_version = 1;  // of what fields mean; another one cannot be read
 
 template <class T>
 std::string to_text(const T& record) {
   rapidjson::StringBuffer buffer;
-  Put put(buffer);
-  put.begin(form), put.put(record), put.end();
+  JsonWriter put(buffer);
+  put.begin(format_version), put.put(record), put.end();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
@@ -174,10 +174,10 @@
 std::optional<T> from_text(const std::string& text) {
   rapidjson::Document d;
   d.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
-  if (d.HasParseError() || !d.IsArray() || d.Size() != 2 || !d[0].IsInt() || d[0].GetInt() != form)
+  if (d.HasParseError() || !d.IsArray() || d.Size() != 2 || !d[0].IsInt() || d[0].GetInt() != format_version)
     return std::nullopt;
   T record;
-  Take take(d);
+  JsonReader take(d);
   take.take(d[1], record);
   if (!take.good()) return std::nullopt;
   return record;
--- a/src/handover/shares.h
+++ b/src/handover/resource_shares.h
@@ -7,7 +7,7 @@
 namespace cedarring::handover {
 
 /// Bytes in buffers, clients, connections to hosts.
-struct Shares {
+struct ResourceShares {
   std::size_t memory = 0, clients = 0, hosts = 0;
 };
 
@@ -15,8 +15,8 @@
 /// takes no new clients, so its part of those is what it still has, `held` (at most all); the beginning one
 /// has the rest. Of what grows by itself, buffers and connections to hosts, each has half. The parts never
 /// exceed the whole together.
-inline Shares share(const Shares& whole, bool ends, std::size_t held) {
-  Shares s;
+inline ResourceShares split_resources(const ResourceShares& whole, bool ends, std::size_t held) {
+  ResourceShares s;
   const auto theirs = std::min(held, whole.clients);
   s.clients = ends ? theirs : whole.clients - theirs;
   s.memory = ends ? whole.memory / 2 : whole.memory - whole.memory / 2;
--- a/src/handover/knowledge.cpp
+++ b/src/handover/router_snapshot.cpp
@@ -1,4 +1,4 @@
-#include "handover/knowledge.h"
+#include "handover/router_snapshot.h"
 
 #include <algorithm>
 #include <cmath>
@@ -23,41 +23,42 @@
 }
 double within(double v, double least, double most) { return v >= least && v <= most ? v : least; }
 
-HostKnowledge known(const Host& h, const Settings& s, Time now) {
-  HostKnowledge k;
+HostSnapshot known(const Host& h, const Settings& s, Time now) {
+  HostSnapshot k;
   k.host = h.id;
   const auto& o = h.outlier.known();
-  k.fails = o.fails;
-  k.judged = ago(o.judged, now);
-  if (h.outlier.ejected()) k.ejected = o.ejected_until - now, k.backoff = o.backoff;
+  k.failure_score = o.fails;
+  k.last_outcome_age = ago(o.judged, now);
+  if (h.outlier.ejected()) k.ejection_remaining = o.ejected_until - now, k.backoff = o.backoff;
   k.lost_probes = h.lost_probes, k.refusals = h.refusals;
-  k.slowness = h.slowness, k.load = h.load, k.window = h.window;
-  if (h.cold_since == never || now - h.cold_since >= s.cold_for) return k;
-  k.cold = now - h.cold_since;
+  k.relative_latency = h.slowness, k.load = h.load, k.concurrency_limit = h.window;
+  if (h.cold_since == never || now - h.cold_since >= s.warm_up_duration) return k;
+  k.start_age = now - h.cold_since;
   for (const auto& [when, work] : h.spent.all())
-    if (when > now - s.tip_after) k.sent.emplace_back(now - when, work);
+    if (when > now - s.overload_window) k.slow_start_sends.emplace_back(now - when, work);
   return k;
 }
 
-void learn(Host& h, const HostKnowledge& k, const Settings& s, Time now) {
-  fleet::Outlier::Known o;
-  o.fails = within(k.fails, 0, 1);
-  if (const auto judged = at(k.judged, now)) o.judged = std::min(*judged, now);
+void learn(Host& h, const HostSnapshot& k, const Settings& s, Time now) {
+  fleet::OutlierDetector::State o;
+  o.fails = within(k.failure_score, 0, 1);
+  if (const auto judged = at(k.last_outcome_age, now)) o.judged = std::min(*judged, now);
   // No ejection lasts longer than what the module itself would set.
-  if (k.ejected && *k.ejected <= oldest && *k.ejected >= -oldest) o.ejected_until = now + *k.ejected;
+  if (k.ejection_remaining && *k.ejection_remaining <= oldest && *k.ejection_remaining >= -oldest)
+    o.ejected_until = now + *k.ejection_remaining;
   o.backoff = std::clamp(k.backoff, Duration::zero(), oldest);
   h.outlier.learn(o);
   h.lost_probes = std::max(h.lost_probes, std::clamp(k.lost_probes, 0, 1000));
   h.refusals = std::max(h.refusals, std::clamp(k.refusals, 0, 1000));
-  if (k.slowness >= 0.1 && k.slowness <= 50) h.slowness = k.slowness;
+  if (k.relative_latency >= 0.1 && k.relative_latency <= 50) h.slowness = k.relative_latency;
   if (k.load >= 0 && k.load <= 1000) h.load = k.load;
-  if (k.window > 0 && k.window <= 1e6) h.window = k.window;
-  if (const auto since = at(k.cold, now); since && *since <= now)
+  if (k.concurrency_limit > 0 && k.concurrency_limit <= 1e6) h.window = k.concurrency_limit;
+  if (const auto since = at(k.start_age, now); since && *since <= now)
     h.cold_since = std::max(h.cold_since, *since);
-  if (!k.cold) return;
-  std::deque<fleet::ColdSpending::Spent> sent;
-  for (const auto& [when, work] : k.sent)
-    if (when >= Duration::zero() && when < s.tip_after && work >= 0 && work < 1e9)
+  if (!k.start_age) return;
+  std::deque<fleet::SlowStartUsage::Spent> sent;
+  for (const auto& [when, work] : k.slow_start_sends)
+    if (when >= Duration::zero() && when < s.overload_window && work >= 0 && work < 1e9)
       sent.emplace_back(now - when, work);
   std::sort(sent.begin(), sent.end());
   h.spent.told(std::move(sent));
@@ -65,12 +66,12 @@
 
 }  // namespace
 
-Knowledge known(Learnt& mine, const Settings& settings, Time now, Tell what) {
-  Knowledge k;
+RouterSnapshot known(Learnt& mine, const Settings& settings, Time now, SnapshotScope what) {
+  RouterSnapshot k;
   for (const auto& [id, h] : mine.hosts_) k.hosts.push_back(known(h, settings, now));
-  if (what == Tell::hosts) return k;
+  if (what == SnapshotScope::hosts) return k;
   for (const auto& [id, g] : mine.groups_) {
-    if (what == Tell::split) break;
+    if (what == SnapshotScope::split) break;
     if (g.floor != never) k.floors.emplace_back(id, g.floor);
     for (const auto& [session, commit] : g.sessions) k.sessions.push_back({id, session, commit});
   }
@@ -83,15 +84,15 @@
                          mine.served_.by[i],
                          {mine.wanted_[0].by[i], mine.wanted_[1].by[i]}});
   if (mine.started_ != never) k.age = now - mine.started_;
-  if (what != Tell::split) return k;
-  k.retries = mine.retry_tokens_ /= 2;
-  k.probes = mine.probes_.give();
-  k.cold_whole = mine.cold_part_.split(now);
-  k.cold_part = k.cold_whole / 2;
+  if (what != SnapshotScope::split) return k;
+  k.retry_tokens = mine.retry_tokens_ /= 2;
+  k.probe_tokens = mine.probes_.split_half();
+  k.slow_start_share_total = mine.cold_part_.split(now);
+  k.slow_start_share = k.slow_start_share_total / 2;
   return k;
 }
 
-void learn(Learnt& mine, const Settings& settings, const Knowledge& told, Time now) {
+void learn(Learnt& mine, const Settings& settings, const RouterSnapshot& told, Time now) {
   for (const auto& k : told.hosts)
     if (const auto it = mine.hosts_.find(k.host); it != mine.hosts_.end())
       learn(it->second, k, settings, now);
@@ -112,14 +113,15 @@
         r.sum(now), r.by[i] = std::max(r.by[i], within(v, 0, 1e9));
       };
       set(mine.arrived_, k.arrived), set(mine.served_, k.served);
-      set(mine.wanted_[0], k.asked[0]), set(mine.wanted_[1], k.asked[1]);
+      set(mine.wanted_[0], k.demand[0]), set(mine.wanted_[1], k.demand[1]);
     }
   if (const auto started = at(told.age, now))
     mine.started_ = mine.started_ == never ? *started : std::min(mine.started_, *started);
-  if (!(told.cold_part > 0)) return;
-  mine.retry_tokens_ = within(told.retries, 0, 1e3);
-  mine.probes_.set(within(told.probes, 0, 1e3));
-  mine.cold_part_.hold(std::min(1.0, told.cold_whole), std::min({1.0, told.cold_whole, told.cold_part}));
+  if (!(told.slow_start_share > 0)) return;
+  mine.retry_tokens_ = within(told.retry_tokens, 0, 1e3);
+  mine.probes_.set_balance(within(told.probe_tokens, 0, 1e3));
+  mine.cold_part_.hold(std::min(1.0, told.slow_start_share_total),
+                       std::min({1.0, told.slow_start_share_total, told.slow_start_share}));
 }
 
 }  // namespace cedarring::handover
--- a/src/handover/knowledge.h
+++ b/src/handover/router_snapshot.h
@@ -2,15 +2,15 @@
 // I/O, no clock.
 #pragma once
 
-#include "cedarring/knowledge.h"
 #include "cedarring/router.h"
+#include "cedarring/snapshot.h"
 #include "router/state.h"
 
 namespace cedarring::handover {
 
-/// See Tell; of a split, what may be spent is halved here.
-Knowledge known(state::Learnt& mine, const Settings& settings, Time now, Tell what);
+/// See SnapshotScope; of a split, what may be spent is halved here.
+RouterSnapshot known(state::Learnt& mine, const Settings& settings, Time now, SnapshotScope what);
 /// Only what is news, and only of hosts and classes that are known here. What may be spent is as told.
-void learn(state::Learnt& mine, const Settings& settings, const Knowledge& told, Time now);
+void learn(state::Learnt& mine, const Settings& settings, const RouterSnapshot& told, Time now);
 
 }  // namespace cedarring::handover
--- a/src/levels/ladder.cpp
+++ b/src/levels/ladder.cpp
@@ -150,8 +150,8 @@
   if (pin_) pin_->until = now_;
 }
 
-CarriedLadder Ladder::carried(Time now) const {
-  CarriedLadder c;
+LadderSnapshot Ladder::snapshot(Time now) const {
+  LadderSnapshot c;
   c.level = present().name;
   c.since = begun_ ? std::max(Duration::zero(), now - since_) : Duration::zero();
   c.stay = stay_, c.changed = changed_;
@@ -160,7 +160,7 @@
 }
 
 /// Holds begin anew: nobody has watched in between.
-void Ladder::take(const CarriedLadder& told, Time now) {
+void Ladder::restore(const LadderSnapshot& told, Time now) {
   const auto& all = config_.levels;
   const auto it = std::find_if(all.begin(), all.end(), [&](const Level& l) { return l.name == told.level; });
   if (it == all.end()) return;
@@ -253,47 +253,49 @@
   return each;
 }
 
-std::optional<Flaw> flaw_of(const Rule& rule, Scope scope, const std::string& where) {
+std::optional<ConfigIssue> flaw_of(const Rule& rule, Scope scope, const std::string& where) {
   for (std::size_t i = 0; i < rule.conditions.size(); ++i) {
     const auto& c = rule.conditions[i];
     const auto at = where + "/" + std::to_string(i);
-    if (!std::isfinite(c.bound)) return Flaw{at, "a bound that is no number"};
+    if (!std::isfinite(c.bound)) return ConfigIssue{at, "a bound that is no number"};
     if ((info(c.reading).scope == Scope::group) != (scope == Scope::group))
-      return Flaw{at + "/reading", std::string("reading ") + info(c.reading).name + " is not of this axis"};
-    if (empty(range_of(c))) return Flaw{at, "can never hold: no value of the reading is there"};
+      return ConfigIssue{at + "/reading",
+                         std::string("reading ") + info(c.reading).name + " is not of this axis"};
+    if (empty(range_of(c))) return ConfigIssue{at, "can never hold: no value of the reading is there"};
   }
-  if (rule.all && !overlap(rule.conditions, rule.conditions)) return Flaw{where, "can never hold"};
+  if (rule.all && !overlap(rule.conditions, rule.conditions)) return ConfigIssue{where, "can never hold"};
   return std::nullopt;
 }
 
 }  // namespace
 
-std::optional<Flaw> find_flaw(const LadderConfig& config, Scope scope) {
-  if (config.levels.empty()) return Flaw{"", "no level"};
-  if (config.levels.size() > 16) return Flaw{"", "more than 16 levels"};
+std::optional<ConfigIssue> find_config_issue(const LadderConfig& config, Scope scope) {
+  if (config.levels.empty()) return ConfigIssue{"", "no level"};
+  if (config.levels.size() > 16) return ConfigIssue{"", "more than 16 levels"};
   std::set<std::string> names;
   for (std::size_t i = 0; i < config.levels.size(); ++i) {
     const auto& l = config.levels[i];
     const auto at = "/" + std::to_string(i);
-    if (l.name.empty() || !names.insert(l.name).second) return Flaw{at + "/name", "empty or taken"};
+    if (l.name.empty() || !names.insert(l.name).second) return ConfigIssue{at + "/name", "empty or taken"};
     if (i == 0) {
       if (!l.enter.conditions.empty() || !l.exit.conditions.empty() || !l.sheds.empty())
-        return Flaw{at, "the first level is the normal one: it has no conditions and sheds nothing"};
+        return ConfigIssue{at, "the first level is the normal one: it has no conditions and sheds nothing"};
       continue;
     }
-    if (l.enter.conditions.empty()) return Flaw{at + "/enter", "unreachable: no condition to enter"};
-    if (l.exit.conditions.empty()) return Flaw{at + "/exit", "no way out: no condition to leave"};
+    if (l.enter.conditions.empty()) return ConfigIssue{at + "/enter", "unreachable: no condition to enter"};
+    if (l.exit.conditions.empty()) return ConfigIssue{at + "/exit", "no way out: no condition to leave"};
     if (auto flaw = flaw_of(l.enter, scope, at + "/enter")) return flaw;
     if (auto flaw = flaw_of(l.exit, scope, at + "/exit")) return flaw;
     for (const auto& in : ways(l.enter))
       for (const auto& out : ways(l.exit))
         if (overlap(in, out))
-          return Flaw{at + "/exit", "overlaps the level's own entry: it would be left and entered at once"};
+          return ConfigIssue{at + "/exit",
+                             "overlaps the level's own entry: it would be left and entered at once"};
     for (std::size_t j = 0; j < l.sheds.size(); ++j)
       if (!(l.sheds[j].share >= 0 && l.sheds[j].share <= 1))
-        return Flaw{at + "/shed/" + std::to_string(j) + "/share", "not between 0 and 1"};
+        return ConfigIssue{at + "/shed/" + std::to_string(j) + "/share", "not between 0 and 1"};
   }
-  if (config.apart <= Duration::zero()) return Flaw{"", "the time between changes has to be positive"};
+  if (config.apart <= Duration::zero()) return ConfigIssue{"", "the time between changes has to be positive"};
   return std::nullopt;
 }
 
--- a/src/levels/ladder.h
+++ b/src/levels/ladder.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "levels/carried.h"
 #include "levels/readings.h"
+#include "levels/snapshot.h"
 
 namespace cedarring::levels {
 
@@ -117,8 +117,8 @@
 
   /// For the process that follows, and taken over by it: the level of that name, where there is one, with its
   /// time.
-  [[nodiscard]] CarriedLadder carried(Time now) const;
-  void take(const CarriedLadder& told, Time now);
+  [[nodiscard]] LadderSnapshot snapshot(Time now) const;
+  void restore(const LadderSnapshot& told, Time now);
 
   [[nodiscard]] std::size_t level() const { return level_; }
   [[nodiscard]] const Level& present() const { return config_.levels[level_]; }
@@ -163,9 +163,9 @@
 
 /// What is wrong with a ladder: where (a path of keys below the ladder's own) and what. None if it can be
 /// used.
-struct Flaw {
+struct ConfigIssue {
   std::string where, what;
 };
-std::optional<Flaw> find_flaw(const LadderConfig& config, Scope scope);
+std::optional<ConfigIssue> find_config_issue(const LadderConfig& config, Scope scope);
 
 }  // namespace cedarring::levels
--- a/src/levels/levels.cpp
+++ b/src/levels/levels.cpp
@@ -12,14 +12,14 @@
 
 }  // namespace
 
-Levels::Levels(Config config, Service service)
+Levels::Levels(Config config, ServiceInfo service)
     : config_(std::move(config)),
       service_(std::move(service)),
       pressure_(config_.pressure),
       meter_(
           [this] {
             std::vector<Duration> aims;
-            for (const auto& c : service_.classes) aims.push_back(c.aim);
+            for (const auto& c : service_.classes) aims.push_back(c.latency_target);
             return aims;
           }(),
           config_.memory),
@@ -64,12 +64,12 @@
 
 /// The caller's place in [0, 1): the same for all its requests while the episode lasts, so that the same
 /// callers are shed, a retry meets the same answer, and a larger share sheds those of a smaller one and more.
-double Levels::place(const gates::Ask& ask) const {
+double Levels::place(const gates::GateRequest& ask) const {
   const auto who = ask.caller != 0 ? ask.caller : ask.request.value;
   return static_cast<double>(XXH3_64bits_withSeed(&who, sizeof who, episode_) >> 11U) * 0x1p-53;
 }
 
-gates::Verdict Levels::admit(const gates::Ask& ask, Time now) {
+gates::Verdict Levels::admit(const gates::GateRequest& ask, Time now) {
   if (ask.cls.value < 0 || static_cast<std::size_t>(ask.cls.value) >= counters_.size()) return {};
   auto& counter = counters_[static_cast<std::size_t>(ask.cls.value)];
   ++counter.asked;
@@ -100,8 +100,8 @@
   if (config_.mode != Mode::on) return {};
   gates::Verdict v;
   v.admitted = false;
-  v.by = gates::Decider::levels;
-  v.why = why;
+  v.decided_by = gates::Decider::levels;
+  v.reason = why;
   if (why == gates::Reason::no_primary)
     ++counter.refused_without_primary;
   else
@@ -112,11 +112,11 @@
       why == gates::Reason::no_primary
           ? remaining()
           : pressure_.since() + std::max(pressure_.least_stay(), config_.pressure.apart) - now;
-  v.pause = spread_pause(expected, service_.max_pause, draw());
+  v.retry_after = spread_pause(expected, service_.max_pause, draw());
   return v;
 }
 
-void Levels::ended(const gates::Ask& ask, const gates::Ending& ending, Time now) {
+void Levels::on_request_end(const gates::GateRequest& ask, const gates::RequestResult& ending, Time now) {
   // What a lost primary brings about is the other axis's: it must not be taken for pressure as well.
   if (const auto it = groups_.find(ask.group); it != groups_.end())
     if (!it->second.primary || (it->second.back && now - ending.elapsed < it->second.found + settle)) return;
@@ -208,12 +208,12 @@
   }
 }
 
-Carried Levels::carried(Time now) const {
-  Carried c;
-  c.pressure = pressure_.carried(now);
+Snapshot Levels::snapshot(Time now) const {
+  Snapshot c;
+  c.pressure = pressure_.snapshot(now);
   for (const auto& [id, g] : groups_) {
-    CarriedGroup k;
-    k.group = id, k.ladder = g.faults.carried(now);
+    GroupSnapshot k;
+    k.group = id, k.ladder = g.faults.snapshot(now);
     k.takeover = g.takeover.estimate(), k.takeovers = g.takeover.count();
     if (!g.primary) k.lost = now - g.lost;
     c.groups.push_back(std::move(k));
@@ -225,13 +225,13 @@
 }
 
 /// Counts are added: the other process books no more, or this one would have begun at nothing.
-void Levels::take(const Carried& told, Time now) {
-  pressure_.take(told.pressure, now);
+void Levels::restore(const Snapshot& told, Time now) {
+  pressure_.restore(told.pressure, now);
   for (const auto& k : told.groups) {
     auto* known = watched(k.group);
     if (!known) continue;
     auto& g = *known;
-    g.faults.take(k.ladder, now);
+    g.faults.restore(k.ladder, now);
     g.takeover.take(k.takeover, k.takeovers);
     if (k.lost && *k.lost >= Duration::zero()) g.primary = false, g.lost = now - *k.lost;
   }
@@ -275,9 +275,10 @@
   double hosts = 0, out = 0, replicas = 0, lagging = 0, in_flight = 0, window = 0, waiting = 0;
   const auto share = [](double part, double of) { return of <= 0 ? 0.0 : part / of; };
   for (const auto& v : views) {
-    hosts += v.hosts, out += v.out, replicas += v.replicas, lagging += v.lagging;
-    in_flight += v.in_flight, window += v.window, waiting += v.waiting;
-    state.groups.push_back({v.group, v.primary, share(v.out, v.hosts), share(v.lagging, v.replicas)});
+    hosts += v.hosts, out += v.unavailable, replicas += v.replicas, lagging += v.lagging;
+    in_flight += v.in_flight, window += v.concurrency_limit, waiting += v.waiting;
+    state.groups.push_back(
+        {v.group, v.has_primary, share(v.unavailable, v.hosts), share(v.lagging, v.replicas)});
   }
   state.groups_at = now;
   for (const auto& [reading, value] : {std::pair{Reading::hosts_out, share(out, hosts)},
@@ -310,21 +311,21 @@
   return c.freshness == Freshness::write || c.freshness == Freshness::fresh;
 }
 
-std::optional<Flaw> with_axis(std::optional<Flaw> flaw, const char* axis) {
+std::optional<ConfigIssue> with_axis(std::optional<ConfigIssue> flaw, const char* axis) {
   if (flaw) flaw->where = axis + flaw->where;
   return flaw;
 }
 
 }  // namespace
 
-std::optional<Flaw> find_flaw(const Config& config, const Service& service) {
-  if (auto flaw = with_axis(find_flaw(config.pressure, Scope::gateway), "/pressure")) return flaw;
-  if (auto flaw = with_axis(find_flaw(config.faults, Scope::group), "/faults")) return flaw;
+std::optional<ConfigIssue> find_config_issue(const Config& config, const ServiceInfo& service) {
+  if (auto flaw = with_axis(find_config_issue(config.pressure, Scope::gateway), "/pressure")) return flaw;
+  if (auto flaw = with_axis(find_config_issue(config.faults, Scope::group), "/faults")) return flaw;
   for (std::size_t i = 0; i < config.faults.levels.size(); ++i)
     for (std::size_t j = 0; j < config.faults.levels[i].sheds.size(); ++j)
       if (config.faults.levels[i].sheds[j].tenant >= 0)
-        return Flaw{"/faults/" + std::to_string(i) + "/shed/" + std::to_string(j) + "/tenant",
-                    "a fault strikes all tenants of a group alike"};
+        return ConfigIssue{"/faults/" + std::to_string(i) + "/shed/" + std::to_string(j) + "/tenant",
+                           "a fault strikes all tenants of a group alike"};
   // Writes within their budget are the last that pressure may give up.
   const auto classes = service.classes.size();
   for (std::size_t i = 0; i < config.pressure.levels.size(); ++i) {
@@ -343,13 +344,13 @@
       else
         all_others &= share[c] >= 1;
     if (some_write && !all_others)
-      return Flaw{"/pressure/" + std::to_string(i) + "/shed",
-                  "writes within their budget are shed before everything else is"};
+      return ConfigIssue{"/pressure/" + std::to_string(i) + "/shed",
+                         "writes within their budget are shed before everything else is"};
   }
   return std::nullopt;
 }
 
-Config default_config(const Service& service) {
+Config default_config(const ServiceInfo& service) {
   constexpr double slack = 0.6;  // of the hosts' windows in use, at which a level may be left
   Config c;
   std::vector<std::int32_t> any, reads, current;
--- a/src/levels/levels.h
+++ b/src/levels/levels.h
@@ -26,7 +26,7 @@
   std::size_t groups_most = 1024;     // groups watched; the others are on the normal level
 };
 
-using gates::Service;
+using gates::ServiceInfo;
 
 /// What is known of a group at an evaluation.
 struct GroupState {
@@ -61,10 +61,10 @@
 
 class Levels : public gates::Gate {
  public:
-  Levels(Config config, Service service);
+  Levels(Config config, ServiceInfo service);
 
-  gates::Verdict admit(const gates::Ask& ask, Time now) override;
-  void ended(const gates::Ask& ask, const gates::Ending& ending, Time now) override;
+  gates::Verdict admit(const gates::GateRequest& ask, Time now) override;
+  void on_request_end(const gates::GateRequest& ask, const gates::RequestResult& ending, Time now) override;
 
   /// Takes in what is known and evaluates both axes. To be called every `beat`.
   void step(Time now, const GatewayState& state, std::vector<AxisChange>& out);
@@ -75,8 +75,8 @@
   void reload(Config config, Time now, std::vector<AxisChange>& out);
 
   /// For the process that follows, and taken over by it.
-  [[nodiscard]] Carried carried(Time now) const;
-  void take(const Carried& told, Time now);
+  [[nodiscard]] Snapshot snapshot(Time now) const;
+  void restore(const Snapshot& told, Time now);
 
   [[nodiscard]] const Config& config() const { return config_; }
   [[nodiscard]] const Ladder& pressure() const { return pressure_; }
@@ -115,10 +115,10 @@
     return static_cast<std::size_t>(cls) * 4 + (beyond ? 2 : 0) + (lost ? 1 : 0);
   }
   [[nodiscard]] double draw() { return static_cast<double>(random_()) * 0x1p-32; }
-  [[nodiscard]] double place(const gates::Ask& ask) const;
+  [[nodiscard]] double place(const gates::GateRequest& ask) const;
 
   Config config_;
-  Service service_;
+  ServiceInfo service_;
   Ladder pressure_;
   std::map<GroupId, Group> groups_;
   Meter meter_;
@@ -131,10 +131,11 @@
   pcg32 random_;
 };
 
-/// See find_flaw in ladder.h; the path begins with the axis. Also that what matters most is given up last.
-std::optional<Flaw> find_flaw(const Config& config, const Service& service);
+/// See find_config_issue in ladder.h; the path begins with the axis. Also that what matters most is given up
+/// last.
+std::optional<ConfigIssue> find_config_issue(const Config& config, const ServiceInfo& service);
 
 /// The ladder that is used where the file names none.
-Config default_config(const Service& service);
+Config default_config(const ServiceInfo& service);
 
 }  // namespace cedarring::levels
--- a/src/levels/meter.h
+++ b/src/levels/meter.h
@@ -20,15 +20,17 @@
       : aims_(std::move(aims)), by_(aims_.size()), memory_(memory) {}
 
   /// Requests that a gate has turned away do not count: a level must not be kept up by what it sheds itself.
-  void add(ClassId cls, const gates::Ending& e, Time now) {
-    if (cls.value < 0 || static_cast<std::size_t>(cls.value) >= by_.size() || e.end == gates::End::left)
+  void add(ClassId cls, const gates::RequestResult& e, Time now) {
+    if (cls.value < 0 || static_cast<std::size_t>(cls.value) >= by_.size() ||
+        e.end == gates::RequestEnd::abandoned)
       return;
-    if (e.end == gates::End::refused && e.by != gates::Decider::router && e.by != gates::Decider::nobody)
+    if (e.end == gates::RequestEnd::refused && e.by != gates::Decider::router &&
+        e.by != gates::Decider::nobody)
       return;
     auto& c = by_[static_cast<std::size_t>(cls.value)];
     fade(c, now);
     c.asked += 1;
-    if (e.end != gates::End::served) {
+    if (e.end != gates::RequestEnd::served) {
       c.refused += 1;
       return;
     }
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -8,9 +8,9 @@
 #include <tuple>
 #include <utility>
 
-#include "cedarring/knowledge.h"
-#include "fleet/draw.h"
-#include "handover/knowledge.h"
+#include "cedarring/snapshot.h"
+#include "fleet/weighted_choice.h"
+#include "handover/router_snapshot.h"
 #include "router/state.h"
 
 namespace cedarring {
@@ -61,8 +61,8 @@
 class Router::Impl : Learnt {
  public:
   explicit Impl(Settings settings)
-      : Learnt({settings.probe_price, probe_points, probe_cap}), s_(std::move(settings)), random_(s_.seed) {
-    retune(s_);
+      : Learnt({settings.probe_cost, probe_points, probe_cap}), s_(std::move(settings)), random_(s_.seed) {
+    update_settings(s_);
     retry_tokens_ = retry_cap;
     for (auto& l : load_) l.memory = rate_seconds, l.most = load_samples;
     probe_time_ = shortest_aim_ / 32;
@@ -70,15 +70,15 @@
   }
 
   /// Open requests keep their classes, which keep their numbers: what was learnt of them stays.
-  void retune(Settings settings) {
+  void update_settings(Settings settings) {
     check(settings);
     s_ = std::move(settings);
-    for (auto& c : s_.classes) c.attempts = c.attempts > 0 ? c.attempts : s_.max_attempts;
+    for (auto& c : s_.classes) c.max_attempts = c.max_attempts > 0 ? c.max_attempts : s_.max_attempts;
     std::tie(longest_aim_, mean_aim_, shortest_aim_, tightest_) = aims(s_.classes);
     for (auto* d : {&wanted_[0], &wanted_[1], &arrived_, &served_})
       d->by.resize(s_.classes.size()), d->memory = d == &served_ ? group_seconds : rate_seconds;
     for (auto i = class_latency_.size(); i < s_.classes.size(); ++i)
-      class_latency_.push_back(scale(s_.classes[i].aim, default_latency));
+      class_latency_.push_back(scale(s_.classes[i].latency_target, default_latency));
     beat_ = std::max(scale(s_.quantum, 4), Duration(10'000));
   }
 
@@ -91,18 +91,19 @@
     out_ = nullptr;
   }
 
-  void view(Time now, std::vector<GroupView>& out) {
+  void group_views(Time now, std::vector<GroupView>& out) {
     now_ = std::max(now_, now);
     for (auto& [id, g] : groups_) {
       GroupView v;
       v.group = id, v.waiting = static_cast<int>(g.waiting.size());
       const Host* top = primary(id);
-      v.primary = top && usable(*top);
-      if (top) v.primary_in_flight = top->in_flight(), v.primary_window = top->window;
+      v.has_primary = top && usable(*top);
+      if (top) v.primary_in_flight = top->in_flight(), v.primary_concurrency_limit = top->window;
       for (const auto w : g.waiting) v.primary_waiting += only_primary(requests_.at(w).cls.value) ? 1 : 0;
       for (const Host* m : g.members) {
         if (!open(*m)) continue;
-        ++v.hosts, v.out += healthy(*m) ? 0 : 1, v.in_flight += m->in_flight(), v.window += m->window;
+        ++v.hosts, v.unavailable += healthy(*m) ? 0 : 1, v.in_flight += m->in_flight(),
+            v.concurrency_limit += m->window;
         v.avoided += !healthy(*m) && now_ - m->last_sent > longest_aim_ * 2 ? 1 : 0;
         if (m == top) continue;
         ++v.replicas;
@@ -111,16 +112,18 @@
       out.push_back(v);
     }
   }
-  void tune(const Tuning& t) { tuning_ = t; }
-  void limit(int places) { places_ = places; }
-  Knowledge known(Time now, Tell what) {
+  void set_tuning(const Tuning& t) { tuning_ = t; }
+  void set_max_in_flight(int places) { places_ = places; }
+  RouterSnapshot snapshot(Time now, SnapshotScope what) {
     return handover::known(*this, s_, now_ = std::max(now_, now), what);
   }
-  void learn(Time now, const Knowledge& k) { handover::learn(*this, s_, k, now_ = std::max(now_, now)); }
-  void follow() { retry_tokens_ = 0, probes_.set(0), cold_part_.hold(0, 0); }
-  void widen(Time now, double part) { cold_part_.widen(now + s_.tip_after, part); }
-  bool knows(HostId id) const { return hosts_.count(id) > 0; }
-  std::size_t held() const {
+  void merge_snapshot(Time now, const RouterSnapshot& k) {
+    handover::learn(*this, s_, k, now_ = std::max(now_, now));
+  }
+  void suspend_spending() { retry_tokens_ = 0, probes_.set_balance(0), cold_part_.hold(0, 0); }
+  void set_slow_start_share(Time now, double part) { cold_part_.widen(now + s_.overload_window, part); }
+  bool tracks(HostId id) const { return hosts_.count(id) > 0; }
+  std::size_t entry_count() const {
     std::size_t n = hosts_.size() + requests_.size();
     for (const auto& [id, g] : groups_) n += g.sessions.size() + g.waiting.size();
     return n;
@@ -129,11 +132,11 @@
  private:
   // ---- membership ----
   void on(const Started&) {
-    if (s_.discovery == DiscoveryMode::ask) {
+    if (s_.discovery_mode == DiscoveryMode::poll) {
       // Spread over the routers: all may start together.
-      const auto slot = scale(s_.ask_within, 0.1) / s_.routers;
-      ask_at_ = now_ + slot * static_cast<std::int64_t>(s_.position);
-      ask_wait_ = scale(s_.ask_within, 0.05);
+      const auto slot = scale(s_.max_poll_interval, 0.1) / s_.instance_count;
+      ask_at_ = now_ + slot * static_cast<std::int64_t>(s_.instance_index);
+      ask_wait_ = scale(s_.max_poll_interval, 0.05);
     }
   }
 
@@ -141,10 +144,10 @@
     if (list.kind == ListKind::failed) {
       // Ask again after growing, jittered waits, always well inside the time within which we must have asked.
       ask_at_ = now_ + scale(ask_wait_, 0.5 + draw01());
-      ask_wait_ = std::min(ask_wait_ * 2, scale(s_.ask_within, 0.4));
+      ask_wait_ = std::min(ask_wait_ * 2, scale(s_.max_poll_interval, 0.4));
       return;
     }
-    if (list.kind != ListKind::cached) ask_wait_ = scale(s_.ask_within, 0.05);
+    if (list.kind != ListKind::cached) ask_wait_ = scale(s_.max_poll_interval, 0.05);
     if (list.kind != ListKind::delta)
       for (auto& [id, h] : hosts_) h.listed = false;
     for (const auto& e : list.entries) enlist(e);
@@ -153,7 +156,7 @@
       Host& h = (it++)->second;
       if (!h.listed) take_state(h, HostState::gone);
       ready_ += open(h) ? 1 : 0;
-      if (open(h) && warmth(h) < 1) warm_at_.insert(h.cold_since + s_.cold_for);
+      if (open(h) && warmth(h) < 1) warm_at_.insert(h.cold_since + s_.warm_up_duration);
       if (h.state != HostState::gone || h.in_flight() > 0) continue;
       groups_[h.group].remove(h);
       hosts_.erase(HostId(h.id));
@@ -168,8 +171,8 @@
     if (fresh || h.group != e.group) {
       h.id = e.host;
       h.group = e.group;
-      if (fresh) h.outlier = fleet::Outlier({fail_gain, rate_seconds, eject_at});
-      h.window = window_start / s_.routers;
+      if (fresh) h.outlier = fleet::OutlierDetector({fail_gain, rate_seconds, eject_at});
+      h.window = window_start / s_.instance_count;
       Group& g = groups_[e.group];
       for (auto& l : g.load) l.memory = group_seconds, l.most = load_samples;
       auto& m = g.members;
@@ -178,15 +181,15 @@
     }
     h.listed = true;
     h.zone = e.zone;
-    h.named = e.listed_primary && s_.list_role != ListRole::none;
+    h.named = e.listed_primary && s_.listed_role != ListedRole::none;
     take_state(h, e.state);
     // A listed role may be old, so it counts as the weakest evidence: anything heard from a host beats it.
-    if (e.listed_primary && s_.list_role != ListRole::none && h.role == Role::unknown) {
+    if (e.listed_primary && s_.listed_role != ListedRole::none && h.role == Role::unknown) {
       h.role = Role::primary;
       h.role_at = never + Duration(1);
     }
-    const Time born = e.born.value_or(never);
-    if (born > h.cold_since && now_ - born < s_.cold_for) {
+    const Time born = e.started_at.value_or(never);
+    if (born > h.cold_since && now_ - born < s_.warm_up_duration) {
       h.cold_since = born;
       h.outlier.forget();
       h.lost_probes = 0;
@@ -196,7 +199,7 @@
 
   /// Where only a listed drain binds, a host that merely left the list stays in use: outcomes tell of it.
   void take_state(Host& h, HostState state) const {
-    if (state == HostState::gone && s_.only_draining_binds && h.state == HostState::ready) return;
+    if (state == HostState::gone && s_.removed_hosts_stay_usable && h.state == HostState::ready) return;
     h.state = state;
   }
 
@@ -212,16 +215,16 @@
   double step_weight(const Host& h, const Request& r) const {
     const auto& c = s_.classes[r.cls.value];
     if (behind(h, r))
-      return h.position == never || s_.checks == StaleCheck::none
+      return h.position == never || s_.stale_read_policy == StaleReadPolicy::none
                  ? 0
-                 : fleet::PastShare::weight(groups_.at(h.group).past, past_);
-    return c.freshness == Freshness::bounded ? fleet::lag_step(now_ - h.position, c.bound) : 1;
+                 : fleet::StaleReadSuccessRate::weight(groups_.at(h.group).past, past_);
+    return c.freshness == Freshness::bounded ? fleet::lag_weight(now_ - h.position, c.staleness_bound) : 1;
   }
   /// Whether the replica is believed too far behind for the request; its host judges by what is true.
   bool behind(const Host& h, const Request& r) const {
     const auto& c = s_.classes[r.cls.value];
     if (c.freshness == Freshness::session) return h.position < r.needs;
-    return c.freshness == Freshness::bounded && now_ - h.position > c.bound;
+    return c.freshness == Freshness::bounded && now_ - h.position > c.staleness_bound;
   }
 
   // ---- primary ----
@@ -284,7 +287,7 @@
 
   bool healthy(const Host& h) const {
     if (silent(h)) return false;
-    return !h.outlier.ejected() || (h.outlier.on_trial(now_) && h.in_flight() == 0);  // a single trial
+    return !h.outlier.ejected() || (h.outlier.ready_for_trial(now_) && h.in_flight() == 0);  // a single trial
   }
 
   /// What has nowhere else to go uses a primary in spite of its errors (iae7ffd), not of silence or refusals.
@@ -322,7 +325,7 @@
   /// The in-flight window: AIMD on latency over aim. A time-out beside quick answers counts in their
   /// proportion: it was lost, not queued (i358951).
   void congested(Host& h, const Request& r, Duration elapsed, bool answer) {
-    h.load += latency_gain * (ms(elapsed) / ms(s_.classes[r.cls.value].aim) - h.load);
+    h.load += latency_gain * (ms(elapsed) / ms(s_.classes[r.cls.value].latency_target) - h.load);
     if (h.load > window_high && now_ - h.window_cut_at > class_latency_[r.cls.value]) {
       h.window = std::max(window_least, h.window * window_cut);
       h.window_cut_at = now_;
@@ -334,9 +337,9 @@
   // ---- selection ----
   /// What a started host can do now as a share of the full; 1 when warm.
   double warmth(const Host& h, Duration ago = {}) const {
-    if (h.cold_since == never || now_ - h.cold_since >= s_.cold_for) return 1;
+    if (h.cold_since == never || now_ - h.cold_since >= s_.warm_up_duration) return 1;
     const auto up = std::max(Duration::zero(), now_ - ago - h.cold_since);
-    return s_.cold_from + (1 - s_.cold_from) * ms(up) / ms(s_.cold_for);
+    return s_.cold_capacity_share + (1 - s_.cold_capacity_share) * ms(up) / ms(s_.warm_up_duration);
   }
 
   /// The budget of rule 4: multiple x present capacity x tip_after, in every window, from all routers. None
@@ -352,9 +355,9 @@
   ///   is left to handshakes, probes, slow hosts, chance; warm hosts are not always full, so parts are less.
   bool cold_turn(const Request& r, Host& h, double pick, bool alone) {
     if (warmth(h) >= 1) return true;
-    const double window = ms(s_.tip_after) / 1000, warm = warmth(h, s_.tip_after);
-    const double part = cold_share * s_.tip_multiple * warm * window * host_rate();
-    const Time from = now_ - s_.tip_after;
+    const double window = ms(s_.overload_window) / 1000, warm = warmth(h, s_.overload_window);
+    const double part = cold_share * s_.overload_multiple * warm * window * host_rate();
+    const Time from = now_ - s_.overload_window;
     const double left = cold_part_.left(now_, part, h.spent.own(from), h.spent.others(from));
     if (left >= work(r.cls.value)) return true;
     const double all = std::max(1.0, arrived_.sum(now_)), seconds = arrived_.seconds(now_ - started_);
@@ -377,8 +380,8 @@
     return served_.sum(now_) / served_.seconds(now_ - started_) / warm;
   }
   double work(std::size_t i) const { return ms(class_latency_[i]) / std::max(0.1, ms(typical())); }
-  double worth(std::size_t i) const { return s_.classes[i].worth / std::max(0.1, ms(class_latency_[i])); }
-  std::size_t cap(const Request& r) const { return s_.classes[r.cls.value].attempts; }
+  double worth(std::size_t i) const { return s_.classes[i].value / std::max(0.1, ms(class_latency_[i])); }
+  std::size_t cap(const Request& r) const { return s_.classes[r.cls.value].max_attempts; }
   bool only_primary(std::size_t i) const { return s_.classes[i].freshness >= Freshness::fresh; }
 
   bool open(const Host& h) const { return h.state == HostState::ready; }
@@ -411,7 +414,7 @@
 
   /// The draw; a cold host that it falls on must have its turn, else it falls again among the warm.
   Host* warm_draw(const Request& r, std::vector<std::pair<Host*, double>>& from) {
-    Host* h = fleet::weighted_draw(from, draw01());
+    Host* h = fleet::weighted_choice(from, draw01());
     if (!h || warmth(*h) >= 1) return h;
     double total = 0, mine = 0;
     for (const auto& [m, w] : from) total += w, mine += m == h ? w : 0;
@@ -419,13 +422,13 @@
     const bool alone = std::all_of(from.begin(), from.end(), cold);
     if (cold_turn(r, *h, mine / std::max(mine, total), alone)) return h;
     from.erase(std::remove_if(from.begin(), from.end(), cold), from.end());
-    return fleet::weighted_draw(from, draw01());
+    return fleet::weighted_choice(from, draw01());
   }
 
   /// Asks replicas (one where answers tell positions too), or the primary, when too little is known. Guards
   /// the primary where traffic is too thin to keep positions fresh. Harm: a read waits one probe longer.
   bool seek(Group& g, Host* top, bool primary) {
-    if (!s_.may_probe || !probes_.can(probe_kept)) return false;
+    if (!s_.probes_allowed || !probes_.available(probe_kept)) return false;
     auto& asked = g.asked[primary ? 1 : 0];
     const auto pending = [&](const Host* m) { return m->probing && (m == top) == primary; };
     if (now_ < asked.until) return std::any_of(g.members.begin(), g.members.end(), pending);
@@ -437,8 +440,8 @@
     if (from.empty()) return false;
     asked.until = now_ + std::clamp(probe_time_ * 4, beat_, shortest_aim_ / 4);
     const int most = s_.answers_carry_position ? 1 : asked_at_once;
-    for (int i = 0; i < most && !from.empty() && probes_.can(probe_kept); ++i) {
-      Host* h = fleet::weighted_draw(from, draw01());
+    for (int i = 0; i < most && !from.empty() && probes_.available(probe_kept); ++i) {
+      Host* h = fleet::weighted_choice(from, draw01());
       probe(*h);
       from.erase(std::remove_if(from.begin(), from.end(), [&](const auto& f) { return f.first == h; }),
                  from.end());
@@ -447,7 +450,7 @@
   }
 
   void probe(Host& h) {
-    probes_.take();
+    probes_.spend();
     h.probing = true;
     h.last_probe = now_;
     out_->push_back(Probe{h.id});
@@ -457,7 +460,8 @@
   /// is none turns it away at once and nothing ran. Each is asked once in a while, the one the list names
   /// first, then those longest not known as replicas. Harm: a write that finds none has spent attempts.
   Host* guess(const Request& r, Group& g, const Host* top) {
-    const bool cheap = s_.may_probe && s_.probe_price * static_cast<double>(g.members.size()) <= probe_points;
+    const bool cheap =
+        s_.probes_allowed && s_.probe_cost * static_cast<double>(g.members.size()) <= probe_points;
     if (cheap || r.attempts.size() + 1 >= cap(r)) return nullptr;
     Host* best = nullptr;
     for (Host* m : g.members) {
@@ -501,7 +505,7 @@
           within = within || !behind(h, r);
           const auto queue = queue_known(h) ? Duration::zero() : usual;  // the rest is in expected()
           const double latency = std::max(0.1, ms(expected(h, r.cls) + queue));
-          const double well = step * warmth(h) * std::pow(1 - h.outlier.ill(now_), 2);
+          const double well = step * warmth(h) * std::pow(1 - h.outlier.failure_score(now_), 2);
           const double w = well / (latency * (h.in_flight() + 1));
           eligible.emplace_back(&h, w);
         }
@@ -511,9 +515,9 @@
           break;
         }
         if (!eligible.empty() && !busy) {  // only where replicas check reads: the most advanced first
-          const bool trust = fleet::PastShare::trust(g.past, past_);
-          const auto level = trust ? c.bound / 4 : Duration::zero();
-          fleet::keep_most_advanced(eligible, level, [&](const Host& h) { return h.lag(now_, trust); });
+          const bool trust = fleet::StaleReadSuccessRate::trust(g.past, past_);
+          const auto level = trust ? c.staleness_bound / 4 : Duration::zero();
+          fleet::retain_most_current(eligible, level, [&](const Host& h) { return h.lag(now_, trust); });
           if (Host* h = warm_draw(r, eligible)) return h;
         }
         if (careful && (busy || (top && healthy(*top))))
@@ -523,7 +527,7 @@
     }
     // The primary as backup: a share of its window, or all for reads worth more than any write (iea4f33).
     // Like writes, a read that has nowhere else to go uses it in spite of its errors.
-    const double spill = nowhere ? 1 : tuning_.spill;
+    const double spill = nowhere ? 1 : tuning_.read_spillover;
     if (top && (nowhere ? usable(*top) : healthy(*top)) && !jammed(*top, r) && spill > 0 &&
         room(*top, spill * (value(r) > write_value_ ? 1 : read_share)) && cold_turn(r, *top, 1, true))
       return top;
@@ -534,21 +538,21 @@
   /// Rule 2 in one place: may this request be sent to `to`, or be refused (null)?
   bool permitted(const Request& r, const Host* to) const {
     const auto& c = s_.classes[r.cls.value];
-    if (to && r.out > 0 && !s_.second_copies) return false;
-    if (to && r.attempts.size() >= c.attempts) return false;
-    if (c.effect == Effect::safe) return true;
+    if (to && r.out > 0 && !s_.hedging_allowed) return false;
+    if (to && r.attempts.size() >= c.max_attempts) return false;
+    if (c.idempotency == Idempotency::safe) return true;
     if (r.maybe_ran == forever && r.out == 0) return true;
-    if (c.effect == Effect::unsafe) return false;
-    if (!to) return c.scope == RepeatScope::all;
+    if (c.idempotency == Idempotency::unsafe) return false;
+    if (!to) return c.dedup_scope == DedupScope::all;
     Time first = r.maybe_ran;
     HostId where = r.maybe_host;
     for (const auto& a : r.attempts)
       if (a.out && a.sent < first) first = a.sent, where = a.host;
-    if (now_ - first >= c.window - s_.quantum) return false;
+    if (now_ - first >= c.dedup_window - s_.quantum) return false;
     const auto it = hosts_.find(where);
-    if (c.scope == RepeatScope::all) return true;
+    if (c.dedup_scope == DedupScope::all) return true;
     if (it == hosts_.end()) return false;
-    return c.scope == RepeatScope::zone ? it->second.zone == to->zone : it->second.group == to->group;
+    return c.dedup_scope == DedupScope::zone ? it->second.zone == to->zone : it->second.group == to->group;
   }
 
   void note_load(const Host& h, double sample) {
@@ -565,7 +569,7 @@
     const double usual = load_[role].mean * all / (all + load_prior);
     const double load = (g.load[role].mean * own + usual * load_prior) / (own + load_prior);
     const double eased =
-        weight * load / (1 + std::min(1.0, window_start / 4 / s_.routers));  // few: windows bind
+        weight * load / (1 + std::min(1.0, window_start / 4 / s_.instance_count));  // few: windows bind
     return std::clamp((load_shut - eased) / (load_shut - load_open), admit_least, 1.0);
   }
 
@@ -586,8 +590,8 @@
 
   double value(const Request& r) const {
     const auto& c = s_.classes[r.cls.value];
-    const bool late = now_ + class_latency_[r.cls.value] > r.arrived + c.aim;
-    return worth(r.cls.value) * (late ? c.late_worth : 1.0);
+    const bool late = now_ + class_latency_[r.cls.value] > r.arrived + c.latency_target;
+    return worth(r.cls.value) * (late ? c.late_value : 1.0);
   }
 
   /// The last moment at which a send still earns something; how long a request of a class may wait for it.
@@ -595,12 +599,13 @@
     return std::min(r.deadline, r.arrived + worthwhile(r.cls.value)) - class_latency_[r.cls.value];
   }
   Duration worthwhile(std::size_t i) const {
-    return s_.classes[i].late_worth > 0 ? s_.classes[i].deadline : s_.classes[i].aim;
+    return s_.classes[i].late_value > 0 ? s_.classes[i].deadline : s_.classes[i].latency_target;
   }
 
   void on(const RequestArrived& e) {
     const auto group = groups_.find(e.group);
-    const bool known = e.cls.value >= 0 && e.cls.value < static_cast<std::int32_t>(s_.classes.size());
+    const bool known =
+        e.class_id.value >= 0 && e.class_id.value < static_cast<std::int32_t>(s_.classes.size());
     if (!known || group == groups_.end() || group->second.members.empty()) {
       out_->push_back(Refuse{e.request, pause(longest_aim_)});
       return;
@@ -608,7 +613,7 @@
     if (requests_.count(e.request) > 0) return;
     Request& r = requests_[e.request];
     r.id = e.request;
-    r.cls = e.cls;
+    r.cls = e.class_id;
     r.group = e.group;
     r.arrived = now_;
     r.deadline = now_ + e.time_left;
@@ -623,7 +628,7 @@
     retry_tokens_ = std::min(retry_cap, retry_tokens_ + retry_ratio * tuning_.retry_budget);
     probes_.earn();
     arrived_.add(now_, r.cls.value, 1);
-    const auto& c = s_.classes[e.cls.value];
+    const auto& c = s_.classes[e.class_id.value];
     if (c.freshness == Freshness::session) {
       r.needs = g.floor;
       if (e.session) {
@@ -637,7 +642,7 @@
   }
 
   Duration pause(Duration d) const {
-    return s_.retry_after ? std::min(d, s_.max_retry_after) : Duration::zero();
+    return s_.retry_after_allowed ? std::min(d, s_.max_retry_after) : Duration::zero();
   }
 
   void wait(Request& r) {
@@ -696,12 +701,14 @@
   /// Where holding costs, what found no host by then is refused while its client can still try elsewhere.
   /// Harm: a request that a host would have taken in the rest of its time is refused.
   bool held_long(const Request& r) const {
-    return s_.holding_costs && !r.reached && now_ - r.arrived >= scale(r.deadline - r.arrived, hold_share);
+    return s_.late_refusal_costs && !r.reached &&
+           now_ - r.arrived >= scale(r.deadline - r.arrived, hold_share);
   }
 
   bool still_possible(const Request& r) const {
     const auto& c = s_.classes[r.cls.value];
-    return c.effect != Effect::keyed || r.maybe_ran == forever || now_ - r.maybe_ran < c.window;
+    return c.idempotency != Idempotency::keyed || r.maybe_ran == forever ||
+           now_ - r.maybe_ran < c.dedup_window;
   }
 
   /// The final answer for a request that nothing is out for: refused if that is allowed, else failed.
@@ -754,15 +761,15 @@
                      e.outcome == Outcome::timeout || e.outcome == Outcome::reset ||
                      e.outcome == Outcome::cancelled;
     if (ran && a.sent < r.maybe_ran) r.maybe_ran = a.sent, r.maybe_host = a.host;
-    if (e.outcome == Outcome::miss) r.missed = true;
-    if (a.behind && (e.outcome == Outcome::ok || e.outcome == Outcome::miss))
+    if (e.outcome == Outcome::too_stale) r.missed = true;
+    if (a.behind && (e.outcome == Outcome::ok || e.outcome == Outcome::too_stale))
       for (auto* past : {&groups_[group].past, &past_}) past->ended(e.outcome == Outcome::ok);
-    r.reached = r.reached || (e.outcome != Outcome::connect_failed && e.outcome != Outcome::moot);
+    r.reached = r.reached || (e.outcome != Outcome::connect_failed && e.outcome != Outcome::not_sent);
     if (e.outcome == Outcome::ok && s_.classes[r.cls.value].freshness == Freshness::write) {
       // Without a commit in the answer the present is the only safe bound.
       if (r.session) {
         auto& last = groups_[group].sessions[*r.session];
-        last = std::max(last, e.note.position.value_or(now_));
+        last = std::max(last, e.metadata.position.value_or(now_));
       }
     }
     if (e.request_ended || e.outcome == Outcome::ok) r.ended = true;
@@ -782,16 +789,17 @@
   void settle(Host& h, const Request& r, const Attempt& a, const AttemptEnded& e) {
     if (!r.started) h.settled(a.sent);
     const bool write = s_.classes[r.cls.value].freshness == Freshness::write;
-    const auto aim = s_.classes[r.cls.value].aim;
-    if (e.note.position && !(write && e.note.role != Role::replica)) learn_position(h, *e.note.position);
-    learn_role(h, e.note.role, std::max(a.sent, now_ - e.elapsed / 4));
-    if (e.outcome == Outcome::miss && write) learn_role(h, Role::replica, std::max(a.sent, h.role_at));
+    const auto aim = s_.classes[r.cls.value].latency_target;
+    if (e.metadata.position && !(write && e.metadata.role != Role::replica))
+      learn_position(h, *e.metadata.position);
+    learn_role(h, e.metadata.role, std::max(a.sent, now_ - e.elapsed / 4));
+    if (e.outcome == Outcome::too_stale && write) learn_role(h, Role::replica, std::max(a.sent, h.role_at));
     take(h, e.report);
     switch (e.outcome) {
       case Outcome::ok:
         if (!r.started) took(h, r, a);
         break;
-      case Outcome::miss:
+      case Outcome::too_stale:
         h.heard = now_;
         break;
       case Outcome::error:
@@ -804,7 +812,7 @@
         break;
       case Outcome::connect_failed:
         // Refused at once: no process. Not set up in time: a slow or crowded one (handshake), one failure.
-        if (const bool refused = !e.silent && e.elapsed < s_.connect_timeout / 2; refused)
+        if (const bool refused = !e.connect_timed_out && e.elapsed < s_.connect_timeout / 2; refused)
           ++h.refusals, failed(h, refused_weight);
         else
           failed(h, 1);
@@ -829,11 +837,11 @@
     answered(h);
     learn_latency(h, r, now_ - a.sent);
     if (warmth(h) >= 1) served_.add(now_, r.cls.value, work(r.cls.value));
-    const auto aim = std::min(s_.classes[r.cls.value].aim, mean_aim_);
+    const auto aim = std::min(s_.classes[r.cls.value].latency_target, mean_aim_);
     if (!a.noted) note_load(h, ms(now_ - a.sent) / ms(aim));
   }
 
-  void take(Host& h, const Report& report) {
+  void take(Host& h, const LoadReport& report) {
     // A primary stands at the present, so its position dates the report.
     h.report_age =
         report.position && report.role == Role::primary ? now_ - *report.position : Duration::zero();
@@ -841,12 +849,14 @@
     if (h.report_age > Duration::zero() && *report.position > h.position)
       usual_age_ += (h.report_age - usual_age_) / (usual_age_ == Duration::zero() ? 1 : 16);
     if (report.position) learn_position(h, *report.position);
-    if (report.queue) {
+    if (report.queue_length) {
       reports_queue_ = true;
-      h.queued = *report.queue;
+      h.queued = *report.queue_length;
       h.queued_at = now_;
-      h.util = report.util.value_or(0);
-      note_load(h, *report.queue >= 1 ? load_full / 2 : h.util > busy_util ? load_shut : load_open * h.util);
+      h.util = report.utilization.value_or(0);
+      note_load(h, *report.queue_length >= 1 ? load_full / 2
+                   : h.util > busy_util      ? load_shut
+                                             : load_open * h.util);
     }
     if (report.role && report.position)
       learn_role(h, *report.role, *report.position);
@@ -857,12 +867,14 @@
   /// A further attempt, under a budget that counts the work behind it: guards against retry storms, leaves
   /// fast failures to be repeated elsewhere (ib4e6e7).
   void again(Request& r, Outcome why, Duration elapsed) {
-    const bool unseen = why == Outcome::miss || why == Outcome::moot || why == Outcome::connect_failed;
+    const bool unseen =
+        why == Outcome::too_stale || why == Outcome::not_sent || why == Outcome::connect_failed;
     const double work = std::min(1.0, ms(elapsed) / std::max(0.1, ms(class_latency_[r.cls.value])));
     const double cost = unseen ? 0 : why == Outcome::error ? work : 1;
     const bool spent = retry_tokens_ < cost || r.attempts.size() >= cap(r);
     if (r.started || spent || now_ >= r.deadline) return give_up(r);
-    if (s_.classes[r.cls.value].effect == Effect::unsafe && r.maybe_ran != forever) return give_up(r);
+    if (s_.classes[r.cls.value].idempotency == Idempotency::unsafe && r.maybe_ran != forever)
+      return give_up(r);
     retry_tokens_ -= cost;
     arrived_.add(now_, r.cls.value, 1);
     r.luck = draw01();  // a further attempt is a further send: a cold host is drawn for anew
@@ -870,7 +882,7 @@
   }
 
   void drop_copies(Request& r) {
-    if (!s_.may_cancel) return;
+    if (!s_.cancel_allowed) return;
     for (std::size_t i = 0; i < r.attempts.size(); ++i) {
       if (r.attempts[i].out && !r.attempts[i].cancelled) {
         r.attempts[i].cancelled = true;
@@ -884,12 +896,14 @@
   void rescue() {
     for (auto& [id, r] : requests_) {
       note_overdue(r);
-      if (!s_.may_cancel || r.ended || r.started || r.out != 1 || retry_tokens_ < 1 || now_ > last_send(r))
+      if (!s_.cancel_allowed || r.ended || r.started || r.out != 1 || retry_tokens_ < 1 ||
+          now_ > last_send(r))
         continue;
       Attempt& a = r.attempts.back();
       const auto& c = s_.classes[r.cls.value];
-      if (!a.out || a.cancelled || c.effect == Effect::unsafe) continue;
-      if (c.effect == Effect::keyed && now_ - std::min(r.maybe_ran, a.sent) > c.window / 2) continue;
+      if (!a.out || a.cancelled || c.idempotency == Idempotency::unsafe) continue;
+      if (c.idempotency == Idempotency::keyed && now_ - std::min(r.maybe_ran, a.sent) > c.dedup_window / 2)
+        continue;
       const auto h = hosts_.find(a.host);
       // Nowhere else to go: the host would do it anew, behind what it still holds, for each of the routers.
       const bool same = h != hosts_.end() && only_primary(r.cls.value) && primary(r.group) == &h->second;
@@ -904,7 +918,7 @@
   /// An attempt past its aim at a host that loses no probes tells of a queue now, not when it ends.
   void note_overdue(Request& r) {
     for (auto& a : r.attempts) {
-      if (!a.out || a.noted || now_ - a.sent < s_.classes[r.cls.value].aim) continue;
+      if (!a.out || a.noted || now_ - a.sent < s_.classes[r.cls.value].latency_target) continue;
       const auto h = hosts_.find(a.host);
       if (h == hosts_.end() || (h->second.lost_probes > 0 && probe_doubt_ <= doubt_at)) continue;
       a.noted = true;
@@ -941,8 +955,8 @@
       h.seen = now_;
       probe_time_ += (e.elapsed - probe_time_) / 8;
       // One that could not be read changes no belief but that the host lives.
-      if (e.report.position || e.report.role || e.report.queue) take(h, e.report);
-    } else if (e.outcome != Outcome::moot) {  // that one found no place here: no fault of the host's
+      if (e.report.position || e.report.role || e.report.queue_length) take(h, e.report);
+    } else if (e.outcome != Outcome::not_sent) {  // that one found no place here: no fault of the host's
       ++h.lost_probes;
     }
     pump(h.group);
@@ -953,7 +967,7 @@
     if (beat_due_ == never || now_ < beat_due_) return;
     beat_due_ = never;
     if (now_ >= ask_at_) {
-      out_->push_back(Watch{});
+      out_->push_back(OpenWatch{});
       ask_at_ = forever;
     }
     const auto usual = probe_round();
@@ -977,7 +991,8 @@
   }
   /// In doubt all routers may be probing one host: their sum stays small beside its work.
   Duration urgent_period() const {
-    return std::max(std::min(useful_period(), shortest_aim_ / 2), scale(typical(), probe_load * s_.routers));
+    return std::max(std::min(useful_period(), shortest_aim_ / 2),
+                    scale(typical(), probe_load * s_.instance_count));
   }
 
   /// Probes of a cold host grow as seldom as it is weak: held reads of hundreds would ask it all the time.
@@ -989,9 +1004,9 @@
   /// ask.
   Duration probe_period(const Group& g) const {
     const auto period = useful_period();
-    if (s_.probe_price <= 0) return period;
+    if (s_.probe_cost <= 0) return period;
     const double rate = g.rate * std::exp(-std::max(0.0, ms(now_ - g.counted) / 1000 - 1) / rate_seconds);
-    const double each = static_cast<double>(g.members.size()) * s_.probe_price / probe_points / rate;
+    const double each = static_cast<double>(g.members.size()) * s_.probe_cost / probe_points / rate;
     if (!(each < ms(longest_aim_ * 3) / 1000)) return forever;
     const auto paid = Duration(static_cast<std::int64_t>(each * 1e6));
     return paid > std::max(period, tightest_) ? forever : std::max(paid, period);
@@ -1000,7 +1015,7 @@
   /// Sends the probes that are due and tells the shortest period in use.
   Duration probe_round() {
     Duration shortest = forever;
-    if (!s_.may_probe) return shortest;
+    if (!s_.probes_allowed) return shortest;
     for (auto& [gid, g] : groups_) {
       if (g.held == 0 && g.period == forever) continue;
       g.period = probe_period(g);
@@ -1010,7 +1025,7 @@
       shortest = std::min(shortest, g.period);
       for (Host* m : g.members) {
         auto& h = *m;
-        if (h.probing || !open(h) || !probes_.can(urgent ? 0 : probe_kept)) continue;
+        if (h.probing || !open(h) || !probes_.available(urgent ? 0 : probe_kept)) continue;
         const bool doubt = urgent || h.quiet(now_) > patience(h) / 2;
         const auto period = std::max(doubt ? urgent_period() : g.period, cold_gap(h));
         if (period == forever || (h.last_probe != never && now_ - h.last_probe < scale(period, h.phase)))
@@ -1054,15 +1069,17 @@
 void Router::handle(Time now, const Event& event, std::vector<Action>& out) {
   impl_->handle(now, event, out);
 }
-bool Router::knows(HostId host) const { return impl_->knows(host); }
-void Router::view(Time now, std::vector<GroupView>& out) { impl_->view(now, out); }
-void Router::tune(const Tuning& tuning) { impl_->tune(tuning); }
-void Router::limit(int places) { impl_->limit(places); }
-Knowledge Router::known(Time now, Tell what) { return impl_->known(now, what); }
-void Router::learn(Time now, const Knowledge& knowledge) { impl_->learn(now, knowledge); }
-void Router::follow() { impl_->follow(); }
-void Router::widen(Time now, double part) { impl_->widen(now, part); }
-void Router::retune(Settings settings) { impl_->retune(std::move(settings)); }
-std::size_t Router::held() const { return impl_->held(); }
+bool Router::tracks(HostId host) const { return impl_->tracks(host); }
+void Router::group_views(Time now, std::vector<GroupView>& out) { impl_->group_views(now, out); }
+void Router::set_tuning(const Tuning& tuning) { impl_->set_tuning(tuning); }
+void Router::set_max_in_flight(int places) { impl_->set_max_in_flight(places); }
+RouterSnapshot Router::snapshot(Time now, SnapshotScope what) { return impl_->snapshot(now, what); }
+void Router::merge_snapshot(Time now, const RouterSnapshot& knowledge) {
+  impl_->merge_snapshot(now, knowledge);
+}
+void Router::suspend_spending() { impl_->suspend_spending(); }
+void Router::set_slow_start_share(Time now, double part) { impl_->set_slow_start_share(now, part); }
+void Router::update_settings(Settings settings) { impl_->update_settings(std::move(settings)); }
+std::size_t Router::entry_count() const { return impl_->entry_count(); }
 
 }  // namespace cedarring
