--- a/src/router/settings_parser.cpp
+++ b/src/router/settings_parser.cpp
@@ -12,22 +12,23 @@
 
 using namespace text;  // NOLINT(google-build-using-namespace): the fields that settings are made of
 
-constexpr Word<Effect> effect_words[] = {
-    {"read_like", Effect::safe}, {"idempotency_key", Effect::keyed}, {"non_idempotent", Effect::unsafe}};
-constexpr Word<RepeatScope> scope_words[] = {
-    {"all", RepeatScope::all}, {"zone", RepeatScope::zone}, {"cell", RepeatScope::group}};
+constexpr Word<Idempotency> effect_words[] = {{"read_like", Idempotency::safe},
+                                              {"idempotency_key", Idempotency::keyed},
+                                              {"non_idempotent", Idempotency::unsafe}};
+constexpr Word<DedupScope> scope_words[] = {
+    {"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::group}};
 constexpr Word<Freshness> need_words[] = {{"mutate", Freshness::write},
                                           {"strong", Freshness::fresh},
                                           {"causal", Freshness::session},
                                           {"lag_bound", Freshness::bounded},
                                           {"eventual", Freshness::any}};
-constexpr Word<StaleCheck> check_words[] = {
-    {"none", StaleCheck::none}, {"bounce", StaleCheck::refuse}, {"await", StaleCheck::wait}};
-constexpr Word<ListRole> role_words[] = {
-    {"none", ListRole::none}, {"trailing", ListRole::late}, {"static", ListRole::start}};
+constexpr Word<StaleReadPolicy> check_words[] = {
+    {"none", StaleReadPolicy::none}, {"bounce", StaleReadPolicy::refuse}, {"await", StaleReadPolicy::wait}};
+constexpr Word<ListedRole> role_words[] = {
+    {"none", ListedRole::none}, {"trailing", ListedRole::late}, {"static", ListedRole::start}};
 constexpr Word<TokenMode> token_words[] = {{"kept", TokenMode::remembered}, {"brought", TokenMode::carried}};
 constexpr Word<DiscoveryMode> mode_words[] = {{"automatic", DiscoveryMode::push},
-                                              {"subscribe", DiscoveryMode::ask}};
+                                              {"subscribe", DiscoveryMode::poll}};
 
 /// Settings by path, each read with a default; a value of the wrong shape is named in the exception.
 class Facts {
@@ -83,8 +84,8 @@
   return ZoneId{static_cast<std::int32_t>(zones.size() - 1)};
 }
 
-Report parse_report(std::optional<std::string_view> stats, Time base, char separator) {
-  Report report;
+LoadReport parse_report(std::optional<std::string_view> stats, Time base, char separator) {
+  LoadReport report;
   if (!stats) return report;
   for (const auto part : split_commas(*stats)) {
     const auto mark = part.find(separator);
@@ -98,15 +99,15 @@
     } else if (name == "x1") {
       report.role = *value >= 0.5 ? Role::primary : Role::replica;
     } else if (name == "pending" && *value >= 0) {
-      report.queue = *value;
+      report.queue_length = *value;
     } else if (name == "cpu_share" && *value >= 0) {
-      report.util = std::min(1.0, *value);
+      report.utilization = std::min(1.0, *value);
     }
   }
   return report;
 }
 
-Report parse_whole_report(std::string_view stats) {
+LoadReport parse_whole_report(std::string_view stats) {
   std::set<std::string_view> names;
   for (const auto part : split_commas(stats)) {
     const auto mark = part.find('=');
@@ -124,8 +125,8 @@
   s.seed = seed;
   for (const auto name : split_commas(facts.text("zones"))) zone_id(name, zones);
   s.zone = zone_id(zone.empty() ? facts.text("az") : zone, zones);
-  s.position = facts.count("position", 0);
-  s.routers = facts.count("balancers", 1);
+  s.instance_index = facts.count("position", 0);
+  s.instance_count = facts.count("balancers", 1);
   base_time = facts.ms("specifics.base_time", 0);
   const auto needs = split_commas(facts.text("specifics.needs_by_class"));
   const auto bounds = split_commas(facts.text("specifics.class_bound"));
@@ -135,13 +136,13 @@
     const std::string at = "classes." + std::to_string(i) + ".";
     RequestClass c;
     c.name = facts.text(at + "name");
-    c.aim = facts.ms(at + "aim", 1000);
+    c.latency_target = facts.ms(at + "aim", 1000);
     c.deadline = facts.ms(at + "deadline", 1000);
-    c.worth = facts.number(at + "importance", 1);
-    c.late_worth = facts.number(at + "late_worth", 0);
-    c.effect = facts.word(at + "effect", effect_words, Effect::safe);
-    c.scope = facts.word(at + "group", scope_words, RepeatScope::all);
-    c.window = facts.ms(at + "window", 0);
+    c.value = facts.number(at + "importance", 1);
+    c.late_value = facts.number(at + "late_worth", 0);
+    c.idempotency = facts.word(at + "effect", effect_words, Idempotency::safe);
+    c.dedup_scope = facts.word(at + "group", scope_words, DedupScope::all);
+    c.dedup_window = facts.ms(at + "window", 0);
     if (i < needs.size()) {
       const auto need = lookup(need_words, needs[i]);
       if (!need) throw std::invalid_argument("specifics.needs_by_class");
@@ -150,32 +151,32 @@
     if (i < bounds.size()) {
       const auto bound = to_number(bounds[i]);
       if (!bound) throw std::invalid_argument("specifics.class_bound");
-      c.bound = from_ms(*bound);
+      c.staleness_bound = from_ms(*bound);
     }
     s.classes.push_back(c);
   }
-  s.checks = facts.word("specifics.checks", check_words, StaleCheck::none);
-  s.list_role = facts.word("specifics.list_role", role_words, ListRole::none);
-  s.tokens = facts.word("specifics.token_mode", token_words, TokenMode::remembered);
-  s.discovery = facts.word("registry_mode", mode_words, DiscoveryMode::push);
+  s.stale_read_policy = facts.word("specifics.checks", check_words, StaleReadPolicy::none);
+  s.listed_role = facts.word("specifics.list_role", role_words, ListedRole::none);
+  s.token_mode = facts.word("specifics.token_mode", token_words, TokenMode::remembered);
+  s.discovery_mode = facts.word("registry_mode", mode_words, DiscoveryMode::push);
   s.answers_carry_position = facts.flag("specifics.stamps", false);
-  s.may_probe = facts.flag("limits.may_probe", false);
-  s.may_cancel = facts.flag("limits.cancel", false);
-  s.second_copies = facts.flag("limits.second_copies", false);
-  s.retry_after = facts.flag("limits.retry_after", false);
-  s.only_draining_binds = facts.flag("guarantees.dropped_stay_open", false);
+  s.probes_allowed = facts.flag("limits.may_probe", false);
+  s.cancel_allowed = facts.flag("limits.cancel", false);
+  s.hedging_allowed = facts.flag("limits.second_copies", false);
+  s.retry_after_allowed = facts.flag("limits.retry_after", false);
+  s.removed_hosts_stay_usable = facts.flag("guarantees.dropped_stay_open", false);
   s.max_attempts = facts.count("limits.send_cap", 1);
   s.max_retry_after = facts.ms("limits.max_retry_after", 0);
-  s.ask_within = facts.ms("guarantees.ask_within", 10000);
+  s.max_poll_interval = facts.ms("guarantees.ask_within", 10000);
   s.drain_grace = facts.ms("guarantees.stop_sending_within", 1000);
-  s.cold_for = facts.ms("guarantees.cold", 0);
-  s.cold_from = facts.number("guarantees.cold_from", 1);
-  s.tip_multiple = facts.number("guarantees.tip_multiple", 3);
-  s.tip_after = facts.ms("guarantees.tip_after", 1000);
+  s.warm_up_duration = facts.ms("guarantees.cold", 0);
+  s.cold_capacity_share = facts.number("guarantees.cold_from", 1);
+  s.overload_multiple = facts.number("guarantees.tip_multiple", 3);
+  s.overload_window = facts.ms("guarantees.tip_after", 1000);
   s.quantum = facts.ms("quantum", 5);
   s.connect_timeout = facts.ms("limits.connect_timeout", 250);
-  s.idle_close = facts.ms("limits.idle_close", 15000);
-  s.probe_price = facts.number("prices.probe", 0);
+  s.idle_timeout = facts.ms("limits.idle_close", 15000);
+  s.probe_cost = facts.number("prices.probe", 0);
   return s;
 }
 
--- a/src/router/settings_parser.h
+++ b/src/router/settings_parser.h
@@ -19,9 +19,9 @@
                         std::vector<std::string>& zones, Time& base_time);
 
 /// A load report from name-separator-value pairs set apart by commas; what cannot be read is passed over.
-Report parse_report(std::optional<std::string_view> stats, Time base, char separator = ':');
+LoadReport parse_report(std::optional<std::string_view> stats, Time base, char separator = ':');
 /// The same from a socket, where a part that cannot be read puts all of it in doubt: then it tells nothing.
-Report parse_whole_report(std::string_view stats);
+LoadReport parse_whole_report(std::string_view stats);
 
 /// The number of a zone's name, which is added if it is new.
 ZoneId zone_id(std::string_view name, std::vector<std::string>& zones);
--- a/src/router/state.h
+++ b/src/router/state.h
@@ -10,11 +10,11 @@
 #include <vector>
 
 #include "cedarring/router.h"
-#include "fleet/cold_spending.h"
-#include "fleet/lag_steps.h"
-#include "fleet/outlier.h"
+#include "fleet/outlier_detector.h"
 #include "fleet/probe_budget.h"
-#include "handover/portion.h"
+#include "fleet/replica_lag.h"
+#include "fleet/slow_start_usage.h"
+#include "handover/budget_share.h"
 
 namespace cedarring::state {
 
@@ -30,10 +30,10 @@
 inline std::tuple<Duration, Duration, Duration, Duration> aims(const std::vector<RequestClass>& classes) {
   Duration longest{}, mean{}, shortest = forever, tightest = forever;
   for (const auto& c : classes) {
-    longest = std::max(longest, c.aim);
-    mean += c.aim / static_cast<std::int64_t>(classes.size());
-    shortest = std::min(shortest, c.aim);
-    if (c.freshness == Freshness::bounded) tightest = std::min(tightest, c.bound);
+    longest = std::max(longest, c.latency_target);
+    mean += c.latency_target / static_cast<std::int64_t>(classes.size());
+    shortest = std::min(shortest, c.latency_target);
+    if (c.freshness == Freshness::bounded) tightest = std::min(tightest, c.staleness_bound);
   }
   return {longest, mean, shortest, tightest};
 }
@@ -58,12 +58,12 @@
   double load = 0;      // EWMA of latency over aim
   double window = 1;
   Time window_cut_at = never;
-  fleet::Outlier outlier{{}};  // whose terms are set when it is first listed
-  Time heard = never;          // last sign of life: an answer or a probe
-  Time seen = never;           // last answered probe
-  double queued = 0;           // requests waiting there, as last reported
-  double util = 0;             // how busy its cores are, as last reported
-  Time queued_at = never;      // when that was learnt
+  fleet::OutlierDetector outlier{{}};  // whose terms are set when it is first listed
+  Time heard = never;                  // last sign of life: an answer or a probe
+  Time seen = never;                   // last answered probe
+  double queued = 0;                   // requests waiting there, as last reported
+  double util = 0;                     // how busy its cores are, as last reported
+  Time queued_at = never;              // when that was learnt
   int lost_probes = 0;
   int refusals = 0;       // connections refused in a row
   Duration report_age{};  // of the last report, where the report dates itself
@@ -71,10 +71,10 @@
   double phase = 1;  // spreads probes within their period
   Time last_probe = never;
   std::multiset<Time> out;  // when each attempt in flight was sent
-  /// How far behind it is believed to be, see fleet::believed_lag.
+  /// How far behind it is believed to be, see fleet::estimated_lag.
   Duration lag(Time now, bool trust) const {
     return position == never ? forever
-                             : fleet::believed_lag(position_at - position, now - position_at, trust);
+                             : fleet::estimated_lag(position_at - position, now - position_at, trust);
   }
   int in_flight() const { return static_cast<int>(out.size()); }
   void settled(Time sent) {  // one of those in flight has been answered, or has ended
@@ -84,7 +84,7 @@
     return out.empty() ? Duration::zero() : now - std::max(heard, *out.begin());
   }
   Time last_sent = never;
-  fleet::ColdSpending spent;
+  fleet::SlowStartUsage spent;
 };
 
 struct Attempt {
@@ -164,9 +164,9 @@
   double rate = 0;                     // requests a second, smoothed
   Time counted = never;
   Time next_sweep = never;
-  int held = 0;               // requests without an end
-  Duration period = forever;  // of its probes, if any
-  fleet::PastShare past{1};   // of all that is known of it
+  int held = 0;                         // requests without an end
+  Duration period = forever;            // of its probes, if any
+  fleet::StaleReadSuccessRate past{1};  // of all that is known of it
   struct {
     Time until = never;
   } asked[2];  // when replicas, or the primary, were last asked for what waits
@@ -207,17 +207,17 @@
   std::map<HostId, Host> hosts_;
   std::map<GroupId, Group> groups_;
   std::vector<Duration> class_latency_;
-  Load load_[2];                // of replicas, of primaries
-  Recent wanted_[2];            // work asked of them
-  fleet::PastShare past_{0.5};  // of all groups; half: nothing is known
-  Recent arrived_, served_;     // requests that came or are tried again; work answered
-  Time started_ = never;        // when the first event came
+  Load load_[2];                           // of replicas, of primaries
+  Recent wanted_[2];                       // work asked of them
+  fleet::StaleReadSuccessRate past_{0.5};  // of all groups; half: nothing is known
+  Recent arrived_, served_;                // requests that came or are tried again; work answered
+  Time started_ = never;                   // when the first event came
   double retry_tokens_ = 0;
   /// Probes are paid for by requests: one of hundreds of routers sees few, and what each asks for a read of
   /// its own comes to more probes than requests over all. Half of what is saved is kept for groups whose
   /// primary is not known. Harm: without one a queue is not known, a position old.
   fleet::ProbeBudget probes_;
-  handover::WindowPart cold_part_;  // of the bounds on what cold hosts are sent
+  handover::WindowShare cold_part_;  // of the bounds on what cold hosts are sent
 };
 
 }  // namespace cedarring::state
--- a/src/sim/adapter.cpp
+++ b/src/sim/adapter.cpp
@@ -73,16 +73,16 @@
                                            {"no_connection", Outcome::connect_failed},
                                            {"connection_lost", Outcome::reset},
                                            {"called_off", Outcome::cancelled},
-                                           {"not_sent", Outcome::moot},
-                                           {"not_stored", Outcome::miss}};
+                                           {"not_sent", Outcome::not_sent},
+                                           {"not_stored", Outcome::too_stale}};
 SessionId session_id(std::string_view key) {  // FNV-1a; a clash only makes a read stricter
   std::uint64_t h = 14695981039346656037ULL;
   for (const char c : key) h = (h ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
   return SessionId{h};
 }
 
-Note parse_note(std::optional<std::uint64_t> mark, Time base) {
-  Note note;
+AnswerMetadata parse_note(std::optional<std::uint64_t> mark, Time base) {
+  AnswerMetadata note;
   if (!mark) return note;
   const auto role = *mark & 3U;
   note.role = role == 1 ? Role::primary : role == 2 ? Role::replica : Role::unknown;
@@ -150,7 +150,7 @@
   }
   void prune_hosts() {
     for (auto it = host_names.begin(); it != host_names.end();) {
-      if (router->knows(it->first)) {
+      if (router->tracks(it->first)) {
         ++it;
       } else {
         host_ids.erase(it->second);
@@ -178,9 +178,9 @@
       auto& r = in.requests.at(a->request.value);
       ++r.out;
       out += "dispatch" + tag + " txn=" + r.name + " host=" + in.host_names.at(a->host);
-      if (a->stop_at > Time::zero()) {
+      if (a->give_up_at > Time::zero()) {
         out += " stop_at=";
-        put_ms(out, a->stop_at);
+        put_ms(out, a->give_up_at);
       }
     } else if (const auto* c = std::get_if<Cancel>(&action)) {
       out += "cancel" + tag + " txn=" + in.requests.at(c->request.value).name +
@@ -189,9 +189,9 @@
       auto& r = in.requests.at(b->request.value);
       r.ended = true;
       out += "bounce" + tag + " txn=" + r.name;
-      if (b->pause > Duration::zero()) {
+      if (b->retry_after > Duration::zero()) {
         out += " pause=";
-        put_ms(out, b->pause);
+        put_ms(out, b->retry_after);
       }
       in.settle(b->request);
     } else if (const auto* f = std::get_if<Fail>(&action)) {
@@ -205,7 +205,7 @@
       out += "notify_me" + tag + " alarm_time=";
       put_ms(out, t->due);
       out += " name=" + std::to_string(t->timer);
-    } else if (std::holds_alternative<Watch>(action)) {
+    } else if (std::holds_alternative<OpenWatch>(action)) {
       out += "watch" + tag + " want=1";
     }
     out += '\n';
@@ -245,7 +245,7 @@
     const auto mode = l.whole("mode").value_or(2);
     item.entry.state = mode == 0 ? HostState::gone : mode == 1 ? HostState::draining : HostState::ready;
     item.entry.weight = l.number("weight").value_or(1);
-    if (const auto born = l.number("born"); born && *born > 0) item.entry.born = from_ms(*born);
+    if (const auto born = l.number("born"); born && *born > 0) item.entry.started_at = from_ms(*born);
     rosters_[filling_].push_back(std::move(item));
     --items_due_;
     return;
@@ -342,7 +342,7 @@
     if (found == instances_.end()) return;
     auto& in = *found->second;
     const auto cls = in.classes.find(grade);
-    event.cls = cls == in.classes.end() ? ClassId{-1} : cls->second;
+    event.class_id = cls == in.classes.end() ? ClassId{-1} : cls->second;
     if (in.known_request(name)) return;
     event.request = RequestId{in.next_request++};
     in.request_ids.emplace(name, event.request);
@@ -368,7 +368,7 @@
     event.outcome = *outcome;
     event.request = *request;
     event.host = *host;
-    event.note = parse_note(mark, in.base);
+    event.metadata = parse_note(mark, in.base);
     event.report = parse_report(l.text("stats"), in.base);
     auto& r = in.requests.at(request->value);
     if (r.out > 0) --r.out;
--- a/src/telemetry/figures.cpp
+++ b/src/telemetry/metrics.cpp
@@ -1,4 +1,4 @@
-#include "telemetry/figures.h"
+#include "telemetry/metrics.h"
 
 namespace cedarring::telemetry {
 namespace {
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-std::string to_prometheus(const Figures& f) {
+std::string to_prometheus(const Metrics& f) {
   std::string out;
   const auto by_class = [&](const char* name, std::uint64_t ClassCounts::*count, const char* help) {
     head(out, name, "counter", help);
--- a/src/telemetry/figures.h
+++ b/src/telemetry/metrics.h
@@ -19,7 +19,7 @@
   }
 };
 
-struct Figures {
+struct Metrics {
   std::map<std::string, ClassCounts> classes;             // by name; each class of the settings, also at 0
   std::uint64_t active = 0;                               // requests taken and not ended
   std::uint64_t pool_size = 0;                            // hosts in the list
@@ -28,6 +28,6 @@
 };
 
 /// Text exposition format 0.0.4, # HELP and # TYPE with each name.
-std::string to_prometheus(const Figures& figures);
+std::string to_prometheus(const Metrics& figures);
 
 }  // namespace cedarring::telemetry
--- a/src/tools/lab/ledger.cpp
+++ b/src/tools/lab/ledger.cpp
@@ -40,18 +40,18 @@
   log_.emplace_back(commit, apply_free_);
 }
 
-Note HostModel::note() const {
-  Note n;
+AnswerMetadata HostModel::note() const {
+  AnswerMetadata n;
   n.role = group_.primary() == this ? Role::primary : Role::replica;
   n.position = std::chrono::floor<std::chrono::milliseconds>(position());
   return n;
 }
 
-Report HostModel::report() const {
-  Report r;
+LoadReport HostModel::report() const {
+  LoadReport r;
   r.role = group_.primary() == this ? Role::primary : Role::replica;
   r.position = std::chrono::floor<std::chrono::milliseconds>(position());
-  r.queue = static_cast<double>(waiting_.size());
+  r.queue_length = static_cast<double>(waiting_.size());
   return r;
 }
 
@@ -65,7 +65,7 @@
   // Work like any other, yet not of those that the room is for.
   Job job;
   job.work = spec_.handshake;
-  job.done = [up = std::move(up)](Outcome outcome, const Note&) {
+  job.done = [up = std::move(up)](Outcome outcome, const AnswerMetadata&) {
     if (outcome == Outcome::ok) up();
   };
   waiting_.push_back({next_++, std::move(job)});
@@ -89,12 +89,12 @@
   }
   if (draining_ || static_cast<int>(waiting_.size()) + running_ >= spec_.room) return answer(Outcome::full);
   const bool primary = group_.primary() == this;
-  if (job.write && !primary) return answer(Outcome::miss);
+  if (job.write && !primary) return answer(Outcome::too_stale);
   if (!primary) {
-    if (job.freshness == Freshness::fresh) return answer(Outcome::miss);
+    if (job.freshness == Freshness::fresh) return answer(Outcome::too_stale);
     if (job.freshness == Freshness::bounded && spec_.checks && timeline_.now() - position() > job.bound)
-      return answer(Outcome::miss);
-    if (job.needs && spec_.checks && position() < *job.needs) return answer(Outcome::miss);
+      return answer(Outcome::too_stale);
+    if (job.needs && spec_.checks && position() < *job.needs) return answer(Outcome::too_stale);
   }
   waiting_.push_back({number, std::move(job)});
   next();
--- a/src/tools/lab/ledger.h
+++ b/src/tools/lab/ledger.h
@@ -37,7 +37,7 @@
   Freshness freshness = Freshness::any;
   Duration bound{};           // of a bounded read
   std::optional<Time> needs;  // of a session read
-  std::function<void(Outcome, Note)> done;
+  std::function<void(Outcome, AnswerMetadata)> done;
 };
 
 class Ledger;
@@ -62,8 +62,8 @@
   void set_silent(bool silent);
   [[nodiscard]] bool alive() const { return alive_; }
   [[nodiscard]] bool silent() const { return silent_; }
-  [[nodiscard]] Note note() const;
-  [[nodiscard]] Report report() const;
+  [[nodiscard]] AnswerMetadata note() const;
+  [[nodiscard]] LoadReport report() const;
   [[nodiscard]] Time position() const;
   /// A write of the primary that its log brings here.
   void ship(Time commit);
--- a/src/tools/lab/main.cpp
+++ b/src/tools/lab/main.cpp
@@ -72,7 +72,7 @@
       c.losses = r.losses;
       c.length = std::chrono::seconds(length);
       if (on) {
-        levels::Service s;
+        levels::ServiceInfo s;
         for (const auto& k : c.classes) s.classes.push_back(k.contract);
         s.tenants = c.tenants.size();
         c.levels = levels::default_config(s);
@@ -126,7 +126,7 @@
         contracts::Terms one;
         one.rate = 1.3 * usual * cls.share * c.tenants[t].share;
         one.burst = std::max(15.0, one.rate);
-        one.wanted = cls.contract.aim;
+        one.wanted = cls.contract.latency_target;
         one.weight = t == 0 ? 4 : t == 1 ? 2 : 1;
         one.beyond = contracts::Beyond::borrow;
         team.classes.push_back(contracts::ClassTerms{one, {}});
--- a/src/tools/lab/world.cpp
+++ b/src/tools/lab/world.cpp
@@ -13,7 +13,7 @@
 constexpr Duration hop{100};  // one way between a gateway and a host of its room; three times that to others
 constexpr Duration probe_work{300};
 
-struct LabWork : memory::Work {
+struct LabWork : broker::RequestPayload {
   Duration work{};
   std::size_t cls = 0;
   std::optional<Time> needs;
@@ -22,16 +22,17 @@
 class World;
 
 /// What the sockets are in the real gateway: carries attempts to the models of hosts.
-class SimUpstream : public memory::Upstream {
+class SimUpstream : public broker::Upstream {
  public:
   SimUpstream(World& world, std::size_t gateway) : world_(world), gateway_(gateway) {}
-  void start(memory::AttemptKey key, HostId host, const std::string& address,
-             const std::shared_ptr<const memory::Work>& work, Time stop_at, bool only_there) override;
-  void abandon(memory::AttemptKey key) override;
+  void start(broker::AttemptKey key, HostId host, const std::string& address,
+             const std::shared_ptr<const broker::RequestPayload>& work, Time stop_at,
+             bool only_there) override;
+  void cancel(broker::AttemptKey key) override;
   void probe(HostId host, const std::string& address) override;
-  void watch() override;
-  void wake_at(Time due) override;
-  void closed(HostId) override {}
+  void open_watch() override;
+  void set_timer(Time due) override;
+  void close_idle(HostId) override {}
 
  private:
   struct Out {
@@ -39,7 +40,7 @@
     std::uint64_t number = 0;
     bool told = false;
   };
-  void end(memory::AttemptKey key, std::uint64_t serial, memory::AttemptResult result);
+  void end(broker::AttemptKey key, std::uint64_t serial, broker::AttemptResult result);
   World& world_;
   std::size_t gateway_;
   std::map<std::pair<std::uint64_t, std::uint32_t>, std::pair<std::uint64_t, Out>> out_;
@@ -49,21 +50,21 @@
 /// Notes for each request whether it is within its tenant's budget, and who has refused it.
 class Observer : public gates::Gate {
  public:
-  gates::Verdict admit(const gates::Ask& ask, Time) override {
+  gates::Verdict admit(const gates::GateRequest& ask, Time) override {
     last_beyond = ask.beyond_budget;
     return {};
   }
   bool last_beyond = false;
 };
 
-struct Gateway : memory::Front {
+struct Gateway : broker::FrontEnd {
   Gateway(World& world, std::size_t number);
-  void finish(RequestId request, memory::FinalAnswer answer) override;
+  void finish(RequestId request, broker::FinalAnswer answer) override;
   World& world;
   std::size_t number;
   Observer observer;
   SimUpstream upstream;
-  std::unique_ptr<memory::Broker> broker;
+  std::unique_ptr<broker::Broker> broker;
   std::unique_ptr<levels::Levels> levels;
   std::unique_ptr<contracts::Contracts> contracts;
 };
@@ -91,19 +92,19 @@
         groups.back()->add(HostId{id}, c.host, std::string(1, static_cast<char>('a' + m % 3)));
     }
     for (const auto& k : c.classes) settings.classes.push_back(k.contract);
-    settings.checks = StaleCheck::refuse;
-    settings.list_role = ListRole::late;
-    settings.tokens = TokenMode::carried;
+    settings.stale_read_policy = StaleReadPolicy::refuse;
+    settings.listed_role = ListedRole::late;
+    settings.token_mode = TokenMode::carried;
     settings.answers_carry_position = true;
-    settings.may_cancel = true;
-    settings.retry_after = true;
-    settings.holding_costs = true;
+    settings.cancel_allowed = true;
+    settings.retry_after_allowed = true;
+    settings.late_refusal_costs = true;
     settings.max_attempts = 6;
     settings.max_retry_after = std::chrono::milliseconds(500);
-    settings.cold_for = std::chrono::seconds(14), settings.cold_from = 0.17;
-    settings.tip_multiple = 2, settings.tip_after = std::chrono::seconds(2);
-    settings.probe_price = c.probe_price;
-    settings.routers = static_cast<std::uint32_t>(c.gateways);
+    settings.warm_up_duration = std::chrono::seconds(14), settings.cold_capacity_share = 0.17;
+    settings.overload_multiple = 2, settings.overload_window = std::chrono::seconds(2);
+    settings.probe_cost = c.probe_price;
+    settings.instance_count = static_cast<std::uint32_t>(c.gateways);
     double mean = 0, shares = 0;
     for (const auto& k : c.classes) {
       mean += k.share * seconds(k.work_from + k.work_to) / 2;
@@ -129,20 +130,20 @@
   static double seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
   double draw() { return boost::random::uniform_01<double>()(random); }
 
-  memory::MemberList list() const {
-    memory::MemberList l;
+  broker::MemberList list() const {
+    broker::MemberList l;
     l.version = ++version;
     l.full = true;
     for (const auto& g : groups)
       for (const auto& h : g->hosts()) {
-        memory::Member m;
+        broker::Member m;
         m.id = "h" + std::to_string(h->id().value);
         m.address = std::to_string(h->id().value);
         m.zone = h->zone();
         m.group = g->id();
         m.state = h->alive() ? HostState::ready : HostState::gone;
         m.primary = g->primary() == h.get();
-        if (h->started() > Time{}) m.born = h->started();
+        if (h->started() > Time{}) m.started_at = h->started();
         if (h->alive()) l.members.push_back(m);
       }
     return l;
@@ -289,7 +290,7 @@
     auto work = std::make_shared<LabWork>();
     work->work = r->work;
     work->cls = r->cls;
-    memory::Ask a;
+    broker::ClientRequest a;
     a.name = std::to_string(++names);
     a.contract = c.classes[r->cls].contract.name;
     a.tenant = r->tenant;
@@ -309,13 +310,13 @@
         for (auto* t : {&tally(*r), &own(*r)}) ++t->asked, t->worth_asked += worth(*r);
     }
     pending = nullptr;
-    if (rejection != memory::Rejection::none)
-      return answered(r, at, {memory::End::refused, {}, {}, {}, {}, {}});
+    if (rejection != broker::Rejection::none)
+      return answered(r, at, {broker::AnswerStatus::refused, {}, {}, {}, {}, {}});
     if (early) return answered(r, at, *std::exchange(early, std::nullopt));
     open[at][id.value] = r;
   }
 
-  void finish(std::size_t at, RequestId id, memory::FinalAnswer answer) {
+  void finish(std::size_t at, RequestId id, broker::FinalAnswer answer) {
     if (pending && *pending == id) {  // before accept() has returned
       early = std::move(answer);
       return;
@@ -327,11 +328,12 @@
     answered(r, at, answer);
   }
 
-  void answered(const std::shared_ptr<Client>& r, std::size_t at, const memory::FinalAnswer& answer) {
+  void answered(const std::shared_ptr<Client>& r, std::size_t at, const broker::FinalAnswer& answer) {
     const auto now = timeline.now();
     if (now > r->deadline + std::chrono::milliseconds(50)) ++result.late_answers;
-    if (answer.end == memory::End::refused && c.client_retries && r->tries < 2) {
-      const auto pause = answer.pause > Duration::zero() ? answer.pause : std::chrono::milliseconds(200);
+    if (answer.status == broker::AnswerStatus::refused && c.client_retries && r->tries < 2) {
+      const auto pause =
+          answer.retry_after > Duration::zero() ? answer.retry_after : std::chrono::milliseconds(200);
       if (now + pause < r->deadline) {
         if (!answer.verdict.admitted && measured(*r)) ++tally(*r).shed;
         timeline.after(pause, [this, r, at] { ask(r, at); });
@@ -341,12 +343,12 @@
     if (!measured(*r)) return;
     const auto& k = c.classes[r->cls].contract;
     for (auto* t : {&tally(*r), &own(*r)})
-      if (answer.end == memory::End::served) {
-        const bool in_time = now - r->asked <= k.aim;
+      if (answer.status == broker::AnswerStatus::served) {
+        const bool in_time = now - r->asked <= k.latency_target;
         ++(in_time ? t->in_time : t->late);
-        t->worth += worth(*r) * (in_time ? 1 : k.late_worth);
+        t->worth += worth(*r) * (in_time ? 1 : k.late_value);
       } else {
-        ++(answer.end == memory::End::refused ? t->refused : t->failed);
+        ++(answer.status == broker::AnswerStatus::refused ? t->refused : t->failed);
         if (!answer.verdict.admitted) ++t->shed;
       }
   }
@@ -355,14 +357,14 @@
   Tally& own(const Client& r) { return result.by_tenant_class[r.tenant_at * c.classes.size() + r.cls]; }
   Tally& tally(const Client& r) { return (r.beyond ? result.beyond : result.within)[r.cls]; }
   [[nodiscard]] double worth(const Client& r) const {
-    return c.classes[r.cls].contract.worth * (r.beyond ? beyond_worth : 1);
+    return c.classes[r.cls].contract.value * (r.beyond ? beyond_worth : 1);
   }
 
   void beat() {
     for (auto& g : gateways) {
       levels::GatewayState state;
       std::vector<GroupView> views;
-      g->broker->view(views);
+      g->broker->group_views(views);
       if (g->contracts) {
         std::vector<contracts::Breach> breaches;
         g->contracts->step(timeline.now(), contracts::scarcity(views), breaches);
@@ -372,7 +374,7 @@
       std::vector<levels::AxisChange> events;
       g->levels->step(timeline.now(), state, events);
       const auto changes = g->levels->changes();
-      g->broker->tune({changes.probe_rate, changes.retry_budget, changes.spill});
+      g->broker->set_tuning({changes.probe_rate, changes.retry_budget, changes.spill});
       if (g->number == 0) result.changes.insert(result.changes.end(), events.begin(), events.end());
     }
     timeline.after(std::chrono::milliseconds(100), [this] { beat(); });
@@ -424,7 +426,7 @@
   std::vector<std::unique_ptr<Gateway>> gateways;
   std::vector<std::unordered_map<std::uint64_t, std::shared_ptr<Client>>> open;
   const RequestId* pending = nullptr;
-  std::optional<memory::FinalAnswer> early;
+  std::optional<broker::FinalAnswer> early;
   std::uint64_t names = 0;
   mutable std::uint64_t version = 0;
   std::vector<double> parts;                           // of the traffic, by gateway
@@ -437,23 +439,23 @@
 Gateway::Gateway(World& w, std::size_t n) : world(w), number(n), upstream(w, n) {
   auto settings = w.settings;
   settings.seed = w.c.seed * 1000 + n;
-  settings.position = static_cast<std::uint32_t>(n);
-  std::vector<memory::Budget> budgets;
+  settings.instance_index = static_cast<std::uint32_t>(n);
+  std::vector<broker::TenantBudget> budgets;
   for (const auto& t : w.c.tenants) {
-    memory::Budget b;
+    broker::TenantBudget b;
     b.tenant = t.name;
     b.per_second = w.rate1 * t.share / w.c.gateways;
     budgets.push_back(b);
   }
-  levels::Service service;
+  levels::ServiceInfo service;
   service.classes = settings.classes;
   service.tenants = budgets.size();
   service.seed = settings.seed;
-  broker = std::make_unique<memory::Broker>(
+  broker = std::make_unique<broker::Broker>(
       settings, std::move(budgets), std::vector<std::string>{"a", "b", "c"},
       [&w] { return w.timeline.now(); }, upstream);
   if (w.c.contracts) {
-    contracts::Service terms;
+    contracts::ServiceInfo terms;
     terms.classes = settings.classes;
     terms.tenants = service.tenants;
     terms.seed = settings.seed ^ 1;
@@ -466,12 +468,13 @@
   broker->add_gate(*levels);
 }
 
-void Gateway::finish(RequestId request, memory::FinalAnswer answer) {
+void Gateway::finish(RequestId request, broker::FinalAnswer answer) {
   world.finish(number, request, std::move(answer));
 }
 
-void SimUpstream::start(memory::AttemptKey key, HostId, const std::string& address,
-                        const std::shared_ptr<const memory::Work>& work, Time stop_at, bool /*only_there*/) {
+void SimUpstream::start(broker::AttemptKey key, HostId, const std::string& address,
+                        const std::shared_ptr<const broker::RequestPayload>& work, Time stop_at,
+                        bool /*only_there*/) {
   auto& t = world_.timeline;
   ++world_.result.attempts;
   if (key.number >= 6) ++world_.result.too_many;
@@ -493,12 +496,12 @@
   job.work = w.work;
   job.write = k.freshness == Freshness::write;
   job.freshness = k.freshness;
-  job.bound = k.bound;
-  job.done = [this, key, serial, &t](Outcome outcome, Note note) {
+  job.bound = k.staleness_bound;
+  job.done = [this, key, serial, &t](Outcome outcome, AnswerMetadata note) {
     t.after(hop, [this, key, serial, outcome, note] {
-      memory::AttemptResult r;
+      broker::AttemptResult r;
       r.outcome = outcome;
-      r.note = note;
+      r.metadata = note;
       end(key, serial, std::move(r));
     });
   };
@@ -514,20 +517,20 @@
     const auto it = out_.find({key.request.value, key.number});
     if (it == out_.end() || it->second.first != serial) return;
     if (it->second.second.number) it->second.second.host->cancel(it->second.second.number);
-    memory::AttemptResult r;
+    broker::AttemptResult r;
     r.outcome = Outcome::timeout;
     end(key, serial, std::move(r));
   });
 }
 
-void SimUpstream::end(memory::AttemptKey key, std::uint64_t serial, memory::AttemptResult result) {
+void SimUpstream::end(broker::AttemptKey key, std::uint64_t serial, broker::AttemptResult result) {
   const auto it = out_.find({key.request.value, key.number});
   if (it == out_.end() || it->second.first != serial) return;
   out_.erase(it);
   world_.gateways[gateway_]->broker->attempt_ended(key, std::move(result));
 }
 
-void SimUpstream::abandon(memory::AttemptKey key) {
+void SimUpstream::cancel(broker::AttemptKey key) {
   const auto it = out_.find({key.request.value, key.number});
   if (it == out_.end()) return;
   if (it->second.second.number) it->second.second.host->cancel(it->second.second.number);
@@ -542,16 +545,16 @@
   t.after(hop * 2 + probe_work, [this, id, host, began, &t] {
     const bool ok = host->alive() && !host->silent();
     world_.gateways[gateway_]->broker->probe_ended(id, ok ? Outcome::ok : Outcome::connect_failed,
-                                                   t.now() - began, ok ? host->report() : Report{});
+                                                   t.now() - began, ok ? host->report() : LoadReport{});
   });
 }
 
-void SimUpstream::watch() {
+void SimUpstream::open_watch() {
   world_.timeline.after(
       std::chrono::milliseconds(1), [this] { world_.gateways[gateway_]->broker->listed(world_.list()); });
 }
 
-void SimUpstream::wake_at(Time due) {
+void SimUpstream::set_timer(Time due) {
   const auto mine = ++wake_;
   world_.timeline.at(due, [this, mine] {
     if (mine == wake_) world_.gateways[gateway_]->broker->timer_fired();
@@ -578,15 +581,15 @@
                        Duration aim, Duration deadline, double worth, double late) {
     ClassSpec k;
     k.contract.name = name;
-    k.contract.aim = aim;
+    k.contract.latency_target = aim;
     k.contract.deadline = deadline;
-    k.contract.worth = worth;
-    k.contract.late_worth = late;
+    k.contract.value = worth;
+    k.contract.late_value = late;
     k.contract.freshness = freshness;
-    k.contract.bound = std::chrono::milliseconds(200);
-    k.contract.effect = freshness == Freshness::write ? Effect::keyed : Effect::safe;
-    k.contract.scope = RepeatScope::group;
-    k.contract.window = std::chrono::milliseconds(1200);
+    k.contract.staleness_bound = std::chrono::milliseconds(200);
+    k.contract.idempotency = freshness == Freshness::write ? Idempotency::keyed : Idempotency::safe;
+    k.contract.dedup_scope = DedupScope::group;
+    k.contract.dedup_window = std::chrono::milliseconds(1200);
     k.share = share, k.work_from = from, k.work_to = to;
     c.classes.push_back(k);
   };
--- a/src/tools/lab/world.h
+++ b/src/tools/lab/world.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
+#include "broker/broker.h"
 #include "contracts/contracts.h"
 #include "levels/levels.h"
-#include "memory/broker.h"
 #include "tools/lab/ledger.h"
 #include "tools/lab/timeline.h"
 
--- a/src/tools/plan/main.cpp
+++ b/src/tools/plan/main.cpp
@@ -85,7 +85,7 @@
         promises.push_back({team.name, cls.name, closure ? "around closure" : "usual", terms.rate,
                             cost->value.GetDouble(),
                             cls.freshness == Freshness::write || cls.freshness == Freshness::fresh,
-                            terms.weight * cls.worth});
+                            terms.weight * cls.value});
       }
     }
   const auto limits = limits_of(promises, fleet);
--- a/src/tools/rig/links.cpp
+++ b/src/tools/rig/links.cpp
@@ -216,7 +216,7 @@
     char text[96];
     std::snprintf(text, sizeof text, "x0=%.3f,x1=%d,pending=%d",
                   static_cast<double>(r.position->count()) / 1e6, r.role == Role::primary ? 1 : 0,
-                  static_cast<int>(*r.queue));
+                  static_cast<int>(*r.queue_length));
     put_row(out, text);
     wire::pg::put_ready(out);
     return say(out);
@@ -248,9 +248,9 @@
   j.work = Duration(static_cast<std::int64_t>(static_cast<double>(work.count()) * h.slow));
   if (request) {
     const auto& c = rig_.s_.classes[request->cls].contract;
-    j.write = c.freshness == Freshness::write, j.freshness = c.freshness, j.bound = c.bound;
+    j.write = c.freshness == Freshness::write, j.freshness = c.freshness, j.bound = c.staleness_bound;
   }
-  j.done = [&rig = rig_, number = number_, job](Outcome outcome, Note note) {
+  j.done = [&rig = rig_, number = number_, job](Outcome outcome, AnswerMetadata note) {
     const auto link = rig.host_links_.find(number);
     if (link != rig.host_links_.end()) link->second->answer(job, outcome, note);
   };
@@ -259,7 +259,7 @@
   if (!closed() && !request_.empty() && jobs_ == job) job_ = given;
 }
 
-void HostLink::answer(std::uint64_t job, Outcome outcome, Note note) {
+void HostLink::answer(std::uint64_t job, Outcome outcome, AnswerMetadata note) {
   if (closed() || job != jobs_ || request_.empty()) return;
   job_ = 0;
   std::string out;
@@ -279,7 +279,7 @@
       // What is no answer has run all the same, and is out until its connection ends.
       if (!spoils) over(breaks_ ? Over::closed : Over::served, note.position);
       break;
-    case Outcome::miss:
+    case Outcome::too_stale:
       wire::pg::put_error(out, false, write ? "25006" : "72000", "not here");
       over(Over::miss, {});
       break;
--- a/src/tools/rig/links.h
+++ b/src/tools/rig/links.h
@@ -34,7 +34,7 @@
   void on_input() override;
   void on_end(int error) override;
   void take(std::string_view sql);
-  void answer(std::uint64_t job, Outcome outcome, Note note);
+  void answer(std::uint64_t job, Outcome outcome, AnswerMetadata note);
   void say(const std::string& bytes);
   void over(Over how, std::optional<Time> position);
   [[nodiscard]] bool stopped() const;
--- a/src/tools/rig/rig.cpp
+++ b/src/tools/rig/rig.cpp
@@ -65,8 +65,8 @@
 std::vector<ClassRule> class_rules(const Scenario& s) {
   std::vector<ClassRule> all;
   for (const auto& k : s.classes)
-    all.push_back(
-        {k.contract.effect, k.contract.scope, k.contract.window, k.contract.freshness, k.contract.bound});
+    all.push_back({k.contract.idempotency, k.contract.dedup_scope, k.contract.dedup_window,
+                   k.contract.freshness, k.contract.staleness_bound});
   return all;
 }
 
@@ -189,19 +189,19 @@
 
 /// The list as discovery tells it to one gateway: each host at that gateway's own address.
 std::string Rig::list_for(int gateway) {
-  memory::MemberList l;
+  broker::MemberList l;
   l.version = version_, l.full = true;
   for (std::size_t i = 0; i < hosts_.size(); ++i) {
     const auto& h = hosts_[i];
     if (h.gone) continue;
-    memory::Member m;
+    broker::Member m;
     m.id = h.id;
     m.address =
         gateways_[static_cast<std::size_t>(gateway)].links + ':' + std::to_string(h.port_for(gateway));
     m.zone = h.model->zone(), m.group = h.group->id();
     m.state = h.draining ? HostState::draining : HostState::ready;
     m.primary = h.group->primary() == h.model;
-    if (h.model->started() > Time{}) m.born = h.model->started();
+    if (h.model->started() > Time{}) m.started_at = h.model->started();
     l.members.push_back(m);
   }
   return wire::members_json(l);
@@ -488,7 +488,7 @@
                           : "SELECT v FROM records WHERE k = '" + r->key + "'";
   sql += " /* id=" + t.id + ",c=" + k.name + ",t=" + s_.tenants[r->tenant].name +
          ",d=" + std::to_string(std::max<std::int64_t>(1, (r->deadline - t.sent).count() / 1000));
-  if (k.effect == Effect::keyed) sql += ",k=key-" + t.id;
+  if (k.idempotency == Idempotency::keyed) sql += ",k=key-" + t.id;
   if (r->tries > 0) sql += ",r=1";
   sql += ",cluster=" + std::to_string(r->group + 1) + " */";
   ++r->tries;
@@ -579,7 +579,7 @@
   }
   const double ms = static_cast<double>((now - r.asked).count()) / 1000;
   auto& sec = second();
-  const bool in_time = answer == Answer::served && now - r.asked <= k.aim;
+  const bool in_time = answer == Answer::served && now - r.asked <= k.latency_target;
   sec.served += answer == Answer::served, sec.in_time += in_time, sec.refused += answer == Answer::refused;
   sec.failed += answer == Answer::failed || answer == Answer::lost;
   if (answer == Answer::served) sec.ms.push_back(static_cast<float>(ms));
@@ -964,8 +964,8 @@
   for (std::size_t i = 0; i < s_.classes.size(); ++i) {
     const auto& k = s_.classes[i].contract;
     const auto& c = result_.classes[i];
-    asked += k.worth * static_cast<double>(c.asked);
-    got += k.worth * (static_cast<double>(c.in_time) + k.late_worth * static_cast<double>(c.late));
+    asked += k.value * static_cast<double>(c.asked);
+    got += k.value * (static_cast<double>(c.in_time) + k.late_value * static_cast<double>(c.late));
   }
   result_.served_worth = asked > 0 ? got / asked : 0;
   for (auto& sec : result_.seconds) sec.p99_ms = quantile(sec.ms, 0.99);
--- a/src/tools/rig/rules.cpp
+++ b/src/tools/rig/rules.cpp
@@ -96,12 +96,12 @@
     return broke("one final answer", id, "its connection ended without one");
   if (!in_time && !excused) return broke("in time", id, "answered behind its deadline");
   const auto& c = classes_[*r.cls];
-  if (answer != Answer::refused || c.effect == Effect::safe) return;
+  if (answer != Answer::refused || c.effect == Idempotency::safe) return;
   // A refusal says that trying again is harmless: of what is kept apart by its key only in the scope of all
   // hosts.
   const bool ran = std::any_of(r.attempts.begin(), r.attempts.end(),
                                [](const Attempt& a) { return !a.ended || may_have_run(a.how); });
-  if (ran && (c.effect == Effect::unsafe || c.scope != RepeatScope::all))
+  if (ran && (c.effect == Idempotency::unsafe || c.scope != DedupScope::all))
     broke("refused what may have run", id, "refused");
 }
 
@@ -130,12 +130,12 @@
     const auto& c = classes_[*r.cls];
     const auto ran = std::find_if(r.attempts.begin(), r.attempts.end() - 1,
                                   [](const Attempt& a) { return !a.ended || may_have_run(a.how); });
-    if (c.effect != Effect::safe && ran != r.attempts.end() - 1) {
-      if (c.effect == Effect::unsafe)
+    if (c.effect != Idempotency::safe && ran != r.attempts.end() - 1) {
+      if (c.effect == Idempotency::unsafe)
         broke("never again what may have run", id, "sent again");
       else if (at - ran->at >= c.window + limits_.grace)
         broke("never again what may have run", id, "behind its window");
-      else if (c.scope == RepeatScope::group && ran->group != group)
+      else if (c.scope == DedupScope::group && ran->group != group)
         broke("never again what may have run", id, "to another group");
     }
   }
--- a/src/tools/rig/rules.h
+++ b/src/tools/rig/rules.h
@@ -32,8 +32,8 @@
 
 /// What a class allows, as the rules need it.
 struct ClassRule {
-  Effect effect = Effect::safe;
-  RepeatScope scope = RepeatScope::group;
+  Idempotency effect = Idempotency::safe;
+  DedupScope scope = DedupScope::group;
   Duration window{};  // within which a keyed repeat is dropped
   Freshness freshness = Freshness::any;
   Duration bound{};
--- a/src/tools/rig/scenario.cpp
+++ b/src/tools/rig/scenario.cpp
@@ -245,12 +245,13 @@
   for (const auto& k : s.classes) {
     const auto& c = k.contract;
     w.StartObject();
-    text("name", c.name), whole("aim", c.aim.count() / 1000), whole("deadline", c.deadline.count() / 1000);
-    real("importance", c.worth), real("late_worth", c.late_worth);
-    text("effect", c.effect == Effect::safe    ? "read_like"
-                   : c.effect == Effect::keyed ? "idempotency_key"
-                                               : "non_idempotent");
-    text("group", "cell"), whole("window", c.window.count() / 1000);
+    text("name", c.name), whole("aim", c.latency_target.count() / 1000),
+        whole("deadline", c.deadline.count() / 1000);
+    real("importance", c.value), real("late_worth", c.late_value);
+    text("effect", c.idempotency == Idempotency::safe    ? "read_like"
+                   : c.idempotency == Idempotency::keyed ? "idempotency_key"
+                                                         : "non_idempotent");
+    text("group", "cell"), whole("window", c.dedup_window.count() / 1000);
     w.EndObject();
   }
   w.EndArray();
@@ -264,7 +265,7 @@
       text("token_mode", "brought");
   w.Key("class_bound"), w.StartArray();
   for (const auto& k : s.classes)
-    w.Int64(k.contract.freshness == Freshness::bounded ? k.contract.bound.count() / 1000 : 0);
+    w.Int64(k.contract.freshness == Freshness::bounded ? k.contract.staleness_bound.count() / 1000 : 0);
   w.EndArray();
   w.Key("needs_by_class"), w.StartArray();
   for (const auto& k : s.classes) {
--- a/src/wire/client.cpp
+++ b/src/wire/client.cpp
@@ -23,8 +23,8 @@
 
 std::string refusal_text(const gates::Verdict& verdict) {
   if (verdict.admitted) return "refused, nothing has run: try again later";
-  return std::string("refused by ") + gates::name_of(verdict.by) + " (" + gates::name_of(verdict.why) +
-         "), nothing has run: try again later";
+  return std::string("refused by ") + gates::name_of(verdict.decided_by) + " (" +
+         gates::name_of(verdict.reason) + "), nothing has run: try again later";
 }
 
 Client::Client(ev::loop_ref loop, Fd fd, ClientSet& owner, std::size_t message_most)
@@ -123,7 +123,7 @@
   return at_rest() && now - since_ > (silent() ? mute_least : slow_least);
 }
 
-bool Client::reserve(std::size_t bytes, memory::Room::Hold& out) {
+bool Client::reserve(std::size_t bytes, broker::MemoryBudget::Reservation& out) {
   if (owner_.room().take(this, bytes, out)) return true;
   hold(true);
   return false;
@@ -219,8 +219,8 @@
   input_taken();
 }
 
-memory::Rejection Client::ask(const StatementInfo& info, std::shared_ptr<const memory::Work> work) {
-  memory::Ask ask;
+broker::Rejection Client::ask(const StatementInfo& info, std::shared_ptr<const broker::RequestPayload> work) {
+  broker::ClientRequest ask;
   ask.name = info.id;
   ask.contract = info.contract;
   ask.tenant = info.tenant;
@@ -234,7 +234,7 @@
   slots_.push_back({{}, true, {}});
   ++open_;
   const auto rejection = owner_.broker().accept(ask, *this, slots_.back().request);
-  if (rejection != memory::Rejection::none) slots_.pop_back(), --open_;
+  if (rejection != broker::Rejection::none) slots_.pop_back(), --open_;
   return rejection;
 }
 
@@ -243,14 +243,14 @@
       slots_.begin(), slots_.end(), [&](const Slot& s) { return s.open && s.request == request; });
 }
 
-void Client::finish(RequestId request, memory::FinalAnswer answer) {
+void Client::finish(RequestId request, broker::FinalAnswer answer) {
   const auto slot = slot_of(request);
   if (slot == slots_.end()) return;
   slot->open = false;
   --open_;
   since_ = loop_.now();
   // It has to see that the value is not whole: the connection ends inside the message.
-  if (answer.broken_off) return leave();
+  if (answer.truncated) return leave();
   std::string rest;
   put_answer(std::move(answer), rest);
   held_ += rest.size();
@@ -259,7 +259,7 @@
   if (!closed()) take();
 }
 
-ClientSet::ClientSet(ev::loop_ref loop, Reaper& reaper, memory::Broker& broker, const std::string& address,
+ClientSet::ClientSet(ev::loop_ref loop, Reaper& reaper, broker::Broker& broker, const std::string& address,
                      std::size_t most, Make make, Fd listener)
     : loop_(loop),
       reaper_(reaper),
@@ -271,10 +271,10 @@
       io_(loop),
       rest_(loop),
       sweep_(loop),
-      room_(std::make_shared<memory::Room>(room_least,
-                                           [this] {
-                                             if (!wake_.is_active()) wake_.start(0);
-                                           })),
+      room_(std::make_shared<broker::MemoryBudget>(room_least,
+                                                   [this] {
+                                                     if (!wake_.is_active()) wake_.start(0);
+                                                   })),
       wake_(loop) {
   wake_.set<ClientSet, &ClientSet::room_freed>(this);
   if (listener_.get() < 0) throw std::system_error(errno, std::generic_category(), "listen: " + address);
--- a/src/wire/client.h
+++ b/src/wire/client.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <unordered_map>
 
-#include "memory/broker.h"
-#include "memory/places.h"
-#include "memory/room.h"
+#include "broker/broker.h"
+#include "broker/connection_limits.h"
+#include "broker/memory_budget.h"
 #include "wire/connection.h"
 #include "wire/statement.h"
 
@@ -20,11 +20,11 @@
 /// What a client is told of a refusal: who has decided it and why, in the words of records and reports.
 std::string refusal_text(const gates::Verdict& verdict);
 
-class Client : public Connection, public memory::Front {
+class Client : public Connection, public broker::FrontEnd {
  public:
   Client(ev::loop_ref loop, Fd fd, ClientSet& owner, std::size_t message_most);
   bool part(RequestId request, std::string_view bytes) final;
-  void finish(RequestId request, memory::FinalAnswer answer) final;
+  void finish(RequestId request, broker::FinalAnswer answer) final;
   [[nodiscard]] bool gone() const final { return closed() || peer_gone(); }
   /// Has left while what it asked for waits, where its end is not read.
   [[nodiscard]] bool left_unseen() const { return open_ > 0 && !reading() && peer_gone(); }
@@ -61,7 +61,7 @@
  protected:
   /// Takes one command off in_; false if there is none whole or the connection is done with.
   virtual bool take_one() = 0;
-  virtual void put_answer(memory::FinalAnswer answer, std::string& out) = 0;
+  virtual void put_answer(broker::FinalAnswer answer, std::string& out) = 0;
   /// How many commands may be in work at once, where the protocol lets clients send on. Answers that wait
   /// behind an earlier one are no longer in work: they are bounded apart, by number and by bytes.
   [[nodiscard]] virtual std::size_t depth() const { return 1; }
@@ -72,7 +72,7 @@
   [[nodiscard]] virtual bool reading_long() const { return false; }
   /// Room for such a command of `bytes`; without it nothing is read until there is, and then take_one() comes
   /// again.
-  bool reserve(std::size_t bytes, memory::Room::Hold& out);
+  bool reserve(std::size_t bytes, broker::MemoryBudget::Reservation& out);
   /// A part of it has been taken off the buffer.
   void took_part();
 
@@ -86,7 +86,7 @@
   /// A whole command has come.
   void spoke() { spoke_ = true, since_ = loop_.now(); }
   /// Hands a request in; what is wrong with it is told by the broker's word.
-  memory::Rejection ask(const StatementInfo& info, std::shared_ptr<const memory::Work> work);
+  broker::Rejection ask(const StatementInfo& info, std::shared_ptr<const broker::RequestPayload> work);
 
  private:
   void on_input() final;
@@ -132,7 +132,7 @@
   using Make = std::function<std::unique_ptr<Client>(Fd fd, ClientSet& owner)>;
   /// Listens at `address`, or on `listener` if that is one. Clients are taken from begin() on; those that
   /// come before wait in the listener's queue.
-  ClientSet(ev::loop_ref loop, Reaper& reaper, memory::Broker& broker, const std::string& address,
+  ClientSet(ev::loop_ref loop, Reaper& reaper, broker::Broker& broker, const std::string& address,
             std::size_t most, Make make, Fd listener = Fd());
   ~ClientSet();
   /// No new clients; those there are leave as they fall idle.
@@ -168,9 +168,9 @@
   void gone(Client* client);
   /// Has said its last word; too many that linger cost the longest of them its place.
   void lingers(Client* client);
-  memory::Room& room() { return *room_; }
+  broker::MemoryBudget& room() { return *room_; }
   void set_room(std::size_t bytes) { room_->set_total(bytes); }
-  memory::Broker& broker() { return broker_; }
+  broker::Broker& broker() { return broker_; }
 
  private:
   void incoming(ev::io&, int) { (void)take_waiting(); }
@@ -185,16 +185,16 @@
   [[nodiscard]] Duration idle_time(const Client& client) const;
   ev::loop_ref loop_;
   Reaper& reaper_;
-  memory::Broker& broker_;
+  broker::Broker& broker_;
   std::size_t most_, idle_of_;
   std::function<void()> changed_;
   Make make_;
   Fd listener_;
   ev::io io_;
   ev::timer rest_, sweep_;
-  memory::Places places_;
-  std::shared_ptr<memory::Room> room_;  // for long commands; what holds it may outlive this
-  ev::timer wake_;                      // of who waits for it
+  broker::IdleConnectionLimits places_;
+  std::shared_ptr<broker::MemoryBudget> room_;  // for long commands; what holds it may outlive this
+  ev::timer wake_;                              // of who waits for it
   std::size_t lingering_ = 0;
   std::function<bool(int, const std::string&)> give_;  // set while there is somebody to hand clients to
   std::unordered_map<Client*, std::unique_ptr<Client>> clients_;
--- a/src/wire/discovery.cpp
+++ b/src/wire/discovery.cpp
@@ -25,7 +25,7 @@
   return it != v.MemberEnd() && it->value.IsNumber() ? it->value.GetDouble() : fallback;
 }
 
-bool parse_member(const rapidjson::Value& v, memory::Member& m) {
+bool parse_member(const rapidjson::Value& v, broker::Member& m) {
   if (!v.IsObject()) return false;
   m.id = text_of(v, "id");
   m.address = text_of(v, "addr");
@@ -44,7 +44,7 @@
   m.weight = number_of(v, "weight", 1);
   m.primary = text_of(v, "recovery") == "off";
   const double started = number_of(v, "started_ms", 0);
-  if (started > 0 && started < 1e13) m.born = Time(static_cast<std::int64_t>(started * 1000));
+  if (started > 0 && started < 1e13) m.started_at = Time(static_cast<std::int64_t>(started * 1000));
   // Where nothing more goes, where it is does not matter.
   if (m.state != HostState::ready && !valid_address(m.address)) m.address.clear();
   return !m.id.empty() && (m.state != HostState::ready || valid_address(m.address));
@@ -52,23 +52,23 @@
 
 }  // namespace
 
-std::optional<memory::MemberList> parse_members(std::string_view json) {
+std::optional<broker::MemberList> parse_members(std::string_view json) {
   rapidjson::Document d;
   d.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
   if (d.HasParseError() || !d.IsObject()) return std::nullopt;
   const auto servers = d.FindMember("servers");
   if (servers == d.MemberEnd() || !servers->value.IsArray()) return std::nullopt;
-  memory::MemberList list;
+  broker::MemberList list;
   const auto version = d.FindMember("version");
   if (version != d.MemberEnd() && version->value.IsUint64()) list.version = version->value.GetUint64();
   const auto full = d.FindMember("full");
   list.full = full != d.MemberEnd() && full->value.IsBool() && full->value.GetBool();
   for (const auto& v : servers->value.GetArray())
-    if (memory::Member m; parse_member(v, m)) list.members.push_back(std::move(m));
+    if (broker::Member m; parse_member(v, m)) list.members.push_back(std::move(m));
   return list;
 }
 
-std::string members_json(const memory::MemberList& list) {
+std::string members_json(const broker::MemberList& list) {
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
   const auto text = [&](const char* key, const std::string& value) {
@@ -88,7 +88,8 @@
     w.Key("weight"), w.Double(m.weight);
     text("recovery", m.primary ? "off" : "on");
     // Whole milliseconds, rounded up: later is colder.
-    w.Key("started_ms"), w.Int64(m.born ? std::chrono::ceil<std::chrono::milliseconds>(*m.born).count() : 0);
+    w.Key("started_ms"),
+        w.Int64(m.started_at ? std::chrono::ceil<std::chrono::milliseconds>(*m.started_at).count() : 0);
     w.EndObject();
   }
   w.EndArray();
@@ -200,7 +201,7 @@
 };
 
 DiscoveryWatch::DiscoveryWatch(ev::loop_ref loop, Reaper& reaper, std::string address, std::uint64_t version,
-                               fleet::WatchTerms terms, Events events)
+                               fleet::WatchTiming terms, Events events)
     : loop_(loop),
       reaper_(reaper),
       address_(std::move(address)),
@@ -246,7 +247,7 @@
 
 void DiscoveryWatch::wait_for_word() {
   silence_.stop();
-  silence_.start(seconds(fleet::WatchTerms::silence(answered_)));
+  silence_.start(seconds(fleet::WatchTiming::silence(answered_)));
 }
 
 void DiscoveryWatch::heard() {
@@ -258,7 +259,7 @@
 
 /// Changes that are older than what is held would undo what was told since: discovery has begun anew, or
 /// another one answers, and is asked for all it has. What they say is to get nothing more binds meanwhile.
-void DiscoveryWatch::listed(const memory::MemberList& list) {
+void DiscoveryWatch::listed(const broker::MemberList& list) {
   if (list.full || list.version >= version_) {
     version_ = list.version;
     told_ = true;
--- a/src/wire/discovery.h
+++ b/src/wire/discovery.h
@@ -9,15 +9,15 @@
 #include <optional>
 #include <string>
 
-#include "fleet/watch_terms.h"
-#include "memory/host_table.h"
+#include "broker/host_table.h"
+#include "fleet/watch_timing.h"
 #include "wire/connection.h"
 
 namespace cedarring::wire {
 
 /// One list in discovery's form; nothing if it is not one. A single entry that cannot be read is left out,
 /// but for one that is to get nothing more: of that the id and the state are enough.
-std::optional<memory::MemberList> parse_members(std::string_view json);
+std::optional<broker::MemberList> parse_members(std::string_view json);
 
 /// Cuts a stream of JSON objects into whole ones, however they are spread over lines.
 class ObjectSplitter {
@@ -34,16 +34,16 @@
 };
 
 /// The same form, written.
-std::string members_json(const memory::MemberList& list);
+std::string members_json(const broker::MemberList& list);
 
 class DiscoveryWatch {
  public:
   struct Events {
-    std::function<void(const memory::MemberList&)> listed;
+    std::function<void(const broker::MemberList&)> listed;
     std::function<void()> failed;
   };
   DiscoveryWatch(ev::loop_ref loop, Reaper& reaper, std::string address, std::uint64_t version,
-                 fleet::WatchTerms terms, Events events);
+                 fleet::WatchTiming terms, Events events);
   ~DiscoveryWatch();
   /// Starts a watch if none is open; one event follows in any case.
   void start();
@@ -61,7 +61,7 @@
 
  private:
   class Stream;
-  void listed(const memory::MemberList& list);
+  void listed(const broker::MemberList& list);
   void open();
   void ended(bool at_once);
   void silent(ev::timer&, int);
@@ -75,7 +75,7 @@
   std::uint64_t version_;
   Events events_;
   std::unique_ptr<Stream> stream_;
-  fleet::WatchTerms terms_;
+  fleet::WatchTiming terms_;
   bool kept_ = false, told_ = false, answered_ = false;  // answered: the one that is open
   ev::timer silence_, again_;
   std::chrono::steady_clock::time_point heard_ = std::chrono::steady_clock::now();
--- a/src/wire/dns.cpp
+++ b/src/wire/dns.cpp
@@ -552,8 +552,8 @@
   return out;
 }
 
-memory::MemberList members_of(const Zone& zone, std::uint64_t version) {
-  memory::MemberList list;
+broker::MemberList members_of(const Zone& zone, std::uint64_t version) {
+  broker::MemberList list;
   list.version = version;
   list.full = true;
   constexpr std::string_view service("\6_mysql\4_tcp", 12);
@@ -570,7 +570,7 @@
     char text[INET_ADDRSTRLEN] = "";
     inet_ntop(AF_INET, address->data.data(), text, sizeof text);
     auto attributes = attributes_of(zone, target);
-    memory::Member m;
+    broker::Member m;
     const auto port = std::to_string(get16(r.data, 4));
     m.id = name_to_text(target) + ":" + port;
     m.address = std::string(text) + ":" + port;
@@ -580,7 +580,7 @@
     m.weight = std::max<double>(1, get16(r.data, 2));
     if (attributes["state"] == "draining") m.state = HostState::draining;
     if (const auto at = to_int(attributes["started_ms"]); at && *at > 0 && *at < 10'000'000'000'000)
-      m.born = std::chrono::milliseconds(*at);
+      m.started_at = std::chrono::milliseconds(*at);
     list.members.push_back(std::move(m));
   }
   return list;
--- a/src/wire/dns.h
+++ b/src/wire/dns.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "memory/host_table.h"
+#include "broker/host_table.h"
 
 namespace cedarring::wire::dns {
 
@@ -64,6 +64,6 @@
 
 /// The hosts of a zone: each SRV record of _mysql._tcp.gN is one of group N, the primary with priority 0. The
 /// target's TXT record may tell zone=, state= and started_ms=. Targets without an address are left out.
-memory::MemberList members_of(const Zone& zone, std::uint64_t version);
+broker::MemberList members_of(const Zone& zone, std::uint64_t version);
 
 }  // namespace cedarring::wire::dns
--- a/src/wire/mysql.cpp
+++ b/src/wire/mysql.cpp
@@ -285,15 +285,15 @@
     case 1290:
     case 1792:
     case 1836:
-      return Outcome::miss;  // read-only: this is no primary
+      return Outcome::too_stale;  // read-only: this is no primary
     case 1040:
     case 1203:
     case 3168:
       return Outcome::full;  // too many connections, not available: never ran
     case 1243:
-      return Outcome::moot;  // it does not know the statement: never ran
+      return Outcome::not_sent;  // it does not know the statement: never ran
     default:
-      return error.state == "72000" ? Outcome::miss : Outcome::error;  // too far behind
+      return error.state == "72000" ? Outcome::too_stale : Outcome::error;  // too far behind
   }
 }
 
--- a/src/wire/mysql_client.cpp
+++ b/src/wire/mysql_client.cpp
@@ -302,19 +302,19 @@
   if (const auto lacks = lacking(work->info); !lacks.empty())
     return error(1210, "HY000", "the statement lacks " + std::string(lacks));
   switch (ask(work->info, work)) {
-    case memory::Rejection::none:
+    case broker::Rejection::none:
       return;
-    case memory::Rejection::unknown_contract:
+    case broker::Rejection::unknown_contract:
       return error(1210, "HY000", "unknown class in c");
-    case memory::Rejection::unknown_tenant:
+    case broker::Rejection::unknown_tenant:
       return error(1210, "HY000", "unknown tenant in t");
-    case memory::Rejection::unknown_group:
+    case broker::Rejection::unknown_group:
       return error(1049, "42000", "unknown group in cluster");
-    case memory::Rejection::name_in_use:
+    case broker::Rejection::name_in_use:
       return error(1210, "HY000", "id of another open request");
-    case memory::Rejection::overfull:
+    case broker::Rejection::overfull:
       return error(1040, "08004", "Too many requests");
-    case memory::Rejection::late:
+    case broker::Rejection::late:
       return error(3168, "HY000", "Its time ran out before its turn, nothing has run");
   }
 }
@@ -327,22 +327,22 @@
   spoke();
 }
 
-void MysqlClient::put_answer(memory::FinalAnswer answer, std::string& out) {
+void MysqlClient::put_answer(broker::FinalAnswer answer, std::string& out) {
   Error e;
-  switch (answer.end) {
-    case memory::End::served:
+  switch (answer.status) {
+    case broker::AnswerStatus::served:
       return put_result(answer.value, can(deprecate_eof), can(session_track), sequence_, out);
-    case memory::End::refused: {
-      const auto ms = std::chrono::ceil<std::chrono::milliseconds>(answer.pause).count();
+    case broker::AnswerStatus::refused: {
+      const auto ms = std::chrono::ceil<std::chrono::milliseconds>(answer.retry_after).count();
       e = {3168, "HY000",
            "Server isn't available, " + refusal_text(answer.verdict) + "; come again after " +
                std::to_string(ms) + " ms"};
       break;
     }
-    case memory::End::failed:
-      if (answer.why == Outcome::timeout)
+    case broker::AnswerStatus::failed:
+      if (answer.last_outcome == Outcome::timeout)
         e = {3024, "HY000", "Query execution was interrupted, maximum statement execution time exceeded"};
-      else if (answer.why != Outcome::error || !parse_error(answer.message, e))
+      else if (answer.last_outcome != Outcome::error || !parse_error(answer.message, e))
         e = {1105, "HY000", "The request has failed; it may have run"};
       break;
   }
--- a/src/wire/mysql_client.h
+++ b/src/wire/mysql_client.h
@@ -34,7 +34,7 @@
   };
   [[nodiscard]] bool silent() const override { return !welcomed_ && in_.empty(); }
   bool take_one() override;
-  void put_answer(memory::FinalAnswer answer, std::string& out) override;
+  void put_answer(broker::FinalAnswer answer, std::string& out) override;
   void shake_hands(std::string_view payload);
   void command(std::string_view payload);
   void query(std::string_view payload);
--- a/src/wire/mysql_host.cpp
+++ b/src/wire/mysql_host.cpp
@@ -187,7 +187,7 @@
 bool MysqlHost::take_row(std::string_view p) {
   if (is_error(p)) {
     // After a part of the answer no code proves any more that nothing has run.
-    memory::AttemptResult result;
+    broker::AttemptResult result;
     result.outcome = Outcome::error;
     finish(std::move(result), false);
     return true;
@@ -205,18 +205,18 @@
   if (!parse_ok(payload, ok) || (ok.status & status_more_results) != 0 || !job_) return false;
   for (const auto& [name, value] : ok.variables) set_note(name, value, note_);
   state_ = State::idle;
-  memory::AttemptResult result;
-  result.note = note_;
+  broker::AttemptResult result;
+  result.metadata = note_;
   if (!job_->attempt) result.report = parse_whole_report(health_);
   result.value = std::move(answer_);
   finish(std::move(result), true);
   return true;
 }
 
-std::optional<memory::AttemptResult> MysqlHost::said() {
+std::optional<broker::AttemptResult> MysqlHost::said() {
   Error e;
   if (error_.empty() || !parse_error(error_, e)) return std::nullopt;
-  memory::AttemptResult result;
+  broker::AttemptResult result;
   result.outcome = outcome_of(e);
   result.message = error_;
   return result;
@@ -226,7 +226,7 @@
 void MysqlHost::failed(std::string_view error) {
   error_ = error;
   auto result = said();
-  const bool keep = welcomed_ && result && result->outcome != Outcome::moot;
+  const bool keep = welcomed_ && result && result->outcome != Outcome::not_sent;
   if (!job_ || !result) return broken();
   state_ = State::idle;
   finish(std::move(*result), keep);
--- a/src/wire/mysql_host.h
+++ b/src/wire/mysql_host.h
@@ -23,7 +23,7 @@
   void on_input() override;
   void reset() override;
   void submit() override;
-  std::optional<memory::AttemptResult> said() override;
+  std::optional<broker::AttemptResult> said() override;
   /// False if the host has broken the protocol.
   bool take(const mysql::Packet& packet);
   bool take_greeting(std::string_view payload);
@@ -45,7 +45,7 @@
   std::string answer_;  // its packets, whole
   std::string health_;
   std::string error_;  // the payload of an ERR packet
-  Note note_;
+  AnswerMetadata note_;
 };
 
 }  // namespace cedarring::wire
--- a/src/wire/mysql_work.h
+++ b/src/wire/mysql_work.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "memory/broker.h"
+#include "broker/broker.h"
 #include "wire/mysql.h"
 #include "wire/statement.h"
 
@@ -12,7 +12,7 @@
 
 inline constexpr std::size_t mysql_message_most = 200 * 1024;
 
-struct MysqlWork : memory::Work {
+struct MysqlWork : broker::RequestPayload {
   bool prepared = false;
   std::string sql;
   std::size_t placeholders = 0;
--- a/src/wire/pg.cpp
+++ b/src/wire/pg.cpp
@@ -120,7 +120,7 @@
 }
 
 Outcome outcome_of(std::string_view code) {
-  if (code == "25006" || code == "72000") return Outcome::miss;
+  if (code == "25006" || code == "72000") return Outcome::too_stale;
   if (code == "53300" || code == "57P03") return Outcome::full;
   return Outcome::error;
 }
--- a/src/wire/pg_client.cpp
+++ b/src/wire/pg_client.cpp
@@ -108,7 +108,7 @@
   return true;
 }
 
-void PgClient::query(std::string sql, memory::Room::Hold room) {
+void PgClient::query(std::string sql, broker::MemoryBudget::Reservation room) {
   std::string out;
   const auto bare = trimmed(sql);
   const auto verb = verb_of(bare);
@@ -127,19 +127,19 @@
   if (!parse_statement(work->sql, work->info, missing))
     return refuse("08P01", "the statement lacks " + missing);
   switch (ask(work->info, work)) {
-    case memory::Rejection::none:
+    case broker::Rejection::none:
       return;
-    case memory::Rejection::unknown_contract:
+    case broker::Rejection::unknown_contract:
       return refuse("08P01", "unknown class in c");
-    case memory::Rejection::unknown_tenant:
+    case broker::Rejection::unknown_tenant:
       return refuse("08P01", "unknown tenant in t");
-    case memory::Rejection::unknown_group:
+    case broker::Rejection::unknown_group:
       return refuse("3D000", "unknown group in cluster");
-    case memory::Rejection::name_in_use:
+    case broker::Rejection::name_in_use:
       return refuse("08P01", "id of another open request");
-    case memory::Rejection::overfull:
+    case broker::Rejection::overfull:
       return refuse("53300", "too many requests");
-    case memory::Rejection::late:
+    case broker::Rejection::late:
       return refuse("53300", "its time ran out before its turn, nothing has run");
   }
 }
@@ -151,17 +151,17 @@
   reply(out);
 }
 
-void PgClient::put_answer(memory::FinalAnswer answer, std::string& out) {
-  switch (answer.end) {
-    case memory::End::served:
+void PgClient::put_answer(broker::FinalAnswer answer, std::string& out) {
+  switch (answer.status) {
+    case broker::AnswerStatus::served:
       out = std::move(answer.value);
       break;
-    case memory::End::refused: {
-      const auto ms = std::chrono::ceil<std::chrono::milliseconds>(answer.pause).count();
+    case broker::AnswerStatus::refused: {
+      const auto ms = std::chrono::ceil<std::chrono::milliseconds>(answer.retry_after).count();
       pg::put_error(out, false, "53300", refusal_text(answer.verdict), ms > 0 ? std::to_string(ms) : "");
       break;
     }
-    case memory::End::failed:
+    case broker::AnswerStatus::failed:
       pg::put_error(out, false, "58000", answer.message.empty() ? "the request has failed" : answer.message);
       break;
   }
--- a/src/wire/pg_client.h
+++ b/src/wire/pg_client.h
@@ -20,18 +20,18 @@
   [[nodiscard]] bool silent() const override { return !welcomed_ && in_.empty(); }
   [[nodiscard]] std::size_t depth() const override { return 16; }
   bool take_one() override { return welcomed_ ? take_message() : take_startup(); }
-  void put_answer(memory::FinalAnswer answer, std::string& out) override;
+  void put_answer(broker::FinalAnswer answer, std::string& out) override;
   bool take_startup();
   bool take_message();
   [[nodiscard]] bool reading_long() const override { return long_size_ > 0; }
   bool take_long();
-  void query(std::string sql, memory::Room::Hold room = {});
+  void query(std::string sql, broker::MemoryBudget::Reservation room = {});
   void refuse(std::string_view code, const std::string& why);
   bool fatal(std::string_view code, std::string_view message);
   bool welcomed_ = false;
   std::size_t long_size_ = 0;  // of a long statement that is being read, its zero byte included
   std::string long_;           // of it what has come, once there is room
-  memory::Room::Hold long_room_;
+  broker::MemoryBudget::Reservation long_room_;
 };
 
 }  // namespace cedarring::wire
--- a/src/wire/pg_host.cpp
+++ b/src/wire/pg_host.cpp
@@ -160,11 +160,11 @@
   return true;
 }
 
-std::optional<memory::AttemptResult> PgHost::said() {
+std::optional<broker::AttemptResult> PgHost::said() {
   if (error_code_.empty()) return std::nullopt;
-  memory::AttemptResult result;
+  broker::AttemptResult result;
   result.outcome = pg::outcome_of(error_code_);
-  result.note = note_;
+  result.metadata = note_;
   result.message = error_text_;
   return result;
 }
@@ -175,9 +175,9 @@
     if (!error_code_.empty() || !in_.empty()) return broken();
     return welcome();
   }
-  auto result = said().value_or(memory::AttemptResult{});
+  auto result = said().value_or(broker::AttemptResult{});
   if (error_code_.empty()) {
-    result.note = note_;
+    result.metadata = note_;
     result.value = std::move(rows_);
   }
   if (!job_->attempt) result.report = parse_whole_report(health_);
--- a/src/wire/pg_host.h
+++ b/src/wire/pg_host.h
@@ -18,7 +18,7 @@
   void on_input() override;
   void reset() override;
   void submit() override;
-  std::optional<memory::AttemptResult> said() override;
+  std::optional<broker::AttemptResult> said() override;
   /// False for what has no place here: the connection has lost its order and is of no more use.
   bool take(char type, std::string_view body, std::string_view whole);
   bool take_error(std::string_view body);
@@ -37,7 +37,7 @@
   enum class Next { description, row, complete, ready };
   Next next_ = Next::description;
   std::string error_code_, error_text_, health_;
-  Note note_;
+  AnswerMetadata note_;
   std::string digits_;   // of the deadline that a long statement tells
   std::size_t fed_ = 0;  // of its bytes, with these digits, those that are written
   bool feeding_ = false;
--- a/src/wire/pg_work.h
+++ b/src/wire/pg_work.h
@@ -3,8 +3,8 @@
 
 #include <string>
 
-#include "memory/broker.h"
-#include "memory/room.h"
+#include "broker/broker.h"
+#include "broker/memory_budget.h"
 #include "wire/statement.h"
 
 namespace cedarring::wire {
@@ -21,10 +21,10 @@
 /// The longest statement: as long a value, and its words.
 inline constexpr std::size_t pg_statement_most = pg_row_most + 64 * 1024;
 
-struct PgWork : memory::Work {
+struct PgWork : broker::RequestPayload {
   std::string sql;
-  StatementInfo info;       // views into sql
-  memory::Room::Hold room;  // of a long one
+  StatementInfo info;                      // views into sql
+  broker::MemoryBudget::Reservation room;  // of a long one
 };
 
 }  // namespace cedarring::wire
--- a/src/wire/statement.cpp
+++ b/src/wire/statement.cpp
@@ -96,7 +96,7 @@
   return SessionId{h};
 }
 
-void set_note(std::string_view name, std::string_view value, Note& note) {
+void set_note(std::string_view name, std::string_view value, AnswerMetadata& note) {
   if (name == "recovery" && value == "off") note.role = Role::primary;
   if (name == "recovery" && value == "on") note.role = Role::replica;
   if (name != "lsn_ms") return;
--- a/src/wire/statement.h
+++ b/src/wire/statement.h
@@ -40,6 +40,6 @@
 SessionId session_of(std::string_view key);
 
 /// What a host tells of itself beside an answer: `recovery` and `lsn_ms`, in either protocol.
-void set_note(std::string_view name, std::string_view value, Note& note);
+void set_note(std::string_view name, std::string_view value, AnswerMetadata& note);
 
 }  // namespace cedarring::wire
--- a/src/wire/upstream.cpp
+++ b/src/wire/upstream.cpp
@@ -6,7 +6,7 @@
 namespace cedarring::wire {
 namespace {
 
-using memory::AttemptResult;
+using broker::AttemptResult;
 
 constexpr double silent_most = 10;     // seconds that a host may pause within a value
 constexpr std::size_t for_probes = 8;  // one in so many places is left to probes
@@ -89,7 +89,7 @@
   if (!job_) return;
   AttemptResult result;
   result.outcome = lost(submitted_ && out_.empty(), true);
-  result.silent = true;
+  result.connect_timed_out = true;
   if (!welcomed_) owner_.patience().gave_up();
   finish(std::move(result), false);
 }
@@ -123,7 +123,7 @@
   last_ = true;
   if (!job_ || submitted_) return;
   AttemptResult result;
-  result.outcome = Outcome::moot;
+  result.outcome = Outcome::not_sent;
   finish(std::move(result), false);
 }
 
@@ -163,7 +163,7 @@
 /// told.
 void SocketUpstream::apply_most() {
   most_ = std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(options_.most) * factor_));
-  if (broker_) broker_->limit(most_ - most_ / for_probes);
+  if (broker_) broker_->set_max_in_flight(most_ - most_ / for_probes);
 }
 
 void SocketUpstream::trim(std::size_t most) {
@@ -174,8 +174,9 @@
   }
 }
 
-void SocketUpstream::start(memory::AttemptKey key, HostId host, const std::string& address,
-                           const std::shared_ptr<const memory::Work>& work, Time stop_at, bool only_there) {
+void SocketUpstream::start(broker::AttemptKey key, HostId host, const std::string& address,
+                           const std::shared_ptr<const broker::RequestPayload>& work, Time stop_at,
+                           bool only_there) {
   run(host, address, {key, work, clock_(), stop_at, only_there});
 }
 
@@ -197,7 +198,7 @@
     if (connections_.size() >= most_)
       if (auto* idle = pool_.oldest()) drop(idle);
     AttemptResult failed;
-    failed.outcome = Outcome::moot;
+    failed.outcome = Outcome::not_sent;
     if (connections_.size() >= most_) return tell(job, host, std::move(failed));
     Fd fd = connect_to(address);
     if (fd.get() < 0) {
@@ -214,7 +215,7 @@
 }
 
 /// Giving an attempt up closes its connection: an answer that is still due must not meet another request.
-void SocketUpstream::abandon(memory::AttemptKey key) {
+void SocketUpstream::cancel(broker::AttemptKey key) {
   const auto it = attempts_.find({key.request.value, key.number});
   if (it == attempts_.end()) return;
   auto* connection = it->second;
@@ -236,7 +237,7 @@
   return !job.attempt || broker_->attempt_part(*job.attempt, bytes);
 }
 
-void SocketUpstream::more(memory::AttemptKey key) {
+void SocketUpstream::resume(broker::AttemptKey key) {
   const auto it = attempts_.find({key.request.value, key.number});
   if (it != attempts_.end()) it->second->more();
 }
@@ -271,7 +272,7 @@
   connections_.erase(it);
 }
 
-void SocketUpstream::closed(HostId host) {
+void SocketUpstream::close_idle(HostId host) {
   for (auto* idle : pool_.drop(host)) drop(idle);
   // A slow connect or prepare must not put a request on the host long after we were told.
   std::vector<HostConnection*> mine;
@@ -280,7 +281,7 @@
   for (auto* connection : mine) connection->withdraw();
 }
 
-void SocketUpstream::wake_at(Time due) {
+void SocketUpstream::set_timer(Time due) {
   wake_at_ = due;
   arm_wake();
 }
--- a/src/wire/upstream.h
+++ b/src/wire/upstream.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <unordered_map>
 
-#include "fleet/connect_patience.h"
-#include "memory/broker.h"
-#include "memory/pool.h"
+#include "broker/broker.h"
+#include "broker/idle_pool.h"
+#include "fleet/connect_timeout.h"
 #include "wire/connection.h"
 
 namespace cedarring::wire {
@@ -20,8 +20,8 @@
 
 /// What a host connection is doing: an attempt, or a probe.
 struct Job {
-  std::optional<memory::AttemptKey> attempt;  // absent: a probe
-  std::shared_ptr<const memory::Work> work;
+  std::optional<broker::AttemptKey> attempt;  // absent: a probe
+  std::shared_ptr<const broker::RequestPayload> work;
   Time started{}, stop_at{};
   bool patient = true;  // a connection is waited for as long as may be
 };
@@ -46,18 +46,18 @@
   /// Works on the job: the connection is up and welcomed.
   virtual void submit() = 0;
   /// What the host had said when the connection ended; nothing if it had not.
-  virtual std::optional<memory::AttemptResult> said() { return std::nullopt; }
+  virtual std::optional<broker::AttemptResult> said() { return std::nullopt; }
 
   [[nodiscard]] bool owes() const final { return job_.has_value(); }
   void on_end(int error) final;
   void on_sent() final;
-  void end(std::optional<memory::AttemptResult> result);
+  void end(std::optional<broker::AttemptResult> result);
   /// The host has welcomed us.
   void welcome();
   /// The request itself is being written: from its last byte on it may run.
   bool write_request(std::string_view bytes);
   /// Keeps the connection only if nothing is left over on it: that would be taken for the next answer.
-  void finish(memory::AttemptResult result, bool keep);
+  void finish(broker::AttemptResult result, bool keep);
   /// Passes a part of a long answer on. From the first on only silence ends the attempt. False if it is to
   /// wait: then nothing is read until on_more.
   bool pass(std::string_view bytes);
@@ -82,18 +82,18 @@
   ev::timer timer_;
 };
 
-class SocketUpstream : public memory::Upstream {
+class SocketUpstream : public broker::Upstream {
  public:
   struct Options {
     Duration connect_timeout{250'000};
     Duration idle_close{30'000'000};
     std::size_t most = 300;  // connections
   };
-  using Clock = memory::Broker::Clock;
+  using Clock = broker::Broker::Clock;
   using Make = std::function<std::unique_ptr<HostConnection>(Fd fd, HostId host, SocketUpstream& owner)>;
   SocketUpstream(ev::loop_ref loop, Reaper& reaper, Clock clock, Options options, Make make,
                  std::function<void()> watch);
-  void attach(memory::Broker& broker) { broker_ = &broker, apply_most(); }
+  void attach(broker::Broker& broker) { broker_ = &broker, apply_most(); }
   /// A factor on the most connections; those beyond it go as they fall idle or make room.
   void scale_most(double factor) { factor_ = factor, apply_most(); }
 
@@ -112,27 +112,28 @@
   /// Called when a connection is wanted and there is no place: may raise the most.
   void on_full(std::function<void()> call) { full_ = std::move(call); }
 
-  void start(memory::AttemptKey key, HostId host, const std::string& address,
-             const std::shared_ptr<const memory::Work>& work, Time stop_at, bool only_there) override;
-  void abandon(memory::AttemptKey key) override;
-  void more(memory::AttemptKey key) override;
+  void start(broker::AttemptKey key, HostId host, const std::string& address,
+             const std::shared_ptr<const broker::RequestPayload>& work, Time stop_at,
+             bool only_there) override;
+  void cancel(broker::AttemptKey key) override;
+  void resume(broker::AttemptKey key) override;
   void probe(HostId host, const std::string& address) override;
-  void watch() override { watch_(); }
-  void wake_at(Time due) override;
-  void closed(HostId host) override;
+  void open_watch() override { watch_(); }
+  void set_timer(Time due) override;
+  void close_idle(HostId host) override;
 
   // for the connections
   [[nodiscard]] Time now() const { return clock_(); }
   [[nodiscard]] const Options& options() const { return options_; }
-  fleet::ConnectPatience& patience() { return patience_; }
-  void done(HostConnection* connection, const Job& job, memory::AttemptResult result, bool keep);
+  fleet::AdaptiveConnectTimeout& patience() { return patience_; }
+  void done(HostConnection* connection, const Job& job, broker::AttemptResult result, bool keep);
   void gone(HostConnection* connection);
   void written(const Job& job);
   bool part(const Job& job, std::string_view bytes);
 
  private:
   void run(HostId host, const std::string& address, Job job);
-  void tell(const Job& job, HostId host, memory::AttemptResult result);
+  void tell(const Job& job, HostId host, broker::AttemptResult result);
   void drop(HostConnection* connection);
   void wake(ev::timer&, int);
   void sweep(ev::timer&, int);
@@ -142,7 +143,7 @@
   Reaper& reaper_;
   Clock clock_;
   Options options_;
-  fleet::ConnectPatience patience_;
+  fleet::AdaptiveConnectTimeout patience_;
   void apply_most();
   std::size_t most_;
   double factor_ = 1;
@@ -150,10 +151,10 @@
   bool winding_down_ = false;
   Make make_;
   std::function<void()> watch_;
-  memory::Broker* broker_ = nullptr;
+  broker::Broker* broker_ = nullptr;
   std::unordered_map<HostConnection*, std::unique_ptr<HostConnection>> connections_;
   std::map<std::pair<std::uint64_t, std::uint32_t>, HostConnection*> attempts_;
-  memory::Pool<HostConnection> pool_;
+  broker::IdlePool<HostConnection> pool_;
   ev::timer wake_, sweep_;
   Time wake_at_{};
 };
--- a/src/wire/zone_source.h
+++ b/src/wire/zone_source.h
@@ -13,7 +13,7 @@
 
 class ZoneSource {
  public:
-  using Listed = std::function<void(const memory::MemberList&)>;
+  using Listed = std::function<void(const broker::MemberList&)>;
   /// Updates are taken from anyone who reaches `address`: it has to be one of the loopback.
   /// `given`: the socket there that another process of this gateway has, in place of one of its own.
   ZoneSource(ev::loop_ref loop, const std::string& address, dns::Zone zone, Listed listed, Fd given = Fd());
@@ -21,7 +21,7 @@
   void pause(bool on) { on ? io_.stop() : io_.start(fd_.get(), ev::READ); }
   [[nodiscard]] const Fd& socket() const { return fd_; }
   /// The list as it stands.
-  [[nodiscard]] memory::MemberList list() const { return dns::members_of(zone_, version_); }
+  [[nodiscard]] broker::MemberList list() const { return dns::members_of(zone_, version_); }
   [[nodiscard]] std::string address() const { return bound_address(fd_); }
 
  private:
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -1,20 +1,20 @@
 // The broker with a fake front and a fake upstream: no sockets, a clock set by hand.
-#include "memory/broker.h"
+#include "broker/broker.h"
 
 #include <gtest/gtest.h>
 
 #include <map>
 
-#include "memory/places.h"
-#include "memory/pool.h"
+#include "broker/connection_limits.h"
+#include "broker/idle_pool.h"
 
 namespace cedarring::test {
 namespace {
 
-using namespace memory;
+using namespace broker;
 using namespace std::chrono_literals;
 
-struct FakeFront : Front {
+struct FakeFront : FrontEnd {
   std::map<std::uint64_t, FinalAnswer> answers;
   int count = 0;
   bool left = false;  // though nobody has told the broker
@@ -38,7 +38,7 @@
   Time wake{};
   std::optional<Outcome> at_once;  // how every attempt ends before start() returns
   Broker* broker = nullptr;
-  void start(AttemptKey key, HostId, const std::string& address, const std::shared_ptr<const Work>&,
+  void start(AttemptKey key, HostId, const std::string& address, const std::shared_ptr<const RequestPayload>&,
              Time stop_at, bool) override {
     started.push_back({key, address, stop_at});
     most_out = std::max(most_out, ++out);
@@ -51,14 +51,14 @@
     r.value = "value";
     broker->attempt_ended(key, r);
   }
-  void abandon(AttemptKey key) override {
+  void cancel(AttemptKey key) override {
     abandoned.push_back(key);
     --out;
   }
   void probe(HostId, const std::string& address) override { probes.push_back(address); }
-  void watch() override { ++watches; }
-  void wake_at(Time due) override { wake = due; }
-  void closed(HostId) override {}
+  void open_watch() override { ++watches; }
+  void set_timer(Time due) override { wake = due; }
+  void close_idle(HostId) override {}
 };
 
 struct Bench {
@@ -76,41 +76,41 @@
       list.members.push_back({id, id, "a", GroupId{1}, HostState::ready, 1, id[0] == 'p', {}});
     broker.start(list);
   }
-  static Budget budget() {
-    Budget b;
+  static TenantBudget budget() {
+    TenantBudget b;
     b.tenant = "acme";
     b.per_second = 10;
     return b;
   }
   static Settings settings() {
     Settings s;
-    for (const auto& [name, effect, freshness] : {std::tuple{"history", Effect::safe, Freshness::any},
-                                                  std::tuple{"bid", Effect::keyed, Freshness::write},
-                                                  std::tuple{"pay", Effect::unsafe, Freshness::write}}) {
+    for (const auto& [name, effect, freshness] : {std::tuple{"history", Idempotency::safe, Freshness::any},
+                                                  std::tuple{"bid", Idempotency::keyed, Freshness::write},
+                                                  std::tuple{"pay", Idempotency::unsafe, Freshness::write}}) {
       RequestClass c;
       c.name = name;
-      c.aim = 300ms;
+      c.latency_target = 300ms;
       c.deadline = 2s;
-      c.late_worth = 0.5;
-      c.effect = effect;
+      c.late_value = 0.5;
+      c.idempotency = effect;
       c.freshness = freshness;
-      c.scope = RepeatScope::group;
-      c.window = 1200ms;
+      c.dedup_scope = DedupScope::group;
+      c.dedup_window = 1200ms;
       s.classes.push_back(c);
     }
-    s.checks = StaleCheck::refuse;
-    s.list_role = ListRole::late;
-    s.may_cancel = true;
-    s.retry_after = true;
+    s.stale_read_policy = StaleReadPolicy::refuse;
+    s.listed_role = ListedRole::late;
+    s.cancel_allowed = true;
+    s.retry_after_allowed = true;
     s.max_attempts = 6;
-    s.may_probe = false;
-    s.discovery = DiscoveryMode::ask;
-    s.holding_costs = true;
+    s.probes_allowed = false;
+    s.discovery_mode = DiscoveryMode::poll;
+    s.late_refusal_costs = true;
     return s;
   }
   RequestId ask(const std::string& contract, Rejection expected = Rejection::none,
                 const std::string& tenant = "acme", std::int64_t group = 1, const std::string& name = "") {
-    Ask a;
+    ClientRequest a;
     a.name = name.empty() ? "r" + std::to_string(++asked) : name;
     a.contract = contract;
     a.tenant = tenant;
@@ -144,15 +144,15 @@
   Bench b;
   const auto out = b.ask("pay");
   ASSERT_EQ(b.upstream.started.size(), 1U);
-  b.broker.last_call();
-  EXPECT_EQ(b.front.answers.at(out.value).end, End::failed);
+  b.broker.begin_shutdown();
+  EXPECT_EQ(b.front.answers.at(out.value).status, AnswerStatus::failed);
   EXPECT_EQ(b.upstream.abandoned.size(), 1U);
   EXPECT_EQ(b.broker.open_requests(), 0U);
   b.ask("pay", Rejection::late);
 }
 
 TEST(Places, TheFullerTheShorterAndNothingEarlyWhereThereIsRoom) {
-  const Places p;
+  const IdleConnectionLimits p;
   EXPECT_EQ(p.idle_allowed(0, 120), 2s);
   EXPECT_EQ(p.idle_allowed(20, 120), 2s);
   EXPECT_EQ(p.idle_allowed(30, 120), 1075ms);  // half way between the quiet and the tight share
@@ -167,7 +167,7 @@
 }
 
 TEST(Places, ACrowdOfClientsThatAskOnceSettlesWellUnderThePlaces) {
-  const Places p;
+  const IdleConnectionLimits p;
   // 280 new clients a second, each idle until it has to go; 130 places are what a third of 400 descriptors
   // gives.
   std::deque<Time> since;
@@ -192,7 +192,7 @@
 
 TEST(Broker, TimeCountsFromTheArrivalAndNoneLeftIsNoRequest) {
   Bench b;
-  Ask a;
+  ClientRequest a;
   a.contract = "pay", a.tenant = "acme", a.group = GroupId{1}, a.time_left = 1s;
   RequestId id;
   a.name = "x", a.arrived = b.now - 400ms;
@@ -228,17 +228,18 @@
 TEST(Broker, AnUnsafeRequestThatMayHaveRunFails) {
   struct Case {
     Outcome outcome;
-    End end;
+    AnswerStatus end;
   };
-  for (const auto& c : {Case{Outcome::reset, End::failed}, Case{Outcome::timeout, End::failed},
-                        Case{Outcome::error, End::failed}}) {
+  for (const auto& c :
+       {Case{Outcome::reset, AnswerStatus::failed}, Case{Outcome::timeout, AnswerStatus::failed},
+        Case{Outcome::error, AnswerStatus::failed}}) {
     Bench b;
     b.upstream.at_once = c.outcome;
     const auto id = b.ask("pay");
     b.run_until(b.now + 1s);
     EXPECT_EQ(b.upstream.started.size(), 1U);
-    EXPECT_EQ(b.front.answers.at(id.value).end, c.end);
-    EXPECT_EQ(b.front.answers.at(id.value).why, c.outcome);
+    EXPECT_EQ(b.front.answers.at(id.value).status, c.end);
+    EXPECT_EQ(b.front.answers.at(id.value).last_outcome, c.outcome);
   }
 }
 
@@ -255,7 +256,7 @@
     }
     ASSERT_EQ(b.front.answers.count(id.value), 1U);
     EXPECT_LE(b.upstream.started.size(), 6U);
-    EXPECT_EQ(b.front.answers.at(id.value).end, End::refused);
+    EXPECT_EQ(b.front.answers.at(id.value).status, AnswerStatus::refused);
   }
   EXPECT_EQ(b.upstream.most_out, 1);
 }
@@ -276,16 +277,16 @@
   MemberList list;
   list.full = true;
   list.members.push_back({"q", "q", "a", GroupId{1}, HostState::ready, 1, false, {}});
-  b.broker.listed(list);               // no primary any more
-  b.upstream.at_once = Outcome::moot;  // nor does anything reach the host that might be one
+  b.broker.listed(list);                   // no primary any more
+  b.upstream.at_once = Outcome::not_sent;  // nor does anything reach the host that might be one
   const auto start = b.now;
   const auto id = b.ask("pay");
   b.run_until(start + 300ms);
   EXPECT_EQ(b.front.count, 0);  // there is time yet for a primary to appear
   b.run_until(start + 500ms);
   ASSERT_EQ(b.front.count, 1);
-  EXPECT_EQ(b.front.answers.at(id.value).end, End::refused);
-  EXPECT_GT(b.front.answers.at(id.value).pause, Duration::zero());
+  EXPECT_EQ(b.front.answers.at(id.value).status, AnswerStatus::refused);
+  EXPECT_GT(b.front.answers.at(id.value).retry_after, Duration::zero());
 }
 
 TEST(Broker, WhatIsUnknownIsRejected) {
@@ -319,7 +320,7 @@
 }
 
 TEST(Pool, TakesTheLatestAndRetiresTheOldest) {
-  Pool<int> pool;
+  IdlePool<int> pool;
   int a = 0, b = 0, c = 0;
   pool.put(HostId{1}, &a, 1s), pool.put(HostId{1}, &b, 2s), pool.put(HostId{2}, &c, 3s);
   EXPECT_EQ(pool.retire(Time(1500ms)), (std::vector<int*>{&a}));
@@ -342,13 +343,13 @@
     b.broker.listed(list);
     for (int n = 0; n < 5; ++n) b.ask("history"), b.ask("bid");
     b.run_until(b.now + 50ms);
-    if (i == 50) early = b.broker.held();
+    if (i == 50) early = b.broker.entry_count();
   }
-  EXPECT_LE(b.broker.held(), early + 2);
+  EXPECT_LE(b.broker.entry_count(), early + 2);
 }
 
 TEST(Pool, KeepsNoEntryForAHostWithoutConnections) {
-  Pool<int> pool;
+  IdlePool<int> pool;
   int a = 1;
   for (std::uint32_t i = 0; i < 100; ++i) pool.put(HostId{i}, &a, Time(i));
   EXPECT_EQ(pool.retire(Time(90)).size(), 90U);
@@ -361,8 +362,8 @@
 
 TEST(Broker, TellsTheCourseOfEachRequestOnceItIsOver) {
   Bench b;
-  std::vector<Course> all;
-  b.broker.on_course([&](const Course& c) { all.push_back(c); });
+  std::vector<RequestTrace> all;
+  b.broker.on_request_trace([&](const RequestTrace& c) { all.push_back(c); });
   b.ask("history");
   ASSERT_EQ(b.upstream.started.size(), 1U);
   b.now += 5ms;
@@ -373,7 +374,7 @@
   b.upstream.end(b.upstream.started[1].key, Outcome::ok);
   ASSERT_EQ(all.size(), 1U);
   EXPECT_EQ(all[0].contract, "history");
-  EXPECT_EQ(all[0].end, gates::End::served);
+  EXPECT_EQ(all[0].end, gates::RequestEnd::served);
   EXPECT_EQ(all[0].elapsed, 25ms);
   ASSERT_EQ(all[0].legs.size(), 2U);
   EXPECT_EQ(all[0].legs[0].outcome, Outcome::connect_failed);
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -77,7 +77,7 @@
         Case{"recovery", "o\x7f", Role::unknown, {}}, Case{"lsn_ms", "1500", Role::unknown, Time(1'500'000)},
         Case{"lsn_ms", "", Role::unknown, {}}, Case{"lsn_ms", "-4", Role::unknown, {}},
         Case{"lsn_ms", "99999999999999", Role::unknown, {}}}) {
-    Note note;
+    AnswerMetadata note;
     wire::set_note(c.name, c.value, note);
     EXPECT_EQ(note.role, c.role) << c.value;
     EXPECT_EQ(note.position, c.position) << c.value;
@@ -88,11 +88,11 @@
   const auto good = parse_whole_report("x0=1767225600.123,x1=1,pending=3");
   EXPECT_EQ(good.position, Time(1'767'225'600'123'000));
   EXPECT_EQ(good.role, Role::primary);
-  EXPECT_EQ(good.queue, 3);
+  EXPECT_EQ(good.queue_length, 3);
   for (const auto* bad : {"", "x0", "x0=1767225600.123,x1=1,pending=", "x0=1,x1=2", "x0=1,x1=1,pending=-1",
                           "x0=1,x0=2", "x0=1,x1=1,\x01\xff", "x0=1e999", "x0=1,,x1=1", "=1"}) {
     const auto r = parse_whole_report(bad);
-    EXPECT_FALSE(r.position || r.role || r.queue || r.util) << bad;
+    EXPECT_FALSE(r.position || r.role || r.queue_length || r.utilization) << bad;
   }
 }
 
@@ -163,7 +163,7 @@
     Outcome outcome;
   };
   for (const auto& c :
-       {Case{"25006", Outcome::miss}, Case{"72000", Outcome::miss}, Case{"53300", Outcome::full},
+       {Case{"25006", Outcome::too_stale}, Case{"72000", Outcome::too_stale}, Case{"53300", Outcome::full},
         Case{"57P03", Outcome::full}, Case{"XX000", Outcome::error}, Case{"08P01", Outcome::error}})
     EXPECT_EQ(pg::outcome_of(c.code), c.outcome) << c.code;
 }
@@ -220,9 +220,9 @@
     std::string state;
     Outcome outcome;
   };
-  for (const auto& c : {Case{1290, "HY000", Outcome::miss}, Case{1792, "25006", Outcome::miss},
-                        Case{1105, "72000", Outcome::miss}, Case{1040, "08004", Outcome::full},
-                        Case{1243, "HY000", Outcome::moot}, Case{1064, "42000", Outcome::error},
+  for (const auto& c : {Case{1290, "HY000", Outcome::too_stale}, Case{1792, "25006", Outcome::too_stale},
+                        Case{1105, "72000", Outcome::too_stale}, Case{1040, "08004", Outcome::full},
+                        Case{1243, "HY000", Outcome::not_sent}, Case{1064, "42000", Outcome::error},
                         Case{1053, "08S01", Outcome::error}})
     EXPECT_EQ(my::outcome_of({c.code, c.state, ""}), c.outcome) << c.code;
 }
@@ -281,7 +281,7 @@
   EXPECT_TRUE(list->full);
   ASSERT_EQ(list->members.size(), 3U);
   EXPECT_TRUE(list->members[0].primary);
-  EXPECT_EQ(list->members[0].born, Time(1'500'000));
+  EXPECT_EQ(list->members[0].started_at, Time(1'500'000));
   EXPECT_EQ(list->members[1].state, HostState::draining);
   EXPECT_EQ(list->members[2].state, HostState::gone);
   for (const auto* bad : {"", "7", "{}", R"({"servers":{}})", R"({"servers":[)"})
@@ -310,9 +310,9 @@
   const auto c =
       app::parse_config(config_json("127.0.0.1:1", list_of(3, {member("a", "127.0.0.1:9", true)})));
   EXPECT_EQ(c.platform.settings.classes.at(3).name, "bid");
-  EXPECT_EQ(c.platform.settings.classes.at(3).effect, Effect::keyed);
+  EXPECT_EQ(c.platform.settings.classes.at(3).idempotency, Idempotency::keyed);
   EXPECT_EQ(c.platform.settings.classes.at(0).freshness, Freshness::bounded);
-  EXPECT_EQ(c.platform.settings.classes.at(0).bound, Duration(1'000'000));
+  EXPECT_EQ(c.platform.settings.classes.at(0).staleness_bound, Duration(1'000'000));
   EXPECT_EQ(c.platform.settings.seed, 0x2aU);
   EXPECT_EQ(c.platform.budgets.at(0).tenant, "acme");
   EXPECT_EQ(c.platform.known.members.size(), 1U);
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -5,7 +5,7 @@
   using namespace std::chrono_literals;
   cedarring::Settings settings;
   cedarring::RequestClass c;
-  c.aim = 1s;
+  c.latency_target = 1s;
   c.deadline = 2s;
   settings.classes = {c};
   cedarring::Router router(settings);
@@ -13,7 +13,7 @@
   router.handle(0ms, cedarring::Started{}, actions);
   cedarring::RequestArrived request;
   request.request = {1};
-  request.cls = {0};
+  request.class_id = {0};
   request.group = {7};  // unknown: refused at once
   router.handle(1ms, request, actions);
   return actions.size() == 1 && std::holds_alternative<cedarring::Refuse>(actions[0]) ? 0 : 1;
--- a/tests/contracts_test.cpp
+++ b/tests/contracts_test.cpp
@@ -17,13 +17,13 @@
 
 enum : std::int32_t { desk, history, bid };
 
-Service service(std::size_t tenants = 3) {
-  Service s;
+ServiceInfo service(std::size_t tenants = 3) {
+  ServiceInfo s;
   for (const auto& [name, need] : {std::pair{"desk-view", Freshness::bounded},
                                    {"history", Freshness::any},
                                    {"bid-submit", Freshness::write}}) {
     RequestClass c;
-    c.name = name, c.aim = 200ms, c.deadline = 1s, c.freshness = need;
+    c.name = name, c.latency_target = 200ms, c.deadline = 1s, c.freshness = need;
     s.classes.push_back(c);
   }
   s.tenants = tenants;
@@ -57,8 +57,8 @@
   std::uint64_t next = 0;
   std::vector<Breach> breaches;
   explicit Rig(Config c, std::size_t tenants = 3) : contracts(std::move(c), service(tenants)) { step(); }
-  gates::Ask ask(std::int32_t tenant, std::int32_t cls) {
-    gates::Ask a;
+  gates::GateRequest ask(std::int32_t tenant, std::int32_t cls) {
+    gates::GateRequest a;
     a.request = RequestId{++next};
     a.cls = ClassId{cls}, a.group = GroupId{1}, a.tenant = tenant, a.time_left = 1s;
     return a;
@@ -68,9 +68,9 @@
     const auto a = ask(tenant, cls);
     const auto v = contracts.admit(a, now);
     if (v.admitted)
-      contracts.ended(a, {gates::End::served, {}, {}, true, took}, now);
+      contracts.on_request_end(a, {gates::RequestEnd::served, {}, {}, true, took}, now);
     else
-      contracts.ended(a, {gates::End::refused, v.by, v.why, false, {}}, now);
+      contracts.on_request_end(a, {gates::RequestEnd::refused, v.decided_by, v.reason, false, {}}, now);
     return v;
   }
   void step(bool contended = false) {
@@ -158,7 +158,7 @@
       "conservation",
       [] {
         Rig r(config(2, terms(20, 3, *rc::gen::element(Beyond::refuse, Beyond::borrow, Beyond::count))));
-        std::vector<gates::Ask> open;
+        std::vector<gates::GateRequest> open;
         std::uint64_t asked = 0;
         for (const int what : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 8))) {
           r.now += 7ms;
@@ -169,18 +169,20 @@
             if (v.admitted)
               open.push_back(a);
             else
-              r.contracts.ended(a, {gates::End::refused, v.by, v.why, false, {}}, r.now);
+              r.contracts.on_request_end(a, {gates::RequestEnd::refused, v.decided_by, v.reason, false, {}},
+                                         r.now);
           } else if (what < 7 && !open.empty()) {
-            const auto end = what == 4   ? gates::End::served
-                             : what == 5 ? gates::End::failed
-                                         : gates::End::left;
-            r.contracts.ended(open.back(), {end, {}, {}, what != 6, 30ms}, r.now);
+            const auto end = what == 4   ? gates::RequestEnd::served
+                             : what == 5 ? gates::RequestEnd::failed
+                                         : gates::RequestEnd::abandoned;
+            r.contracts.on_request_end(open.back(), {end, {}, {}, what != 6, 30ms}, r.now);
             open.pop_back();
           } else {
             r.step(what == 7);
           }
         }
-        for (const auto& a : open) r.contracts.ended(a, {gates::End::failed, {}, {}, true, {}}, r.now);
+        for (const auto& a : open)
+          r.contracts.on_request_end(a, {gates::RequestEnd::failed, {}, {}, true, {}}, r.now);
         std::uint64_t sum = 0, ended = 0;
         for (std::size_t t = 0; t < 2; ++t)
           for (std::size_t c = 0; c < 3; ++c) {
@@ -202,12 +204,12 @@
     int refused = 0, marked = 0;
     for (int i = 0; i < 20; ++i) {
       const auto v = r.serve(0, history);
-      refused += v.admitted ? 0 : 1, marked += v.beyond ? 1 : 0;
+      refused += v.admitted ? 0 : 1, marked += v.beyond_contract ? 1 : 0;
       if (!v.admitted) {
-        EXPECT_EQ(v.by, gates::Decider::contracts);
-        EXPECT_EQ(v.why, gates::Reason::over_contract);
-        EXPECT_GT(v.pause, 0ms);
-        EXPECT_LE(v.pause, 500ms);
+        EXPECT_EQ(v.decided_by, gates::Decider::contracts);
+        EXPECT_EQ(v.reason, gates::Reason::over_contract);
+        EXPECT_GT(v.retry_after, 0ms);
+        EXPECT_LE(v.retry_after, 500ms);
       }
     }
     EXPECT_EQ(refused, beyond == Beyond::refuse ? 15 : 0);
@@ -232,7 +234,7 @@
   for (int i = 0; i < 50; ++i) {
     const auto a = r.ask(0, history);
     ASSERT_TRUE(r.contracts.admit(a, r.now).admitted) << i;
-    r.contracts.ended(a, {gates::End::refused, gates::Decider::router, {}, false, {}}, r.now);
+    r.contracts.on_request_end(a, {gates::RequestEnd::refused, gates::Decider::router, {}, false, {}}, r.now);
   }
   EXPECT_NEAR(r.contracts.entry(0, history).cost, 0, 1e-6);
 }
@@ -241,9 +243,9 @@
   Rig r(config(2, terms(1000, 1000)));
   const auto bad = r.ask(0, history), good = r.ask(1, history);
   int allowed = 0;
-  for (int i = 0; i < 1000; ++i) allowed += r.contracts.may_repeat(bad, r.now) ? 1 : 0;
+  for (int i = 0; i < 1000; ++i) allowed += r.contracts.may_retry(bad, r.now) ? 1 : 0;
   EXPECT_LE(allowed, 12);
-  EXPECT_TRUE(r.contracts.may_repeat(good, r.now));
+  EXPECT_TRUE(r.contracts.may_retry(good, r.now));
 }
 
 // ---- hard case 2 ----
@@ -263,13 +265,15 @@
         if (const auto a = r.ask(k, bid); true) {
           const auto v = r.contracts.admit(a, r.now);
           if (!v.admitted) {
-            r.contracts.ended(a, {gates::End::refused, v.by, v.why, false, {}}, r.now);
+            r.contracts.on_request_end(a, {gates::RequestEnd::refused, v.decided_by, v.reason, false, {}},
+                                       r.now);
           } else if (can >= 1) {
             can -= 1;
-            r.contracts.ended(a, {gates::End::served, {}, {}, true, 50ms}, r.now);
+            r.contracts.on_request_end(a, {gates::RequestEnd::served, {}, {}, true, 50ms}, r.now);
             if (tick > 500) ++served[static_cast<std::size_t>(k)];
           } else {
-            r.contracts.ended(a, {gates::End::refused, gates::Decider::router, {}, false, {}}, r.now);
+            r.contracts.on_request_end(a, {gates::RequestEnd::refused, gates::Decider::router, {}, false, {}},
+                                       r.now);
           }
         }
     if (tick % 10 == 9) r.step();
@@ -351,7 +355,7 @@
   const Time start{1'700'000'000'000'000};
   c.teams[0].classes[history]->closure = terms(0);
   c.closures = {{start + 10s, start + 20s}, {start + 30s, start + 40s}};
-  ASSERT_FALSE(find_flaw(c, service()));
+  ASSERT_FALSE(find_config_issue(c, service()));
   Rig r(c);
   for (const auto& [at, open] :
        {std::pair{5s, true}, {10s, false}, {19s, false}, {20s, true}, {31s, false}, {40s, true}}) {
@@ -374,8 +378,9 @@
   r.contracts.reload(config(1, terms(10, 5)), r.now);
   EXPECT_FALSE(r.serve(0, history).admitted);  // no new burst by reloading
   EXPECT_EQ(r.contracts.entry(0, history).asked, 7U);
-  r.contracts.ended(held, {gates::End::served, {}, {}, true, 50ms}, r.now);  // of a team that is no more
-  EXPECT_TRUE(r.serve(1, history).admitted);                                 // its tenant has no contract now
+  r.contracts.on_request_end(held, {gates::RequestEnd::served, {}, {}, true, 50ms},
+                             r.now);          // of a team that is no more
+  EXPECT_TRUE(r.serve(1, history).admitted);  // its tenant has no contract now
   auto none = config(1, terms(0));
   r.contracts.reload(none, r.now);
   r.now += 1h;
@@ -397,7 +402,7 @@
     std::function<void(Config&)> spoil;
     std::string where;
   };
-  EXPECT_FALSE(find_flaw(config(2, terms(1)), service()));
+  EXPECT_FALSE(find_config_issue(config(2, terms(1)), service()));
   for (const auto& k :
        std::vector<Case>{{[](Config& c) { c.teams[1].name = "team0"; }, "/teams/1/name"},
                          {[](Config& c) { c.teams[1].tenants = {0}; }, "/teams/1/tenants"},
@@ -417,7 +422,7 @@
                          {[](Config& c) { c.gateways = 0; }, "/gateways"}}) {
     auto c = config(2, terms(1));
     k.spoil(c);
-    const auto flaw = find_flaw(c, service());
+    const auto flaw = find_config_issue(c, service());
     ASSERT_TRUE(flaw) << k.where;
     EXPECT_EQ(flaw->where, k.where);
   }
@@ -454,7 +459,7 @@
     for (const auto& k : c.classes) {
       Terms one;
       one.rate = 157 * 1.3 * k.share * c.tenants[t].share, one.burst = std::max(15.0, one.rate);
-      one.wanted = k.contract.aim;
+      one.wanted = k.contract.latency_target;
       one.beyond = t == 2 ? Beyond::refuse : Beyond::borrow;
       one.weight = t == 2 ? 1 : 4;
       team.classes.push_back(ClassTerms{one, {}});
--- a/tests/dns_test.cpp
+++ b/tests/dns_test.cpp
@@ -167,7 +167,7 @@
   EXPECT_TRUE(a.primary);
   EXPECT_EQ(a.state, HostState::draining);
   EXPECT_EQ(a.zone, "kotoni");
-  EXPECT_EQ(a.born, Time(1'500'000));
+  EXPECT_EQ(a.started_at, Time(1'500'000));
   EXPECT_FALSE(b.primary);
   EXPECT_EQ(b.state, HostState::ready);
 }
--- a/tests/embed_example.cpp
+++ b/tests/embed_example.cpp
@@ -12,7 +12,7 @@
   settings.seed = 42;
   cedarring::RequestClass report;
   report.name = "report";
-  report.aim = 500ms;
+  report.latency_target = 500ms;
   report.deadline = 2s;
   report.freshness = cedarring::Freshness::any;
   settings.classes = {report};
@@ -27,7 +27,7 @@
   actions.clear();
   cedarring::RequestArrived request;
   request.request = {1};
-  request.cls = {0};
+  request.class_id = {0};
   request.group = {7};
   request.time_left = 2s;
   router.handle(1ms, request, actions);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -7,12 +7,12 @@
 #include <random>
 #include <vector>
 
+#include "broker/connection_limits.h"
 #include "cedarring/router.h"
-#include "fleet/connect_patience.h"
-#include "fleet/lag_steps.h"
-#include "fleet/outlier.h"
+#include "fleet/connect_timeout.h"
+#include "fleet/outlier_detector.h"
 #include "fleet/probe_budget.h"
-#include "memory/places.h"
+#include "fleet/replica_lag.h"
 #include "tools/lab/world.h"
 
 namespace cedarring::test {
@@ -54,44 +54,44 @@
 TEST(ProbeBudget, RequestsPayForProbesAndSomeAreKept) {
   fleet_budget::ProbeBudget b(0.08, 0.01, 10);
   int taken = 0;
-  for (; b.can(0.5); ++taken) b.take();
+  for (; b.available(0.5); ++taken) b.spend();
   EXPECT_EQ(taken, 5) << "half is kept";
-  for (; b.can(); ++taken) b.take();
+  for (; b.available(); ++taken) b.spend();
   EXPECT_EQ(taken, 10);
   for (int i = 0; i < 7; ++i) b.earn();
-  EXPECT_FALSE(b.can()) << "seven eighths of one";
+  EXPECT_FALSE(b.available()) << "seven eighths of one";
   b.earn();
-  EXPECT_TRUE(b.can());
+  EXPECT_TRUE(b.available());
   for (int i = 0; i < 100000; ++i) b.earn();
-  for (taken = 0; b.can(); ++taken) b.take();
+  for (taken = 0; b.available(); ++taken) b.spend();
   EXPECT_EQ(taken, 10) << "no more is saved";
   fleet_budget::ProbeBudget free(0, 0.01, 10);
-  for (int i = 0; i < 100; ++i) free.take();
-  EXPECT_TRUE(free.can(1));
+  for (int i = 0; i < 100; ++i) free.spend();
+  EXPECT_TRUE(free.available(1));
 }
 
 TEST(Places, ClientsAndHostsNeverHaveMoreThanAllAndEachItsPart) {
   for (const std::size_t all : {16U, 196U, 400U, 964U})
     for (std::size_t clients = 0; clients <= all * 3 / 4; clients += 3)
       for (std::size_t hosts = 0; hosts <= all / 2; hosts += 5) {
-        const auto s = memory::split_places(all, clients, hosts);
+        const auto s = broker::split_connections(all, clients, hosts);
         ASSERT_GE(s.hosts, all / 4);
         ASSERT_LE(s.hosts, all / 2);
         ASSERT_GE(s.clients, all / 2);
         ASSERT_LE(s.clients + std::max(hosts, all / 4), all);
         ASSERT_LE(std::min(clients, s.clients) + s.hosts, all);  // what clients hold is never given to hosts
       }
-  EXPECT_EQ(memory::split_places(196, 10, 49).hosts, 98U);
-  EXPECT_EQ(memory::split_places(196, 147, 49).hosts, 49U);
+  EXPECT_EQ(broker::split_connections(196, 10, 49).hosts, 98U);
+  EXPECT_EQ(broker::split_connections(196, 147, 49).hosts, 49U);
 }
 
 /// With one place all groups have their turn, and nothing is refused for want of it.
 TEST(Places, OnePlaceGoesToTheGroupsInTurn) {
   Settings s;
-  s.may_probe = false;
+  s.probes_allowed = false;
   s.classes = {sapporo().classes[1].contract};  // history: any host will do
   Router router(s);
-  router.limit(1);
+  router.set_max_in_flight(1);
   std::vector<Action> out;
   std::uint64_t next = 1;
   Time now = 1s;
@@ -121,8 +121,8 @@
   for (std::size_t i = 4; i < 12; ++i) EXPECT_EQ(sent[i].host, sent[i - 4].host);
 }
 
-TEST(ConnectPatience, FollowsWhatConnectionsTakeWithinItsBounds) {
-  fleet_budget::ConnectPatience p;
+TEST(AdaptiveConnectTimeout, FollowsWhatConnectionsTakeWithinItsBounds) {
+  fleet_budget::AdaptiveConnectTimeout p;
   EXPECT_EQ(p.allowed(250ms), 250ms);  // nothing seen
   for (int i = 0; i < 50; ++i) p.took(2ms);
   EXPECT_EQ(p.allowed(250ms), Duration(250ms) / 8);
@@ -138,28 +138,28 @@
 }
 
 TEST(LagSteps, APastShareStaysBetweenTheDesignsAndTheStepBefore) {
-  using fleet::PastShare;
-  EXPECT_EQ(fleet::lag_step(99ms, 200ms), 1);
-  EXPECT_EQ(fleet::lag_step(100ms, 200ms), 0.5);
-  PastShare group{1}, other{1}, all{0.5};
-  EXPECT_EQ(PastShare::weight(group, all), PastShare::least) << "nothing is known";
+  using fleet::StaleReadSuccessRate;
+  EXPECT_EQ(fleet::lag_weight(99ms, 200ms), 1);
+  EXPECT_EQ(fleet::lag_weight(100ms, 200ms), 0.5);
+  StaleReadSuccessRate group{1}, other{1}, all{0.5};
+  EXPECT_EQ(StaleReadSuccessRate::weight(group, all), StaleReadSuccessRate::least) << "nothing is known";
   for (int i = 0; i < 100; ++i) group.ended(true), all.ended(true);
-  EXPECT_NEAR(PastShare::weight(group, all), PastShare::most, 0.01);
+  EXPECT_NEAR(StaleReadSuccessRate::weight(group, all), StaleReadSuccessRate::most, 0.01);
   for (int i = 0; i < 4; ++i) group.ended(false), all.ended(false);
-  EXPECT_LT(PastShare::weight(group, all), 0.1) << "four turned away in a row";
+  EXPECT_LT(StaleReadSuccessRate::weight(group, all), 0.1) << "four turned away in a row";
   for (int i = 0; i < 20; ++i) other.ended(true), all.ended(true);
-  EXPECT_LT(PastShare::weight(group, all), PastShare::weight(other, all))
+  EXPECT_LT(StaleReadSuccessRate::weight(group, all), StaleReadSuccessRate::weight(other, all))
       << "others' answers do not hide a group";
-  double last = PastShare::weight(group, all);
+  double last = StaleReadSuccessRate::weight(group, all);
   for (int i = 0; i < 50; ++i) {
     group.ended(true);
-    EXPECT_GE(PastShare::weight(group, all), last);
-    last = PastShare::weight(group, all);
+    EXPECT_GE(StaleReadSuccessRate::weight(group, all), last);
+    last = StaleReadSuccessRate::weight(group, all);
   }
 }
 
 TEST(Outlier, OneFailureAfterLongQuietCountsForAllThatWasNotSeen) {
-  fleet_budget::Outlier busy({0.2, 3, 0.5}), quiet({0.2, 3, 0.5});
+  fleet_budget::OutlierDetector busy({0.2, 3, 0.5}), quiet({0.2, 3, 0.5});
   Time now = 100s;
   EXPECT_FALSE(busy.failed(now, now, 1));
   EXPECT_FALSE(busy.failed(now, now, 1));
@@ -168,9 +168,9 @@
   EXPECT_TRUE(quiet.failed(now, 0s, 1));
   quiet.eject(now, 1s, 10s, 1);
   EXPECT_TRUE(quiet.ejected());
-  EXPECT_FALSE(quiet.on_trial(now + 999ms));
-  EXPECT_TRUE(quiet.on_trial(now + 1s));
-  EXPECT_GT(quiet.ill(now + 1s), quiet.ill(now + 4s));  // the verdict fades
+  EXPECT_FALSE(quiet.ready_for_trial(now + 999ms));
+  EXPECT_TRUE(quiet.ready_for_trial(now + 1s));
+  EXPECT_GT(quiet.failure_score(now + 1s), quiet.failure_score(now + 4s));  // the verdict fades
   quiet.answered(now + 5s, 0s);
   EXPECT_FALSE(quiet.ejected());
 }
@@ -191,14 +191,14 @@
   explicit Hundred(double price = 0.08) {
     for (std::uint32_t i = 0; i < 100; ++i) {
       Settings s;
-      s.seed = i + 1, s.position = i, s.routers = 100;
-      s.discovery = DiscoveryMode::ask;
-      s.checks = StaleCheck::refuse;
-      s.answers_carry_position = s.may_cancel = s.retry_after = s.holding_costs = true;
-      s.probe_price = price;
+      s.seed = i + 1, s.instance_index = i, s.instance_count = 100;
+      s.discovery_mode = DiscoveryMode::poll;
+      s.stale_read_policy = StaleReadPolicy::refuse;
+      s.answers_carry_position = s.cancel_allowed = s.retry_after_allowed = s.late_refusal_costs = true;
+      s.probe_cost = price;
       s.max_attempts = 6;
       RequestClass c;
-      c.name = "history", c.aim = 150ms, c.deadline = 490ms, c.freshness = Freshness::any;
+      c.name = "history", c.latency_target = 150ms, c.deadline = 490ms, c.freshness = Freshness::any;
       s.classes = {c};
       nodes.push_back({std::make_unique<Router>(s), {}, {}});
     }
@@ -228,7 +228,7 @@
         }
         if (static_cast<double>(random() % 100000) < rate * 1000) {
           RequestArrived r;
-          r.request = RequestId{++next}, r.cls = ClassId{0}, r.group = GroupId{1}, r.time_left = 490ms;
+          r.request = RequestId{++next}, r.class_id = ClassId{0}, r.group = GroupId{1}, r.time_left = 490ms;
           give(i, r);
         }
       }
@@ -242,8 +242,8 @@
         sends.emplace_back(now, s->host.value);
         AttemptEnded e;
         e.request = s->request, e.host = s->host, e.attempt = nodes[i].tries[s->request.value]++;
-        e.note.role = s->host.value == 1 ? Role::primary : Role::replica;
-        e.note.position = now;
+        e.metadata.role = s->host.value == 1 ? Role::primary : Role::replica;
+        e.metadata.position = now;
         const bool lost = s->host.value == silent;
         e.outcome = lost ? Outcome::timeout : Outcome::ok;
         e.elapsed = lost ? 490ms : 30ms;
@@ -252,12 +252,12 @@
       } else if (const auto* p = std::get_if<Probe>(&a)) {
         probes.emplace_back(now, p->host.value);
         ProbeEnded e;
-        e.host = p->host, e.elapsed = 2ms, e.report.queue = 0;
+        e.host = p->host, e.elapsed = 2ms, e.report.queue_length = 0;
         if (p->host.value == silent) e.outcome = Outcome::timeout, e.elapsed = 250ms, e.report = {};
         due.emplace(now + e.elapsed, e);
       } else if (const auto* t = std::get_if<SetTimer>(&a)) {
         due.emplace(std::max(t->due, now + 10ms), TimerFired{t->timer});
-      } else if (std::holds_alternative<Watch>(a)) {
+      } else if (std::holds_alternative<OpenWatch>(a)) {
         calls.push_back(now);
         if (random() % 2 == 0) due.emplace(now + 50ms, MembersListed{ListKind::failed, {}});
       }
--- a/tests/gateway_file_test.cpp
+++ b/tests/gateway_file_test.cpp
@@ -17,14 +17,14 @@
 
 using namespace app;
 
-levels::Service service() {
-  levels::Service s;
+levels::ServiceInfo service() {
+  levels::ServiceInfo s;
   for (const auto& [name, need] : {std::pair{"view", Freshness::bounded},
                                    {"history", Freshness::any},
                                    {"gate", Freshness::fresh},
                                    {"bid", Freshness::write}}) {
     RequestClass c;
-    c.name = name, c.aim = std::chrono::milliseconds(300), c.deadline = std::chrono::seconds(1),
+    c.name = name, c.latency_target = std::chrono::milliseconds(300), c.deadline = std::chrono::seconds(1),
     c.freshness = need;
     s.classes.push_back(c);
   }
@@ -113,7 +113,7 @@
 }
 
 std::string contracts_flaw(const std::string& section) {
-  contracts::Service s;
+  contracts::ServiceInfo s;
   s.classes = service().classes;
   s.tenants = 2;
   try {
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -10,15 +10,15 @@
 #include <set>
 #include <vector>
 
-#include "cedarring/knowledge.h"
+#include "broker/broker.h"
 #include "cedarring/router.h"
+#include "cedarring/snapshot.h"
 #include "contracts/contracts.h"
-#include "fleet/cold_spending.h"
-#include "handover/fields.h"
-#include "handover/knowledge_fields.h"
-#include "handover/portion.h"
+#include "fleet/slow_start_usage.h"
+#include "handover/budget_share.h"
+#include "handover/json_archive.h"
+#include "handover/snapshot_fields.h"
 #include "levels/levels.h"
-#include "memory/broker.h"
 
 namespace cedarring::test {
 namespace {
@@ -95,12 +95,12 @@
 constexpr double cold_bound = 10;
 constexpr Duration cold_window = 2s;
 struct ColdProcess {
-  handover::WindowPart part;
-  fleet::ColdSpending spent;
+  handover::WindowShare part;
+  fleet::SlowStartUsage spent;
   explicit ColdProcess(Time) {}
   struct Told {
     double whole = 0;
-    std::deque<fleet::ColdSpending::Spent> spent;
+    std::deque<fleet::SlowStartUsage::Spent> spent;
   };
   void follow(Time) { part.hold(0, 0); }
   Told split(Time now) { return {part.split(now), spent.all()}; }
@@ -149,10 +149,10 @@
   EXPECT_TRUE(g.old->send(10, g.now));
 }
 
-contracts::Service service() {
-  contracts::Service s;
+contracts::ServiceInfo service() {
+  contracts::ServiceInfo s;
   RequestClass c;
-  c.name = "bid", c.aim = 200ms, c.deadline = 1s, c.freshness = Freshness::write;
+  c.name = "bid", c.latency_target = 200ms, c.deadline = 1s, c.freshness = Freshness::write;
   s.classes.push_back(c);
   s.tenants = 1;
   return s;
@@ -177,19 +177,19 @@
   void follow(Time now) { contracts.follow(now); }
   std::string split(Time now) { return to_text(contracts.split(now)); }
   void take(const std::string& told, Time now) {
-    const auto c = from_text<contracts::Carried>(told);
+    const auto c = from_text<contracts::Snapshot>(told);
     ASSERT_TRUE(c);
-    contracts.take(*c, now);
+    contracts.restore(*c, now);
   }
   void alone(Time now) { contracts.alone(now); }
   bool ask(Time now) {
-    gates::Ask a;
+    gates::GateRequest a;
     a.request = RequestId{++next}, a.cls = ClassId{0}, a.group = GroupId{1}, a.tenant = 0;
     const auto v = contracts.admit(a, now);
     if (v.admitted)
-      contracts.ended(a, {gates::End::served, {}, {}, true, 50ms}, now);
+      contracts.on_request_end(a, {gates::RequestEnd::served, {}, {}, true, 50ms}, now);
     else
-      contracts.ended(a, {gates::End::refused, v.by, v.why, false, {}}, now);
+      contracts.on_request_end(a, {gates::RequestEnd::refused, v.decided_by, v.reason, false, {}}, now);
     return v.admitted;
   }
 };
@@ -224,7 +224,7 @@
   EXPECT_EQ(next.contracts.times(0, 0).count(), 10U);
   EXPECT_EQ(old.contracts.total(0, 0).asked, 0U);
   old.ask(start + 1s), next.ask(start + 1s);
-  const auto rest = from_text<contracts::Carried>(to_text(old.contracts.booked()));
+  const auto rest = from_text<contracts::Snapshot>(to_text(old.contracts.booked()));
   ASSERT_TRUE(rest);
   next.contracts.book(*rest);
   EXPECT_EQ(next.contracts.total(0, 0).asked, 16U);
@@ -232,24 +232,24 @@
 }
 
 /// Takes attempts and never ends them.
-struct Nowhere : memory::Upstream {
-  void start(memory::AttemptKey, HostId, const std::string&, const std::shared_ptr<const memory::Work>&, Time,
-             bool) override {}
-  void abandon(memory::AttemptKey) override {}
+struct Nowhere : broker::Upstream {
+  void start(broker::AttemptKey, HostId, const std::string&,
+             const std::shared_ptr<const broker::RequestPayload>&, Time, bool) override {}
+  void cancel(broker::AttemptKey) override {}
   void probe(HostId, const std::string&) override {}
-  void watch() override {}
-  void wake_at(Time) override {}
-  void closed(HostId) override {}
+  void open_watch() override {}
+  void set_timer(Time) override {}
+  void close_idle(HostId) override {}
 };
-struct NoFront : memory::Front {
-  void finish(RequestId, memory::FinalAnswer) override {}
+struct NoFront : broker::FrontEnd {
+  void finish(RequestId, broker::FinalAnswer) override {}
 };
 double share_of_acme;
 struct TenantProcess {
   Time now;
   Nowhere upstream;
   NoFront front;
-  memory::Broker broker;
+  broker::Broker broker;
   int next = 0;
   static Settings settings() {
     Settings s;
@@ -260,19 +260,19 @@
       : now(at),
         broker(
             settings(), {{"acme", share_of_acme}}, {"a"}, [this] { return now; }, upstream) {
-    memory::Member m;
+    broker::Member m;
     m.id = "p", m.zone = "a", m.group = GroupId{1};
     broker.start({1, true, {m}});
   }
-  void follow(Time at) { now = at, broker.follow(); }
+  void follow(Time at) { now = at, broker.suspend_spending(); }
   std::string split(Time at) { return now = at, to_text(broker.split_budgets()); }
   void take(const std::string& told, Time at) {
-    now = at, broker.take_budgets(*from_text<memory::CarriedBudgets>(told));
+    now = at, broker.take_budgets(*from_text<broker::BudgetSnapshots>(told));
   }
-  void alone(Time at) { now = at, broker.alone(); }
+  void alone(Time at) { now = at, broker.resume_full_spending(); }
   bool within(Time at) {
     now = at;
-    memory::Ask a;
+    broker::ClientRequest a;
     a.name = std::to_string(++next), a.contract = "bid", a.tenant = "acme", a.group = GroupId{1},
     a.time_left = 1s;
     RequestId id;
@@ -303,11 +303,11 @@
 Settings fleet_settings() {
   Settings s;
   RequestClass read, write;
-  read.name = "check", read.aim = 200ms, read.deadline = 1s, read.freshness = Freshness::session;
-  write.name = "bid", write.aim = 200ms, write.deadline = 1s, write.freshness = Freshness::write;
-  write.effect = Effect::keyed, write.window = 5s;
+  read.name = "check", read.latency_target = 200ms, read.deadline = 1s, read.freshness = Freshness::session;
+  write.name = "bid", write.latency_target = 200ms, write.deadline = 1s, write.freshness = Freshness::write;
+  write.idempotency = Idempotency::keyed, write.dedup_window = 5s;
   s.classes = {read, write};
-  s.cold_for = 10s, s.cold_from = 0.2, s.tip_after = 2s;
+  s.warm_up_duration = 10s, s.cold_capacity_share = 0.2, s.overload_window = 2s;
   s.answers_carry_position = true;
   return s;
 }
@@ -330,12 +330,12 @@
   }
   void hear(HostId host, Role role, std::optional<Time> position, Time now) {
     std::vector<Action> out;
-    Report r;
+    LoadReport r;
     r.role = role, r.position = position;
     router.handle(now, ProbeEnded{host, Outcome::ok, 1ms, r}, out);
   }
   /// Where a request went; nothing: it was kept, or refused.
-  std::optional<HostId> ask(int cls, SessionId session, Note note, Time now) {
+  std::optional<HostId> ask(int cls, SessionId session, AnswerMetadata note, Time now) {
     const RequestId id{++next};
     std::vector<Action> out;
     router.handle(now, RequestArrived{id, ClassId{cls}, GroupId{1}, 1s, session, {}}, out);
@@ -344,8 +344,8 @@
         const auto host = s->host;
         AttemptEnded e;
         e.request = id, e.host = host, e.elapsed = 1ms, e.request_ended = true;
-        e.note = note;
-        if (host == HostId{1}) e.note.role = Role::primary;
+        e.metadata = note;
+        if (host == HostId{1}) e.metadata.role = Role::primary;
         std::vector<Action> rest;
         router.handle(now, e, rest);
         return host;
@@ -375,10 +375,10 @@
             commits[session.value] = now;
             // Told before the client hears of it, and heard before the other takes anything from that client.
             if (auto* o = other()) {
-              Knowledge k;
+              RouterSnapshot k;
               k.sessions.push_back(
-                  *from_text<SessionKnowledge>(to_text(SessionKnowledge{GroupId{1}, session, now})));
-              o->router.learn(now, k);
+                  *from_text<SessionSnapshot>(to_text(SessionSnapshot{GroupId{1}, session, now})));
+              o->router.merge_snapshot(now, k);
             }
           } else if (what == use_old || what == use_new) {
             if (doing == 1) {
@@ -391,11 +391,11 @@
               RC_ASSERT(position[host->value] >= commits[session.value]);
           } else if (what == begin && !next) {
             next = std::make_unique<RouterProcess>(now);
-            next->router.follow();
-            auto k = old->router.known(now, Tell::all);
-            const auto told = from_text<handover::SessionsPart>(to_text(handover::SessionsPart{k}));
+            next->router.suspend_spending();
+            auto k = old->router.snapshot(now, SnapshotScope::all);
+            const auto told = from_text<handover::SessionsSection>(to_text(handover::SessionsSection{k}));
             RC_ASSERT(told.has_value());
-            next->router.learn(now, told->k);
+            next->router.merge_snapshot(now, told->k);
           } else if (what == old_ends && next) {
             old = std::move(next);
           } else if (what == new_dies) {
@@ -425,24 +425,24 @@
   cold.entries.push_back({HostId{2}, GroupId{1}, ZoneId{0}, HostState::ready, false, 1, start - 1s});
   std::vector<Action> out;
   old.router.handle(start, cold, out);
-  auto told = old.router.known(start, Tell::split);
+  auto told = old.router.snapshot(start, SnapshotScope::split);
   for (auto& h : told.hosts) h.name = std::to_string(h.host.value);
-  auto read = from_text<handover::HostsPart>(to_text(handover::HostsPart{told}));
+  auto read = from_text<handover::HostsSection>(to_text(handover::HostsSection{told}));
   ASSERT_TRUE(read);
   for (auto& h : read->k.hosts) h.host = HostId{static_cast<std::uint32_t>(std::stoi(h.name))};
   // Half a year apart: neither needs the other's clock.
   const Time later = start + std::chrono::hours(24 * 180);
   RouterProcess next(later);
-  next.router.follow();
-  next.router.learn(later, read->k);
-  const auto knows = next.router.known(later, Tell::hosts);
+  next.router.suspend_spending();
+  next.router.merge_snapshot(later, read->k);
+  const auto knows = next.router.snapshot(later, SnapshotScope::hosts);
   ASSERT_EQ(knows.hosts.size(), 3U);
-  EXPECT_TRUE(knows.hosts[0].ejected);
-  EXPECT_EQ(knows.hosts[0].ejected, told.hosts[0].ejected);
+  EXPECT_TRUE(knows.hosts[0].ejection_remaining);
+  EXPECT_EQ(knows.hosts[0].ejection_remaining, told.hosts[0].ejection_remaining);
   EXPECT_EQ(knows.hosts[0].backoff, told.hosts[0].backoff);
-  EXPECT_EQ(knows.hosts[1].cold, Duration(1s));
-  EXPECT_FALSE(knows.hosts[2].ejected);
-  EXPECT_DOUBLE_EQ(told.cold_part, 0.5);
+  EXPECT_EQ(knows.hosts[1].start_age, Duration(1s));
+  EXPECT_FALSE(knows.hosts[2].ejection_remaining);
+  EXPECT_DOUBLE_EQ(told.slow_start_share, 0.5);
 }
 
 // ---- the text ----
@@ -455,13 +455,13 @@
   std::vector<Inner> inner;
   std::vector<std::pair<Duration, double>> pairs;
 };
-template <class A>
-void fields(A& a, Inner& i) {
-  a("age", i.age), a("by", i.by);
+template <class Archive>
+void serialize(Archive& archive, Inner& i) {
+  archive("age", i.age), archive("by", i.by);
 }
-template <class A>
-void fields(A& a, Outer& o) {
-  a("number", o.number), a("inner", o.inner), a("pairs", o.pairs);
+template <class Archive>
+void serialize(Archive& archive, Outer& o) {
+  archive("number", o.number), archive("inner", o.inner), archive("pairs", o.pairs);
 }
 
 TEST(HandoverText, IsReadAsItWasWrittenOrNotAtAll) {
@@ -493,16 +493,19 @@
   // Numbers that cannot be: each is left out or bounded, and requests go on.
   RouterProcess p(start);
   for (const double bad : {-1e300, -1.0, 1e300}) {
-    Knowledge k;
-    HostKnowledge h;
-    h.host = HostId{2}, h.fails = bad, h.slowness = bad, h.load = bad, h.window = bad;
-    h.judged = h.ejected = h.cold = h.backoff = Duration(bad < 0 ? INT64_MIN / 8 : INT64_MAX / 8);
+    RouterSnapshot k;
+    HostSnapshot h;
+    h.host = HostId{2}, h.failure_score = bad, h.relative_latency = bad, h.load = bad,
+    h.concurrency_limit = bad;
+    h.last_outcome_age = h.ejection_remaining = h.start_age = h.backoff =
+        Duration(bad < 0 ? INT64_MIN / 8 : INT64_MAX / 8);
     h.lost_probes = h.refusals = bad < 0 ? INT32_MIN : 0;
-    h.sent.emplace_back(Duration(INT64_MAX / 8), bad);
+    h.slow_start_sends.emplace_back(Duration(INT64_MAX / 8), bad);
     k.hosts.push_back(h);
     k.classes.push_back({"check", Duration(INT64_MAX / 8), bad, bad, {bad, bad}});
-    k.age = Duration(INT64_MAX / 8), k.retries = k.probes = k.cold_part = k.cold_whole = bad;
-    p.router.learn(start, k);
+    k.age = Duration(INT64_MAX / 8),
+    k.retry_tokens = k.probe_tokens = k.slow_start_share = k.slow_start_share_total = bad;
+    p.router.merge_snapshot(start, k);
     EXPECT_TRUE(p.ask(0, SessionId{1}, {}, start));
   }
 }
--- a/tests/levels_test.cpp
+++ b/tests/levels_test.cpp
@@ -18,15 +18,15 @@
 RequestClass cls(const char* name, Freshness freshness) {
   RequestClass c;
   c.name = name;
-  c.aim = 300ms;
+  c.latency_target = 300ms;
   c.deadline = 1s;
   c.freshness = freshness;
-  c.bound = 200ms;
+  c.staleness_bound = 200ms;
   return c;
 }
 
-Service service() {
-  Service s;
+ServiceInfo service() {
+  ServiceInfo s;
   s.classes = {cls("desk-view", Freshness::bounded), cls("history", Freshness::any),
                cls("gate-check", Freshness::fresh), cls("bid-submit", Freshness::write)};
   s.tenants = 3;
@@ -51,8 +51,9 @@
   std::uint64_t asked = 0;
   explicit Rig(Config c = config()) : levels(std::move(c), service()) {}
 
-  gates::Ask ask(std::int32_t c, std::int64_t group = 1, std::uint64_t caller = 0, bool beyond = false) {
-    gates::Ask a;
+  gates::GateRequest ask(std::int32_t c, std::int64_t group = 1, std::uint64_t caller = 0,
+                         bool beyond = false) {
+    gates::GateRequest a;
     a.request = RequestId{++asked};
     a.cls = ClassId{c};
     a.group = GroupId{group};
@@ -71,11 +72,12 @@
     for (const Time end = now + length; now < end;) {
       now += beat;
       for (int i = 0; i < 20; ++i) {
-        gates::Ending e;
-        e.end = i < refused * 20 ? gates::End::refused : gates::End::served;
+        gates::RequestResult e;
+        e.end = i < refused * 20 ? gates::RequestEnd::refused : gates::RequestEnd::served;
         e.by = gates::Decider::router;
         e.elapsed = 50ms;
-        levels.ended(ask(gate, 2), e, now);  // the second group: tests take the first one's primary away
+        levels.on_request_end(ask(gate, 2), e,
+                              now);  // the second group: tests take the first one's primary away
       }
       step();
     }
@@ -161,8 +163,8 @@
     EXPECT_EQ(r.admit(history, 1, caller).admitted, first.admitted)
         << caller;  // a retry meets the same answer
     if (!first.admitted) {
-      EXPECT_EQ(first.by, gates::Decider::levels);
-      EXPECT_EQ(first.why, gates::Reason::class_shed);
+      EXPECT_EQ(first.decided_by, gates::Decider::levels);
+      EXPECT_EQ(first.reason, gates::Reason::class_shed);
     }
     EXPECT_TRUE(r.admit(desk, 1, caller).admitted);
     EXPECT_TRUE(r.admit(bid, 1, caller).admitted);
@@ -173,7 +175,7 @@
   EXPECT_FALSE(r.admit(desk).admitted);
   EXPECT_TRUE(r.admit(gate).admitted);
   EXPECT_TRUE(r.admit(bid).admitted);
-  EXPECT_EQ(r.admit(bid, 1, 0, true).why, gates::Reason::budget_shed);  // beyond its tenant's budget
+  EXPECT_EQ(r.admit(bid, 1, 0, true).reason, gates::Reason::budget_shed);  // beyond its tenant's budget
   for (int i = 0; i < 60; ++i) r.run(10s, 0.0);
   EXPECT_EQ(r.pressure(), "normal");  // never stuck once all is well
   EXPECT_TRUE(r.admit(history).admitted);
@@ -185,9 +187,9 @@
   r.reach("trim", 0.2);
   for (int i = 0; i < 400; ++i) {
     r.now += beat;
-    gates::Ending e;
-    e.end = gates::End::refused, e.by = gates::Decider::levels;
-    for (int k = 0; k < 20; ++k) r.levels.ended(r.ask(gate), e, r.now);
+    gates::RequestResult e;
+    e.end = gates::RequestEnd::refused, e.by = gates::Decider::levels;
+    for (int k = 0; k < 20; ++k) r.levels.on_request_end(r.ask(gate), e, r.now);
     r.step();
   }
   EXPECT_EQ(r.pressure(), "normal");
@@ -217,8 +219,8 @@
     r.run(1s, 0.3);
     EXPECT_EQ(r.faults(1), "no-writes");
     EXPECT_EQ(r.pressure(), "shed-history");  // the other axis is untouched
-    EXPECT_EQ(r.admit(history).why, gates::Reason::class_shed);
-    EXPECT_EQ(r.admit(bid).why, gates::Reason::no_primary);
+    EXPECT_EQ(r.admit(history).reason, gates::Reason::class_shed);
+    EXPECT_EQ(r.admit(bid).reason, gates::Reason::no_primary);
     EXPECT_TRUE(r.admit(desk).admitted);
     EXPECT_TRUE(r.admit(bid, 2).admitted);  // the other group has its primary
     r.groups_told = false;                  // nothing is heard of the groups any more
@@ -239,7 +241,7 @@
       r.run(120s, 0);
       EXPECT_EQ(r.pressure(), "normal");
       EXPECT_EQ(r.faults(1), "no-writes");
-      EXPECT_EQ(r.admit(bid).why, gates::Reason::no_primary);
+      EXPECT_EQ(r.admit(bid).reason, gates::Reason::no_primary);
       r.groups_told = true, r.primary[1] = true;
       r.run(15s, 0);
     }
@@ -286,8 +288,8 @@
   r.quiet(600s);
   EXPECT_EQ(r.faults(1), "no-writes");
   EXPECT_EQ(r.changes(GroupId{1}).size(), 1U);
-  EXPECT_EQ(r.admit(gate).why, gates::Reason::no_primary);
-  EXPECT_GT(r.admit(gate).pause, 0ms);
+  EXPECT_EQ(r.admit(gate).reason, gates::Reason::no_primary);
+  EXPECT_GT(r.admit(gate).retry_after, 0ms);
 }
 
 TEST(Levels, TwoGroupsThatLoseTheirsASecondApartAreEachTheirOwn) {
@@ -297,8 +299,8 @@
   r.quiet(1s);
   r.primary[2] = false;
   r.quiet(1s);
-  EXPECT_EQ(r.admit(bid, 1).why, gates::Reason::no_primary);
-  EXPECT_EQ(r.admit(bid, 2).why, gates::Reason::no_primary);
+  EXPECT_EQ(r.admit(bid, 1).reason, gates::Reason::no_primary);
+  EXPECT_EQ(r.admit(bid, 2).reason, gates::Reason::no_primary);
   r.primary[1] = true;
   r.quiet(20s);
   EXPECT_EQ(r.faults(1), "normal");
@@ -345,7 +347,7 @@
   l.enter = {false, {{Reading::memory, -1, true, 0.9, 300ms}}};
   l.exit = {true, {{Reading::memory, -1, false, 0.5, 300ms}}};
   c.pressure.levels.push_back(l);
-  ASSERT_FALSE(find_flaw(c, service()));
+  ASSERT_FALSE(find_config_issue(c, service()));
   Rig r(c);
   const auto tell = [&](double value, Duration length, Duration age = 0ms, bool told = true) {
     for (const Time end = r.now + length; r.now < end;) {
@@ -481,11 +483,11 @@
        "/faults/1/shed/0/tenant"},
       {"the normal level sheds", [](Config& c) { c.pressure.levels[0].sheds.push_back({}); }, "/pressure/0"},
   };
-  EXPECT_FALSE(find_flaw(config(), service()));
+  EXPECT_FALSE(find_config_issue(config(), service()));
   for (const auto& k : cases) {
     auto c = config();
     k.spoil(c);
-    const auto flaw = find_flaw(c, service());
+    const auto flaw = find_config_issue(c, service());
     ASSERT_TRUE(flaw) << k.what;
     EXPECT_EQ(flaw->where, k.where) << k.what;
     EXPECT_FALSE(flaw->what.empty());
@@ -507,8 +509,8 @@
       const auto v = r.levels.admit(a, r.now);
       if (v.admitted) continue;
       ++refused;
-      EXPECT_LE(v.pause, 500ms);  // clients keep to no longer one
-      for (std::int64_t slot = v.pause.count() / 50'000, i = slot; i <= slot; ++i) ++back[i];
+      EXPECT_LE(v.retry_after, 500ms);  // clients keep to no longer one
+      for (std::int64_t slot = v.retry_after.count() / 50'000, i = slot; i <= slot; ++i) ++back[i];
     }
     EXPECT_EQ(refused, 1000);
     int most = 0;
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -6,7 +6,7 @@
 #include <thread>
 
 #include "app/config.h"
-#include "fleet/watch_terms.h"
+#include "fleet/watch_timing.h"
 #include "support/stand_in.h"
 #include "wire/discovery.h"
 
@@ -171,11 +171,11 @@
 }
 
 TEST(Lists, SilenceIsSeenTwiceBeforeWhatIsMissedCountsAsTold) {
-  using fleet::WatchTerms;
-  EXPECT_GT(WatchTerms::silence(true), WatchTerms::heartbeat);
-  EXPECT_LT(WatchTerms::silence(true) + WatchTerms::silence(false), Duration(6'000'000));
+  using fleet::WatchTiming;
+  EXPECT_GT(WatchTiming::silence(true), WatchTiming::heartbeat);
+  EXPECT_LT(WatchTiming::silence(true) + WatchTiming::silence(false), Duration(6'000'000));
   for (const auto grace : {1, 250'000, 1'000'000, 5'000'000}) {
-    WatchTerms terms{Duration(grace)};
+    WatchTiming terms{Duration(grace)};
     EXPECT_EQ(terms.after_end(), Duration(0));  // at once after one that was answered
     Duration last{};
     for (int i = 0; i < 50; ++i) {
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -37,9 +37,9 @@
 constexpr Time start{1'000'000'000};
 struct Judge {
   Rules rules{{},
-              {{Effect::safe, RepeatScope::group, {}, Freshness::bounded, 200ms},
-               {Effect::keyed, RepeatScope::group, 1200ms, Freshness::write, {}},
-               {Effect::unsafe, RepeatScope::group, {}, Freshness::write, {}}},
+              {{Idempotency::safe, DedupScope::group, {}, Freshness::bounded, 200ms},
+               {Idempotency::keyed, DedupScope::group, 1200ms, Freshness::write, {}},
+               {Idempotency::unsafe, DedupScope::group, {}, Freshness::write, {}}},
               start};
   Time now = start;
   void ask(const std::string& id, std::size_t cls, int gateway = 0) {
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -17,32 +17,32 @@
 
 constexpr ClassId bounded{0}, session{1}, any{2}, fresh{3}, write{4}, keyed{5};
 
-RequestClass make_class(const char* name, Freshness need, Effect effect = Effect::safe) {
+RequestClass make_class(const char* name, Freshness need, Idempotency effect = Idempotency::safe) {
   RequestClass c;
   c.name = name;
-  c.aim = 500ms;
+  c.latency_target = 500ms;
   c.deadline = 2s;
   c.freshness = need;
-  c.effect = effect;
-  c.bound = need == Freshness::bounded ? Duration(1s) : Duration(0);
-  c.window = effect == Effect::keyed ? Duration(1200ms) : Duration(0);
-  c.scope = effect == Effect::keyed ? RepeatScope::group : RepeatScope::all;
+  c.idempotency = effect;
+  c.staleness_bound = need == Freshness::bounded ? Duration(1s) : Duration(0);
+  c.dedup_window = effect == Idempotency::keyed ? Duration(1200ms) : Duration(0);
+  c.dedup_scope = effect == Idempotency::keyed ? DedupScope::group : DedupScope::all;
   return c;
 }
 
 Settings make_settings() {
   Settings s;
   s.seed = 7;
-  s.may_cancel = true;
-  s.retry_after = true;
-  s.cold_for = 10s;
-  s.cold_from = 0.2;
+  s.cancel_allowed = true;
+  s.retry_after_allowed = true;
+  s.warm_up_duration = 10s;
+  s.cold_capacity_share = 0.2;
   s.classes = {make_class("bounded", Freshness::bounded),
                make_class("session", Freshness::session),
                make_class("any", Freshness::any),
                make_class("fresh", Freshness::fresh),
-               make_class("write", Freshness::write, Effect::unsafe),
-               make_class("keyed", Freshness::write, Effect::keyed)};
+               make_class("write", Freshness::write, Idempotency::unsafe),
+               make_class("keyed", Freshness::write, Idempotency::keyed)};
   return s;
 }
 
@@ -73,14 +73,14 @@
       } else if (const auto* c = std::get_if<Cancel>(&a)) {
         cancels.push_back(*c);
       } else if (const auto* r = std::get_if<Refuse>(&a)) {
-        refused[r->request.value] = r->pause;
+        refused[r->request.value] = r->retry_after;
       } else if (const auto* f = std::get_if<Fail>(&a)) {
         failed.insert(f->request.value);
       } else if (const auto* p = std::get_if<Probe>(&a)) {
         probes.push_back(p->host.value);
       } else if (const auto* t = std::get_if<SetTimer>(&a)) {
         timer = *t;
-      } else if (std::holds_alternative<Watch>(a)) {
+      } else if (std::holds_alternative<OpenWatch>(a)) {
         watches.push_back(now);
       }
     }
@@ -91,7 +91,7 @@
     ProbeEnded e;
     e.host = HostId{host};
     e.report.position = position;
-    e.report.queue = queue;
+    e.report.queue_length = queue;
     e.report.role = primary ? Role::primary : Role::replica;
     give(e);
   }
@@ -99,7 +99,7 @@
                     std::optional<Duration> age = {}) {
     RequestArrived e;
     e.request = RequestId{++next};
-    e.cls = cls;
+    e.class_id = cls;
     e.group = GroupId{1};
     e.time_left = left;
     if (session_key) e.session = SessionId{*session_key};
@@ -107,13 +107,13 @@
     give(e);
     return next;
   }
-  void end(std::uint64_t request, Outcome outcome, Note note = {}, bool ended = false) {
+  void end(std::uint64_t request, Outcome outcome, AnswerMetadata note = {}, bool ended = false) {
     AttemptEnded e;
     e.request = RequestId{request};
     e.attempt = attempts[request] - 1;
     e.host = HostId{last_host[request]};
     e.outcome = outcome;
-    e.note = note;
+    e.metadata = note;
     e.request_ended = ended || outcome == Outcome::ok;
     give(e);
   }
@@ -130,7 +130,7 @@
     now = until;
   }
   [[nodiscard]] bool sent(std::uint64_t request) const { return last_host.count(request) > 0; }
-  [[nodiscard]] std::size_t held() const { return router_.held(); }
+  [[nodiscard]] std::size_t held() const { return router_.entry_count(); }
   /// Sends a request and waits out the probes that it may need first.
   std::uint32_t to(ClassId cls, std::optional<std::uint64_t> key = {}, std::optional<Duration> age = {}) {
     const auto r = ask(cls, key, 2s, age);
@@ -198,7 +198,7 @@
   b.report(1, b.now, true);
   const auto r = b.ask(any);
   const auto host = b.last_host[r];
-  b.end(r, Outcome::ok, Note{Role::replica, b.now});
+  b.end(r, Outcome::ok, AnswerMetadata{Role::replica, b.now});
   EXPECT_EQ(b.spread(bounded, 50)[host], 50);
 }
 
@@ -209,7 +209,7 @@
   b.report(3, b.now - 10ms, false);
   const auto w = b.ask(write, 9);
   ASSERT_EQ(b.last_host[w], 1U);
-  b.end(w, Outcome::ok, Note{Role::primary, b.now});
+  b.end(w, Outcome::ok, AnswerMetadata{Role::primary, b.now});
   const auto commit = b.now;
   EXPECT_EQ(b.to(session, 9), 1U);
   EXPECT_NE(b.to(session, 8), 1U);
@@ -221,7 +221,7 @@
 
 TEST(Weights, CarriedTokenDatesTheWrite) {
   auto s = make_settings();
-  s.tokens = TokenMode::carried;
+  s.token_mode = TokenMode::carried;
   Bench b(s);
   b.report(1, b.now, true);
   b.report(2, b.now - 100ms, false);
@@ -235,7 +235,7 @@
   b.report(1, b.now, true);
   b.report(2, b.now, false);
   const auto w = b.ask(write, 9);
-  b.end(w, Outcome::ok, Note{Role::primary, b.now + 1us});
+  b.end(w, Outcome::ok, AnswerMetadata{Role::primary, b.now + 1us});
   const auto held = b.held();
   b.pass(120s);
   b.end(b.ask(any), Outcome::ok);
@@ -272,7 +272,7 @@
 
 TEST(Fallback, CheckingSitesKeepASmallShareAndGoToThePrimaryAfterAMiss) {
   auto s = make_settings();
-  s.checks = StaleCheck::refuse;
+  s.stale_read_policy = StaleReadPolicy::refuse;
   Bench b(s);
   b.report(1, b.now, true);
   b.report(2, b.now - 100ms, false);
@@ -280,14 +280,14 @@
   auto to = b.spread(bounded, 2000);
   EXPECT_NEAR(to[3], 95, 40);  // 0.05 beside 1
   const auto r = b.ask(bounded);
-  b.end(r, Outcome::miss, Note{Role::replica, {}});
+  b.end(r, Outcome::too_stale, AnswerMetadata{Role::replica, {}});
   EXPECT_EQ(b.last_host[r], 1U);
 }
 
 /// One of hundreds of routers believes most replicas past the bound that are not: what they answer says so.
 TEST(Fallback, TheShareOfReplicasPastTheBoundFollowsWhatTheyAnswer) {
   auto s = make_settings();
-  s.checks = StaleCheck::refuse;
+  s.stale_read_policy = StaleReadPolicy::refuse;
   Bench b(s);
   const auto hear = [&](Duration late) {
     b.report(1, b.now, true), b.report(2, b.now - 100ms, false), b.report(3, b.now - late, false);
@@ -300,17 +300,17 @@
       const bool there = b.last_host[r] == 3;
       n += there ? 1 : 0;
       // Its position stays what it was, as where another answers for it.
-      b.end(r, there ? how : Outcome::ok, Note{Role::replica, {}});
-      if (there && how == Outcome::miss) b.end(r, Outcome::ok, Note{Role::primary, {}});
+      b.end(r, there ? how : Outcome::ok, AnswerMetadata{Role::replica, {}});
+      if (there && how == Outcome::too_stale) b.end(r, Outcome::ok, AnswerMetadata{Role::primary, {}});
     }
   };
   EXPECT_NEAR(share(), 0.048, 0.02);
   past(Outcome::ok);
   EXPECT_NEAR(share(), 0.33, 0.06) << "half of one within the bound, never more";
-  past(Outcome::miss);
+  past(Outcome::too_stale);
   EXPECT_NEAR(share(), 0.048, 0.02);
   past(Outcome::ok);
-  s.checks = StaleCheck::none;  // where it would answer whatever it holds, it gets nothing
+  s.stale_read_policy = StaleReadPolicy::none;  // where it would answer whatever it holds, it gets nothing
   Bench unchecked(s);
   unchecked.report(1, unchecked.now, true), unchecked.report(2, unchecked.now - 100ms, false);
   unchecked.report(3, unchecked.now - 1500ms, false);
@@ -319,7 +319,7 @@
 
 TEST(Fallback, CheckingSitesTryTheMostAdvancedWhenNoneQualifies) {
   auto s = make_settings();
-  s.checks = StaleCheck::wait;
+  s.stale_read_policy = StaleReadPolicy::wait;
   Bench b(s);
   b.report(1, b.now, true);
   b.report(2, b.now - 3s, false);
@@ -332,7 +332,7 @@
 /// was when heard.
 TEST(Fallback, AmongReplicasHeardLongAgoThoseThatWereLevelAreDrawn) {
   auto s = make_settings();
-  s.checks = StaleCheck::refuse;
+  s.stale_read_policy = StaleReadPolicy::refuse;
   Bench b(s, 4);
   const auto hear = [&] {
     b.report(1, b.now, true);
@@ -346,7 +346,7 @@
   for (int i = 0; i < 60; ++i) {
     const auto r = b.ask(bounded);
     b.now += 100ms;  // a usual answer, so that no speed sets it apart
-    b.end(r, Outcome::ok, Note{Role::replica, {}});
+    b.end(r, Outcome::ok, AnswerMetadata{Role::replica, {}});
   }
   to = b.spread(bounded, 1000);
   EXPECT_GT(to[2], 300);
@@ -354,8 +354,8 @@
   EXPECT_EQ(to[2] + to[3], 1000) << "not the one that was behind";
   for (int i = 0; i < 12; ++i) {
     const auto r = b.ask(bounded);
-    b.end(r, Outcome::miss, Note{Role::replica, {}});
-    b.end(r, Outcome::ok, Note{Role::primary, {}});
+    b.end(r, Outcome::too_stale, AnswerMetadata{Role::replica, {}});
+    b.end(r, Outcome::ok, AnswerMetadata{Role::primary, {}});
   }
   EXPECT_EQ(b.spread(bounded, 300)[3], 300) << "turned away: by position again";
 }
@@ -374,7 +374,7 @@
 
 TEST(Primary, ListedRoleIsOnlyAHint) {
   auto s = make_settings();
-  s.list_role = ListRole::start;
+  s.listed_role = ListedRole::start;
   Bench b(s, 0);
   auto listed = Bench::entry(1);
   listed.listed_primary = true;
@@ -390,7 +390,7 @@
   b.report(1, b.now, true);
   const auto w = b.ask(write, 1);
   b.now += 20ms;
-  b.end(w, Outcome::miss, Note{Role::replica, {}});
+  b.end(w, Outcome::too_stale, AnswerMetadata{Role::replica, {}});
   EXPECT_EQ(b.attempts[w], 1U);
   b.pass(150ms);
   EXPECT_FALSE(b.probes.empty()) << "looks again by probing";
@@ -476,7 +476,7 @@
 }
 
 TEST(Rules, TwoUnsafeThatNeverRanIsRepeated) {
-  for (const auto outcome : {Outcome::full, Outcome::connect_failed, Outcome::moot}) {
+  for (const auto outcome : {Outcome::full, Outcome::connect_failed, Outcome::not_sent}) {
     Bench b;
     b.report(1, b.now, true);
     for (int i = 0; i < 12; ++i) b.end(b.ask(write, 1), Outcome::ok);  // not overloaded
@@ -540,7 +540,7 @@
 
 TEST(Rules, ThreeWhereOnlyDrainsBindAHostThatLeftTheListStaysInUse) {
   auto s = make_settings();
-  s.only_draining_binds = true;
+  s.removed_hosts_stay_usable = true;
   Bench b(s);
   b.report(1, b.now, true);
   b.list(ListKind::full, {Bench::entry(1), Bench::entry(2)});
@@ -555,14 +555,14 @@
   Bench b;
   b.report(1, b.now, true);
   auto back = Bench::entry(2);
-  back.born = b.now - 100ms;
+  back.started_at = b.now - 100ms;
   b.list(ListKind::delta, {back});
   int cold = 0;
   for (int i = 0; i < 200; ++i) {
     const auto r = b.ask(any);
     cold += b.last_host[r] == 2U ? 1 : 0;
     b.now += 10ms;
-    b.end(r, Outcome::ok, Note{Role::replica, {}});
+    b.end(r, Outcome::ok, AnswerMetadata{Role::replica, {}});
   }
   EXPECT_GE(cold, 1);
   EXPECT_LE(cold, 60) << "cold_from 0.2 x multiple 3 x one half, of what the warm ones get";
@@ -583,16 +583,16 @@
   void restart(std::uint32_t i) {
     Settings s;
     s.seed = 977 + i + 100'000 * static_cast<std::uint64_t>(restarts_++);
-    s.routers = routers;
-    s.position = i;
-    s.retry_after = true;
-    s.cold_for = 10s;
-    s.cold_from = 0.2;
-    s.tip_multiple = 2;
-    s.tip_after = 1500ms;
-    s.probe_price = 0.02;
+    s.instance_count = routers;
+    s.instance_index = i;
+    s.retry_after_allowed = true;
+    s.warm_up_duration = 10s;
+    s.cold_capacity_share = 0.2;
+    s.overload_multiple = 2;
+    s.overload_window = 1500ms;
+    s.probe_cost = 0.02;
     auto quick = make_class("any", Freshness::any);
-    auto write = make_class("write", Freshness::write, Effect::keyed);
+    auto write = make_class("write", Freshness::write, Idempotency::keyed);
     auto lagged = make_class("bounded", Freshness::bounded);
     s.classes = {quick, write, lagged};
     if (i == nodes_.size()) nodes_.emplace_back();
@@ -629,7 +629,7 @@
       for (credit_ += rate * 0.005; credit_ >= 1; --credit_) {
         RequestArrived e;
         e.request = RequestId{++next_};
-        e.cls = ClassId{static_cast<std::int32_t>(random_() % 3)};
+        e.class_id = ClassId{static_cast<std::int32_t>(random_() % 3)};
         const bool first = random_() % 1000 < static_cast<unsigned>(to_first * 1000);
         e.group = GroupId{first ? 0 : 1 + static_cast<std::int64_t>(random_() % (groups - 1))};
         e.time_left = 2s;
@@ -642,7 +642,7 @@
     for (auto& n : nodes_) {
       RequestArrived e;
       e.request = RequestId{++next_};
-      e.cls = ClassId{1};
+      e.class_id = ClassId{1};
       e.group = GroupId{0};
       e.time_left = 2s;
       give(n, e);
@@ -683,7 +683,7 @@
     e.group = GroupId{(h - 1) / 3};
     if (start_ > 0s && h <= 3) {
       e.state = h == 1 ? HostState::ready : HostState::gone;
-      if (h == 1) e.born = start_;
+      if (h == 1) e.started_at = start_;
     }
     return e;
   }
@@ -715,7 +715,7 @@
         e.outcome = bad ? Outcome::error : Outcome::ok;
         e.elapsed = bad ? Duration(5ms) : latency;
         e.request_ended = !bad;
-        e.note.role = s->host.value % 3 == 1 ? Role::primary : Role::replica;
+        e.metadata.role = s->host.value % 3 == 1 ? Role::primary : Role::replica;
         n.due.emplace(now_ + e.elapsed, e);
       } else if (const auto* p = std::get_if<Probe>(&a)) {
         if (p->host == HostId{1} && start_ > 0s) work_.emplace_back(now_, 0.01);
@@ -798,8 +798,8 @@
 /// heard: the others count as usual ones. Nobody is asked for its queue alone.
 TEST(Size, AReplicaWhoseQueueIsNotKnownIsDrawnAsAUsualOne) {
   auto s = make_settings();
-  s.probe_price = 0.05;
-  s.may_probe = true;
+  s.probe_cost = 0.05;
+  s.probes_allowed = true;
   s.answers_carry_position = true;
   Bench b(s, 4);
   b.report(1, b.now, true, 0.0);
@@ -823,8 +823,8 @@
 
 TEST(Size, AThinTrickleAsksWhenAReadNeedsItAndSleepsOtherwise) {
   auto s = make_settings();
-  s.routers = 300;
-  s.probe_price = 0.02;
+  s.instance_count = 300;
+  s.probe_cost = 0.02;
   Bench b(s);
   b.report(1, b.now, true);
   b.end(b.ask(any), Outcome::ok);
@@ -843,8 +843,8 @@
 TEST(Size, OneReplicaIsAskedWhereAnswersTellPositionsToo) {
   for (const bool carry : {false, true}) {
     auto s = make_settings();
-    s.routers = 400;
-    s.probe_price = 0.04;
+    s.instance_count = 400;
+    s.probe_cost = 0.04;
     s.answers_carry_position = carry;
     Bench b(s, 4);
     b.report(1, b.now, true);
@@ -857,8 +857,8 @@
 
 TEST(Size, RecentLoadShedsTheLeastWorthFirst) {
   auto s = make_settings();
-  s.routers = 300;
-  s.classes[4].worth = 6;
+  s.instance_count = 300;
+  s.classes[4].value = 6;
   Bench b(s);
   b.report(1, b.now, true);
   const auto serve = [&](ClassId cls) {
@@ -882,7 +882,7 @@
   std::map<int, int> served;
   for (const auto cls : {fresh, bounded}) {
     auto s = make_settings();
-    s.routers = 400;
+    s.instance_count = 400;
     Bench b(s, 1);
     b.report(1, b.now, true);
     for (int i = 0; i < 300; ++i) {
@@ -890,7 +890,7 @@
       b.pass(230ms);
       if (!b.sent(r)) continue;
       served[cls.value] += i >= 100 ? 1 : 0;
-      b.end(r, Outcome::ok, Note{Role::primary, {}});
+      b.end(r, Outcome::ok, AnswerMetadata{Role::primary, {}});
     }
   }
   EXPECT_GT(served[fresh.value], 50);
@@ -911,7 +911,7 @@
   for (int i = 0; i < 6; ++i) {
     const auto w = b.ask(write, 1);
     lose();
-    if (b.sent(w)) b.end(w, Outcome::ok, Note{Role::primary, b.now});
+    if (b.sent(w)) b.end(w, Outcome::ok, AnswerMetadata{Role::primary, b.now});
   }
   lose();
   EXPECT_TRUE(b.sent(b.ask(write, 1)));
@@ -977,7 +977,7 @@
     const auto r = b.ask(any);
     if (b.last_host[r] == 2U) b.end(r, Outcome::error);
     b.now += 20ms;
-    if (b.last_host[r] == 3U) b.end(r, Outcome::ok, Note{Role::replica, {}});
+    if (b.last_host[r] == 3U) b.end(r, Outcome::ok, AnswerMetadata{Role::replica, {}});
   }
   EXPECT_GT(b.spread(any, 100)[3], 90);
 }
@@ -1007,7 +1007,7 @@
   };
   const auto before = fill();
   b.now += 400ms;
-  for (std::size_t i = 0; i < 4; ++i) b.end(before[i], Outcome::ok, Note{Role::replica, {}});
+  for (std::size_t i = 0; i < 4; ++i) b.end(before[i], Outcome::ok, AnswerMetadata{Role::replica, {}});
   for (std::size_t i = 4; i < before.size(); ++i) {
     b.now += 130ms;
     b.end(before[i], Outcome::timeout, {}, true);
@@ -1026,12 +1026,12 @@
     const auto quick = b.ask(any);
     ASSERT_EQ(b.last_host[quick], 2U);
     b.now += 60ms;
-    b.end(quick, Outcome::ok, Note{Role::replica, {}});
+    b.end(quick, Outcome::ok, AnswerMetadata{Role::replica, {}});
     if (i % 4 == 0) {
       b.now += 1500ms;
       b.end(lost, Outcome::timeout, {}, true);
     } else {
-      b.end(lost, Outcome::ok, Note{Role::replica, {}});
+      b.end(lost, Outcome::ok, AnswerMetadata{Role::replica, {}});
     }
   }
   int room = 0;
@@ -1055,7 +1055,7 @@
   EXPECT_EQ(b.last_host[second], 1U);
   const auto third = b.ask(write, 3);
   EXPECT_FALSE(b.sent(third)) << "one trial at a time";
-  b.end(second, Outcome::ok, Note{Role::primary, b.now});
+  b.end(second, Outcome::ok, AnswerMetadata{Role::primary, b.now});
   EXPECT_TRUE(b.sent(third));
 }
 
@@ -1074,7 +1074,7 @@
 // A site whose aims are short beside the age of its reports: a claim that moves on is no frozen one.
 TEST(Primary, AMovingClaimIsBelievedHoweverOldReportsAre) {
   auto s = make_settings();
-  for (auto& c : s.classes) c.aim = 80ms;
+  for (auto& c : s.classes) c.latency_target = 80ms;
   Bench b(s);
   for (int i = 0; i < 20; ++i) {
     b.pass(100ms);
@@ -1125,7 +1125,7 @@
     const auto r = b.ask(any);
     back = b.last_host[r] == 2U;
     b.now += 50ms;
-    b.end(r, Outcome::ok, Note{Role::replica, {}});
+    b.end(r, Outcome::ok, AnswerMetadata{Role::replica, {}});
     b.pass(200ms);
   }
   ASSERT_TRUE(back);
@@ -1173,7 +1173,7 @@
       if (i >= 100 && b.last_host[r] == 2)
         bad = 2, b.end(r, Outcome::error, {}, true);
       else
-        b.end(r, Outcome::ok, Note{Role::replica, {}});
+        b.end(r, Outcome::ok, AnswerMetadata{Role::replica, {}});
       b.pass(thin ? 4s : 5ms);
     }
     ASSERT_EQ(bad, 2U);
@@ -1185,7 +1185,7 @@
       const auto r = b.ask(any);
       back = b.last_host[r] == 2;
       b.now += 20ms;
-      b.end(r, Outcome::ok, Note{Role::replica, {}});
+      b.end(r, Outcome::ok, AnswerMetadata{Role::replica, {}});
       b.pass(1s);
     }
     EXPECT_TRUE(back) << thin;
@@ -1194,7 +1194,7 @@
 
 TEST(Primary, AWriteAsksForThePrimaryItselfWhereProbesCostTooMuch) {
   auto s = make_settings();
-  s.probe_price = 0.08;
+  s.probe_cost = 0.08;
   Bench b(s, 4);
   const auto w = b.ask(keyed, 1);
   std::set<std::uint32_t> asked;
@@ -1202,22 +1202,25 @@
     ASSERT_EQ(b.attempts[w], static_cast<std::uint32_t>(i + 1));
     const auto host = b.last_host[w];
     EXPECT_TRUE(asked.insert(host).second) << "asked twice: " << host;
-    if (i < 3) b.end(w, Outcome::miss, Note{Role::replica, {}});
+    if (i < 3) b.end(w, Outcome::too_stale, AnswerMetadata{Role::replica, {}});
   }
-  b.end(w, Outcome::ok, Note{Role::primary, b.now});
+  b.end(w, Outcome::ok, AnswerMetadata{Role::primary, b.now});
   const auto next = b.ask(keyed, 1);
   EXPECT_EQ(b.last_host[next], b.last_host[w]) << "the answer has told it";
 }
 
 TEST(Primary, AWriteThatFindsNoneKeepsAnAttemptAndItsPace) {
   auto s = make_settings();
-  s.probe_price = 0.08;
+  s.probe_cost = 0.08;
   s.max_attempts = 6;
   Bench b(s, 2);
   const auto w = b.ask(keyed, 1);
   for (int i = 0; i < 40 && b.refused.count(w) == 0; ++i) {
-    if (b.sent(w)) b.end(w, Outcome::miss, Note{Role::replica, {}});
-    if (b.now < Time(100s) + 200ms) EXPECT_LE(b.attempts[w], 2U) << "each host once in a while";
+    if (b.sent(w)) b.end(w, Outcome::too_stale, AnswerMetadata{Role::replica, {}});
+    if (b.now < Time(100s) + 200ms) {
+      SCOPED_TRACE("each host once in a while");
+      EXPECT_LE(b.attempts[w], 2U);
+    }
     b.pass(50ms);
   }
   EXPECT_LE(b.attempts[w], 5U);
@@ -1225,7 +1228,7 @@
 
 TEST(Primary, ProbesAreKeptForAGroupWithoutOne) {
   auto s = make_settings();
-  s.probe_price = 0.08;
+  s.probe_cost = 0.08;
   Bench b(s, 4);
   b.report(1, b.now, true, 0.0);
   std::size_t answered = 0;
@@ -1233,7 +1236,7 @@
     const auto r = b.ask(bounded);
     for (; answered < b.probes.size(); ++answered)
       b.report(b.probes[answered], b.now, b.probes[answered] == 1, 0.0);
-    if (b.sent(r)) b.end(r, Outcome::ok, Note{Role::replica, {}});
+    if (b.sent(r)) b.end(r, Outcome::ok, AnswerMetadata{Role::replica, {}});
     b.pass(50ms);
   }
   const auto for_reads = b.probes.size();
@@ -1256,7 +1259,7 @@
 TEST(Fallback, ReadsWorthMoreThanWritesMayFillThePrimary) {
   const auto taken = [](double worth) {
     auto s = make_settings();
-    s.classes[0].worth = worth;
+    s.classes[0].value = worth;
     Bench b(s);
     b.report(1, b.now, true);
     int n = 0;
@@ -1269,7 +1272,7 @@
 // i7ba6cd: one attempt from each of many routers already jams a host.
 TEST(Health, ManyRoutersShareTheReplicasWindows) {
   auto s = make_settings();
-  s.routers = 24;
+  s.instance_count = 24;
   Bench b(s, 6);
   b.report(1, b.now, true);
   int n = 0;
@@ -1293,7 +1296,7 @@
   std::vector<std::uint64_t> all;
   for (int i = 0; i < 30; ++i) all.push_back(b.ask(any));
   ASSERT_FALSE(b.sent(all[28]));
-  b.end(all[0], Outcome::ok, Note{Role::replica, {}});
+  b.end(all[0], Outcome::ok, AnswerMetadata{Role::replica, {}});
   EXPECT_TRUE(b.sent(all[29]));
   EXPECT_FALSE(b.sent(all[20]));
 }
@@ -1302,10 +1305,10 @@
 
 TEST(Discovery, AskModeSubscribesSpreadOverTheRoutersAndAgainAfterFailure) {
   auto s = make_settings();
-  s.discovery = DiscoveryMode::ask;
-  s.routers = 4;
-  s.position = 3;
-  s.ask_within = 10s;
+  s.discovery_mode = DiscoveryMode::poll;
+  s.instance_count = 4;
+  s.instance_index = 3;
+  s.max_poll_interval = 10s;
   Bench b(s);
   const auto start = b.now;
   b.pass(5s);
@@ -1335,14 +1338,14 @@
   Bench b;
   RequestArrived e;
   e.request = RequestId{900};
-  e.cls = any;
+  e.class_id = any;
   e.group = GroupId{77};
   e.time_left = 1s;
   b.give(e);
   EXPECT_GT(b.refused.at(900), 0ms);
   e.request = RequestId{901};
   e.group = GroupId{1};
-  e.cls = ClassId{-1};
+  e.class_id = ClassId{-1};
   b.give(e);
   EXPECT_GT(b.refused.at(901), 0ms);
 }
@@ -1364,7 +1367,7 @@
 
 TEST(OddInput, ContradictorySettingsNameTheKey) {
   auto s = make_settings();
-  s.cold_from = 0;
+  s.cold_capacity_share = 0;
   try {
     Router router(s);
     FAIL();
@@ -1380,7 +1383,7 @@
   for (int i = 0; i < 3000; ++i) {
     b.report(1, b.now, true);
     const auto w = b.ask(write, static_cast<std::uint64_t>(i));
-    if (b.sent(w)) b.end(w, Outcome::ok, Note{Role::primary, b.now});
+    if (b.sent(w)) b.end(w, Outcome::ok, AnswerMetadata{Role::primary, b.now});
     b.pass(100ms);
     most = std::max(most, b.held());
   }
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -11,9 +11,9 @@
 
 #include "app/config.h"
 #include "app/successor.h"
-#include "handover/fields.h"
-#include "handover/shares.h"
-#include "memory/room.h"
+#include "broker/memory_budget.h"
+#include "handover/json_archive.h"
+#include "handover/resource_shares.h"
 #include "support/stand_in.h"
 #include "wire/discovery.h"
 #include "wire/door.h"
@@ -220,13 +220,13 @@
 }
 
 TEST(Handover, WhatIsKnownOfHostsGoesOverWhole) {
-  memory::HostTable hosts({"a"});
+  broker::HostTable hosts({"a"});
   const auto list =
       list_of(7, {member("p", "127.0.0.1:5", true), member("r", "127.0.0.1:6", false, "DRAINING", 1234)});
   const Time now = std::chrono::seconds(1'700'000'000);
-  hosts.take(*wire::parse_members(list));
-  hosts.set_out("p", true, now);
-  hosts.hear(*hosts.find("r"), Role::replica, now, now);
+  hosts.apply(*wire::parse_members(list));
+  hosts.set_disabled("p", true, now);
+  hosts.observe(*hosts.find("r"), Role::replica, now, now);
   const auto text = app::to_text({app::state_of("postgresql", hosts)});
   const auto all = app::services_of(text);
   ASSERT_TRUE(all);
@@ -234,7 +234,7 @@
   EXPECT_EQ(s.list.version, 7U);
   ASSERT_EQ(s.list.members.size(), 2U);
   EXPECT_EQ(s.list.members[1].state, HostState::draining);
-  EXPECT_EQ(s.list.members[1].born, Time(1'234'000));
+  EXPECT_EQ(s.list.members[1].started_at, Time(1'234'000));
   EXPECT_EQ(s.out, std::vector<std::string>{"p"});
   ASSERT_EQ(s.heard.size(), 1U);
   EXPECT_EQ(s.heard[0].role, Role::replica);
@@ -248,9 +248,10 @@
     return static_cast<std::size_t>((x = x * 6364136223846793005ULL + 1) >> 33U) % most;
   };
   for (int i = 0; i < 1000; ++i) {
-    const handover::Shares whole{draw(1U << 27U), draw(800), draw(250)};
+    const handover::ResourceShares whole{draw(1U << 27U), draw(800), draw(250)};
     const auto held = draw(1000);
-    const auto old = handover::share(whole, true, held), fresh = handover::share(whole, false, held);
+    const auto old = handover::split_resources(whole, true, held),
+               fresh = handover::split_resources(whole, false, held);
     EXPECT_EQ(old.memory + fresh.memory, whole.memory);
     EXPECT_EQ(old.clients + fresh.clients, whole.clients);
     EXPECT_EQ(old.hosts + fresh.hosts, whole.hosts);
@@ -525,9 +526,9 @@
     return static_cast<std::size_t>((x = x * 6364136223846793005ULL + 1) >> 33U) % most;
   };
   int freed = 0;
-  auto room = std::make_shared<memory::Room>(1000, [&] { ++freed; });
+  auto room = std::make_shared<broker::MemoryBudget>(1000, [&] { ++freed; });
   std::vector<char> who(20);
-  std::map<const void*, memory::Room::Hold> holds;
+  std::map<const void*, broker::MemoryBudget::Reservation> holds;
   std::map<const void*, std::size_t> wanted;
   std::vector<const void*> line;
   for (int i = 0; i < 20'000; ++i) {
@@ -540,7 +541,7 @@
       line.erase(std::find(line.begin(), line.end(), me));
     } else {
       const auto bytes = wanted.count(me) > 0 ? wanted[me] : 1 + draw(1200);
-      memory::Room::Hold hold;
+      broker::MemoryBudget::Reservation hold;
       if (room->take(me, bytes, hold)) {
         if (!line.empty()) {
           ASSERT_EQ(line.front(), me);  // nobody is passed by
--- a/tests/support/bad_gateway.cpp
+++ b/tests/support/bad_gateway.cpp
@@ -25,9 +25,9 @@
 
 std::string defect, discovery;
 std::mutex mutex;
-memory::MemberList known;
+broker::MemberList known;
 
-memory::MemberList list() {
+broker::MemberList list() {
   const std::lock_guard lock(mutex);
   if (!known.members.empty() && defect == "deaf") return known;
   auto s = Socket::to(discovery);
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -16,7 +16,7 @@
   c.warm_up = 8s;
   c.groups = 1;
   if (!with_levels) return c;
-  levels::Service s;
+  levels::ServiceInfo s;
   for (const auto& k : c.classes) s.classes.push_back(k.contract);
   s.tenants = c.tenants.size();
   c.levels = levels::default_config(s);
@@ -79,7 +79,7 @@
       t.at(Time{1'000'000'000} + i * Duration(gap), [&] {
         Job j;
         j.work = 60ms;
-        j.done = [&](Outcome o, Note) { ++(o == Outcome::ok ? served : full); };
+        j.done = [&](Outcome o, AnswerMetadata) { ++(o == Outcome::ok ? served : full); };
         host.offer(std::move(j));
       });
     t.run_until(Time{1'000'000'000} + 1h);
