--- a/src/tools/lab/ledger.h
+++ b/src/tools/lab/ledger.h
@@ -37,14 +37,14 @@
   Freshness freshness = Freshness::any;
   Duration bound{};           // of a bounded read
   std::optional<Time> needs;  // of a session read
-  std::function<void(Outcome, Note)> done;
+  std::function<void(Outcome, AnswerMetadata)> done;
 };
 
 class Ledger;
 
 class HostModel {
  public:
-  HostModel(Timeline& timeline, Ledger& group, HostId id, HostSpec spec, std::string zone);
+  HostModel(Timeline& timeline, Ledger& group, HostId id, const HostSpec& spec, std::string zone);
   /// Takes the job, or answers at once. Returns a number for `cancel`, 0 where it is over already.
   std::uint64_t offer(Job job);
   /// A new connection: `up` is called once its handshake is done, at once where that costs nothing. False: it
@@ -62,8 +62,8 @@
   void set_silent(bool silent);
   [[nodiscard]] bool alive() const { return alive_; }
   [[nodiscard]] bool silent() const { return silent_; }
-  [[nodiscard]] Note note() const;
-  [[nodiscard]] Report report() const;
+  [[nodiscard]] AnswerMetadata note() const;
+  [[nodiscard]] LoadReport report() const;
   [[nodiscard]] Time position() const;
   /// A write of the primary that its log brings here.
   void ship(Time commit);
@@ -107,7 +107,7 @@
 class Ledger {
  public:
   Ledger(Timeline& timeline, GroupId id) : timeline_(timeline), id_(id) {}
-  HostModel& add(HostId id, HostSpec spec, std::string zone);
+  HostModel& add(HostId id, const HostSpec& spec, std::string zone);
   [[nodiscard]] GroupId id() const { return id_; }
   [[nodiscard]] HostModel* primary() const { return primary_; }
   /// When the last primary was lost.
--- a/src/tools/lab/world.cpp
+++ b/src/tools/lab/world.cpp
@@ -9,13 +9,11 @@
 namespace cedarring::lab {
 namespace {
 
-using namespace std::chrono_literals;
-
 constexpr double beyond_worth = 0.05;  // of the usual: the users' page
 constexpr Duration hop{100};  // one way between a gateway and a host of its room; three times that to others
 constexpr Duration probe_work{300};
 
-struct LabWork : memory::Work {
+struct LabWork : broker::RequestPayload {
   Duration work{};
   std::size_t cls = 0;
   std::optional<Time> needs;
@@ -24,16 +22,17 @@
 class World;
 
 /// What the sockets are in the real gateway: carries attempts to the models of hosts.
-class SimUpstream : public memory::Upstream {
+class SimUpstream : public broker::Upstream {
  public:
   SimUpstream(World& world, std::size_t gateway) : world_(world), gateway_(gateway) {}
-  void start(memory::AttemptKey key, HostId host, const std::string& address,
-             const std::shared_ptr<const memory::Work>& work, Time stop_at, bool only_there) override;
-  void abandon(memory::AttemptKey key) override;
+  void start(broker::AttemptKey key, HostId host, const std::string& address,
+             const std::shared_ptr<const broker::RequestPayload>& work, Time stop_at,
+             bool only_there) override;
+  void cancel(broker::AttemptKey key) override;
   void probe(HostId host, const std::string& address) override;
-  void watch() override;
-  void wake_at(Time due) override;
-  void closed(HostId) override {}
+  void open_watch() override;
+  void set_timer(Time due) override;
+  void close_idle(HostId) override {}
 
  private:
   struct Out {
@@ -41,7 +40,7 @@
     std::uint64_t number = 0;
     bool told = false;
   };
-  void end(memory::AttemptKey key, std::uint64_t serial, memory::AttemptResult result);
+  void end(broker::AttemptKey key, std::uint64_t serial, broker::AttemptResult result);
   World& world_;
   std::size_t gateway_;
   std::map<std::pair<std::uint64_t, std::uint32_t>, std::pair<std::uint64_t, Out>> out_;
@@ -51,21 +50,21 @@
 /// Notes for each request whether it is within its tenant's budget, and who has refused it.
 class Observer : public gates::Gate {
  public:
-  gates::Verdict admit(const gates::Ask& ask, Time) override {
+  gates::Verdict admit(const gates::GateRequest& ask, Time) override {
     last_beyond = ask.beyond_budget;
     return {};
   }
   bool last_beyond = false;
 };
 
-struct Gateway : memory::Front {
+struct Gateway : broker::FrontEnd {
   Gateway(World& world, std::size_t number);
-  void finish(RequestId request, memory::FinalAnswer answer) override;
+  void finish(RequestId request, broker::FinalAnswer answer) override;
   World& world;
   std::size_t number;
   Observer observer;
   SimUpstream upstream;
-  std::unique_ptr<memory::Broker> broker;
+  std::unique_ptr<broker::Broker> broker;
   std::unique_ptr<levels::Levels> levels;
   std::unique_ptr<contracts::Contracts> contracts;
 };
@@ -93,19 +92,19 @@
         groups.back()->add(HostId{id}, c.host, std::string(1, static_cast<char>('a' + m % 3)));
     }
     for (const auto& k : c.classes) settings.classes.push_back(k.contract);
-    settings.checks = StaleCheck::refuse;
-    settings.list_role = ListRole::late;
-    settings.tokens = TokenMode::carried;
+    settings.stale_read_policy = StaleReadPolicy::refuse;
+    settings.listed_role = ListedRole::late;
+    settings.token_mode = TokenMode::carried;
     settings.answers_carry_position = true;
-    settings.may_cancel = true;
-    settings.retry_after = true;
-    settings.holding_costs = true;
+    settings.cancel_allowed = true;
+    settings.retry_after_allowed = true;
+    settings.late_refusal_costs = true;
     settings.max_attempts = 6;
-    settings.max_retry_after = 500ms;
-    settings.cold_for = 14s, settings.cold_from = 0.17;
-    settings.tip_multiple = 2, settings.tip_after = 2s;
-    settings.probe_price = c.probe_price;
-    settings.routers = static_cast<std::uint32_t>(c.gateways);
+    settings.max_retry_after = std::chrono::milliseconds(500);
+    settings.warm_up_duration = std::chrono::seconds(14), settings.cold_capacity_share = 0.17;
+    settings.overload_multiple = 2, settings.overload_window = std::chrono::seconds(2);
+    settings.probe_cost = c.probe_price;
+    settings.instance_count = static_cast<std::uint32_t>(c.gateways);
     double mean = 0, shares = 0;
     for (const auto& k : c.classes) {
       mean += k.share * seconds(k.work_from + k.work_to) / 2;
@@ -131,20 +130,20 @@
   static double seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
   double draw() { return boost::random::uniform_01<double>()(random); }
 
-  memory::MemberList list() const {
-    memory::MemberList l;
+  broker::MemberList list() const {
+    broker::MemberList l;
     l.version = ++version;
     l.full = true;
     for (const auto& g : groups)
       for (const auto& h : g->hosts()) {
-        memory::Member m;
+        broker::Member m;
         m.id = "h" + std::to_string(h->id().value);
         m.address = std::to_string(h->id().value);
         m.zone = h->zone();
         m.group = g->id();
         m.state = h->alive() ? HostState::ready : HostState::gone;
         m.primary = g->primary() == h.get();
-        if (h->started() > Time{}) m.born = h->started();
+        if (h->started() > Time{}) m.started_at = h->started();
         if (h->alive()) l.members.push_back(m);
       }
     return l;
@@ -229,7 +228,7 @@
       }
       ++looks, unfair += queue && rests;
     }
-    timeline.after(20ms, [this] { look(); });
+    timeline.after(std::chrono::milliseconds(20), [this] { look(); });
   }
 
   void sum_up() {
@@ -291,7 +290,7 @@
     auto work = std::make_shared<LabWork>();
     work->work = r->work;
     work->cls = r->cls;
-    memory::Ask a;
+    broker::ClientRequest a;
     a.name = std::to_string(++names);
     a.contract = c.classes[r->cls].contract.name;
     a.tenant = r->tenant;
@@ -311,13 +310,13 @@
         for (auto* t : {&tally(*r), &own(*r)}) ++t->asked, t->worth_asked += worth(*r);
     }
     pending = nullptr;
-    if (rejection != memory::Rejection::none)
-      return answered(r, at, {memory::End::refused, {}, {}, {}, {}, {}});
+    if (rejection != broker::Rejection::none)
+      return answered(r, at, {broker::AnswerStatus::refused, {}, {}, {}, {}, {}});
     if (early) return answered(r, at, *std::exchange(early, std::nullopt));
     open[at][id.value] = r;
   }
 
-  void finish(std::size_t at, RequestId id, memory::FinalAnswer answer) {
+  void finish(std::size_t at, RequestId id, broker::FinalAnswer answer) {
     if (pending && *pending == id) {  // before accept() has returned
       early = std::move(answer);
       return;
@@ -329,11 +328,12 @@
     answered(r, at, answer);
   }
 
-  void answered(const std::shared_ptr<Client>& r, std::size_t at, const memory::FinalAnswer& answer) {
+  void answered(const std::shared_ptr<Client>& r, std::size_t at, const broker::FinalAnswer& answer) {
     const auto now = timeline.now();
-    if (now > r->deadline + 50ms) ++result.late_answers;
-    if (answer.end == memory::End::refused && c.client_retries && r->tries < 2) {
-      const auto pause = answer.pause > Duration::zero() ? answer.pause : 200ms;
+    if (now > r->deadline + std::chrono::milliseconds(50)) ++result.late_answers;
+    if (answer.status == broker::AnswerStatus::refused && c.client_retries && r->tries < 2) {
+      const auto pause =
+          answer.retry_after > Duration::zero() ? answer.retry_after : std::chrono::milliseconds(200);
       if (now + pause < r->deadline) {
         if (!answer.verdict.admitted && measured(*r)) ++tally(*r).shed;
         timeline.after(pause, [this, r, at] { ask(r, at); });
@@ -343,12 +343,12 @@
     if (!measured(*r)) return;
     const auto& k = c.classes[r->cls].contract;
     for (auto* t : {&tally(*r), &own(*r)})
-      if (answer.end == memory::End::served) {
-        const bool in_time = now - r->asked <= k.aim;
+      if (answer.status == broker::AnswerStatus::served) {
+        const bool in_time = now - r->asked <= k.latency_target;
         ++(in_time ? t->in_time : t->late);
-        t->worth += worth(*r) * (in_time ? 1 : k.late_worth);
+        t->worth += worth(*r) * (in_time ? 1 : k.late_value);
       } else {
-        ++(answer.end == memory::End::refused ? t->refused : t->failed);
+        ++(answer.status == broker::AnswerStatus::refused ? t->refused : t->failed);
         if (!answer.verdict.admitted) ++t->shed;
       }
   }
@@ -357,14 +357,14 @@
   Tally& own(const Client& r) { return result.by_tenant_class[r.tenant_at * c.classes.size() + r.cls]; }
   Tally& tally(const Client& r) { return (r.beyond ? result.beyond : result.within)[r.cls]; }
   [[nodiscard]] double worth(const Client& r) const {
-    return c.classes[r.cls].contract.worth * (r.beyond ? beyond_worth : 1);
+    return c.classes[r.cls].contract.value * (r.beyond ? beyond_worth : 1);
   }
 
   void beat() {
     for (auto& g : gateways) {
       levels::GatewayState state;
       std::vector<GroupView> views;
-      g->broker->view(views);
+      g->broker->group_views(views);
       if (g->contracts) {
         std::vector<contracts::Breach> breaches;
         g->contracts->step(timeline.now(), contracts::scarcity(views), breaches);
@@ -374,10 +374,10 @@
       std::vector<levels::AxisChange> events;
       g->levels->step(timeline.now(), state, events);
       const auto changes = g->levels->changes();
-      g->broker->tune({changes.probe_rate, changes.retry_budget, changes.spill});
+      g->broker->set_tuning({changes.probe_rate, changes.retry_budget, changes.spill});
       if (g->number == 0) result.changes.insert(result.changes.end(), events.begin(), events.end());
     }
-    timeline.after(100ms, [this] { beat(); });
+    timeline.after(std::chrono::milliseconds(100), [this] { beat(); });
   }
 
   WorldResult go() {
@@ -393,12 +393,13 @@
         auto* old = g.primary();
         g.lose_primary(loss.takeover, [](HostModel&) {});
         // The list names the death and the successor seconds late; the old one comes back cold, as a replica.
-        timeline.after(3s, [this] { tell(); });
-        timeline.after(loss.takeover + 3s, [this] { tell(); });
-        timeline.after(loss.takeover + 2s,
-                       [this, old] { old->start(c.host.cores > 0 ? Duration(14s) : Duration{}, 0.17); });
+        timeline.after(std::chrono::seconds(3), [this] { tell(); });
+        timeline.after(loss.takeover + std::chrono::seconds(3), [this] { tell(); });
+        timeline.after(loss.takeover + std::chrono::seconds(2), [this, old] {
+          old->start(c.host.cores > 0 ? Duration(std::chrono::seconds(14)) : Duration{}, 0.17);
+        });
       });
-    timeline.run_until(start + c.length + 10s);
+    timeline.run_until(start + c.length + std::chrono::seconds(10));
     for (const auto& o : open) result.unanswered += o.size();
     for (auto& g : gateways)
       if (g->contracts) {
@@ -425,7 +426,7 @@
   std::vector<std::unique_ptr<Gateway>> gateways;
   std::vector<std::unordered_map<std::uint64_t, std::shared_ptr<Client>>> open;
   const RequestId* pending = nullptr;
-  std::optional<memory::FinalAnswer> early;
+  std::optional<broker::FinalAnswer> early;
   std::uint64_t names = 0;
   mutable std::uint64_t version = 0;
   std::vector<double> parts;                           // of the traffic, by gateway
@@ -438,23 +439,23 @@
 Gateway::Gateway(World& w, std::size_t n) : world(w), number(n), upstream(w, n) {
   auto settings = w.settings;
   settings.seed = w.c.seed * 1000 + n;
-  settings.position = static_cast<std::uint32_t>(n);
-  std::vector<memory::Budget> budgets;
+  settings.instance_index = static_cast<std::uint32_t>(n);
+  std::vector<broker::TenantBudget> budgets;
   for (const auto& t : w.c.tenants) {
-    memory::Budget b;
+    broker::TenantBudget b;
     b.tenant = t.name;
     b.per_second = w.rate1 * t.share / w.c.gateways;
     budgets.push_back(b);
   }
-  levels::Service service;
+  levels::ServiceInfo service;
   service.classes = settings.classes;
   service.tenants = budgets.size();
   service.seed = settings.seed;
-  broker = std::make_unique<memory::Broker>(
+  broker = std::make_unique<broker::Broker>(
       settings, std::move(budgets), std::vector<std::string>{"a", "b", "c"},
       [&w] { return w.timeline.now(); }, upstream);
   if (w.c.contracts) {
-    contracts::Service terms;
+    contracts::ServiceInfo terms;
     terms.classes = settings.classes;
     terms.tenants = service.tenants;
     terms.seed = settings.seed ^ 1;
@@ -467,12 +468,13 @@
   broker->add_gate(*levels);
 }
 
-void Gateway::finish(RequestId request, memory::FinalAnswer answer) {
+void Gateway::finish(RequestId request, broker::FinalAnswer answer) {
   world.finish(number, request, std::move(answer));
 }
 
-void SimUpstream::start(memory::AttemptKey key, HostId, const std::string& address,
-                        const std::shared_ptr<const memory::Work>& work, Time stop_at, bool /*only_there*/) {
+void SimUpstream::start(broker::AttemptKey key, HostId, const std::string& address,
+                        const std::shared_ptr<const broker::RequestPayload>& work, Time stop_at,
+                        bool /*only_there*/) {
   auto& t = world_.timeline;
   ++world_.result.attempts;
   if (key.number >= 6) ++world_.result.too_many;
@@ -494,12 +496,12 @@
   job.work = w.work;
   job.write = k.freshness == Freshness::write;
   job.freshness = k.freshness;
-  job.bound = k.bound;
-  job.done = [this, key, serial, &t](Outcome outcome, Note note) {
+  job.bound = k.staleness_bound;
+  job.done = [this, key, serial, &t](Outcome outcome, AnswerMetadata note) {
     t.after(hop, [this, key, serial, outcome, note] {
-      memory::AttemptResult r;
+      broker::AttemptResult r;
       r.outcome = outcome;
-      r.note = note;
+      r.metadata = note;
       end(key, serial, std::move(r));
     });
   };
@@ -515,20 +517,20 @@
     const auto it = out_.find({key.request.value, key.number});
     if (it == out_.end() || it->second.first != serial) return;
     if (it->second.second.number) it->second.second.host->cancel(it->second.second.number);
-    memory::AttemptResult r;
+    broker::AttemptResult r;
     r.outcome = Outcome::timeout;
     end(key, serial, std::move(r));
   });
 }
 
-void SimUpstream::end(memory::AttemptKey key, std::uint64_t serial, memory::AttemptResult result) {
+void SimUpstream::end(broker::AttemptKey key, std::uint64_t serial, broker::AttemptResult result) {
   const auto it = out_.find({key.request.value, key.number});
   if (it == out_.end() || it->second.first != serial) return;
   out_.erase(it);
   world_.gateways[gateway_]->broker->attempt_ended(key, std::move(result));
 }
 
-void SimUpstream::abandon(memory::AttemptKey key) {
+void SimUpstream::cancel(broker::AttemptKey key) {
   const auto it = out_.find({key.request.value, key.number});
   if (it == out_.end()) return;
   if (it->second.second.number) it->second.second.host->cancel(it->second.second.number);
@@ -543,16 +545,16 @@
   t.after(hop * 2 + probe_work, [this, id, host, began, &t] {
     const bool ok = host->alive() && !host->silent();
     world_.gateways[gateway_]->broker->probe_ended(id, ok ? Outcome::ok : Outcome::connect_failed,
-                                                   t.now() - began, ok ? host->report() : Report{});
+                                                   t.now() - began, ok ? host->report() : LoadReport{});
   });
 }
 
-void SimUpstream::watch() {
+void SimUpstream::open_watch() {
   world_.timeline.after(
-      1ms, [this] { world_.gateways[gateway_]->broker->listed(world_.list()); });
+      std::chrono::milliseconds(1), [this] { world_.gateways[gateway_]->broker->listed(world_.list()); });
 }
 
-void SimUpstream::wake_at(Time due) {
+void SimUpstream::set_timer(Time due) {
   const auto mine = ++wake_;
   world_.timeline.at(due, [this, mine] {
     if (mine == wake_) world_.gateways[gateway_]->broker->timer_fired();
@@ -579,22 +581,26 @@
                        Duration aim, Duration deadline, double worth, double late) {
     ClassSpec k;
     k.contract.name = name;
-    k.contract.aim = aim;
+    k.contract.latency_target = aim;
     k.contract.deadline = deadline;
-    k.contract.worth = worth;
-    k.contract.late_worth = late;
+    k.contract.value = worth;
+    k.contract.late_value = late;
     k.contract.freshness = freshness;
-    k.contract.bound = 200ms;
-    k.contract.effect = freshness == Freshness::write ? Effect::keyed : Effect::safe;
-    k.contract.scope = RepeatScope::group;
-    k.contract.window = 1200ms;
+    k.contract.staleness_bound = std::chrono::milliseconds(200);
+    k.contract.idempotency = freshness == Freshness::write ? Idempotency::keyed : Idempotency::safe;
+    k.contract.dedup_scope = DedupScope::group;
+    k.contract.dedup_window = std::chrono::milliseconds(1200);
     k.share = share, k.work_from = from, k.work_to = to;
     c.classes.push_back(k);
   };
-  add("desk-view", 0.48, 44ms, 77ms, Freshness::bounded, 300ms, 750ms, 2, 0.2);
-  add("history", 0.40, 44ms, 77ms, Freshness::any, 300ms, 1s, 1, 0);
-  add("gate-check", 0.038, 27ms, 46ms, Freshness::fresh, 200ms, 800ms, 1, 0);
-  add("bid-submit", 0.077, 67ms, 120ms, Freshness::write, 750ms, 2s, 3, 0.7);
+  add("desk-view", 0.48, std::chrono::milliseconds(44), std::chrono::milliseconds(77), Freshness::bounded,
+      std::chrono::milliseconds(300), std::chrono::milliseconds(750), 2, 0.2);
+  add("history", 0.40, std::chrono::milliseconds(44), std::chrono::milliseconds(77), Freshness::any,
+      std::chrono::milliseconds(300), std::chrono::seconds(1), 1, 0);
+  add("gate-check", 0.038, std::chrono::milliseconds(27), std::chrono::milliseconds(46), Freshness::fresh,
+      std::chrono::milliseconds(200), std::chrono::milliseconds(800), 1, 0);
+  add("bid-submit", 0.077, std::chrono::milliseconds(67), std::chrono::milliseconds(120), Freshness::write,
+      std::chrono::milliseconds(750), std::chrono::seconds(2), 3, 0.7);
   c.tenants = {{"ishikari-gen", 0.66}, {"tokachi-denryoku", 0.18}, {"rumoi-wind", 0.16}};
   return c;
 }
--- a/src/tools/rig/rules.h
+++ b/src/tools/rig/rules.h
@@ -32,8 +32,8 @@
 
 /// What a class allows, as the rules need it.
 struct ClassRule {
-  Effect effect = Effect::safe;
-  RepeatScope scope = RepeatScope::group;
+  Idempotency effect = Idempotency::safe;
+  DedupScope scope = DedupScope::group;
   Duration window{};  // within which a keyed repeat is dropped
   Freshness freshness = Freshness::any;
   Duration bound{};
@@ -48,7 +48,7 @@
 
 class Rules {
  public:
-  Rules(Limits limits, std::vector<ClassRule> classes, Time start);
+  Rules(const Limits& limits, std::vector<ClassRule> classes, Time start);
 
   void asked(const std::string& id, int gateway, std::size_t cls, Time at, Time deadline);
   void answered(const std::string& id, Answer answer, Time at);
