--- a/src/app/clock.h
+++ b/src/app/clock.h
@@ -1,4 +1,5 @@
-// The module's time: Unix time as it was at the start, carried on by the steady clock. It never goes back.
+/// The gateway's clock: the Unix time at construction, advanced by the steady clock, so that it never goes
+/// back.
 #pragma once
 
 #include <chrono>
@@ -9,15 +10,18 @@
 
 class UnixClock {
  public:
-  UnixClock() : offset_(since(std::chrono::system_clock::now()) - since(std::chrono::steady_clock::now())) {}
-  [[nodiscard]] Time now() const { return offset_ + since(std::chrono::steady_clock::now()); }
+  UnixClock()
+      : offset_(since_epoch(std::chrono::system_clock::now()) -
+                since_epoch(std::chrono::steady_clock::now())) {}
+  /// Unix time in microseconds; monotonic.
+  [[nodiscard]] Time now() const { return offset_ + since_epoch(std::chrono::steady_clock::now()); }
 
  private:
-  template <class Point>
-  static Time since(Point p) {
-    return std::chrono::duration_cast<Time>(p.time_since_epoch());
+  template <class TimePoint>
+  static Time since_epoch(TimePoint time_point) {
+    return std::chrono::duration_cast<Time>(time_point.time_since_epoch());
   }
-  Time offset_;
+  Time offset_;  // Unix time minus steady time
 };
 
 }  // namespace cedarring::app
--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -122,7 +122,7 @@
         log_, listener("mysql"), known("mysql"), listener("mysql updates")));
   admin_path_ = c.file.admin_socket;
   for (auto& service : services_) {
-    service->broker().on_role([this](const std::string& host, Role role) {
+    service->broker().on_role_change([this](const std::string& host, Role role) {
       if (link_) link_->send("role", std::string(word_of(role)) + ' ' + host);
     });
     // Before the client hears of it: what it asks the other process next finds it known there.
@@ -164,8 +164,8 @@
 void Gateway::report() const {
   for (const auto& s : services_)
     for (const auto& b : s->budgets())
-      std::cout << "tenant " << b.tenant << " asked " << b.asked << " over " << b.over << " served "
-                << b.served << " refused " << b.refused << " failed " << b.failed << std::endl;
+      std::cout << "tenant " << b.tenant << " asked " << b.requested << " over " << b.over_budget
+                << " served " << b.served << " refused " << b.refused << " failed " << b.failed << std::endl;
 }
 
 /// Moves the watches to where the configuration now says, and puts the levels and the log's bounds of the
@@ -204,7 +204,7 @@
 
 /// At the level `debug` each request that is over is a line: how it ended, and each attempt with its host.
 void Gateway::log_courses() {
-  const bool on = log_.config().least == telemetry::Level::debug;
+  const bool on = log_.config().min_level == telemetry::Level::debug;
   for (auto& s : services_) {
     if (!on) {
       s->broker().on_request_trace(nullptr);
@@ -217,9 +217,9 @@
         return std::string(text);
       };
       std::string course;
-      for (const auto& leg : c.legs)
-        course += (course.empty() ? "" : " ") + leg.host + '@' + ms(leg.sent) + '+' + ms(leg.took) + '=' +
-                  name_of(leg.outcome);
+      for (const auto& leg : c.attempts)
+        course += (course.empty() ? "" : " ") + leg.host + '@' + ms(leg.sent_after) + '+' + ms(leg.duration) +
+                  '=' + name_of(leg.outcome);
       log_.write(telemetry::Level::debug, "request", "is over",
                  {{"id", c.name},
                   {"class", c.contract},
--- a/src/app/gateway_file.cpp
+++ b/src/app/gateway_file.cpp
@@ -183,13 +183,13 @@
   check_schema(f.json, gateway_schema, name);
   if (const auto* log = f.section("log")) {
     const auto level = text_of(*log, "level", "info"), form = text_of(*log, "form", "auto");
-    f.log.least = level == "debug"     ? telemetry::Level::debug
-                  : level == "warning" ? telemetry::Level::warning
-                  : level == "error"   ? telemetry::Level::error
-                                       : telemetry::Level::info;
-    f.log.form = form == "json"    ? telemetry::LogConfig::Form::json
-                 : form == "plain" ? telemetry::LogConfig::Form::plain
-                                   : telemetry::LogConfig::Form::automatic;
+    f.log.min_level = level == "debug"     ? telemetry::Level::debug
+                      : level == "warning" ? telemetry::Level::warning
+                      : level == "error"   ? telemetry::Level::error
+                                           : telemetry::Level::info;
+    f.log.format = form == "json"    ? telemetry::LogConfig::Format::json
+                   : form == "plain" ? telemetry::LogConfig::Format::plain
+                                     : telemetry::LogConfig::Format::automatic;
     if (const auto* n = member(*log, "per_cause")) f.log.per_cause = n->GetUint();
   }
   if (const auto* records = f.section("records")) {
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -33,12 +33,12 @@
   if (!c.discovery.empty())
     discovery_.emplace(
         loop, reaper, c.discovery, known_.version, fleet::WatchTiming(c.settings.drain_grace),
-        wire::DiscoveryWatch::Events{[this](const broker::MemberList& list) { broker_.listed(list); },
-                                     [this] { broker_.list_failed(); }});
+        wire::DiscoveryWatch::Events{[this](const broker::MemberList& list) { broker_.on_member_list(list); },
+                                     [this] { broker_.on_member_list_failed(); }});
   if (!c.zone_updates.empty())
     zone_.emplace(
-        loop, c.zone_updates, c.zone, [this](const broker::MemberList& list) { broker_.listed(list); },
-        std::move(updates));
+        loop, c.zone_updates, c.zone,
+        [this](const broker::MemberList& list) { broker_.on_member_list(list); }, std::move(updates));
   if (c.contracts) contracts_.emplace(loop_, front_, *c.contracts, for_contracts_, broker_, clock_, log_);
   if (c.levels) start_levels(*c.levels);
   broker_.start(known_);
@@ -84,7 +84,7 @@
   read(
       "hosts", handover::HostsSection{}, [&](auto p) { broker_.merge_snapshot(std::move(p.k)); });
   read(
-      "tenants", broker::BudgetSnapshots{}, [&](auto p) { broker_.take_budgets(p); });
+      "tenants", broker::BudgetSnapshots{}, [&](auto p) { broker_.restore_budgets(p); });
   read(
       "contracts", contracts::Snapshot{},
       [&](auto p) {
@@ -96,7 +96,7 @@
   // What cannot be read counts as spent.
   for (const auto& name : spoilt) {
     if (name == "hosts") broker_.set_slow_start_share(0.5);
-    if (name == "tenants") broker_.take_budgets({});
+    if (name == "tenants") broker_.restore_budgets({});
     if (name == "contracts" && contracts_) contracts_->contracts().unheard(clock_());
   }
   return spoilt;
@@ -191,7 +191,7 @@
   if (discovery_) return discovery_->start();
   auto list = zone_ ? zone_->list() : known_;
   list.full = true;
-  broker_.listed(list);
+  broker_.on_member_list(list);
 }
 
 }  // namespace cedarring::app
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -6,18 +6,25 @@
 namespace cedarring::broker {
 namespace {
 
-// How long a class that was dropped may still be named: clients hear of a reload later than the gateway, 1.2
-// s.
-constexpr Duration named_after{2'000'000};
-constexpr std::size_t counts_most = 256;
-// A request that has waited so long is not sent on before its client has been looked for: after a standstill,
-// or behind bytes that are not read, its end may not have been heard.
-constexpr Duration unseen_most{100'000};
-
-/// With the settings' number of attempts, which belongs to what a request came in under.
-RequestClass with_attempts(RequestClass cls, const Settings& settings) {
-  if (cls.max_attempts == 0) cls.max_attempts = settings.max_attempts;
-  return cls;
+// How long requests may still name a class that a reload has dropped: clients learn of a reload up to 1.2 s
+// later than the gateway.
+constexpr Duration dropped_class_lifetime{2'000'000};
+constexpr std::size_t max_class_counters = 256;
+// A request that has waited longer than this is sent on only after checking that its client is still
+// connected: after a stall of the process, or behind bytes that are not read, the broker may not have been
+// notified of a disconnect.
+constexpr Duration client_check_after{100'000};
+constexpr double microseconds_per_second = 1e6;
+// A host's state passed on by the other process reaches the router as an answered probe of this duration.
+constexpr std::chrono::milliseconds relayed_probe_duration(1);
+constexpr std::uint32_t timer_id = 1;
+constexpr double half_share = 0.5;
+constexpr double whole_share = 1;
+
+/// Fills in the settings' number of attempts, so that an open request keeps the number it was accepted under.
+RequestClass with_attempts(RequestClass request_class, const Settings& settings) {
+  if (request_class.max_attempts == 0) request_class.max_attempts = settings.max_attempts;
+  return request_class;
 }
 
 }  // namespace
@@ -33,145 +40,160 @@
       gated_tenants_(budgets_.size()),
       router_(settings),
       hosts_(std::move(zones)) {
-  contracts_.resize(settings.classes.size());
-  for (std::size_t i = 0; i < contracts_.size(); ++i) name(i, with_attempts(settings.classes[i], settings));
+  classes_.resize(settings.classes.size());
+  for (std::size_t i = 0; i < classes_.size(); ++i)
+    assign_class(i, with_attempts(settings.classes[i], settings));
 }
 
-void Broker::name(std::size_t index, const RequestClass& cls) {
-  contracts_[index] = {cls, &counts_[cls.name], forever};
+void Broker::assign_class(std::size_t index, const RequestClass& request_class) {
+  classes_[index] = {request_class, &counts_[request_class.name], no_expiry};
 }
 
 void Broker::update_settings(Settings settings, std::vector<TenantBudget> budgets) {
   const Time now = clock_();
-  std::vector<bool> open(contracts_.size(), false), kept(contracts_.size(), false);
-  for (const auto& [id, r] : requests_) open[static_cast<std::size_t>(r.ask.cls.value)] = true;
-  std::vector<RequestClass> fresh;
-  for (const auto& c : settings.classes) {
-    const auto cls = with_attempts(c, settings);
-    const auto same = std::find_if(contracts_.begin(), contracts_.end(),
-                                   [&](const Contract& k) { return k.until == forever && k.cls == cls; });
-    if (same == contracts_.end())
-      fresh.push_back(cls);
+  std::vector<bool> in_use(classes_.size(), false), kept(classes_.size(), false);
+  for (const auto& [id, request] : requests_)
+    in_use[static_cast<std::size_t>(request.gate_request.cls.value)] = true;
+  std::vector<RequestClass> added;
+  for (const auto& configured : settings.classes) {
+    const auto request_class = with_attempts(configured, settings);
+    const auto same = std::find_if(classes_.begin(), classes_.end(), [&](const ClassEntry& entry) {
+      return entry.expires_at == no_expiry && entry.request_class == request_class;
+    });
+    if (same == classes_.end())
+      added.push_back(request_class);
     else
-      kept[static_cast<std::size_t>(same - contracts_.begin())] = true;
+      kept[static_cast<std::size_t>(same - classes_.begin())] = true;
   }
-  for (std::size_t i = 0; i < contracts_.size(); ++i) {
-    if (kept[i] || contracts_[i].until != forever) continue;
-    const bool replaced = std::any_of(
-        fresh.begin(), fresh.end(), [&](const RequestClass& c) { return c.name == contracts_[i].cls.name; });
-    contracts_[i].until = replaced ? now : now + named_after;
+  for (std::size_t i = 0; i < classes_.size(); ++i) {
+    if (kept[i] || classes_[i].expires_at != no_expiry) continue;
+    const bool replaced = std::any_of(added.begin(), added.end(), [&](const RequestClass& request_class) {
+      return request_class.name == classes_[i].request_class.name;
+    });
+    classes_[i].expires_at = replaced ? now : now + dropped_class_lifetime;
   }
-  for (const auto& cls : fresh) {
-    std::size_t at = 0;
-    while (at < contracts_.size() && (contracts_[at].until > now || open[at])) ++at;
-    if (at == contracts_.size()) contracts_.emplace_back(), open.push_back(false);
-    name(at, cls);
+  for (const auto& request_class : added) {
+    std::size_t index = 0;
+    while (index < classes_.size() && (classes_[index].expires_at > now || in_use[index])) ++index;
+    if (index == classes_.size()) {
+      classes_.emplace_back();
+      in_use.push_back(false);
+    }
+    assign_class(index, request_class);
   }
-  // A name that no number stands for is forgotten once there are many.
-  for (auto it = counts_.begin(); it != counts_.end() && counts_.size() > counts_most;) {
-    const bool used = std::any_of(contracts_.begin(), contracts_.end(),
-                                  [&](const Contract& c) { return c.counts == &it->second; });
+  // Bounds memory: counters that no class uses are dropped once there are many.
+  for (auto it = counts_.begin(); it != counts_.end() && counts_.size() > max_class_counters;) {
+    const bool used = std::any_of(classes_.begin(), classes_.end(),
+                                  [&](const ClassEntry& entry) { return entry.counts == &it->second; });
     it = used ? std::next(it) : counts_.erase(it);
   }
-  for (auto& b : budgets_) b.named = false;
-  for (auto& b : budgets) {
-    const auto old = std::find_if(budgets_.begin(), budgets_.end(),
-                                  [&](const TenantBudget& o) { return o.tenant == b.tenant; });
-    if (old == budgets_.end())
-      budgets_.push_back(std::move(b));
-    else
-      old->named = true, old->per_second = b.per_second;
+  for (auto& budget : budgets_) budget.configured = false;
+  for (auto& budget : budgets) {
+    const auto existing = std::find_if(budgets_.begin(), budgets_.end(), [&](const TenantBudget& candidate) {
+      return candidate.tenant == budget.tenant;
+    });
+    if (existing == budgets_.end()) {
+      budgets_.push_back(std::move(budget));
+    } else {
+      existing->configured = true;
+      existing->per_second = budget.per_second;
+    }
   }
   settings.classes.clear();
-  for (const auto& c : contracts_) settings.classes.push_back(c.cls);
+  for (const auto& entry : classes_) settings.classes.push_back(entry.request_class);
   settings_ = std::move(settings);
   router_.update_settings(settings_);
 }
 
-void Broker::start(const MemberList& known) {
-  feed(Started{});
-  feed(MembersListed{ListKind::cached, hosts_.apply(known)});
+void Broker::start(const MemberList& known_members) {
+  handle_event(Started{});
+  handle_event(MembersListed{ListKind::cached, hosts_.apply(known_members)});
 }
 
-Rejection Broker::accept(const ClientRequest& ask, FrontEnd& front, RequestId& id) {
+Rejection Broker::accept(const ClientRequest& request, FrontEnd& front_end, RequestId& id) {
   const Time now = clock_();
-  const auto contract = std::find_if(contracts_.begin(), contracts_.end(), [&](const Contract& c) {
-    return c.cls.name == ask.contract && now < c.until;
+  const auto entry = std::find_if(classes_.begin(), classes_.end(), [&](const ClassEntry& candidate) {
+    return candidate.request_class.name == request.contract && now < candidate.expires_at;
   });
-  if (contract == contracts_.end()) return Rejection::unknown_contract;
+  if (entry == classes_.end()) return Rejection::unknown_contract;
   const auto rejection =
-      take(ask, ClassId{static_cast<std::int32_t>(contract - contracts_.begin())}, front, id);
-  // The front tells the client: what is worded as a refusal counts as one.
+      admit(request, ClassId{static_cast<std::int32_t>(entry - classes_.begin())}, front_end, id);
+  // The front end words these two rejections as refusals, so they count as refused.
   if (rejection == Rejection::overfull || rejection == Rejection::late)
-    ++contract->counts->shed;
+    ++entry->counts->shed;
   else if (rejection != Rejection::none)
-    ++contract->counts->errors;
+    ++entry->counts->errors;
   return rejection;
 }
 
-Rejection Broker::take(const ClientRequest& ask, ClassId cls, FrontEnd& front, RequestId& id) {
-  const auto budget = std::find_if(budgets_.begin(), budgets_.end(),
-                                   [&](const TenantBudget& b) { return b.named && b.tenant == ask.tenant; });
+Rejection Broker::admit(const ClientRequest& client_request, ClassId class_id, FrontEnd& front_end,
+                        RequestId& id) {
+  const auto budget = std::find_if(budgets_.begin(), budgets_.end(), [&](const TenantBudget& candidate) {
+    return candidate.configured && candidate.tenant == client_request.tenant;
+  });
   if (!budgets_.empty() && budget == budgets_.end()) return Rejection::unknown_tenant;
-  if (!hosts_.has_group(ask.group)) return Rejection::unknown_group;
+  if (!hosts_.has_group(client_request.group)) return Rejection::unknown_group;
   if (requests_.size() >= max_requests_) return Rejection::overfull;
   const Time now = clock_();
-  const Time deadline = std::min(ask.arrived.value_or(now), now) + ask.time_left;
-  if (deadline <= now || closing_) return Rejection::late;
-  // Hosts and the rules know a request by it: two at once could be taken for one another.
-  if (!names_.insert(ask.name).second) return Rejection::name_in_use;
+  const Time deadline = std::min(client_request.arrived.value_or(now), now) + client_request.time_left;
+  if (deadline <= now || shutting_down_) return Rejection::late;
+  // Hosts and routing rules identify a request by its name: two open requests must not share one.
+  if (!names_.insert(client_request.name).second) return Rejection::name_in_use;
   id = RequestId{next_request_++};
-  auto& r = requests_[id.value];
-  r.front = &front;
-  r.name = ask.name;
-  r.work = ask.work;
-  r.session = ask.session;
-  r.taken = now;
-  r.deadline = deadline;
-  r.ask.request = id;
-  r.ask.cls = cls;
-  r.ask.group = ask.group;
-  r.ask.retry = ask.retry;
-  r.ask.time_left = deadline - now;
-  if (ask.session) r.ask.caller = ask.session->value;
+  auto& request = requests_[id.value];
+  request.front_end = &front_end;
+  request.name = client_request.name;
+  request.payload = client_request.payload;
+  request.session = client_request.session;
+  request.accepted_at = now;
+  request.deadline = deadline;
+  request.gate_request.request = id;
+  request.gate_request.cls = class_id;
+  request.gate_request.group = client_request.group;
+  request.gate_request.retry = client_request.retry;
+  request.gate_request.time_left = deadline - now;
+  if (client_request.session) request.gate_request.caller = client_request.session->value;
   if (budget != budgets_.end()) {
-    r.budget = &*budget;
-    r.ask.tenant = static_cast<std::int32_t>(budget - budgets_.begin());
-    ++budget->asked;
-    r.ask.beyond_budget = !budget->draw(now);
-    if (r.ask.beyond_budget) ++budget->over;
+    request.budget = &*budget;
+    request.gate_request.tenant = static_cast<std::int32_t>(budget - budgets_.begin());
+    ++budget->requested;
+    request.gate_request.beyond_budget = !budget->try_spend(now);
+    if (request.gate_request.beyond_budget) ++budget->over_budget;
   }
-  if (const auto verdict = pass_gates(r, now); !verdict.admitted) {
-    // The router never learns of it: the answer is given here and now. The caller's own place for the id may
-    // go with it.
-    const RequestId mine = id;
-    end(mine, {AnswerStatus::refused, verdict.retry_after, {}, {}, {}, verdict}, verdict.decided_by);
-    settle(mine);
+  if (const auto verdict = pass_gates(request, now); !verdict.admitted) {
+    // The router is not notified: the refusal is given here. `id` refers to the caller's storage, which the
+    // answer may destroy.
+    const RequestId refused = id;
+    finish_request(refused, {AnswerStatus::refused, verdict.retry_after, {}, {}, {}, verdict},
+                   verdict.decided_by);
+    erase_if_complete(refused);
     return Rejection::none;
   }
   RequestArrived event;
   event.request = id;
-  event.class_id = r.ask.cls;
-  event.group = ask.group;
+  event.class_id = request.gate_request.cls;
+  event.group = client_request.group;
   event.time_left = deadline - now;
-  event.session = ask.session;
-  // A commit from a clock ahead of ours still is a write that the read has to see: never an age of zero.
-  if (ask.after) event.token_age = std::max(now - *ask.after, Duration(1));
-  feed(event);
+  event.session = client_request.session;
+  // A commit stamped by a clock ahead of this one is still a write that the read has to see, so its age is
+  // never zero.
+  if (client_request.after) event.token_age = std::max(now - *client_request.after, Duration(1));
+  handle_event(event);
   return Rejection::none;
 }
 
-gates::Verdict Broker::pass_gates(Request& r, Time now) {
-  // Gates know the classes and tenants of the start: what a reload has brought passes them by until the next
-  // one.
-  if (static_cast<std::size_t>(r.ask.cls.value) >= gated_classes_ ||
-      (r.ask.tenant >= 0 && static_cast<std::size_t>(r.ask.tenant) >= gated_tenants_))
+gates::Verdict Broker::pass_gates(Request& request, Time now) {
+  // Gates know the classes and tenants of the start. Requests of those added by a reload bypass the gates
+  // until the next restart.
+  if (static_cast<std::size_t>(request.gate_request.cls.value) >= gated_classes_ ||
+      (request.gate_request.tenant >= 0 &&
+       static_cast<std::size_t>(request.gate_request.tenant) >= gated_tenants_))
     return {};
   for (auto* gate : gates_) {
-    ++r.gates_asked;
-    const auto verdict = gate->admit(r.ask, now);
+    ++request.gates_consulted;
+    const auto verdict = gate->admit(request.gate_request, now);
     if (!verdict.admitted) return verdict;
-    r.ask.beyond_budget |= verdict.beyond_contract;
+    request.gate_request.beyond_budget |= verdict.beyond_contract;
   }
   return {};
 }
@@ -179,38 +201,40 @@
 void Broker::client_left(RequestId id) {
   const auto it = requests_.find(id.value);
   if (it == requests_.end() || it->second.ended) return;
-  close(it->second);
-  count(it->second, gates::RequestEnd::abandoned);
-  it->second.front = nullptr;
-  feed(ClientLeft{id});
-  give_up(id);
-}
-
-/// Nobody waits for it any more: what is still out is given up, and its connection with it.
-void Broker::give_up(RequestId id) {
-  const auto left = requests_.find(id.value);
-  if (left == requests_.end()) return;
-  const auto attempts = left->second.attempts;
+  mark_ended(it->second);
+  record_end(it->second, gates::RequestEnd::abandoned);
+  it->second.front_end = nullptr;
+  handle_event(ClientLeft{id});
+  cancel_attempts(id);
+}
+
+/// Cancels the attempts in flight of a request whose answer is no longer awaited; their connections are
+/// closed.
+void Broker::cancel_attempts(RequestId id) {
+  const auto it = requests_.find(id.value);
+  if (it == requests_.end()) return;
+  const auto attempts = it->second.attempts;
   for (std::uint32_t i = 0; i < attempts.size(); ++i)
-    if (attempts[i].out) {
+    if (attempts[i].in_flight) {
       upstream_.cancel({id, i});
       attempt_ended({id, i}, {Outcome::cancelled, {}, {}, {}, {}});
     }
-  settle(id);
+  erase_if_complete(id);
 }
 
 void Broker::begin_shutdown() {
-  closing_ = true;
+  shutting_down_ = true;
   std::vector<RequestId> open;
-  for (const auto& [id, r] : requests_)
-    if (!r.ended && !r.streaming) open.push_back(RequestId{id});
+  for (const auto& [id, request] : requests_)
+    if (!request.ended && !request.streaming) open.push_back(RequestId{id});
   for (const auto id : open) {
     const auto it = requests_.find(id.value);
     if (it == requests_.end() || it->second.ended) continue;
-    const auto how = it->second.ran || it->second.out > 0 ? AnswerStatus::failed : AnswerStatus::refused;
-    end(id, {how, {}, {}, {}, {}, {}}, gates::Decider::nobody);
-    feed(ClientLeft{id});
-    give_up(id);
+    const auto status = it->second.may_have_run || it->second.attempts_in_flight > 0 ? AnswerStatus::failed
+                                                                                     : AnswerStatus::refused;
+    finish_request(id, {status, {}, {}, {}, {}, {}}, gates::Decider::nobody);
+    handle_event(ClientLeft{id});
+    cancel_attempts(id);
   }
 }
 
@@ -218,14 +242,14 @@
   const auto it = requests_.find(key.request.value);
   if (it == requests_.end() || it->second.ended || key.number + 1 != it->second.attempts.size()) return true;
   if (!std::exchange(it->second.streaming, true)) {
-    feed(AnswerStarted{key.request, key.number});
-    it->second.ran = true;
+    handle_event(AnswerStarted{key.request, key.number});
+    it->second.may_have_run = true;
   }
-  auto* front = it->second.front;
-  return !front || front->part(key.request, bytes);
+  auto* front_end = it->second.front_end;
+  return !front_end || front_end->on_answer_part(key.request, bytes);
 }
 
-void Broker::more(RequestId id) {
+void Broker::resume_answer(RequestId id) {
   const auto it = requests_.find(id.value);
   if (it == requests_.end() || it->second.ended || !it->second.streaming) return;
   upstream_.resume({id, static_cast<std::uint32_t>(it->second.attempts.size() - 1)});
@@ -233,70 +257,77 @@
 
 void Broker::attempt_written(AttemptKey key) {
   const auto it = requests_.find(key.request.value);
-  if (it != requests_.end()) ++contracts_[static_cast<std::size_t>(it->second.ask.cls.value)].counts->tries;
+  if (it != requests_.end())
+    ++classes_[static_cast<std::size_t>(it->second.gate_request.cls.value)].counts->tries;
 }
 
 void Broker::collect_metrics(telemetry::Metrics& out) {
   for (const auto& [name, counts] : counts_) out.classes[name] += counts;
   out.active += names_.size();
-  out.pool_size += hosts_.listed();
+  out.pool_size += hosts_.listed_count();
   std::vector<GroupView> views;
   group_views(views);
-  for (const auto& v : views) out.pool_ejected += static_cast<std::uint64_t>(v.avoided);
+  for (const auto& view : views) out.pool_ejected += static_cast<std::uint64_t>(view.avoided);
   out.pool_ejected += hosts_.listed_disabled();
 }
 
 void Broker::attempt_ended(AttemptKey key, AttemptResult result) {
   const auto it = requests_.find(key.request.value);
   if (it == requests_.end() || key.number >= it->second.attempts.size()) return;
-  auto& r = it->second;
-  auto& a = r.attempts[key.number];
-  if (!a.out) return;
-  a.out = false;
-  --r.out;
+  auto& request = it->second;
+  auto& attempt = request.attempts[key.number];
+  if (!attempt.in_flight) return;
+  attempt.in_flight = false;
+  --request.attempts_in_flight;
   AttemptEnded event;
   event.request = key.request;
   event.attempt = key.number;
-  event.host = a.host;
+  event.host = attempt.host;
   event.outcome = result.outcome;
-  event.elapsed = a.took = clock_() - a.sent;
-  a.outcome = result.outcome;
+  attempt.duration = clock_() - attempt.sent_at;
+  event.elapsed = attempt.duration;
+  attempt.outcome = result.outcome;
   event.metadata = result.metadata;
   event.report = result.report;
   event.connect_timed_out = result.connect_timed_out;
-  r.why = result.outcome;
-  r.ran |= result.outcome != Outcome::connect_failed && result.outcome != Outcome::not_sent &&
-           result.outcome != Outcome::full && result.outcome != Outcome::too_stale;
-  r.message = std::move(result.message);
-  // A write's position is its commit, which its primary alone is known to hold.
+  request.last_outcome = result.outcome;
+  request.may_have_run |= result.outcome != Outcome::connect_failed && result.outcome != Outcome::not_sent &&
+                          result.outcome != Outcome::full && result.outcome != Outcome::too_stale;
+  request.message = std::move(result.message);
+  // The position of a write is its commit, which only its primary is known to have.
   const bool commit =
-      contracts_[static_cast<std::size_t>(r.ask.cls.value)].cls.freshness == Freshness::write &&
+      classes_[static_cast<std::size_t>(request.gate_request.cls.value)].request_class.freshness ==
+          Freshness::write &&
       result.metadata.role != Role::replica;
-  hear(a.host, result.metadata.role, commit ? std::nullopt : result.metadata.position);
-  // What a host has served ends the request: the router learns of both at once, then the client gets it.
-  FrontEnd* front = nullptr;
-  if (result.outcome == Outcome::ok && !r.ended) {
-    front = std::exchange(r.front, nullptr);
-    close(r);
-    count(r, gates::RequestEnd::served);
-    if (commit && commit_ && r.session)
-      commit_({r.ask.group, *r.session, result.metadata.position.value_or(clock_())});
+  observe_host(attempt.host, result.metadata.role, commit ? std::nullopt : result.metadata.position);
+  // A served attempt ends the request: the router is notified of both in one event, then the client is
+  // answered.
+  FrontEnd* front_end = nullptr;
+  if (result.outcome == Outcome::ok && !request.ended) {
+    front_end = std::exchange(request.front_end, nullptr);
+    mark_ended(request);
+    record_end(request, gates::RequestEnd::served);
+    if (commit && on_commit_ && request.session)
+      on_commit_({request.gate_request.group, *request.session, result.metadata.position.value_or(clock_())});
   }
-  event.request_ended = r.ended;
-  feed(event);
-  settle(key.request);
-  if (front) front->finish(key.request, {AnswerStatus::served, {}, std::move(result.value), {}, {}, {}});
+  event.request_ended = request.ended;
+  handle_event(event);
+  erase_if_complete(key.request);
+  if (front_end)
+    front_end->finish(key.request, {AnswerStatus::served, {}, std::move(result.value), {}, {}, {}});
 }
 
-void Broker::hear(HostId host, Role role, std::optional<Time> position) {
-  if (hosts_.observe(host, role, position, clock_()) && role_told_) role_told_(hosts_.name(host), role);
+/// Records a host's role and position, and reports a change of role.
+void Broker::observe_host(HostId host, Role role, std::optional<Time> position) {
+  if (hosts_.observe(host, role, position, clock_()) && on_role_change_)
+    on_role_change_(hosts_.name(host), role);
 }
 
-bool Broker::set_disabled(const std::string& host, bool out, bool sure) {
-  const auto entry = hosts_.set_disabled(host, out, clock_(), sure);
+bool Broker::set_disabled(const std::string& host, bool disabled, bool force) {
+  const auto entry = hosts_.set_disabled(host, disabled, clock_(), force);
   if (!entry) return false;
-  if (entry->host == HostId{}) return true;  // not listed now: it is still out when it returns
-  feed(MembersListed{ListKind::delta, {*entry}});
+  if (entry->host == HostId{}) return true;  // not listed now: it stays disabled when it is listed again
+  handle_event(MembersListed{ListKind::delta, {*entry}});
   if (entry->state != HostState::ready) upstream_.close_idle(entry->host);
   return true;
 }
@@ -306,205 +337,236 @@
   if (!id) return;
   hosts_.observe(*id, role, position, clock_());
   LoadReport report;
-  // A primary stands at the present, so an old position would make it look like one that has stopped.
+  // A primary is always current, so an old position would make it look stalled.
   if (role != Role::primary) report.position = position;
   if (role != Role::unknown) report.role = role;
-  feed(ProbeEnded{*id, Outcome::ok, std::chrono::milliseconds(1), report});
+  handle_event(ProbeEnded{*id, Outcome::ok, relayed_probe_duration, report});
 }
 
-RouterSnapshot Broker::snapshot(SnapshotScope what) {
-  auto k = router_.snapshot(clock_(), what);
-  for (auto& h : k.hosts) h.name = hosts_.name(h.host);
-  return k;
+RouterSnapshot Broker::snapshot(SnapshotScope scope) {
+  auto snapshot = router_.snapshot(clock_(), scope);
+  for (auto& host : snapshot.hosts) host.name = hosts_.name(host.host);
+  return snapshot;
 }
 
-void Broker::merge_snapshot(RouterSnapshot k) {
-  for (auto& h : k.hosts) h.host = hosts_.find(h.name).value_or(HostId{});
-  router_.merge_snapshot(clock_(), k);
+void Broker::merge_snapshot(RouterSnapshot snapshot) {
+  for (auto& host : snapshot.hosts) host.host = hosts_.find(host.name).value_or(HostId{});
+  router_.merge_snapshot(clock_(), snapshot);
 }
 
 BudgetSnapshots Broker::split_budgets() {
-  BudgetSnapshots all;
-  for (auto& b : budgets_) {
-    b.refill(clock_());
-    const double theirs = handover::budget_share(handover::HandoverStage::incoming, b.per_second);
-    all[b.tenant] = {theirs, b.left * theirs};
-    b.part = handover::budget_share(handover::HandoverStage::outgoing, b.per_second), b.left *= b.part;
+  BudgetSnapshots snapshots;
+  for (auto& budget : budgets_) {
+    budget.refill(clock_());
+    const double other_share = handover::budget_share(handover::HandoverStage::incoming, budget.per_second);
+    snapshots[budget.tenant] = {other_share, budget.tokens * other_share};
+    budget.share_fraction = handover::budget_share(handover::HandoverStage::outgoing, budget.per_second);
+    budget.tokens *= budget.share_fraction;
   }
-  return all;
-}
-
-void Broker::take_budgets(const BudgetSnapshots& told) {
-  for (auto& b : budgets_)
-    b.part = handover::budget_share(handover::HandoverStage::incoming, b.per_second), b.left = 0,
-    b.at = clock_();
-  for (auto& b : budgets_)
-    if (const auto it = told.find(b.tenant); it != told.end()) {
-      b.at = clock_();
-      b.part = it->second.part >= 0 && it->second.part <= 1 ? it->second.part : 0;
-      b.left = it->second.left >= 0 ? std::min(it->second.left, b.per_second * b.part) : 0;
+  return snapshots;
+}
+
+void Broker::restore_budgets(const BudgetSnapshots& received) {
+  for (auto& budget : budgets_) {
+    budget.share_fraction = handover::budget_share(handover::HandoverStage::incoming, budget.per_second);
+    budget.tokens = 0;
+    budget.refilled_at = clock_();
+  }
+  for (auto& budget : budgets_)
+    if (const auto it = received.find(budget.tenant); it != received.end()) {
+      const auto& snapshot = it->second;
+      budget.refilled_at = clock_();
+      budget.share_fraction =
+          snapshot.share_fraction >= 0 && snapshot.share_fraction <= 1 ? snapshot.share_fraction : 0;
+      budget.tokens =
+          snapshot.tokens >= 0 ? std::min(snapshot.tokens, budget.per_second * budget.share_fraction) : 0;
     }
 }
 
 void Broker::suspend_spending() {
   router_.suspend_spending();
-  for (auto& b : budgets_) b.part = b.left = 0, b.at = clock_();
+  for (auto& budget : budgets_) {
+    budget.tokens = 0;
+    budget.share_fraction = 0;
+    budget.refilled_at = clock_();
+  }
 }
 
 void Broker::assume_own_share() {
-  set_slow_start_share(0.5);
-  take_budgets({});
+  set_slow_start_share(half_share);
+  restore_budgets({});
 }
 
 void Broker::resume_full_spending() {
-  set_slow_start_share(1);
-  for (auto& b : budgets_) b.refill(clock_()), b.part = 1;
+  set_slow_start_share(whole_share);
+  for (auto& budget : budgets_) {
+    budget.refill(clock_());
+    budget.share_fraction = 1;
+  }
 }
 
 void Broker::probe_ended(HostId host, Outcome outcome, Duration elapsed, const LoadReport& report) {
-  hear(host, report.role.value_or(Role::unknown), report.position);
-  feed(ProbeEnded{host, outcome, elapsed, report});
+  observe_host(host, report.role.value_or(Role::unknown), report.position);
+  handle_event(ProbeEnded{host, outcome, elapsed, report});
 }
 
-void Broker::listed(const MemberList& list) {
-  feed(MembersListed{list.full ? ListKind::full : ListKind::delta, hosts_.apply(list)});
-  for (const auto host : hosts_.closed()) upstream_.close_idle(host);
-  // While the router is being fed it has not seen this list yet: it would seem to know none of the new hosts.
-  if (!feeding_) hosts_.prune([this](HostId id) { return router_.tracks(id); });
+void Broker::on_member_list(const MemberList& list) {
+  handle_event(MembersListed{list.full ? ListKind::full : ListKind::delta, hosts_.apply(list)});
+  for (const auto host : hosts_.hosts_to_close()) upstream_.close_idle(host);
+  // While an event is being handled, the router has not processed this list yet and would report the new
+  // hosts as unknown.
+  if (!handling_events_) hosts_.prune([this](HostId id) { return router_.tracks(id); });
 }
 
-void Broker::list_failed() { feed(MembersListed{ListKind::failed, {}}); }
+void Broker::on_member_list_failed() { handle_event(MembersListed{ListKind::failed, {}}); }
 
-void Broker::timer_fired() { feed(TimerFired{1}); }
+void Broker::timer_fired() { handle_event(TimerFired{timer_id}); }
 
-/// Events are taken one after another: what an action brings about at once waits for its turn.
-void Broker::feed(Event event) {
+/// Handles events one after another: an event that an action causes at once is queued.
+void Broker::handle_event(Event event) {
   events_.emplace_back(clock_(), std::move(event));
-  if (feeding_) return;
-  feeding_ = true;
+  if (handling_events_) return;
+  handling_events_ = true;
   std::vector<Action> actions;
   while (!events_.empty()) {
     const auto [now, next] = std::move(events_.front());
     events_.pop_front();
     actions.clear();
     router_.handle(now, next, actions);
-    for (const auto& action : actions) act(action, now);
+    for (const auto& action : actions) perform(action, now);
   }
-  feeding_ = false;
-}
-
-void Broker::act(const Action& action, Time now) {
-  if (const auto* s = std::get_if<Send>(&action)) return send(*s, now);
-  if (const auto* c = std::get_if<Cancel>(&action)) {
-    const auto it = requests_.find(c->request.value);
-    if (it == requests_.end() || c->attempt >= it->second.attempts.size()) return;
-    if (!it->second.attempts[c->attempt].out) return;
-    upstream_.cancel({c->request, c->attempt});
-    attempt_ended({c->request, c->attempt}, {Outcome::cancelled, {}, {}, {}, {}});
-  } else if (const auto* r = std::get_if<Refuse>(&action)) {
-    end(r->request, {AnswerStatus::refused, r->retry_after, {}, {}, {}, {}}, gates::Decider::router);
-    settle(r->request);
-  } else if (const auto* f = std::get_if<Fail>(&action)) {
-    end(f->request, {AnswerStatus::failed, {}, {}, {}, {}, {}}, gates::Decider::router);
-    settle(f->request);
-  } else if (const auto* p = std::get_if<Probe>(&action)) {
-    upstream_.probe(p->host, hosts_.address(p->host));
-  } else if (const auto* t = std::get_if<SetTimer>(&action)) {
-    upstream_.set_timer(t->due);
+  handling_events_ = false;
+}
+
+void Broker::perform(const Action& action, Time now) {
+  if (const auto* send = std::get_if<Send>(&action)) return start_attempt(*send, now);
+  if (const auto* cancel = std::get_if<Cancel>(&action)) {
+    const auto it = requests_.find(cancel->request.value);
+    if (it == requests_.end() || cancel->attempt >= it->second.attempts.size()) return;
+    if (!it->second.attempts[cancel->attempt].in_flight) return;
+    upstream_.cancel({cancel->request, cancel->attempt});
+    attempt_ended({cancel->request, cancel->attempt}, {Outcome::cancelled, {}, {}, {}, {}});
+  } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+    finish_request(refuse->request, {AnswerStatus::refused, refuse->retry_after, {}, {}, {}, {}},
+                   gates::Decider::router);
+    erase_if_complete(refuse->request);
+  } else if (const auto* fail = std::get_if<Fail>(&action)) {
+    finish_request(fail->request, {AnswerStatus::failed, {}, {}, {}, {}, {}}, gates::Decider::router);
+    erase_if_complete(fail->request);
+  } else if (const auto* probe = std::get_if<Probe>(&action)) {
+    upstream_.probe(probe->host, hosts_.address(probe->host));
+  } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
+    upstream_.set_timer(timer->due);
   } else if (std::holds_alternative<OpenWatch>(action)) {
     upstream_.open_watch();
   }
 }
 
-void Broker::send(const Send& send, Time now) {
+void Broker::start_attempt(const Send& send, Time now) {
   const auto it = requests_.find(send.request.value);
   if (it == requests_.end()) return;
-  auto& r = it->second;
-  const auto number = static_cast<std::uint32_t>(r.attempts.size());
-  r.attempts.push_back({send.host, now, true});
-  ++r.out;
+  auto& request = it->second;
+  const auto number = static_cast<std::uint32_t>(request.attempts.size());
+  request.attempts.push_back({send.host, now, true});
+  ++request.attempts_in_flight;
   const AttemptKey key{send.request, number};
-  const Time stop_at = send.give_up_at > Time::zero() ? std::min(send.give_up_at, r.deadline) : r.deadline;
-  // A request that ended while this action waited is not sent at all: nobody would take its answer.
-  const bool barred =
-      number > 0 && std::any_of(gates_.begin(), gates_.begin() + static_cast<std::ptrdiff_t>(r.gates_asked),
-                                [&](auto* gate) { return !gate->may_retry(r.ask, now); });
-  const bool waited = number > 0 || now - r.taken > unseen_most;
-  if (!r.ended && waited && r.front && r.front->gone()) return client_left(send.request);
-  if (r.ended || barred || clock_() >= stop_at)
+  const Time give_up_at =
+      send.give_up_at > Time::zero() ? std::min(send.give_up_at, request.deadline) : request.deadline;
+  const auto consulted_end = gates_.begin() + static_cast<std::ptrdiff_t>(request.gates_consulted);
+  const bool retry_barred = number > 0 && std::any_of(gates_.begin(), consulted_end, [&](auto* gate) {
+                              return !gate->may_retry(request.gate_request, now);
+                            });
+  const bool check_client = number > 0 || now - request.accepted_at > client_check_after;
+  if (!request.ended && check_client && request.front_end && request.front_end->client_gone())
+    return client_left(send.request);
+  // A request that ended while this action was queued is not sent: its answer is no longer awaited.
+  if (request.ended || retry_barred || clock_() >= give_up_at)
     return attempt_ended(key, {Outcome::not_sent, {}, {}, {}, {}, {}});
-  const auto work = r.work;
-  upstream_.start(key, send.host, hosts_.address(send.host), work, stop_at, send.sole_candidate);
+  const auto payload = request.payload;
+  upstream_.start(key, send.host, hosts_.address(send.host), payload, give_up_at, send.sole_candidate);
 }
 
-void Broker::end(RequestId id, FinalAnswer answer, gates::Decider by) {
+void Broker::finish_request(RequestId id, FinalAnswer answer, gates::Decider decided_by) {
   const auto it = requests_.find(id.value);
   if (it == requests_.end() || it->second.ended) return;
-  if (it->second.streaming) answer = {}, answer.truncated = true;
-  close(it->second);
-  count(it->second,
-        answer.status == AnswerStatus::refused ? gates::RequestEnd::refused : gates::RequestEnd::failed, by,
-        answer.verdict.reason);
-  if (answer.status == AnswerStatus::failed)
-    answer.message = std::move(it->second.message), answer.last_outcome = it->second.why;
-  if (auto* front = std::exchange(it->second.front, nullptr)) front->finish(id, std::move(answer));
-}
-
-void Broker::count(Request& r, gates::RequestEnd end, gates::Decider by, gates::Reason why) {
-  r.how = end;
-  if (r.gates_asked > 0) {
+  if (it->second.streaming) {
+    answer = {};
+    answer.truncated = true;
+  }
+  mark_ended(it->second);
+  record_end(it->second,
+             answer.status == AnswerStatus::refused ? gates::RequestEnd::refused : gates::RequestEnd::failed,
+             decided_by, answer.verdict.reason);
+  if (answer.status == AnswerStatus::failed) {
+    answer.message = std::move(it->second.message);
+    answer.last_outcome = it->second.last_outcome;
+  }
+  if (auto* front_end = std::exchange(it->second.front_end, nullptr))
+    front_end->finish(id, std::move(answer));
+}
+
+/// Notifies the gates of a request's end, and counts it for its class and tenant.
+void Broker::record_end(Request& request, gates::RequestEnd end, gates::Decider decided_by,
+                        gates::Reason reason) {
+  request.end = end;
+  if (request.gates_consulted > 0) {
     const Time now = clock_();
-    for (std::size_t i = 0; i < r.gates_asked; ++i)
-      gates_[i]->on_request_end(r.ask, {end, by, why, r.ran, now - r.taken}, now);
+    for (std::size_t i = 0; i < request.gates_consulted; ++i)
+      gates_[i]->on_request_end(request.gate_request,
+                                {end, decided_by, reason, request.may_have_run, now - request.accepted_at},
+                                now);
   }
   if (end == gates::RequestEnd::abandoned) return;
-  auto& counts = *contracts_[static_cast<std::size_t>(r.ask.cls.value)].counts;
+  auto& counts = *classes_[static_cast<std::size_t>(request.gate_request.cls.value)].counts;
   ++(end == gates::RequestEnd::served    ? counts.ok
      : end == gates::RequestEnd::refused ? counts.shed
                                          : counts.errors);
-  if (!r.budget) return;
-  ++(end == gates::RequestEnd::served    ? r.budget->served
-     : end == gates::RequestEnd::refused ? r.budget->refused
-                                         : r.budget->failed);
+  if (!request.budget) return;
+  ++(end == gates::RequestEnd::served    ? request.budget->served
+     : end == gates::RequestEnd::refused ? request.budget->refused
+                                         : request.budget->failed);
 }
 
 void TenantBudget::refill(Time now) {
-  const double passed = static_cast<double>((now - at).count()) / 1e6, rate = per_second * part;
-  left = at == Time{} ? rate : std::min(rate, left + passed * rate);
-  at = now;
+  const double seconds = static_cast<double>((now - refilled_at).count()) / microseconds_per_second;
+  const double rate = per_second * share_fraction;
+  tokens = refilled_at == Time{} ? rate : std::min(rate, tokens + seconds * rate);
+  refilled_at = now;
 }
 
-bool TenantBudget::draw(Time now) {
+bool TenantBudget::try_spend(Time now) {
   refill(now);
-  if (left < 1) return false;
-  left -= 1;
+  if (tokens < 1) return false;
+  tokens -= 1;
   return true;
 }
 
-void Broker::close(Request& r) {
-  r.ended = true;
-  r.ended_at = clock_();
-  names_.erase(r.name);
+void Broker::mark_ended(Request& request) {
+  request.ended = true;
+  request.ended_at = clock_();
+  names_.erase(request.name);
 }
 
-void Broker::settle(RequestId id) {
+/// Erases a request that has ended and has no attempt in flight.
+void Broker::erase_if_complete(RequestId id) {
   const auto it = requests_.find(id.value);
-  if (it == requests_.end() || !it->second.ended || it->second.out > 0) return;
-  if (course_) tell_course(it->second);
+  if (it == requests_.end() || !it->second.ended || it->second.attempts_in_flight > 0) return;
+  if (on_request_trace_) report_trace(it->second);
   requests_.erase(it);
 }
 
-void Broker::tell_course(const Request& r) const {
-  RequestTrace c;
-  c.name = r.name;
-  c.contract = contracts_[static_cast<std::size_t>(r.ask.cls.value)].cls.name;
-  c.group = r.ask.group;
-  c.retry = r.ask.retry;
-  c.elapsed = r.ended_at - r.taken;
-  c.end = r.how;
-  for (const auto& a : r.attempts)
-    c.legs.push_back({hosts_.name(a.host), a.sent - r.taken, a.took, a.outcome});
-  course_(c);
+void Broker::report_trace(const Request& request) const {
+  RequestTrace trace;
+  trace.name = request.name;
+  trace.contract = classes_[static_cast<std::size_t>(request.gate_request.cls.value)].request_class.name;
+  trace.group = request.gate_request.group;
+  trace.retry = request.gate_request.retry;
+  trace.elapsed = request.ended_at - request.accepted_at;
+  trace.end = request.end;
+  for (const auto& attempt : request.attempts)
+    trace.attempts.push_back({hosts_.name(attempt.host), attempt.sent_at - request.accepted_at,
+                              attempt.duration, attempt.outcome});
+  on_request_trace_(trace);
 }
 
 }  // namespace cedarring::broker
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -1,5 +1,6 @@
-// The broker: requests, attempts, contracts and budgets. It drives the Router and knows no wire: a FrontEnd
-// takes final answers, an Upstream carries attempts out. Decides nothing itself.
+/// The broker keeps the open requests, their attempts and the tenants' budgets, and drives the Router. It
+/// knows no protocol: a FrontEnd receives the final answers, an Upstream carries the attempts out. Gates and
+/// the router make the decisions; the broker carries them out.
 #pragma once
 
 #include <algorithm>
@@ -23,195 +24,221 @@
 
 namespace cedarring::broker {
 
-/// What a front wants done: opaque here, understood by the upstream of the same protocol.
+/// The statement of a request. The broker passes it on unread; the upstream of the front end's protocol
+/// interprets it.
 struct RequestPayload {
   virtual ~RequestPayload() = default;
 };
 
-/// A request in the terms of its contract.
+/// A request as a front end hands it to the broker.
 struct ClientRequest {
-  std::string name;      // its id among the clients' open requests
-  std::string contract;  // the class's name
+  std::string name;      // the client's id for the request, unique among the open requests
+  std::string contract;  // name of the request class
   std::string tenant;
   GroupId group;
-  Duration time_left{};         // that its client waits, counted from `arrived`
-  std::optional<Time> arrived;  // when its last byte came; absent: now
+  Duration time_left{};         // how long the client waits, counted from `arrived`
+  std::optional<Time> arrived;  // when the request's last byte arrived; absent: now
   std::optional<SessionId> session;
-  std::optional<Time> after;  // the position that the read has to see
-  bool retry = false;         // marked by the client as one
-  std::shared_ptr<const RequestPayload> work;
+  std::optional<Time> after;  // replication position that the read has to see
+  bool retry = false;         // marked by the client as a retry
+  std::shared_ptr<const RequestPayload> payload;
 };
 
+/// How a request ended, as its client is told.
 enum class AnswerStatus { served, refused, failed };
+
+/// The final answer to a request.
 struct FinalAnswer {
   AnswerStatus status = AnswerStatus::failed;
-  Duration retry_after{};               // of a refusal: when to come back
-  std::string value;                    // of what was served: as the upstream gave it
-  std::string message;                  // of a failure: what the host said, if anything
-  std::optional<Outcome> last_outcome;  // of a failure: how the last attempt ended
-  gates::Verdict verdict;               // of a refusal by a gate: who, and why
-  bool truncated = false;               // parts of a value have been passed on, and the rest does not come
+  Duration retry_after{};               // refused: when the client may retry
+  std::string value;                    // served: the value as the upstream returned it
+  std::string message;                  // failed: the host's error message, if any
+  std::optional<Outcome> last_outcome;  // failed: outcome of the last attempt
+  gates::Verdict verdict;               // refused by a gate: the gate's verdict
+  bool truncated = false;  // parts of the value have been passed on, and the rest will not follow
 };
 
+/// Receives the answers of the requests that it has handed to the broker.
 class FrontEnd {
  public:
   virtual ~FrontEnd() = default;
-  /// A part of a long answer, before the final one: false if no more may come until Broker::more.
-  virtual bool part(RequestId /*request*/, std::string_view /*bytes*/) { return true; }
-  /// The one final answer of a request; behind parts its value is what follows them, or `truncated` is set.
+  /// Receives a part of a long answer, before the final answer. Returns false if no more parts may come until
+  /// Broker::resume_answer.
+  virtual bool on_answer_part(RequestId /*request*/, std::string_view /*bytes*/) { return true; }
+  /// Receives the one final answer of a request. After parts, its value is the remainder, or `truncated` is
+  /// set.
   virtual void finish(RequestId request, FinalAnswer answer) = 0;
-  /// Whether nobody is there any more to take an answer, heard of or not.
-  [[nodiscard]] virtual bool gone() const { return false; }
+  /// Whether the client has disconnected, even if the broker has not been notified yet.
+  [[nodiscard]] virtual bool client_gone() const { return false; }
 };
 
+/// Identifies an attempt: its request, and its index among the request's attempts.
 struct AttemptKey {
   RequestId request;
   std::uint32_t number = 0;
 };
 
-/// How an attempt ended, as told by the upstream.
+/// How an attempt ended, as reported by the upstream.
 struct AttemptResult {
   Outcome outcome = Outcome::ok;
   AnswerMetadata metadata;
   LoadReport report;
   std::string value;
   std::string message;
-  bool connect_timed_out = false;  // of connect_failed: nothing came in its time
+  bool connect_timed_out = false;  // connect_failed: the connection attempt timed out
 };
 
-/// Carries attempts, probes and the watch out. Results may come before the call returns.
+/// Carries out attempts, probes and the discovery watch. Results may be reported before a call returns.
 class Upstream {
  public:
   virtual ~Upstream() = default;
-  /// `only_there`: no other host can take it, so that a connection is waited for as long as may be.
+  /// Starts an attempt, which ends by `give_up_at` at the latest. `sole_candidate`: no other host can take
+  /// the request, so the attempt waits for a connection as long as its time allows.
   virtual void start(AttemptKey key, HostId host, const std::string& address,
-                     const std::shared_ptr<const RequestPayload>& work, Time stop_at, bool only_there) = 0;
+                     const std::shared_ptr<const RequestPayload>& payload, Time give_up_at,
+                     bool sole_candidate) = 0;
   virtual void cancel(AttemptKey key) = 0;
   virtual void probe(HostId host, const std::string& address) = 0;
   virtual void open_watch() = 0;
+  /// Arranges for Broker::timer_fired at `due`.
   virtual void set_timer(Time due) = 0;
-  /// The front has room for more of an attempt's answer.
+  /// The front end accepts further parts of the attempt's answer.
   virtual void resume(AttemptKey /*key*/) {}
-  /// Hosts that are no longer listed as ready: idle connections to them are of no more use.
+  /// Closes the idle connections to a host that is no longer listed as ready.
   virtual void close_idle(HostId host) = 0;
 };
 
-/// A tenant's share of the service, and what it has made of it at this gateway. It is kept, not enforced:
-/// what to give up in overload is the router's to decide.
+/// A tenant's budget, a token bucket, and its counters at this gateway. The budget is accounted for, not
+/// enforced: gates and the router decide which requests to refuse in overload.
 struct TenantBudget {
   std::string tenant;
-  double per_second = 0;                                                   // this gateway's part of the share
-  std::uint64_t asked = 0, over = 0, served = 0, refused = 0, failed = 0;  // over: asked beyond the share
-  double left = 0;
-  Time at{};
-  bool named = true;  // in the settings in force
-  double part = 1;    // of both processes' while an upgrade runs, that is this one's
-  /// Takes one request off the share, a second's worth of which is saved; false beyond it.
-  bool draw(Time now);
+  double per_second = 0;  // this gateway's share of the tenant's rate, requests per second
+  // Requests; over_budget: those that arrived beyond the budget.
+  std::uint64_t requested = 0, over_budget = 0, served = 0, refused = 0, failed = 0;
+  double tokens = 0;
+  Time refilled_at{};
+  bool configured = true;     // whether the current settings contain the tenant
+  double share_fraction = 1;  // this process's fraction of per_second while two processes run in an upgrade
+  /// Spends one token; false if there is none. At most one second's worth of tokens is saved.
+  bool try_spend(Time now);
+  /// Adds the tokens earned since `refilled_at`.
   void refill(Time now);
 };
 
-/// What is left of a tenant's share, for the process that is told.
+/// The part of a tenant's budget that is handed over to another process of this gateway.
 struct BudgetSnapshot {
-  double part = 0, left = 0;
+  double share_fraction = 0, tokens = 0;
 };
 template <class Archive>
-void serialize(Archive& archive, BudgetSnapshot& b) {
-  archive("part", b.part), archive("left", b.left);
+void serialize(Archive& archive, BudgetSnapshot& budget) {
+  archive("part", budget.share_fraction), archive("left", budget.tokens);
 }
 using BudgetSnapshots = std::map<std::string, BudgetSnapshot>;  // by tenant
 
-/// late: its time ran out before its turn came, nothing has run.
+/// Why a request was not accepted. late: its deadline passed before it was accepted, and nothing has run.
 enum class Rejection { none, unknown_contract, unknown_tenant, unknown_group, name_in_use, overfull, late };
 
-/// A request that is over, for those who look for what became of it.
+/// The course of a request that has ended, for the log.
 struct RequestTrace {
   struct AttemptTrace {
     std::string host;
-    Duration sent{}, took{};  // since the request was taken; until it ended
+    Duration sent_after{}, duration{};  // sent_after: since the request was accepted
     Outcome outcome = Outcome::ok;
   };
   std::string name, contract;
   GroupId group;
   bool retry = false;
-  Duration elapsed{};  // until its final answer, or until its client left
+  Duration elapsed{};  // until the final answer, or until the client disconnected
   gates::RequestEnd end = gates::RequestEnd::failed;
-  std::vector<AttemptTrace> legs;
+  std::vector<AttemptTrace> attempts;
 };
 
+/// Accepts requests from front ends and sees each through to one final answer. Single-threaded; gates,
+/// upstream and front ends are not owned and outlive the broker.
 class Broker {
-  static constexpr Time forever{INT64_MAX / 2};
+  static constexpr Time no_expiry{INT64_MAX / 2};
 
  public:
   using Clock = std::function<Time()>;
   Broker(Settings settings, const std::vector<TenantBudget>& budgets, std::vector<std::string> zones,
          Clock clock, Upstream& upstream, std::size_t max_requests = 20000);
-  /// Puts a gate behind those there are: a request passes them in this order, then the router. Not owned.
+  /// Appends a gate: a request passes the gates in this order, then the router. Not owned.
   void add_gate(gates::Gate& gate) { gates_.push_back(&gate); }
 
-  void start(const MemberList& known);
-  /// Takes a request, or says why not; `id` is set before the front can be called.
-  Rejection accept(const ClientRequest& ask, FrontEnd& front, RequestId& id);
+  /// Starts the router with the hosts that are already known.
+  void start(const MemberList& known_members);
+  /// Accepts a request, or returns why not. `id` is set before the front end can be called.
+  Rejection accept(const ClientRequest& request, FrontEnd& front_end, RequestId& id);
+  /// The client has disconnected: cancels the request's attempts.
   void client_left(RequestId id);
-  /// The process is about to be ended: what it still holds is answered at once, refused where nothing may
-  /// have run, and what comes from now on is refused. A long answer that is being passed on goes on.
+  /// The process is about to end: answers all open requests at once, refused where nothing may have run, and
+  /// rejects further ones. A long answer that is already being passed on continues.
   void begin_shutdown();
-  /// The last byte of an attempt has left for its host.
+  /// The last byte of an attempt has been written to its host.
   void attempt_written(AttemptKey key);
-  /// A part of a long answer has come. From the first on no other attempt follows. False: wait for
-  /// Upstream::more.
+  /// A part of a long answer has arrived. After the first part no other attempt follows. Returns false if the
+  /// upstream has to wait for Upstream::resume.
   bool attempt_part(AttemptKey key, std::string_view bytes);
-  /// The front has room for more of what a request is answered with.
-  void more(RequestId id);
+  /// The front end accepts further parts of a request's answer.
+  void resume_answer(RequestId id);
   void attempt_ended(AttemptKey key, AttemptResult result);
   void probe_ended(HostId host, Outcome outcome, Duration elapsed, const LoadReport& report);
-  void listed(const MemberList& list);
-  void list_failed();
-  /// Leaves a host out by hand, or takes it back; false if nobody has the id.
-  bool set_disabled(const std::string& host, bool out, bool sure = false);
+  /// Applies a list of hosts from discovery.
+  void on_member_list(const MemberList& list);
+  void on_member_list_failed();
+  /// Disables or re-enables a host by operator command. Returns false if no host has the id, unless `force`:
+  /// another process of this gateway has verified the id.
+  bool set_disabled(const std::string& host, bool disabled, bool force = false);
   [[nodiscard]] const HostTable& hosts() const { return hosts_; }
-  /// What the other process of this gateway has heard of a host.
+  /// Applies what the other process of this gateway has observed of a host.
   void observe(const std::string& host, Role role, std::optional<Time> position);
-  // Two processes of one gateway, see docs/service.md.
-  /// What the router knows, hosts by name.
-  RouterSnapshot snapshot(SnapshotScope what);
-  void merge_snapshot(RouterSnapshot knowledge);
-  /// What is left of tenants' shares; the other's part is told.
+  // Handover between two processes of one gateway, see docs/service.md.
+  /// The router's state, with hosts by name.
+  RouterSnapshot snapshot(SnapshotScope scope);
+  void merge_snapshot(RouterSnapshot snapshot);
+  /// Splits the tenants' budgets; returns the part of the other process.
   BudgetSnapshots split_budgets();
-  void take_budgets(const BudgetSnapshots& told);
-  /// Another process may be spending, and has not told yet: nothing is left.
+  /// Takes over the budgets received. A tenant that is missing there gets its share without tokens.
+  void restore_budgets(const BudgetSnapshots& received);
+  /// Another process may be spending the budgets and has not reported yet: spends nothing until then.
   void suspend_spending();
-  /// It does not tell: this process has its part from here on, and nothing is saved.
+  /// The other process does not report: uses this process's share from now on, without saved tokens.
   void assume_own_share();
-  /// Of what cold hosts may be sent, `part` may be spent from one window on.
-  void set_slow_start_share(double part) { router_.set_slow_start_share(clock_(), part); }
-  /// No other spends any more.
+  /// The share of the slow-start limits of hosts that this process may spend, 0 to 1, from the next window
+  /// on.
+  void set_slow_start_share(double share) { router_.set_slow_start_share(clock_(), share); }
+  /// The other process has stopped spending: uses the whole budgets.
   void resume_full_spending();
-  /// Called for each write that went through, before its client hears of it.
-  void on_commit(std::function<void(const SessionSnapshot&)> call) { commit_ = std::move(call); }
-  /// Called when a host tells another role than was known.
-  void on_role(std::function<void(const std::string& host, Role role)> call) { role_told_ = std::move(call); }
-  /// Called for each request once nothing of it is out; an empty one: not at all.
-  void on_request_trace(std::function<void(const RequestTrace&)> call) { course_ = std::move(call); }
+  /// Sets the callback for each successful write, called before the client is answered.
+  void on_commit(std::function<void(const SessionSnapshot&)> callback) { on_commit_ = std::move(callback); }
+  /// Sets the callback for a host that reports another role than was known.
+  void on_role_change(std::function<void(const std::string& host, Role role)> callback) {
+    on_role_change_ = std::move(callback);
+  }
+  /// Sets the callback for each request that has ended and has no attempt in flight; empty: no traces.
+  void on_request_trace(std::function<void(const RequestTrace&)> callback) {
+    on_request_trace_ = std::move(callback);
+  }
+  /// The timer set by Upstream::set_timer has expired.
   void timer_fired();
-  /// What the router believes of each group, by id.
+  /// The router's view of each group, ordered by id.
   void group_views(std::vector<GroupView>& out) { router_.group_views(clock_(), out); }
   void set_tuning(const Tuning& tuning) { router_.set_tuning(tuning); }
-  /// How many attempts may be out at once, 1 or more.
+  /// Limits the number of attempts in flight; at least 1.
   void set_max_in_flight(std::size_t attempts) {
     router_.set_max_in_flight(static_cast<int>(std::max<std::size_t>(attempts, 1)));
   }
-  /// Other settings and budgets from now on, checked already; open requests keep the class that they came in
-  /// under.
+  /// Replaces settings and budgets, both already validated. Open requests keep the class under which they
+  /// were accepted.
   void update_settings(Settings settings, std::vector<TenantBudget> budgets);
 
   [[nodiscard]] Time now() const { return clock_(); }
   [[nodiscard]] std::size_t open_requests() const { return requests_.size(); }
-  /// Adds what it has counted, and what it holds, to the figures.
+  /// Adds this broker's counters and gauges to `out`.
   void collect_metrics(telemetry::Metrics& out);
-  /// Whether it knows a host that it might send to.
-  [[nodiscard]] bool ready() const { return hosts_.ready() > 0; }
-  /// How many entries are held (requests, hosts, the router's own): it stays bounded.
+  /// Whether any known host is ready.
+  [[nodiscard]] bool ready() const { return hosts_.ready_count() > 0; }
+  /// Number of entries held (requests, hosts, the router's own), to verify that memory stays bounded.
   [[nodiscard]] std::size_t entry_count() const {
     return requests_.size() + names_.size() + hosts_.size() + router_.entry_count();
   }
@@ -220,72 +247,72 @@
  private:
   struct Attempt {
     HostId host;
-    Time sent{};
-    bool out = true;
-    Duration took{};
+    Time sent_at{};
+    bool in_flight = true;
+    Duration duration{};
     Outcome outcome = Outcome::ok;
   };
   struct Request {
-    FrontEnd* front = nullptr;
+    FrontEnd* front_end = nullptr;  // null once the final answer is given or the client has disconnected
     std::string name;
-    std::shared_ptr<const RequestPayload> work;
+    std::shared_ptr<const RequestPayload> payload;
     std::optional<SessionId> session;
     TenantBudget* budget = nullptr;
-    gates::GateRequest ask;
-    std::size_t gates_asked = 0;  // of the chain, from its front: those are told of the end
-    Time taken{}, deadline{};
+    gates::GateRequest gate_request;
+    std::size_t gates_consulted = 0;  // the first gates of the chain; these are notified of the end
+    Time accepted_at{}, deadline{};
     std::vector<Attempt> attempts;
-    std::string message;  // what the last host said, for a failure
-    std::optional<Outcome> why;
-    int out = 0;
-    bool ran = false;  // an attempt was written, or may have been
+    std::string message;  // the host's last error message
+    std::optional<Outcome> last_outcome;
+    int attempts_in_flight = 0;
+    bool may_have_run = false;  // an attempt was written, or may have been
     bool ended = false;
     Time ended_at{};
-    gates::RequestEnd how = gates::RequestEnd::failed;
-    bool streaming = false;  // the last attempt's answer is being passed on
+    gates::RequestEnd end = gates::RequestEnd::failed;
+    bool streaming = false;  // parts of the last attempt's answer are being passed on
   };
 
-  void name(std::size_t index, const RequestClass& cls);
-  Rejection take(const ClientRequest& ask, ClassId cls, FrontEnd& front, RequestId& id);
-  void feed(Event event);
-  void act(const Action& action, Time now);
-  void send(const Send& send, Time now);
-  void end(RequestId id, FinalAnswer answer, gates::Decider by);
-  void settle(RequestId id);
-  void give_up(RequestId id);
-  void close(Request& r);
-  void count(Request& r, gates::RequestEnd end, gates::Decider by = gates::Decider::nobody,
-             gates::Reason why = gates::Reason::none);
-  gates::Verdict pass_gates(Request& r, Time now);
-  void tell_course(const Request& r) const;
-  void hear(HostId host, Role role, std::optional<Time> position);
+  void assign_class(std::size_t index, const RequestClass& request_class);
+  Rejection admit(const ClientRequest& client_request, ClassId class_id, FrontEnd& front_end, RequestId& id);
+  void handle_event(Event event);
+  void perform(const Action& action, Time now);
+  void start_attempt(const Send& send, Time now);
+  void finish_request(RequestId id, FinalAnswer answer, gates::Decider decided_by);
+  void erase_if_complete(RequestId id);
+  void cancel_attempts(RequestId id);
+  void mark_ended(Request& request);
+  void record_end(Request& request, gates::RequestEnd end, gates::Decider decided_by = gates::Decider::nobody,
+                  gates::Reason reason = gates::Reason::none);
+  gates::Verdict pass_gates(Request& request, Time now);
+  void report_trace(const Request& request) const;
+  void observe_host(HostId host, Role role, std::optional<Time> position);
 
-  /// A class of the settings, and what has become of its requests.
-  struct Contract {
-    RequestClass cls;
-    telemetry::ClassCounts* counts = nullptr;  // of its name
-    Time until = forever;                      // it may be named before that; passed: dropped, or replaced
+  /// A request class of the settings, with its counters.
+  struct ClassEntry {
+    RequestClass request_class;
+    telemetry::ClassCounts* counts = nullptr;  // shared by classes of the same name
+    Time expires_at = no_expiry;  // requests may name the class until then; dropped or replaced afterwards
   };
-  std::vector<Contract> contracts_;  // by ClassId: one keeps its number while a request of it is open
+  std::vector<ClassEntry> classes_;  // by ClassId: an entry is not reused while one of its requests is open
   std::map<std::string, telemetry::ClassCounts> counts_;
-  std::deque<TenantBudget> budgets_;  // by the tenant's number; requests point into it
+  std::deque<TenantBudget> budgets_;  // by tenant index; requests keep pointers to the entries
   std::vector<gates::Gate*> gates_;
   Clock clock_;
   Upstream& upstream_;
   std::size_t max_requests_;
   Settings settings_;
-  std::size_t gated_classes_, gated_tenants_;  // that gates know: those of the start
+  std::size_t gated_classes_, gated_tenants_;  // numbers known to the gates: those at construction
   Router router_;
   HostTable hosts_;
   std::unordered_map<std::uint64_t, Request> requests_;
-  std::unordered_set<std::string> names_;  // of the open requests
+  std::unordered_set<std::string> names_;  // of the requests that have not ended
   std::uint64_t next_request_ = 1;
-  std::function<void(const std::string&, Role)> role_told_;
-  std::function<void(const RequestTrace&)> course_;
-  std::function<void(const SessionSnapshot&)> commit_;
+  std::function<void(const std::string&, Role)> on_role_change_;
+  std::function<void(const RequestTrace&)> on_request_trace_;
+  std::function<void(const SessionSnapshot&)> on_commit_;
   std::deque<std::pair<Time, Event>> events_;
-  bool closing_ = false;  // after begin_shutdown
-  bool feeding_ = false;  // guards against feeding the router while it is being fed
+  bool shutting_down_ = false;    // after begin_shutdown
+  bool handling_events_ = false;  // guards against re-entering the router
 };
 
 }  // namespace cedarring::broker
--- a/src/broker/connection_limits.h
+++ b/src/broker/connection_limits.h
@@ -1,5 +1,5 @@
-// Places for connections: how long an idle client may keep one, and how clients and hosts share them. Decides
-// from numbers alone.
+/// Limits on connections: how long an idle client connection may stay open, and how clients and hosts share
+/// the connection limit. Pure functions of counts and durations.
 #pragma once
 
 #include <algorithm>
@@ -9,43 +9,48 @@
 
 namespace cedarring::broker {
 
-/// The fuller the places, the shorter an idle connection may stay. Clients that ask once and then hold their
-/// connection use up what clients may hold together long before they use up our places: without this a crowd
-/// of them, each idle for the usual time, keeps everyone else out.
+/// The idle timeout of client connections, which shrinks as the connection limit fills up. Clients that send
+/// one request and then keep their connection open would use up what clients may hold together long before
+/// they use up our connection limit: with a fixed timeout, a crowd of them keeps all other clients out.
 struct IdleConnectionLimits {
-  Duration usual{2'000'000};  // what an idle client may stay for when there is room
-  Duration floor{150'000};  // and when there is none: a client that asks again at once still finds its place
-  double quiet = 1.0 / 6;   // share of the places up to which nothing is closed early
-  double tight = 1.0 / 3;   // share from which the floor holds
+  Duration max_idle{2'000'000};  // allowed while few connections are open
+  Duration min_idle{150'000};  // allowed at the limit: a client that sends its next request at once keeps its
+                               // connection
+  double relaxed_share = 1.0 / 6;  // share of the limit up to which no connection is closed early
+  double strict_share = 1.0 / 3;   // share from which `min_idle` applies
 
-  /// Falls evenly from `usual` at `quiet` to `floor` at `tight`; never rises with `taken`.
-  [[nodiscard]] Duration idle_allowed(std::size_t taken, std::size_t all) const {
-    if (all == 0) return floor;
-    const double share = static_cast<double>(taken) / static_cast<double>(all);
-    const double full = std::clamp((share - quiet) / (tight - quiet), 0.0, 1.0);
-    return usual - Duration(static_cast<std::int64_t>(static_cast<double>((usual - floor).count()) * full));
+  /// The idle timeout with `open` of at most `limit` connections: falls linearly from `max_idle` at
+  /// `relaxed_share` to `min_idle` at `strict_share`; never rises with `open`.
+  [[nodiscard]] Duration idle_timeout(std::size_t open, std::size_t limit) const {
+    if (limit == 0) return min_idle;
+    const double share = static_cast<double>(open) / static_cast<double>(limit);
+    const double strictness = std::clamp((share - relaxed_share) / (strict_share - relaxed_share), 0.0, 1.0);
+    return max_idle - Duration(static_cast<std::int64_t>(static_cast<double>((max_idle - min_idle).count()) *
+                                                         strictness));
   }
-  /// Whether one that has been idle for `idle` goes: only past the quiet share, so that closing ends there.
-  [[nodiscard]] bool gives_way(Duration idle, std::size_t taken, std::size_t all) const {
-    return static_cast<double>(taken) > static_cast<double>(all) * quiet && idle > idle_allowed(taken, all);
+  /// Whether to close a connection that has been idle for `idle`. Only above the relaxed share, so that
+  /// closing stops there.
+  [[nodiscard]] bool should_close(Duration idle, std::size_t open, std::size_t limit) const {
+    return static_cast<double>(open) > static_cast<double>(limit) * relaxed_share &&
+           idle > idle_timeout(open, limit);
   }
 };
 
-/// Places for connections of a front: clients may have three quarters and hosts a quarter; what clients do
-/// not use hosts may have as well, up to a half. An eighth stays free between them, so that a burst of
-/// clients finds places before host connections have gone.
+/// How a front end's connection limit is split: clients may have three quarters and hosts a quarter. Hosts
+/// may also use what clients leave unused, up to a half. An eighth stays free between them, so that a burst
+/// of clients can connect before host connections have been closed.
 struct ConnectionSplit {
   std::size_t clients = 0, hosts = 0;
 };
-/// Of `all` places, how many either may have now, with `clients` and `hosts` in use. The two parts never
-/// exceed `all` together by more than what hosts are still to give back; hosts get their quarter and clients
-/// their half in any case.
-inline ConnectionSplit split_connections(std::size_t all, std::size_t clients, std::size_t hosts) {
-  const auto used = clients + all / 8;
-  ConnectionSplit s;
-  s.hosts = std::clamp(used < all ? all - used : 0, all / 4, all / 2);
-  s.clients = std::min(all * 3 / 4, all - std::min(all / 2, std::max(hosts, all / 4)));
-  return s;
+/// How many of `limit` connections clients and hosts may have now, with `clients` and `hosts` open. Together
+/// they exceed `limit` by no more than the host connections still to be closed. Hosts always get their
+/// quarter and clients their half.
+inline ConnectionSplit split_connections(std::size_t limit, std::size_t clients, std::size_t hosts) {
+  const auto reserved = clients + limit / 8;
+  ConnectionSplit split;
+  split.hosts = std::clamp(reserved < limit ? limit - reserved : 0, limit / 4, limit / 2);
+  split.clients = std::min(limit * 3 / 4, limit - std::min(limit / 2, std::max(hosts, limit / 4)));
+  return split;
 }
 
 }  // namespace cedarring::broker
--- a/src/broker/host_table.cpp
+++ b/src/broker/host_table.cpp
@@ -7,10 +7,11 @@
 namespace cedarring::broker {
 namespace {
 
-constexpr std::size_t out_most = 4096, back_most = 4096;
+constexpr std::size_t max_disabled = 4096, max_reenabled = 4096;
 
 }  // namespace
 
+/// Interns a zone's name.
 ZoneId HostTable::zone(const std::string& name) {
   const auto it = std::find(zones_.begin(), zones_.end(), name);
   const auto index = it - zones_.begin();
@@ -19,72 +20,77 @@
 }
 
 HostEntry HostTable::entry(HostId id, const Row& row) {
-  HostEntry e;
-  e.host = id;
-  e.group = row.listed.group;
-  e.zone = zone(row.listed.zone);
-  e.state = row.state;
-  if (e.state == HostState::ready && out_.count(row.listed.id) > 0) e.state = HostState::draining;
-  e.listed_primary = row.listed.primary;
-  e.weight = row.listed.weight;
-  e.started_at = started_at(row);
-  return e;
+  HostEntry result;
+  result.host = id;
+  result.group = row.listed.group;
+  result.zone = zone(row.listed.zone);
+  result.state = row.state;
+  if (result.state == HostState::ready && disabled_.count(row.listed.id) > 0)
+    result.state = HostState::draining;
+  result.listed_primary = row.listed.primary;
+  result.weight = row.listed.weight;
+  result.started_at = started_at(row);
+  return result;
 }
 
-/// One that came back may have been restarted meanwhile; untold, it counts as cold from the call on.
+/// A host that was re-enabled may have been restarted meanwhile: if the list gives no start time, it is in
+/// slow start from then on.
 std::optional<Time> HostTable::started_at(const Row& row) const {
-  const auto back = back_.find(row.listed.id);
-  if (back == back_.end()) return row.listed.started_at;
-  return row.listed.started_at ? std::max(*row.listed.started_at, back->second) : back->second;
+  const auto reenabled = reenabled_at_.find(row.listed.id);
+  if (reenabled == reenabled_at_.end()) return row.listed.started_at;
+  return row.listed.started_at ? std::max(*row.listed.started_at, reenabled->second) : reenabled->second;
 }
 
 std::vector<HostEntry> HostTable::apply(const MemberList& list) {
   std::vector<HostEntry> entries;
-  std::set<HostId> named;
-  closed_.clear();
+  std::set<HostId> listed_ids;
+  hosts_to_close_.clear();
   version_ = list.version;
-  for (const auto& told : list.members) {
-    auto m = told;
-    // One that only tells that nothing more is to go there: all else stays as it was.
-    if (m.state != HostState::ready && m.address.empty()) {
-      const auto known = ids_.find(m.id);
+  for (const auto& received : list.members) {
+    auto member = received;
+    // A member without an address only changes the state of a known host: its other fields stay.
+    if (member.state != HostState::ready && member.address.empty()) {
+      const auto known = ids_.find(member.id);
       if (known == ids_.end()) continue;
-      m = rows_.at(known->second).listed;
-      m.state = told.state;
+      member = rows_.at(known->second).listed;
+      member.state = received.state;
     }
-    auto [it, fresh] = ids_.try_emplace(m.id, HostId{next_});
-    if (fresh) ++next_;
+    auto [it, inserted] = ids_.try_emplace(member.id, HostId{next_});
+    if (inserted) ++next_;
     const HostId id = it->second;
     auto& row = rows_[id];
-    // A host that moved to another address is another process: idle connections to the old one are void.
-    const bool moved = !fresh && row.listed.address != m.address;
-    row.listed = m;
-    row.state = m.state;
-    named.insert(id);
-    ++groups_[m.group];
+    // A host at another address is another process: idle connections to the old address are useless.
+    const bool moved = !inserted && row.listed.address != member.address;
+    row.listed = member;
+    row.state = member.state;
+    listed_ids.insert(id);
+    ++groups_[member.group];
     entries.push_back(entry(id, row));
-    if (entries.back().state != HostState::ready || moved) closed_.push_back(id);
+    if (entries.back().state != HostState::ready || moved) hosts_to_close_.push_back(id);
   }
   if (list.full)
     for (auto& [id, row] : rows_)
-      if (named.count(id) == 0) row.state = HostState::gone, closed_.push_back(id);
+      if (listed_ids.count(id) == 0) {
+        row.state = HostState::gone;
+        hosts_to_close_.push_back(id);
+      }
   return entries;
 }
 
-std::optional<HostEntry> HostTable::set_disabled(const std::string& id, bool out, Time now, bool sure) {
+std::optional<HostEntry> HostTable::set_disabled(const std::string& id, bool disabled, Time now, bool force) {
   const auto it = ids_.find(id);
   const bool listed = it != ids_.end() && rows_.at(it->second).state != HostState::gone;
-  if (!listed && !sure && out_.count(id) == 0) return std::nullopt;
-  if (out) {
-    if (out_.size() >= out_most && out_.count(id) == 0) return std::nullopt;
-    out_.insert(id);
-    back_.erase(id);
-  } else if (out_.erase(id) > 0) {
-    back_[id] = now;
-    // Bounded: what came back longest ago is warm by now.
-    if (back_.size() > back_most)
-      back_.erase(std::min_element(back_.begin(), back_.end(),
-                                   [](const auto& a, const auto& b) { return a.second < b.second; }));
+  if (!listed && !force && disabled_.count(id) == 0) return std::nullopt;
+  if (disabled) {
+    if (disabled_.size() >= max_disabled && disabled_.count(id) == 0) return std::nullopt;
+    disabled_.insert(id);
+    reenabled_at_.erase(id);
+  } else if (disabled_.erase(id) > 0) {
+    reenabled_at_[id] = now;
+    // Bounds memory: the host that was re-enabled longest ago has completed its slow start.
+    if (reenabled_at_.size() > max_reenabled)
+      reenabled_at_.erase(std::min_element(reenabled_at_.begin(), reenabled_at_.end(),
+                                           [](const auto& a, const auto& b) { return a.second < b.second; }));
   }
   if (!listed) return HostEntry{};
   return entry(it->second, rows_.at(it->second));
@@ -93,19 +99,19 @@
 std::size_t HostTable::listed_disabled() const {
   return static_cast<std::size_t>(std::count_if(
       rows_.begin(), rows_.end(),
-      [&](const auto& r) {
-        return r.second.state == HostState::ready && out_.count(r.second.listed.id) > 0;
+      [&](const auto& item) {
+        return item.second.state == HostState::ready && disabled_.count(item.second.listed.id) > 0;
       }));
 }
 
 bool HostTable::observe(HostId id, Role role, std::optional<Time> position, Time now) {
   const auto it = rows_.find(id);
   if (it == rows_.end()) return false;
-  auto& h = it->second.observed;
-  if (position) h.position = h.position ? std::max(*h.position, *position) : *position;
+  auto& observed = it->second.observed;
+  if (position) observed.position = observed.position ? std::max(*observed.position, *position) : *position;
   if (role == Role::unknown) return false;
-  h.role_at = now;
-  return std::exchange(h.role, role) != role;
+  observed.role_at = now;
+  return std::exchange(observed.role, role) != role;
 }
 
 std::optional<HostId> HostTable::find(const std::string& id) const {
@@ -131,14 +137,14 @@
   return all;
 }
 
-std::size_t HostTable::listed() const {
+std::size_t HostTable::listed_count() const {
   return static_cast<std::size_t>(std::count_if(
-      rows_.begin(), rows_.end(), [](const auto& r) { return r.second.state != HostState::gone; }));
+      rows_.begin(), rows_.end(), [](const auto& item) { return item.second.state != HostState::gone; }));
 }
 
-std::size_t HostTable::ready() const {
+std::size_t HostTable::ready_count() const {
   return static_cast<std::size_t>(std::count_if(
-      rows_.begin(), rows_.end(), [](const auto& r) { return r.second.state == HostState::ready; }));
+      rows_.begin(), rows_.end(), [](const auto& item) { return item.second.state == HostState::ready; }));
 }
 
 bool HostTable::has_group(GroupId group) const { return groups_.count(group) > 0; }
@@ -155,13 +161,13 @@
   return it == rows_.end() ? none : it->second.listed.id;
 }
 
-void HostTable::prune(const std::function<bool(HostId)>& of_interest) {
+void HostTable::prune(const std::function<bool(HostId)>& still_needed) {
   for (auto it = rows_.begin(); it != rows_.end();) {
-    if (of_interest(it->first)) {
+    if (still_needed(it->first)) {
       ++it;
       continue;
     }
-    back_.erase(it->second.listed.id);
+    reenabled_at_.erase(it->second.listed.id);
     ids_.erase(it->second.listed.id);
     it = rows_.erase(it);
   }
--- a/src/broker/host_table.h
+++ b/src/broker/host_table.h
@@ -1,4 +1,4 @@
-// The database hosts as discovery lists them: names and zones interned, addresses kept.
+/// The database hosts as discovery lists them. Interns host names and zones as the router's numeric ids.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 
 namespace cedarring::broker {
 
-/// One entry of a list, in its own words.
+/// One host in a member list of discovery.
 struct Member {
   std::string id;
   std::string address;
@@ -23,67 +23,77 @@
   bool primary = false;
   std::optional<Time> started_at;
 };
+/// A member list of discovery. full: hosts that it does not contain are gone; otherwise only changes.
 struct MemberList {
   std::uint64_t version = 0;
   bool full = false;
   std::vector<Member> members;
 };
 
-/// What answers and reports have told of a host.
+/// State of a host as observed from its answers and load reports.
 struct ObservedState {
-  std::optional<Time> position;  // a lower bound of what it holds
+  std::optional<Time> position;  // lower bound of its replication position
   Role role = Role::unknown;
-  Time role_at{};  // when that was heard
+  Time role_at{};  // when the role was last reported
 };
 
+/// All known hosts, with the hosts that operators have disabled.
 class HostTable {
  public:
   explicit HostTable(std::vector<std::string> zones) : zones_(std::move(zones)) {}
-  /// Interns a list's entries for the router.
+  /// Applies a member list; returns its entries for the router.
   std::vector<HostEntry> apply(const MemberList& list);
-  /// Leaves a host out, whatever lists say, or takes it back. The entry to tell the router, or nothing if
-  /// nobody has the id. One taken back counts as started at `now` at the latest: it may have been restarted
-  /// meanwhile. `sure`: another process of this gateway has found that somebody has it.
-  std::optional<HostEntry> set_disabled(const std::string& id, bool out, Time now, bool sure = false);
-  [[nodiscard]] const std::set<std::string>& disabled() const { return out_; }
-  /// Of the listed ones, those that are out by hand.
+  /// Disables a host whatever lists say, or re-enables it. Returns the entry to pass to the router, an empty
+  /// entry if the host is not listed now, or nothing if no host has the id. A host that is re-enabled counts
+  /// as started at `now` at the earliest, because it may have been restarted meanwhile. `force`: another
+  /// process of this gateway has verified the id.
+  std::optional<HostEntry> set_disabled(const std::string& id, bool disabled, Time now, bool force = false);
+  [[nodiscard]] const std::set<std::string>& disabled() const { return disabled_; }
+  /// Number of hosts that are listed as ready and disabled.
   [[nodiscard]] std::size_t listed_disabled() const;
-  /// What a host has told of itself; true if its role is another than was known.
+  /// Records the role and position reported by a host. Returns true if its role has changed.
   bool observe(HostId id, Role role, std::optional<Time> position, Time now);
   [[nodiscard]] const ObservedState* observed(const std::string& id) const;
   [[nodiscard]] std::optional<HostId> find(const std::string& id) const;
-  /// The whole list as it was last told, for the process that follows.
+  /// The full list as last received, for the process that takes over.
   [[nodiscard]] MemberList list() const;
+  /// Whether a list has ever contained the group.
   [[nodiscard]] bool has_group(GroupId group) const;
+  /// A host's address; empty if the host is unknown.
   [[nodiscard]] const std::string& address(HostId id) const;
+  /// A host's name, its id in the lists; empty if the host is unknown.
   [[nodiscard]] const std::string& name(HostId id) const;
-  /// Hosts that the last list made draining or gone.
-  [[nodiscard]] const std::vector<HostId>& closed() const { return closed_; }
-  /// Hosts in the list, and of them those that it calls ready.
-  [[nodiscard]] std::size_t listed() const;
-  [[nodiscard]] std::size_t ready() const;
+  /// Hosts whose idle connections the last list has made useless: draining, gone, or at a new address.
+  [[nodiscard]] const std::vector<HostId>& hosts_to_close() const { return hosts_to_close_; }
+  /// Number of listed hosts.
+  [[nodiscard]] std::size_t listed_count() const;
+  /// Number of hosts that are listed as ready.
+  [[nodiscard]] std::size_t ready_count() const;
+  /// Number of entries held, to verify that memory stays bounded.
   [[nodiscard]] std::size_t size() const { return rows_.size() + ids_.size(); }
-  /// Forgets hosts that are gone and no longer of interest.
-  void prune(const std::function<bool(HostId)>& of_interest);
+  /// Forgets the hosts for which `still_needed` returns false.
+  void prune(const std::function<bool(HostId)>& still_needed);
 
  private:
   struct Row {
-    Member listed;  // as the list last told
+    Member listed;  // as last listed
     HostState state = HostState::ready;
     ObservedState observed;
   };
-  /// Its last start: as told, or when it was taken back, if that is later.
+  /// When the host last started: as listed, or when it was re-enabled if that is later.
   [[nodiscard]] std::optional<Time> started_at(const Row& row) const;
-  /// What the router is told of it: the stricter of the list's word and the operators'.
+  /// The entry for the router, with the stricter state of the list's and the operators'.
   HostEntry entry(HostId id, const Row& row);
   ZoneId zone(const std::string& name);
   std::vector<std::string> zones_;
   std::map<std::string, HostId> ids_;
   std::map<HostId, Row> rows_;
-  std::map<GroupId, int> groups_;  // ever listed: a group without hosts is refused by the router, not unknown
-  std::set<std::string> out_;      // by hand; of those not listed the bound below
-  std::map<std::string, Time> back_;  // taken back: cold since then, unless the list tells of a later start
-  std::vector<HostId> closed_;
+  // Groups ever listed: a request for a group that has lost its hosts is refused by the router rather than
+  // rejected as unknown.
+  std::map<GroupId, int> groups_;
+  std::set<std::string> disabled_;            // by operators; bounded by max_disabled
+  std::map<std::string, Time> reenabled_at_;  // in slow start since then, unless a later start is listed
+  std::vector<HostId> hosts_to_close_;
   std::uint64_t version_ = 0;
   std::uint32_t next_ = 1;
 };
--- a/src/broker/idle_pool.h
+++ b/src/broker/idle_pool.h
@@ -1,4 +1,4 @@
-// Which idle connections there are to each host. It owns none of them and resends nothing.
+/// The idle connections to each host.
 #pragma once
 
 #include <algorithm>
@@ -9,11 +9,14 @@
 
 namespace cedarring::broker {
 
+/// Keeps track of idle connections by host, each host's ordered by the time it became idle. The connections
+/// are not owned, and nothing is sent on them.
 template <class Connection>
 class IdlePool {
  public:
   void put(HostId host, Connection* connection, Time now) { idle_[host].push_back({connection, now}); }
-  /// The one used last: the others may fall idle for good and be retired.
+  /// Removes and returns the connection to `host` that was used last, so that the others can expire; null if
+  /// there is none.
   Connection* take(HostId host) {
     const auto it = idle_.find(host);
     if (it == idle_.end()) return nullptr;
@@ -25,34 +28,36 @@
   void remove(HostId host, Connection* connection) {
     const auto it = idle_.find(host);
     if (it == idle_.end()) return;
-    auto& v = it->second;
-    v.erase(std::remove_if(v.begin(), v.end(), [&](const Idle& i) { return i.connection == connection; }),
-            v.end());
-    if (v.empty()) idle_.erase(it);
+    auto& entries = it->second;
+    entries.erase(std::remove_if(entries.begin(), entries.end(),
+                                 [&](const Entry& entry) { return entry.connection == connection; }),
+                  entries.end());
+    if (entries.empty()) idle_.erase(it);
   }
-  /// Those idle since before `before`, taken out.
-  std::vector<Connection*> retire(Time before) {
-    std::vector<Connection*> old;
+  /// Removes and returns the connections that have been idle since before `before`.
+  std::vector<Connection*> take_expired(Time before) {
+    std::vector<Connection*> expired;
     for (auto host = idle_.begin(); host != idle_.end();) {
-      auto& v = host->second;
-      const auto fresh = std::find_if(v.begin(), v.end(), [&](const Idle& i) { return i.since >= before; });
-      for (auto it = v.begin(); it != fresh; ++it) old.push_back(it->connection);
-      v.erase(v.begin(), fresh);
-      host = v.empty() ? idle_.erase(host) : std::next(host);
+      auto& entries = host->second;
+      const auto first_kept = std::find_if(entries.begin(), entries.end(),
+                                           [&](const Entry& entry) { return entry.since >= before; });
+      for (auto it = entries.begin(); it != first_kept; ++it) expired.push_back(it->connection);
+      entries.erase(entries.begin(), first_kept);
+      host = entries.empty() ? idle_.erase(host) : std::next(host);
     }
-    return old;
+    return expired;
   }
-  /// All idle ones of a host, taken out.
-  std::vector<Connection*> drop(HostId host) {
+  /// Removes and returns all connections to `host`.
+  std::vector<Connection*> take_all(HostId host) {
     std::vector<Connection*> all;
     if (const auto it = idle_.find(host); it != idle_.end()) {
-      for (const auto& i : it->second) all.push_back(i.connection);
+      for (const auto& entry : it->second) all.push_back(entry.connection);
       idle_.erase(it);
     }
     return all;
   }
-  /// The idle connection that has waited longest, of any host, taken out; null if there is none.
-  Connection* oldest() {
+  /// Removes and returns the connection that has been idle longest, to any host; null if there is none.
+  Connection* take_oldest() {
     auto best = idle_.end();
     for (auto it = idle_.begin(); it != idle_.end(); ++it)
       if (best == idle_.end() || it->second.front().since < best->second.front().since) best = it;
@@ -62,15 +67,15 @@
     if (best->second.empty()) idle_.erase(best);
     return connection;
   }
-  /// Hosts that it keeps an entry for.
+  /// Number of hosts with idle connections.
   [[nodiscard]] std::size_t hosts() const { return idle_.size(); }
 
  private:
-  struct Idle {
+  struct Entry {
     Connection* connection;
     Time since;
   };
-  std::map<HostId, std::vector<Idle>> idle_;  // none empty; by how long they have been idle, longest first
+  std::map<HostId, std::vector<Entry>> idle_;  // no vector is empty; longest idle first
 };
 
 }  // namespace cedarring::broker
--- a/src/broker/memory_budget.h
+++ b/src/broker/memory_budget.h
@@ -1,6 +1,4 @@
-// Room for what is longer than a connection's buffers: reserved before it is read, given back when nobody
-// needs it any more. Waiting is in order; nobody holds a part while waiting for the rest, so no two can lock
-// each other out. Decides from numbers alone.
+/// A memory budget for requests that exceed a connection's buffers.
 #pragma once
 
 #include <algorithm>
@@ -12,40 +10,49 @@
 
 namespace cedarring::broker {
 
+/// Grants reservations of memory, which are made before the bytes are read and released when they are no
+/// longer needed. Waiters are served in order, and none holds a part of its reservation while it waits for
+/// the rest, so waiters cannot deadlock. Waiters are identified by an address and never dereferenced.
 class MemoryBudget : public std::enable_shared_from_this<MemoryBudget> {
  public:
-  /// A reservation: `bytes` until it is destroyed.
+  /// Holds `bytes` until it is destroyed.
   class Reservation {
    public:
     Reservation() = default;
-    Reservation(std::shared_ptr<MemoryBudget> room, std::size_t bytes)
-        : room_(std::move(room)), bytes_(bytes) {}
+    Reservation(std::shared_ptr<MemoryBudget> budget, std::size_t bytes)
+        : budget_(std::move(budget)), bytes_(bytes) {}
     ~Reservation() { reset(); }
-    Reservation(Reservation&& o) noexcept : room_(std::move(o.room_)), bytes_(std::exchange(o.bytes_, 0)) {}
-    Reservation& operator=(Reservation&& o) noexcept {
-      if (this != &o) reset(), room_ = std::move(o.room_), bytes_ = std::exchange(o.bytes_, 0);
+    Reservation(Reservation&& other) noexcept
+        : budget_(std::move(other.budget_)), bytes_(std::exchange(other.bytes_, 0)) {}
+    Reservation& operator=(Reservation&& other) noexcept {
+      if (this != &other) {
+        reset();
+        budget_ = std::move(other.budget_);
+        bytes_ = std::exchange(other.bytes_, 0);
+      }
       return *this;
     }
     [[nodiscard]] std::size_t bytes() const { return bytes_; }
 
    private:
     void reset() {
-      if (auto room = std::exchange(room_, nullptr)) room->give(std::exchange(bytes_, 0));
+      if (auto budget = std::exchange(budget_, nullptr)) budget->release(std::exchange(bytes_, 0));
     }
-    std::shared_ptr<MemoryBudget> room_;
+    std::shared_ptr<MemoryBudget> budget_;
     std::size_t bytes_ = 0;
   };
 
-  /// `total` bytes in all; `freed` is called whenever some come back while somebody waits, from anywhere: it
-  /// must not reserve at once, but soon.
-  explicit MemoryBudget(std::size_t total, std::function<void()> freed = {})
-      : total_(total), freed_(std::move(freed)) {}
-  /// Reserves for `who` if there is room and nobody else came before; else `who` waits in line. More than all
-  /// there is fits once nothing else is held.
-  bool take(const void* who, std::size_t bytes, Reservation& out) {
-    const bool first = waiting_.empty() || waiting_.front() == who;
+  /// `total`: size of the budget in bytes. `on_release` is called, from any caller's stack, whenever bytes
+  /// are released while there are waiters; it must not reserve before it returns, but arrange to do so soon
+  /// after.
+  explicit MemoryBudget(std::size_t total, std::function<void()> on_release = {})
+      : total_(total), on_release_(std::move(on_release)) {}
+  /// Reserves for `waiter` if the bytes are available and no other waiter is ahead; otherwise queues `waiter`
+  /// and returns false. A reservation larger than the whole budget is granted once nothing else is reserved.
+  bool try_reserve(const void* waiter, std::size_t bytes, Reservation& out) {
+    const bool first = waiting_.empty() || waiting_.front() == waiter;
     if (!first || (used_ > 0 && used_ + bytes > total_)) {
-      if (std::find(waiting_.begin(), waiting_.end(), who) == waiting_.end()) waiting_.push_back(who);
+      if (std::find(waiting_.begin(), waiting_.end(), waiter) == waiting_.end()) waiting_.push_back(waiter);
       return false;
     }
     if (!waiting_.empty()) waiting_.pop_front();
@@ -53,28 +60,29 @@
     out = Reservation(shared_from_this(), bytes);
     return true;
   }
-  /// Waits no more.
-  void leave(const void* who) {
-    const auto it = std::find(waiting_.begin(), waiting_.end(), who);
+  /// Removes `waiter` from the queue.
+  void stop_waiting(const void* waiter) {
+    const auto it = std::find(waiting_.begin(), waiting_.end(), waiter);
     if (it == waiting_.end()) return;
     waiting_.erase(it);
-    if (freed_ && !waiting_.empty()) freed_();
+    if (on_release_ && !waiting_.empty()) on_release_();
   }
-  /// Who is next; null if nobody waits.
-  [[nodiscard]] const void* next() const { return waiting_.empty() ? nullptr : waiting_.front(); }
+  /// The first waiter in the queue; null if there is none.
+  [[nodiscard]] const void* next_waiter() const { return waiting_.empty() ? nullptr : waiting_.front(); }
   [[nodiscard]] std::size_t used() const { return used_; }
+  /// Number of waiters in the queue.
   [[nodiscard]] std::size_t waiting() const { return waiting_.size(); }
   void set_total(std::size_t total) { total_ = total; }
-  /// Its owner goes; reservations may outlive it.
-  void close() { freed_ = nullptr; }
+  /// Drops the callback because its owner is being destroyed; reservations may outlive the owner.
+  void close() { on_release_ = nullptr; }
 
  private:
-  void give(std::size_t bytes) {
+  void release(std::size_t bytes) {
     used_ -= bytes;
-    if (freed_ && !waiting_.empty()) freed_();
+    if (on_release_ && !waiting_.empty()) on_release_();
   }
   std::size_t total_, used_ = 0;
-  std::function<void()> freed_;
+  std::function<void()> on_release_;
   std::deque<const void*> waiting_;
 };
 
--- a/src/telemetry/metrics.cpp
+++ b/src/telemetry/metrics.cpp
@@ -3,12 +3,12 @@
 namespace cedarring::telemetry {
 namespace {
 
-void head(std::string& out, const char* name, const char* type, const char* help) {
+void append_header(std::string& out, const char* name, const char* type, const char* help) {
   out += std::string("# HELP app_") + name + ' ' + help + "\n# TYPE app_" + name + ' ' + type + '\n';
 }
 
-/// A label's value: backslash, quote and line end are written with a backslash.
-std::string label(const std::string& text) {
+/// Escapes a label value: backslash, quote and line feed.
+std::string escape_label(const std::string& text) {
   std::string out;
   for (const char c : text) {
     if (c == '\\' || c == '"') out += '\\';
@@ -22,27 +22,29 @@
 
 }  // namespace
 
-std::string to_prometheus(const Metrics& f) {
+std::string to_prometheus(const Metrics& metrics) {
   std::string out;
-  const auto by_class = [&](const char* name, std::uint64_t ClassCounts::*count, const char* help) {
-    head(out, name, "counter", help);
-    for (const auto& [cls, counts] : f.classes)
-      out += std::string("app_") + name + "{kind=\"" + label(cls) + "\"} " + std::to_string(counts.*count) +
-             '\n';
+  const auto append_by_class = [&](const char* name, std::uint64_t ClassCounts::*count, const char* help) {
+    append_header(out, name, "counter", help);
+    for (const auto& [class_name, counts] : metrics.classes)
+      out += std::string("app_") + name + "{kind=\"" + escape_label(class_name) + "\"} " +
+             std::to_string(counts.*count) + '\n';
   };
-  const auto one = [&](const char* name, const char* type, std::uint64_t value, const char* help) {
-    head(out, name, type, help);
+  const auto append_value = [&](const char* name, const char* type, std::uint64_t value, const char* help) {
+    append_header(out, name, type, help);
     out += std::string("app_") + name + ' ' + std::to_string(value) + '\n';
   };
-  by_class("ok", &ClassCounts::ok, "Requests served.");
-  by_class("shed", &ClassCounts::shed, "Requests refused.");
-  by_class("errors", &ClassCounts::errors, "Requests failed.");
-  by_class("tries", &ClassCounts::tries, "Attempts written whole to database hosts.");
-  one("active", "gauge", f.active, "Requests taken and not yet ended.");
-  one("pool_size", "gauge", f.pool_size, "Database hosts in the list.");
-  one("pool_ejected", "gauge", f.pool_ejected, "Listed database hosts avoided now, by hand or by choice.");
-  one("config_applied", "counter", f.config_applied, "Files taken at SIGHUP.");
-  one("config_rejected", "counter", f.config_rejected, "Files turned down at SIGHUP.");
+  append_by_class("ok", &ClassCounts::ok, "Requests served.");
+  append_by_class("shed", &ClassCounts::shed, "Requests refused.");
+  append_by_class("errors", &ClassCounts::errors, "Requests failed.");
+  append_by_class("tries", &ClassCounts::tries, "Attempts written completely to database hosts.");
+  append_value("active", "gauge", metrics.active, "Requests accepted and not yet ended.");
+  append_value("pool_size", "gauge", metrics.pool_size, "Listed database hosts.");
+  append_value("pool_ejected", "gauge", metrics.pool_ejected,
+               "Listed database hosts disabled by operators or avoided by the router.");
+  append_value("config_applied", "counter", metrics.config_applied, "Configuration files applied at SIGHUP.");
+  append_value("config_rejected", "counter", metrics.config_rejected,
+               "Configuration files rejected at SIGHUP.");
   return out;
 }
 
--- a/src/telemetry/metrics.h
+++ b/src/telemetry/metrics.h
@@ -1,5 +1,5 @@
-// The figures that operators read: counts since the start of this process, as Prometheus text. Names and
-// meaning are the operators' page's.
+/// The gateway's metrics: counters since the process started, and gauges, as Prometheus text. Operators rely
+/// on the exported names and their meaning.
 #pragma once
 
 #include <cstdint>
@@ -8,26 +8,29 @@
 
 namespace cedarring::telemetry {
 
-/// Of one class. Each request taken ends under one of the first three, or under none where its client left
-/// before.
+/// Counters of one request class. Each accepted request is counted in one of `ok`, `shed` and `errors`, or in
+/// none if its client disconnected before.
 struct ClassCounts {
   std::uint64_t ok = 0, shed = 0, errors = 0;  // requests served, refused, failed
-  std::uint64_t tries = 0;                     // attempts written whole to hosts
-  ClassCounts& operator+=(const ClassCounts& o) {
-    ok += o.ok, shed += o.shed, errors += o.errors, tries += o.tries;
+  std::uint64_t tries = 0;                     // attempts written completely to hosts
+  ClassCounts& operator+=(const ClassCounts& other) {
+    ok += other.ok;
+    shed += other.shed;
+    errors += other.errors;
+    tries += other.tries;
     return *this;
   }
 };
 
 struct Metrics {
-  std::map<std::string, ClassCounts> classes;             // by name; each class of the settings, also at 0
-  std::uint64_t active = 0;                               // requests taken and not ended
-  std::uint64_t pool_size = 0;                            // hosts in the list
-  std::uint64_t pool_ejected = 0;                         // of them, avoided now by hand or by choice
-  std::uint64_t config_applied = 0, config_rejected = 0;  // files taken and turned down at SIGHUP
+  std::map<std::string, ClassCounts> classes;             // by name; every configured class, also at 0
+  std::uint64_t active = 0;                               // requests accepted and not ended
+  std::uint64_t pool_size = 0;                            // listed hosts
+  std::uint64_t pool_ejected = 0;                         // listed hosts disabled by operators or avoided now
+  std::uint64_t config_applied = 0, config_rejected = 0;  // configuration files read at SIGHUP
 };
 
-/// Text exposition format 0.0.4, # HELP and # TYPE with each name.
-std::string to_prometheus(const Metrics& figures);
+/// Prometheus text exposition format 0.0.4, with # HELP and # TYPE for each name.
+std::string to_prometheus(const Metrics& metrics);
 
 }  // namespace cedarring::telemetry
--- a/src/telemetry/record.cpp
+++ b/src/telemetry/record.cpp
@@ -7,51 +7,56 @@
 #include <cstdio>
 
 namespace cedarring::telemetry {
+namespace {
 
-std::string to_json(const Record& r, const std::string& instance) {
+constexpr std::int64_t microseconds_per_millisecond = 1000;
+
+}  // namespace
+
+std::string to_json(const Record& record, const std::string& instance) {
   rapidjson::StringBuffer buffer;
-  rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
-  const auto text = [&](const char* key, const std::string& value) {
+  rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
+  const auto write_unless_empty = [&](const char* key, const std::string& value) {
     if (value.empty()) return;
-    w.Key(key);
-    w.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
+    writer.Key(key);
+    writer.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
   };
-  w.StartObject();
-  w.Key("at_ms");
-  w.Int64(r.at.count() / 1000);
-  text("instance", instance);
-  text("record", r.kind);
-  text("subject", r.subject);
-  text("from", r.from);
-  text("to", r.to);
-  text("rule", r.rule);
-  if (!r.readings.empty()) {
-    w.Key("readings");
-    w.StartObject();
-    for (const auto& [name, value] : r.readings) {
-      w.Key(name.data(), static_cast<rapidjson::SizeType>(name.size()));
+  writer.StartObject();
+  writer.Key("at_ms");
+  writer.Int64(record.at.count() / microseconds_per_millisecond);
+  write_unless_empty("instance", instance);
+  write_unless_empty("record", record.kind);
+  write_unless_empty("subject", record.subject);
+  write_unless_empty("from", record.from);
+  write_unless_empty("to", record.to);
+  write_unless_empty("rule", record.rule);
+  if (!record.readings.empty()) {
+    writer.Key("readings");
+    writer.StartObject();
+    for (const auto& [name, value] : record.readings) {
+      writer.Key(name.data(), static_cast<rapidjson::SizeType>(name.size()));
       if (std::isfinite(value))
-        w.Double(value);
+        writer.Double(value);
       else
-        w.Null();
+        writer.Null();
     }
-    w.EndObject();
+    writer.EndObject();
   }
-  text("note", r.note);
-  w.EndObject();
+  write_unless_empty("note", record.note);
+  writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-std::string to_text(const Record& r) {
-  auto text = r.kind + " " + r.subject;
-  if (!r.from.empty() || !r.to.empty()) text += ": " + r.from + " -> " + r.to;
-  if (!r.rule.empty()) text += " (" + r.rule + ")";
-  for (const auto& [name, value] : r.readings) {
+std::string to_text(const Record& record) {
+  auto text = record.kind + " " + record.subject;
+  if (!record.from.empty() || !record.to.empty()) text += ": " + record.from + " -> " + record.to;
+  if (!record.rule.empty()) text += " (" + record.rule + ")";
+  for (const auto& [name, value] : record.readings) {
     char number[32];
     std::snprintf(number, sizeof number, "%.4g", value);
     text += " " + name + "=" + number;
   }
-  if (!r.note.empty()) text += "; " + r.note;
+  if (!record.note.empty()) text += "; " + record.note;
   return text;
 }
 
--- a/src/telemetry/record.h
+++ b/src/telemetry/record.h
@@ -1,5 +1,4 @@
-// The record of a decision: what has changed, when, from what to what, on which readings, by which rule. Made
-// once; the log line, the report and the test read the same one.
+/// The record of a decision: which state has changed, when, on which readings and by which rule.
 #pragma once
 
 #include <chrono>
@@ -10,19 +9,21 @@
 
 namespace cedarring::telemetry {
 
+/// One decision. Log lines, reports and tests read the same record.
 struct Record {
-  std::chrono::microseconds at{};  // Unix time
-  std::string kind;                // what decides: "level", "pin", ...
-  std::string subject;             // what it is about: "pressure", "group 2", ...
-  std::string from, to;
-  std::string rule;  // which rule has decided
+  std::chrono::microseconds at{};  // Unix time; zero: set when it is logged
+  std::string kind;                // part that decides: "level", "pin", ...
+  std::string subject;             // object of the decision: "pressure", "group 2", ...
+  std::string from, to;            // state before and after
+  std::string rule;                // rule that led to the decision
   std::vector<std::pair<std::string, double>> readings;
   std::string note;
 };
 
-/// One JSON object on one line, without its end. Numbers that JSON cannot hold are written as null.
+/// Formats the record as one JSON object on one line, without a line feed. Numbers that JSON cannot represent
+/// become null.
 std::string to_json(const Record& record, const std::string& instance);
-/// The same for a person at a terminal.
+/// Formats the record as one line of plain text.
 std::string to_text(const Record& record);
 
 }  // namespace cedarring::telemetry
--- a/src/tools/ctl/main.cpp
+++ b/src/tools/ctl/main.cpp
@@ -1,5 +1,5 @@
-// cedarring ctl: what a running gateway says of itself, and the few things that an operator may set, over its
-// admin socket.
+// cedarring ctl: queries a running gateway over its admin socket, and sets or unsets operator overrides of
+// levels.
 #include <CLI/CLI.hpp>
 #include <iostream>
 
@@ -7,43 +7,44 @@
 #include "wire/admin.h"
 
 int main(int argc, char** argv) {
-  CLI::App app("Talk to a running gateway over its admin socket", "cedarring ctl");
+  CLI::App app("Query and control a running gateway over its admin socket", "cedarring ctl");
   std::string socket = "/run/cedarring/admin.sock";
   bool json = false;
-  app.add_option("-s,--socket", socket, "The socket, as in the section admin")->envname("CEDARRING_ADMIN");
-  app.add_flag("--json", json, "The answer as it came");
-  std::string line;
-  const auto plain = [&](const char* name, const char* what) {
-    app.add_subcommand(name, what)->callback([&line, name] { line = name; });
+  app.add_option("-s,--socket", socket, "Path of the admin socket, as in the section admin")
+      ->envname("CEDARRING_ADMIN");
+  app.add_flag("--json", json, "Print the response as received");
+  std::string command;
+  const auto add_query = [&](const char* name, const char* description) {
+    app.add_subcommand(name, description)->callback([&command, name] { command = name; });
   };
-  plain("levels", "Levels of reduced service, by front");
-  plain("contracts", "Each team's use of each class against its contract");
-  plain("hosts", "Groups and how their hosts fare");
+  add_query("levels", "Degradation levels, by front end");
+  add_query("contracts", "Each team's usage of each class against its contract");
+  add_query("hosts", "Groups and the state of their hosts");
   int count = 50;
-  auto* records = app.add_subcommand("records", "The last decisions recorded");
-  records->add_option("N", count, "How many")->check(CLI::Range(1, 10000));
-  records->callback([&] { line = "records " + std::to_string(count); });
-  std::string front, axis, level;
+  auto* records = app.add_subcommand("records", "The latest decision records");
+  records->add_option("N", count, "Number of records")->check(CLI::Range(1, 10000));
+  records->callback([&] { command = "records " + std::to_string(count); });
+  std::string front_end, axis, level;
   int seconds = 0;
-  auto* set = app.add_subcommand("set-level", "Hold a level until a time");
-  set->add_option("FRONT", front, "postgresql or mysql")->required();
+  auto* set = app.add_subcommand("set-level", "Hold a degradation level for a number of seconds");
+  set->add_option("FRONT", front_end, "postgresql or mysql")->required();
   set->add_option("AXIS", axis, "pressure, or the number of a group")->required();
-  set->add_option("LEVEL", level, "Its name")->required();
-  set->add_option("SECONDS", seconds, "How long")->required()->check(CLI::Range(1, 86400));
+  set->add_option("LEVEL", level, "Name of the level")->required();
+  set->add_option("SECONDS", seconds, "Duration in seconds")->required()->check(CLI::Range(1, 86400));
   set->callback(
-      [&] { line = "set-level " + front + " " + axis + " " + level + " " + std::to_string(seconds); });
-  auto* unset = app.add_subcommand("unset-level", "Take a held level back");
-  unset->add_option("FRONT", front, "postgresql or mysql")->required();
+      [&] { command = "set-level " + front_end + " " + axis + " " + level + " " + std::to_string(seconds); });
+  auto* unset = app.add_subcommand("unset-level", "Release a held degradation level");
+  unset->add_option("FRONT", front_end, "postgresql or mysql")->required();
   unset->add_option("AXIS", axis, "pressure, or the number of a group")->required();
-  unset->callback([&] { line = "unset-level " + front + " " + axis; });
+  unset->callback([&] { command = "unset-level " + front_end + " " + axis; });
   app.require_subcommand(1);
   CLI11_PARSE(app, argc, argv);
 
-  std::string answer, error;
-  if (!cedarring::wire::ask_admin(socket, line, answer, error)) {
+  std::string response, error;
+  if (!cedarring::wire::ask_admin(socket, command, response, error)) {
     std::cerr << "cedarring ctl: " << error << '\n';
     return 1;
   }
-  std::cout << (json ? answer : cedarring::tools::show(answer)) << '\n';
-  return answer.rfind("{\"error\"", 0) == 0 ? 1 : 0;
+  std::cout << (json ? response : cedarring::tools::format_response(response)) << '\n';
+  return response.rfind("{\"error\"", 0) == 0 ? 1 : 0;
 }
--- a/src/tools/ctl/show.cpp
+++ b/src/tools/ctl/show.cpp
@@ -13,87 +13,93 @@
 
 using Json = rapidjson::Value;
 
-/// Keys that end in at_ms or until_ms or since_ms are Unix times.
-std::string cell(const std::string& key, const Json& v) {
-  if (v.IsString()) return v.GetString();
-  if (v.IsInt64() && (key == "at_ms" || key == "since_ms" || key == "pinned_until_ms")) {
-    const std::time_t seconds = v.GetInt64() / 1000;
-    std::tm tm{};
-    gmtime_r(&seconds, &tm);
+constexpr std::int64_t milliseconds_per_second = 1000;
+
+/// Formats a scalar or a table cell. The keys at_ms, since_ms and pinned_until_ms hold Unix times, which are
+/// written as UTC dates.
+std::string format_value(const std::string& key, const Json& value) {
+  if (value.IsString()) return value.GetString();
+  if (value.IsInt64() && (key == "at_ms" || key == "since_ms" || key == "pinned_until_ms")) {
+    const std::time_t seconds = value.GetInt64() / milliseconds_per_second;
+    std::tm utc{};
+    gmtime_r(&seconds, &utc);
     char text[40];
-    const auto n = std::strftime(text, sizeof text, "%FT%T", &tm);
-    std::snprintf(text + n, sizeof text - n, ".%03dZ", static_cast<int>(v.GetInt64() % 1000));
+    const auto length = std::strftime(text, sizeof text, "%FT%T", &utc);
+    std::snprintf(text + length, sizeof text - length, ".%03dZ",
+                  static_cast<int>(value.GetInt64() % milliseconds_per_second));
     return text;
   }
   rapidjson::StringBuffer buffer;
-  rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
-  v.Accept(w);
+  rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
+  value.Accept(writer);
   return buffer.GetString();
 }
 
-bool is_table(const Json& v) {
-  return v.IsArray() && !v.Empty() &&
+/// Whether the value is a non-empty list of objects without nested values, other than readings.
+bool is_table(const Json& value) {
+  return value.IsArray() && !value.Empty() &&
          std::all_of(
-             v.Begin(), v.End(),
+             value.Begin(), value.End(),
              [](const Json& row) {
                return row.IsObject() && std::none_of(
                                             row.MemberBegin(), row.MemberEnd(),
-                                            [](const auto& m) {
-                                              return m.value.IsArray() ||
-                                                     (m.value.IsObject() && m.name != "readings");
+                                            [](const auto& member) {
+                                              return member.value.IsArray() ||
+                                                     (member.value.IsObject() && member.name != "readings");
                                             });
              });
 }
 
-void put_table(const Json& rows, const std::string& indent, std::string& out) {
+/// Appends the rows as an aligned table with the union of their keys as columns.
+void append_table(const Json& rows, const std::string& indent, std::string& out) {
   std::vector<std::string> keys;
   for (const auto& row : rows.GetArray())
-    for (const auto& m : row.GetObject())
-      if (std::find(keys.begin(), keys.end(), m.name.GetString()) == keys.end())
-        keys.emplace_back(m.name.GetString());
+    for (const auto& member : row.GetObject())
+      if (std::find(keys.begin(), keys.end(), member.name.GetString()) == keys.end())
+        keys.emplace_back(member.name.GetString());
   std::vector<std::vector<std::string>> cells{keys};
   for (const auto& row : rows.GetArray()) {
     cells.emplace_back();
     for (const auto& key : keys) {
       const auto it = row.FindMember(key.c_str());
-      cells.back().push_back(it == row.MemberEnd() ? "-" : cell(key, it->value));
+      cells.back().push_back(it == row.MemberEnd() ? "-" : format_value(key, it->value));
     }
   }
-  std::vector<std::size_t> width(keys.size(), 0);
+  std::vector<std::size_t> widths(keys.size(), 0);
   for (const auto& row : cells)
-    for (std::size_t i = 0; i < row.size(); ++i) width[i] = std::max(width[i], row[i].size());
+    for (std::size_t i = 0; i < row.size(); ++i) widths[i] = std::max(widths[i], row[i].size());
   for (const auto& row : cells) {
     out += indent;
     for (std::size_t i = 0; i < row.size(); ++i)
-      out += row[i] + (i + 1 < row.size() ? std::string(width[i] - row[i].size() + 2, ' ') : "");
+      out += row[i] + (i + 1 < row.size() ? std::string(widths[i] - row[i].size() + 2, ' ') : "");
     out += '\n';
   }
 }
 
-void put(const Json& v, const std::string& indent, std::string& out) {
-  if (is_table(v)) return put_table(v, indent, out);
-  if (v.IsArray())
-    for (const auto& item : v.GetArray()) put(item, indent, out);
-  if (!v.IsObject()) return;
-  for (const auto& m : v.GetObject()) {
-    const std::string key = m.name.GetString();
-    if (m.value.IsObject() || m.value.IsArray()) {
+void append_value(const Json& value, const std::string& indent, std::string& out) {
+  if (is_table(value)) return append_table(value, indent, out);
+  if (value.IsArray())
+    for (const auto& item : value.GetArray()) append_value(item, indent, out);
+  if (!value.IsObject()) return;
+  for (const auto& member : value.GetObject()) {
+    const std::string key = member.name.GetString();
+    if (member.value.IsObject() || member.value.IsArray()) {
       out += indent + key + ":\n";
-      put(m.value, indent + "  ", out);
+      append_value(member.value, indent + "  ", out);
     } else {
-      out += indent + key + ": " + cell(key, m.value) + "\n";
+      out += indent + key + ": " + format_value(key, member.value) + "\n";
     }
   }
 }
 
 }  // namespace
 
-std::string show(const std::string& json) {
-  rapidjson::Document d;
-  d.Parse<rapidjson::kParseIterativeFlag>(json.c_str());
-  if (d.HasParseError() || (!d.IsObject() && !d.IsArray())) return json;
+std::string format_response(const std::string& json) {
+  rapidjson::Document document;
+  document.Parse<rapidjson::kParseIterativeFlag>(json.c_str());
+  if (document.HasParseError() || (!document.IsObject() && !document.IsArray())) return json;
   std::string out;
-  put(d, "", out);
+  append_value(document, "", out);
   while (!out.empty() && out.back() == '\n') out.pop_back();
   return out.empty() ? "nothing" : out;
 }
--- a/src/tools/ctl/show.h
+++ b/src/tools/ctl/show.h
@@ -1,11 +1,12 @@
-// Answers of the admin socket for a person: nested JSON as indented lines, lists of objects as a table.
+/// Formats responses of the admin socket for reading: nested JSON as indented lines, lists of objects as
+/// tables.
 #pragma once
 
 #include <string>
 
 namespace cedarring::tools {
 
-/// The answer as text; one that is no JSON comes back as it is.
-std::string show(const std::string& json);
+/// The response as text. A response that is not a JSON object or array is returned unchanged.
+std::string format_response(const std::string& json);
 
 }  // namespace cedarring::tools
--- a/src/tools/lab/world.cpp
+++ b/src/tools/lab/world.cpp
@@ -298,7 +298,7 @@
     a.time_left = r->deadline - timeline.now();
     a.session = SessionId{std::hash<std::string>()(r->key)};
     a.retry = r->tries > 0;
-    a.work = std::move(work);
+    a.payload = std::move(work);
     ++r->tries;
     RequestId id;
     pending = &id;  // set by accept() before anyone can be answered
@@ -413,7 +413,7 @@
     return std::move(result);
   }
   void tell() {
-    for (auto& g : gateways) g->broker->listed(list());
+    for (auto& g : gateways) g->broker->on_member_list(list());
   }
 
   const WorldConfig& c;
@@ -551,7 +551,8 @@
 
 void SimUpstream::open_watch() {
   world_.timeline.after(
-      std::chrono::milliseconds(1), [this] { world_.gateways[gateway_]->broker->listed(world_.list()); });
+      std::chrono::milliseconds(1),
+      [this] { world_.gateways[gateway_]->broker->on_member_list(world_.list()); });
 }
 
 void SimUpstream::set_timer(Time due) {
--- a/src/tools/report/contracts.cpp
+++ b/src/tools/report/contracts.cpp
@@ -11,6 +11,7 @@
 namespace cedarring::report {
 namespace {
 
+// Names of readings in the records, and of the report's columns.
 constexpr const char* columns[] = {"asked",
                                    "within",
                                    "beyond",
@@ -26,83 +27,94 @@
                                    "kept",
                                    "cost_ms"};
 
-std::string number(double v) {
+std::string format_number(double value) {
   char text[32];
-  std::snprintf(text, sizeof text, "%.0f", v);
+  std::snprintf(text, sizeof text, "%.0f", value);
   return text;
 }
 
-double sum_of(const Use& u, const std::string& column) {
-  const auto it = u.sums.find(column);
-  return it == u.sums.end() ? 0 : it->second;
+double sum_of(const ContractUsage& usage, const std::string& column) {
+  const auto it = usage.sums.find(column);
+  return it == usage.sums.end() ? 0 : it->second;
 }
 
 }  // namespace
 
-void merge(std::istream& in, Merged& merged) {
+void merge(std::istream& in, UsageReport& report) {
   for (std::string line; std::getline(in, line);) {
     if (line.empty()) continue;
-    ++merged.lines;
-    rapidjson::Document d;
-    d.Parse<rapidjson::kParseIterativeFlag>(line.c_str());
-    if (d.HasParseError() || !d.IsObject()) {
-      ++merged.unreadable;
+    ++report.lines;
+    rapidjson::Document document;
+    document.Parse<rapidjson::kParseIterativeFlag>(line.c_str());
+    if (document.HasParseError() || !document.IsObject()) {
+      ++report.unreadable;
       continue;
     }
-    const auto text = [&](const char* key) {
-      const auto it = d.FindMember(key);
-      return it != d.MemberEnd() && it->value.IsString() ? std::string(it->value.GetString()) : std::string();
+    const auto text_member = [&](const char* key) {
+      const auto it = document.FindMember(key);
+      return it != document.MemberEnd() && it->value.IsString() ? std::string(it->value.GetString())
+                                                                : std::string();
     };
-    const auto kind = text("record"), subject = text("subject");
+    const auto kind = text_member("record");
+    const auto subject = text_member("subject");
     if (kind == "breach")
-      ++(text("rule").rfind("the team", 0) == 0 ? merged.by_subject[subject].by_team
-                                                : merged.by_subject[subject].by_gateway);
+      ++(text_member("rule").rfind("the team", 0) == 0 ? report.by_subject[subject].by_team
+                                                       : report.by_subject[subject].by_gateway);
     if (kind != "ledger") continue;
-    auto& use = merged.by_subject[subject];
-    ++use.windows;
-    const auto readings = d.FindMember("readings");
-    if (readings == d.MemberEnd() || !readings->value.IsObject()) continue;
-    for (const auto& m : readings->value.GetObject())
-      if (m.value.IsNumber() && m.name != "from_ms") use.sums[m.name.GetString()] += m.value.GetDouble();
+    auto& usage = report.by_subject[subject];
+    ++usage.windows;
+    const auto readings = document.FindMember("readings");
+    if (readings == document.MemberEnd() || !readings->value.IsObject()) continue;
+    for (const auto& reading : readings->value.GetObject())
+      if (reading.value.IsNumber() && reading.name != "from_ms")
+        usage.sums[reading.name.GetString()] += reading.value.GetDouble();
   }
 }
 
-std::string print(const Merged& merged, Form form) {
-  if (form == Form::json) {
+std::string print(const UsageReport& report, OutputFormat format) {
+  if (format == OutputFormat::json) {
     rapidjson::StringBuffer buffer;
-    rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
-    w.StartArray();
-    for (const auto& [subject, use] : merged.by_subject) {
-      w.StartObject();
-      w.Key("subject"), w.String(subject.c_str());
-      for (const auto* c : columns) w.Key(c), w.Double(sum_of(use, c));
-      w.Key("windows"), w.Uint64(use.windows);
-      w.Key("breaches_team"), w.Uint64(use.by_team);
-      w.Key("breaches_gateway"), w.Uint64(use.by_gateway);
-      w.EndObject();
+    rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
+    writer.StartArray();
+    for (const auto& [subject, usage] : report.by_subject) {
+      writer.StartObject();
+      writer.Key("subject");
+      writer.String(subject.c_str());
+      for (const auto* column : columns) {
+        writer.Key(column);
+        writer.Double(sum_of(usage, column));
+      }
+      writer.Key("windows");
+      writer.Uint64(usage.windows);
+      writer.Key("breaches_team");
+      writer.Uint64(usage.by_team);
+      writer.Key("breaches_gateway");
+      writer.Uint64(usage.by_gateway);
+      writer.EndObject();
     }
-    w.EndArray();
+    writer.EndArray();
     return std::string(buffer.GetString(), buffer.GetSize()) + "\n";
   }
   std::vector<std::vector<std::string>> rows{{"subject"}};
-  for (const auto* c : columns) rows[0].emplace_back(c);
-  for (const auto* c : {"windows", "breaches_team", "breaches_gateway"}) rows[0].emplace_back(c);
-  for (const auto& [subject, use] : merged.by_subject) {
+  for (const auto* column : columns) rows[0].emplace_back(column);
+  for (const auto* column : {"windows", "breaches_team", "breaches_gateway"}) rows[0].emplace_back(column);
+  for (const auto& [subject, usage] : report.by_subject) {
     rows.push_back({subject});
-    for (const auto* c : columns) rows.back().push_back(number(sum_of(use, c)));
-    for (const auto n : {use.windows, use.by_team, use.by_gateway}) rows.back().push_back(std::to_string(n));
+    for (const auto* column : columns) rows.back().push_back(format_number(sum_of(usage, column)));
+    for (const auto count : {usage.windows, usage.by_team, usage.by_gateway})
+      rows.back().push_back(std::to_string(count));
   }
-  std::vector<std::size_t> width(rows[0].size(), 0);
+  std::vector<std::size_t> widths(rows[0].size(), 0);
   for (const auto& row : rows)
-    for (std::size_t i = 0; i < row.size(); ++i) width[i] = std::max(width[i], row[i].size());
+    for (std::size_t i = 0; i < row.size(); ++i) widths[i] = std::max(widths[i], row[i].size());
   std::string out;
   for (const auto& row : rows) {
     for (std::size_t i = 0; i < row.size(); ++i)
-      if (form == Form::csv)
+      if (format == OutputFormat::csv)
         out += (i > 0 ? "," : "") + row[i];
       else
-        out += i == 0 ? row[i] + std::string(width[i] - row[i].size(), ' ')
-                      : "  " + std::string(width[i] - row[i].size(), ' ') + row[i];
+        out += i == 0 ? row[i] + std::string(widths[i] - row[i].size(), ' ')
+                      : "  " + std::string(widths[i] - row[i].size(), ' ') + row[i];
     out += '\n';
   }
   return out;
--- a/src/tools/report/contracts.h
+++ b/src/tools/report/contracts.h
@@ -1,4 +1,4 @@
-// Each team's use against its contract, from the records of one or more gateways.
+/// Report of each team's usage against its contract, from the decision records of one or more gateways.
 #pragma once
 
 #include <iosfwd>
@@ -8,22 +8,22 @@
 
 namespace cedarring::report {
 
-/// Sums by subject (front, team, class), over all windows and gateways.
-struct Use {
+/// Usage of one subject (front end, team, class), summed over all windows and gateways.
+struct ContractUsage {
   std::map<std::string, double> sums;  // by column
   std::size_t windows = 0;
-  std::size_t by_team = 0, by_gateway = 0;  // breaches, by whose promise was broken
+  std::size_t by_team = 0, by_gateway = 0;  // breaches of the contract, by the party that broke it
 };
-struct Merged {
-  std::map<std::string, Use> by_subject;
-  std::size_t lines = 0,
-              unreadable = 0;  // a torn last line is one that cannot be read, and no reason to stop
+struct UsageReport {
+  std::map<std::string, ContractUsage> by_subject;
+  // unreadable: lines that are not JSON objects; the last line of a file may be truncated, which is no error.
+  std::size_t lines = 0, unreadable = 0;
 };
 
-/// Adds the records of a stream of JSON lines; records of other kinds are passed over.
-void merge(std::istream& in, Merged& merged);
+/// Adds the records of a stream of JSON lines. Records of other kinds are skipped.
+void merge(std::istream& in, UsageReport& report);
 
-enum class Form { table, json, csv };
-std::string print(const Merged& merged, Form form);
+enum class OutputFormat { table, json, csv };
+std::string print(const UsageReport& report, OutputFormat format);
 
 }  // namespace cedarring::report
--- a/src/tools/report/requests.h
+++ b/src/tools/report/requests.h
@@ -1,4 +1,5 @@
-// What became of requests, over many gateways: from the lines that gateways log at the level `debug`.
+/// Report of how requests ended, over one or more gateways, from the lines that gateways log per request at
+/// the level `debug`.
 #pragma once
 
 #include <array>
@@ -9,27 +10,27 @@
 
 namespace cedarring::report {
 
-/// Sums over requests that share a key: all, a second, a class, a group.
-struct Ends {
-  std::map<std::string, std::size_t> by_end;      // served, refused, failed, left
+/// Sums over the requests of one row: all, a second, a class or a group.
+struct RequestStats {
+  std::map<std::string, std::size_t> by_end;      // served, refused, failed, left (client disconnected)
   std::map<std::string, std::size_t> by_outcome;  // of attempts
   std::size_t requests = 0, unsent = 0;           // unsent: refused or failed without an attempt
-  double ms = 0;                                  // of the served, together
+  double served_ms = 0;                           // total duration of the served requests
 };
-struct Requests {
-  std::map<std::int64_t, Ends> by_second;  // Unix time of the end
-  std::map<std::string, Ends> by_class, by_group;
+struct RequestReport {
+  std::map<std::int64_t, RequestStats> by_second;  // Unix time of the end
+  std::map<std::string, RequestStats> by_class, by_group;
   std::map<std::string, std::map<std::string, std::size_t>> by_host;  // outcomes of attempts
-  std::map<std::string, std::size_t> patterns;  // end and outcomes in order, of what was not served at first
-  Ends all;
-  std::size_t lines = 0, others = 0;  // others: of another kind, or not whole
+  // Requests not served at the first attempt, by class, end and the outcomes in order.
+  std::map<std::string, std::size_t> patterns;
+  RequestStats all;
+  std::size_t lines = 0, skipped = 0;  // skipped: lines of other causes, or not valid JSON
 };
 
-/// Adds the lines of one log; `instance` stands before each line's own time where there is one, and is
-/// ignored.
-void merge(std::istream& in, Requests& into);
-/// Tables: by end, by class, by second, the usual courses of what was not served at once, hosts with the most
-/// that failed.
-std::string print(const Requests& r, std::size_t rows);
+/// Adds the lines of one log. Text before a line's JSON object, such as a timestamp, is ignored.
+void merge(std::istream& in, RequestReport& report);
+/// Tables by class and by second, the most frequent courses of requests not served at the first attempt, and
+/// the groups and hosts with the most failures; at most `max_rows` rows in each list.
+std::string print(const RequestReport& report, std::size_t max_rows);
 
 }  // namespace cedarring::report
--- a/src/wire/client.cpp
+++ b/src/wire/client.cpp
@@ -60,10 +60,10 @@
   }
   held_ -= out.size();
   out.clear();
-  if (out_.empty()) owner_.broker().more(slots_.front().request);
+  if (out_.empty()) owner_.broker().resume_answer(slots_.front().request);
 }
 
-bool Client::part(RequestId request, std::string_view bytes) {
+bool Client::on_answer_part(RequestId request, std::string_view bytes) {
   const auto slot = slot_of(request);
   if (slot == slots_.end()) return true;
   if (!std::exchange(slot->streaming, true)) since_ = loop_.now();
@@ -124,7 +124,7 @@
 }
 
 bool Client::reserve(std::size_t bytes, broker::MemoryBudget::Reservation& out) {
-  if (owner_.room().take(this, bytes, out)) return true;
+  if (owner_.room().try_reserve(this, bytes, out)) return true;
   hold(true);
   return false;
 }
@@ -142,7 +142,7 @@
 }
 
 void Client::leave() {
-  owner_.room().leave(this);
+  owner_.room().stop_waiting(this);
   if (!closed()) close();
   for (const auto& slot : std::exchange(slots_, {}))
     if (slot.open) owner_.broker().client_left(slot.request);
@@ -160,7 +160,7 @@
   }
   if (!slots_.empty() && slots_.front().streaming && slots_.front().open) {
     since_ = loop_.now();
-    return owner_.broker().more(slots_.front().request);
+    return owner_.broker().resume_answer(slots_.front().request);
   }
   if (drained()) leave();
 }
@@ -230,7 +230,7 @@
   if (!info.session.empty()) ask.session = session_of(info.session);
   ask.retry = info.retry;
   if (info.after_ms) ask.after = std::chrono::milliseconds(*info.after_ms);
-  ask.work = std::move(work);
+  ask.payload = std::move(work);
   slots_.push_back({{}, true, {}});
   ++open_;
   const auto rejection = owner_.broker().accept(ask, *this, slots_.back().request);
@@ -301,12 +301,12 @@
 
 /// Those in line in turn, until one finds none.
 void ClientSet::room_freed(ev::timer&, int) {
-  for (const void* last = nullptr; room_->next() && room_->next() != last;) {
-    last = room_->next();
+  for (const void* last = nullptr; room_->next_waiter() && room_->next_waiter() != last;) {
+    last = room_->next_waiter();
     const auto it =
         std::find_if(clients_.begin(), clients_.end(), [&](const auto& c) { return c.first == last; });
     if (it == clients_.end())
-      room_->leave(last);
+      room_->stop_waiting(last);
     else
       it->second->room_made();
   }
@@ -377,14 +377,14 @@
 /// Closes idle clients, the longest idle first, for as long as their places are wanted: each one closed gives
 /// the others more time.
 void ClientSet::retire_idle() {
-  if (!places_.gives_way(Duration::max(), taken(), idle_of_)) return;
+  if (!places_.should_close(Duration::max(), taken(), idle_of_)) return;
   std::vector<Client*> idle;
   for (const auto& [key, c] : clients_)
     if (c->idle()) idle.push_back(key);
   std::sort(idle.begin(), idle.end(),
             [](const Client* a, const Client* b) { return a->since() < b->since(); });
   for (auto* client : idle) {
-    if (!places_.gives_way(idle_time(*client), taken(), idle_of_)) return;
+    if (!places_.should_close(idle_time(*client), taken(), idle_of_)) return;
     if (!client->pending()) client->leave();  // its next request may be there already
   }
 }
@@ -404,7 +404,7 @@
     return a->has_spoken() != b->has_spoken() ? !a->has_spoken() : a->since() < b->since();
   };
   for (const auto& [key, c] : clients_)
-    if (c->evictable(loop_.now()) && (!c->idle() || places_.gives_way(idle_time(*c), taken(), idle_of_)) &&
+    if (c->evictable(loop_.now()) && (!c->idle() || places_.should_close(idle_time(*c), taken(), idle_of_)) &&
         (!first || before(key, first)) && !c->pending())
       first = key;
   if (first) first->leave();
--- a/src/wire/client.h
+++ b/src/wire/client.h
@@ -23,9 +23,9 @@
 class Client : public Connection, public broker::FrontEnd {
  public:
   Client(ev::loop_ref loop, Fd fd, ClientSet& owner, std::size_t message_most);
-  bool part(RequestId request, std::string_view bytes) final;
+  bool on_answer_part(RequestId request, std::string_view bytes) final;
   void finish(RequestId request, broker::FinalAnswer answer) final;
-  [[nodiscard]] bool gone() const final { return closed() || peer_gone(); }
+  [[nodiscard]] bool client_gone() const final { return closed() || peer_gone(); }
   /// Has left while what it asked for waits, where its end is not read.
   [[nodiscard]] bool left_unseen() const { return open_ > 0 && !reading() && peer_gone(); }
   /// Closes now if idle, else once idle.
--- a/src/wire/upstream.cpp
+++ b/src/wire/upstream.cpp
@@ -168,7 +168,7 @@
 
 void SocketUpstream::trim(std::size_t most) {
   while (connections_.size() > most) {
-    auto* idle = pool_.oldest();
+    auto* idle = pool_.take_oldest();
     if (!idle) return;
     drop(idle);
   }
@@ -196,7 +196,7 @@
     // At the bound the connection that was idle longest, anywhere, makes room.
     if (connections_.size() >= most_ && full_) full_();
     if (connections_.size() >= most_)
-      if (auto* idle = pool_.oldest()) drop(idle);
+      if (auto* idle = pool_.take_oldest()) drop(idle);
     AttemptResult failed;
     failed.outcome = Outcome::not_sent;
     if (connections_.size() >= most_) return tell(job, host, std::move(failed));
@@ -256,7 +256,7 @@
 void SocketUpstream::wind_down(bool on) {
   winding_down_ = on;
   if (!on) return;
-  while (auto* idle = pool_.oldest()) drop(idle);
+  while (auto* idle = pool_.take_oldest()) drop(idle);
 }
 
 void SocketUpstream::drop(HostConnection* connection) {
@@ -273,7 +273,7 @@
 }
 
 void SocketUpstream::close_idle(HostId host) {
-  for (auto* idle : pool_.drop(host)) drop(idle);
+  for (auto* idle : pool_.take_all(host)) drop(idle);
   // A slow connect or prepare must not put a request on the host long after we were told.
   std::vector<HostConnection*> mine;
   for (const auto& [key, connection] : connections_)
@@ -299,7 +299,7 @@
 
 /// Idle connections go well before the host closes them: a request written then would be lost.
 void SocketUpstream::sweep(ev::timer&, int) {
-  for (auto* idle : pool_.retire(clock_() - options_.idle_close / 2)) drop(idle);
+  for (auto* idle : pool_.take_expired(clock_() - options_.idle_close / 2)) drop(idle);
 }
 
 }  // namespace cedarring::wire
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -267,7 +267,7 @@
   void follow(Time at) { now = at, broker.suspend_spending(); }
   std::string split(Time at) { return now = at, to_text(broker.split_budgets()); }
   void take(const std::string& told, Time at) {
-    now = at, broker.take_budgets(*from_text<broker::BudgetSnapshots>(told));
+    now = at, broker.restore_budgets(*from_text<broker::BudgetSnapshots>(told));
   }
   void alone(Time at) { now = at, broker.resume_full_spending(); }
   bool within(Time at) {
@@ -276,9 +276,9 @@
     a.name = std::to_string(++next), a.contract = "bid", a.tenant = "acme", a.group = GroupId{1},
     a.time_left = 1s;
     RequestId id;
-    const auto over = broker.budgets()[0].over;
+    const auto over = broker.budgets()[0].over_budget;
     broker.accept(a, front, id);
-    return broker.budgets()[0].over == over;
+    return broker.budgets()[0].over_budget == over;
   }
 };
 
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -536,13 +536,13 @@
     if (holds.count(me) > 0) {
       holds.erase(me);
     } else if (wanted.count(me) > 0 && draw(8) == 0) {
-      room->leave(me);
+      room->stop_waiting(me);
       wanted.erase(me);
       line.erase(std::find(line.begin(), line.end(), me));
     } else {
       const auto bytes = wanted.count(me) > 0 ? wanted[me] : 1 + draw(1200);
       broker::MemoryBudget::Reservation hold;
-      if (room->take(me, bytes, hold)) {
+      if (room->try_reserve(me, bytes, hold)) {
         if (!line.empty()) {
           ASSERT_EQ(line.front(), me);  // nobody is passed by
           line.erase(line.begin());
@@ -559,7 +559,7 @@
     ASSERT_TRUE(sum <= 1000 || holds.size() == 1);
     ASSERT_EQ(room->waiting(), line.size());
     // Where nothing is held the first in line gets its room.
-    ASSERT_TRUE(!holds.empty() || line.empty() || room->next() == line.front());
+    ASSERT_TRUE(!holds.empty() || line.empty() || room->next_waiter() == line.front());
   }
   EXPECT_GT(freed, 0);
   room->close();
