--- a/src/app/clock.h
+++ b/src/app/clock.h
@@ -1,5 +1,5 @@
-/// The gateway's clock: the Unix time at construction, advanced by the steady clock, so that it never goes
-/// back.
+// The gateway's clock: the Unix time at construction, advanced by the steady clock, so that it never goes
+// back.
 #pragma once
 
 #include <chrono>
@@ -8,6 +8,7 @@
 
 namespace cedarring::app {
 
+/// Unix time that never goes back, also when the system clock is set.
 class UnixClock {
  public:
   UnixClock()
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -1,6 +1,6 @@
-/// The broker keeps the open requests, their attempts and the tenants' budgets, and drives the Router. It
-/// knows no protocol: a FrontEnd receives the final answers, an Upstream carries the attempts out. Gates and
-/// the router make the decisions; the broker carries them out.
+// The broker keeps the open requests, their attempts and the tenants' budgets, and drives the Router. It
+// knows no protocol: a FrontEnd receives the final answers, an Upstream carries the attempts out. Gates and
+// the router make the decisions; the broker carries them out.
 #pragma once
 
 #include <algorithm>
@@ -97,8 +97,11 @@
   virtual void start(AttemptKey key, HostId host, const std::string& address,
                      const std::shared_ptr<const RequestPayload>& payload, Time give_up_at,
                      bool sole_candidate) = 0;
+  /// Cancels an attempt. The broker ignores a result that is reported for it afterwards.
   virtual void cancel(AttemptKey key) = 0;
+  /// Sends a probe, answered by Broker::probe_ended.
   virtual void probe(HostId host, const std::string& address) = 0;
+  /// Opens or reopens the discovery watch.
   virtual void open_watch() = 0;
   /// Arranges for Broker::timer_fired at `due`.
   virtual void set_timer(Time due) = 0;
@@ -129,6 +132,7 @@
 struct BudgetSnapshot {
   double share_fraction = 0, tokens = 0;
 };
+/// Reads or writes the snapshot under the key names of the handover format.
 template <class Archive>
 void serialize(Archive& archive, BudgetSnapshot& budget) {
   archive("part", budget.share_fraction), archive("left", budget.tokens);
@@ -160,6 +164,7 @@
 
  public:
   using Clock = std::function<Time()>;
+  /// `zones`: zone names in the order of ZoneId. `max_requests`: limit on open requests.
   Broker(Settings settings, const std::vector<TenantBudget>& budgets, std::vector<std::string> zones,
          Clock clock, Upstream& upstream, std::size_t max_requests = 20000);
   /// Appends a gate: a request passes the gates in this order, then the router. Not owned.
@@ -181,10 +186,13 @@
   bool attempt_part(AttemptKey key, std::string_view bytes);
   /// The front end accepts further parts of a request's answer.
   void resume_answer(RequestId id);
+  /// An attempt has ended; ignored if it was cancelled before.
   void attempt_ended(AttemptKey key, AttemptResult result);
+  /// A probe has ended after `elapsed`.
   void probe_ended(HostId host, Outcome outcome, Duration elapsed, const LoadReport& report);
   /// Applies a list of hosts from discovery.
   void on_member_list(const MemberList& list);
+  /// Discovery failed to deliver a list.
   void on_member_list_failed();
   /// Disables or re-enables a host by operator command. Returns false if no host has the id, unless `force`:
   /// another process of this gateway has verified the id.
@@ -195,6 +203,7 @@
   // Handover between two processes of one gateway, see docs/service.md.
   /// The router's state, with hosts by name.
   RouterSnapshot snapshot(SnapshotScope scope);
+  /// Merges the state of the other process's router.
   void merge_snapshot(RouterSnapshot snapshot);
   /// Splits the tenants' budgets; returns the part of the other process.
   BudgetSnapshots split_budgets();
@@ -223,6 +232,7 @@
   void timer_fired();
   /// The router's view of each group, ordered by id.
   void group_views(std::vector<GroupView>& out) { router_.group_views(clock_(), out); }
+  /// Applies tuning parameters to the router.
   void set_tuning(const Tuning& tuning) { router_.set_tuning(tuning); }
   /// Limits the number of attempts in flight; at least 1.
   void set_max_in_flight(std::size_t attempts) {
@@ -233,6 +243,7 @@
   void update_settings(Settings settings, std::vector<TenantBudget> budgets);
 
   [[nodiscard]] Time now() const { return clock_(); }
+  /// Number of requests that have not ended or still have attempts in flight.
   [[nodiscard]] std::size_t open_requests() const { return requests_.size(); }
   /// Adds this broker's counters and gauges to `out`.
   void collect_metrics(telemetry::Metrics& out);
@@ -242,6 +253,7 @@
   [[nodiscard]] std::size_t entry_count() const {
     return requests_.size() + names_.size() + hosts_.size() + router_.entry_count();
   }
+  /// Budgets by tenant index, including tenants that are no longer configured.
   [[nodiscard]] const std::deque<TenantBudget>& budgets() const { return budgets_; }
 
  private:
--- a/src/broker/connection_limits.h
+++ b/src/broker/connection_limits.h
@@ -1,5 +1,5 @@
-/// Limits on connections: how long an idle client connection may stay open, and how clients and hosts share
-/// the connection limit. Pure functions of counts and durations.
+// Limits on connections: how long an idle client connection may stay open, and how clients and hosts share
+// the connection limit. Pure functions of counts and durations.
 #pragma once
 
 #include <algorithm>
@@ -14,8 +14,9 @@
 /// they use up our connection limit: with a fixed timeout, a crowd of them keeps all other clients out.
 struct IdleConnectionLimits {
   Duration max_idle{2'000'000};  // allowed while few connections are open
-  Duration min_idle{150'000};  // allowed at the limit: a client that sends its next request at once keeps its
-                               // connection
+  // Allowed from `strict_share` on: long enough that a client that sends its next request at once keeps its
+  // connection.
+  Duration min_idle{150'000};
   double relaxed_share = 1.0 / 6;  // share of the limit up to which no connection is closed early
   double strict_share = 1.0 / 3;   // share from which `min_idle` applies
 
--- a/src/broker/host_table.h
+++ b/src/broker/host_table.h
@@ -1,4 +1,4 @@
-/// The database hosts as discovery lists them. Interns host names and zones as the router's numeric ids.
+// The database hosts as discovery lists them. Interns host names and zones as the router's numeric ids.
 #pragma once
 
 #include <functional>
@@ -40,6 +40,7 @@
 /// All known hosts, with the hosts that operators have disabled.
 class HostTable {
  public:
+  /// `zones`: zone names in the order of ZoneId; further ones are appended as lists name them.
   explicit HostTable(std::vector<std::string> zones) : zones_(std::move(zones)) {}
   /// Applies a member list; returns its entries for the router.
   std::vector<HostEntry> apply(const MemberList& list);
@@ -48,12 +49,15 @@
   /// as started at `now` at the earliest, because it may have been restarted meanwhile. `force`: another
   /// process of this gateway has verified the id.
   std::optional<HostEntry> set_disabled(const std::string& id, bool disabled, Time now, bool force = false);
+  /// Ids of the disabled hosts, listed or not.
   [[nodiscard]] const std::set<std::string>& disabled() const { return disabled_; }
   /// Number of hosts that are listed as ready and disabled.
   [[nodiscard]] std::size_t listed_disabled() const;
   /// Records the role and position reported by a host. Returns true if its role has changed.
   bool observe(HostId id, Role role, std::optional<Time> position, Time now);
+  /// The observed state of a host; null if the id is unknown.
   [[nodiscard]] const ObservedState* observed(const std::string& id) const;
+  /// The numeric id of a host, if it is known.
   [[nodiscard]] std::optional<HostId> find(const std::string& id) const;
   /// The full list as last received, for the process that takes over.
   [[nodiscard]] MemberList list() const;
--- a/src/broker/idle_pool.h
+++ b/src/broker/idle_pool.h
@@ -1,4 +1,4 @@
-/// The idle connections to each host.
+// The idle connections to each host.
 #pragma once
 
 #include <algorithm>
@@ -14,6 +14,7 @@
 template <class Connection>
 class IdlePool {
  public:
+  /// Adds a connection that has become idle at `now`.
   void put(HostId host, Connection* connection, Time now) { idle_[host].push_back({connection, now}); }
   /// Removes and returns the connection to `host` that was used last, so that the others can expire; null if
   /// there is none.
@@ -25,6 +26,7 @@
     if (it->second.empty()) idle_.erase(it);
     return connection;
   }
+  /// Removes `connection` if it is in the pool.
   void remove(HostId host, Connection* connection) {
     const auto it = idle_.find(host);
     if (it == idle_.end()) return;
--- a/src/broker/memory_budget.h
+++ b/src/broker/memory_budget.h
@@ -1,4 +1,4 @@
-/// A memory budget for requests that exceed a connection's buffers.
+// A memory budget for requests that exceed a connection's buffers.
 #pragma once
 
 #include <algorithm>
@@ -69,9 +69,11 @@
   }
   /// The first waiter in the queue; null if there is none.
   [[nodiscard]] const void* next_waiter() const { return waiting_.empty() ? nullptr : waiting_.front(); }
+  /// Bytes reserved.
   [[nodiscard]] std::size_t used() const { return used_; }
   /// Number of waiters in the queue.
   [[nodiscard]] std::size_t waiting() const { return waiting_.size(); }
+  /// Changes the size of the budget, in bytes; existing reservations stay.
   void set_total(std::size_t total) { total_ = total; }
   /// Drops the callback because its owner is being destroyed; reservations may outlive the owner.
   void close() { on_release_ = nullptr; }
--- a/src/telemetry/log.h
+++ b/src/telemetry/log.h
@@ -1,5 +1,5 @@
-/// The structured log: one JSON object per line on standard error (plain text on a terminal), rate-limited
-/// per cause. Decision records go to the same log and to a file of their own.
+// The structured log: one JSON object per line on standard error (plain text on a terminal), rate-limited
+// per cause. Decision records go to the same log and to a file of their own.
 #pragma once
 
 #include <chrono>
@@ -21,6 +21,7 @@
 
 namespace cedarring::telemetry {
 
+/// Severity of a log line.
 enum class Level { debug, info, warning, error };
 
 /// Settings of the log and of the decision records.
--- a/src/telemetry/metrics.h
+++ b/src/telemetry/metrics.h
@@ -1,5 +1,5 @@
-/// The gateway's metrics: counters since the process started, and gauges, as Prometheus text. Operators rely
-/// on the exported names and their meaning.
+// The gateway's metrics: counters since the process started, and gauges, as Prometheus text. Operators rely
+// on the exported names and their meaning.
 #pragma once
 
 #include <cstdint>
@@ -22,6 +22,7 @@
   }
 };
 
+/// All metrics of the process.
 struct Metrics {
   std::map<std::string, ClassCounts> classes;             // by name; every configured class, also at 0
   std::uint64_t active = 0;                               // requests accepted and not ended
--- a/src/telemetry/record.h
+++ b/src/telemetry/record.h
@@ -1,4 +1,4 @@
-/// The record of a decision: which state has changed, when, on which readings and by which rule.
+// The record of a decision: which state has changed, when, on which readings and by which rule.
 #pragma once
 
 #include <chrono>
--- a/src/tools/ctl/show.h
+++ b/src/tools/ctl/show.h
@@ -1,5 +1,5 @@
-/// Formats responses of the admin socket for reading: nested JSON as indented lines, lists of objects as
-/// tables.
+// Formats responses of the admin socket for reading: nested JSON as indented lines, lists of objects as
+// tables.
 #pragma once
 
 #include <string>
--- a/src/tools/report/contracts.h
+++ b/src/tools/report/contracts.h
@@ -1,4 +1,4 @@
-/// Report of each team's usage against its contract, from the decision records of one or more gateways.
+// Report of each team's usage against its contract, from the decision records of one or more gateways.
 #pragma once
 
 #include <iosfwd>
@@ -14,6 +14,7 @@
   std::size_t windows = 0;
   std::size_t by_team = 0, by_gateway = 0;  // breaches of the contract, by the party that broke it
 };
+/// Usage by subject, with the number of lines read.
 struct UsageReport {
   std::map<std::string, ContractUsage> by_subject;
   // unreadable: lines that are not JSON objects; the last line of a file may be truncated, which is no error.
@@ -23,7 +24,9 @@
 /// Adds the records of a stream of JSON lines. Records of other kinds are skipped.
 void merge(std::istream& in, UsageReport& report);
 
+/// Formats of the printed report.
 enum class OutputFormat { table, json, csv };
+/// Formats the report; ends with a line feed.
 std::string print(const UsageReport& report, OutputFormat format);
 
 }  // namespace cedarring::report
--- a/src/tools/report/requests.h
+++ b/src/tools/report/requests.h
@@ -1,5 +1,5 @@
-/// Report of how requests ended, over one or more gateways, from the lines that gateways log per request at
-/// the level `debug`.
+// Report of how requests ended, over one or more gateways, from the lines that gateways log per request at
+// the level `debug`.
 #pragma once
 
 #include <array>
@@ -17,6 +17,7 @@
   std::size_t requests = 0, unsent = 0;           // unsent: refused or failed without an attempt
   double served_ms = 0;                           // total duration of the served requests
 };
+/// Statistics of all requests read, by several keys.
 struct RequestReport {
   std::map<std::int64_t, RequestStats> by_second;  // Unix time of the end
   std::map<std::string, RequestStats> by_class, by_group;
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -189,6 +189,7 @@
   EXPECT_GT(idle_since.size(), 40U);  // no more are closed than necessary
 }
 
+// Hosts identify requests by name: two open requests of one name could be mistaken for one another.
 TEST(Broker, NameOfOpenRequestIsRejected) {
   BrokerFixture fixture;
   fixture.submit("pay", Rejection::none, "acme", 1, "x");
@@ -198,6 +199,7 @@
   fixture.submit("pay", Rejection::none, "acme", 1, "x");
 }
 
+// Time that a request spent unread in the socket must count towards its deadline.
 TEST(Broker, DeadlineCountsFromArrivalAndExpiredRequestIsRejected) {
   BrokerFixture fixture;
   ClientRequest request;
@@ -239,6 +241,7 @@
   EXPECT_EQ(fixture.upstream.started[0].give_up_at, fixture.now + 1s);
 }
 
+// A retry of an unsafe request that may have run could execute it twice.
 TEST(Broker, UnsafeRequestThatMayHaveRunFailsWithoutRetry) {
   struct Case {
     Outcome outcome;
@@ -347,6 +350,7 @@
   EXPECT_EQ(pool.take_oldest(), nullptr);
 }
 
+// Guards against entries of hosts that are gone accumulating.
 TEST(Broker, EntryCountStaysBoundedAsHostsAreReplaced) {
   BrokerFixture fixture;
   fixture.upstream.immediate_outcome = Outcome::ok;
