--- a/src/handover/router_snapshot.cpp
+++ b/src/handover/router_snapshot.cpp
@@ -7,121 +7,155 @@
 namespace cedarring::handover {
 namespace {
 
-using namespace state;  // NOLINT(google-build-using-namespace): the module's own records
+using namespace state;  // NOLINT(google-build-using-namespace): the router's own records
 
-constexpr Duration oldest{86'400'000'000};  // a day: what is older tells nothing of a host
+// One day: older observations say nothing about a host.
+constexpr Duration max_age{86'400'000'000};
+// Upper limits of values accepted from a snapshot.
+constexpr int max_failures_in_a_row = 1000;
+constexpr double min_relative_latency = 0.1;
+constexpr double max_relative_latency = 50;
+constexpr double max_load = 1000;
+constexpr double max_concurrency_limit = 1e6;
+constexpr double max_work = 1e9;
+constexpr double max_tokens = 1e3;
 
-/// How long ago, where that is told and can be: another's word is not to be trusted with a sum beyond 63
-/// bits.
-std::optional<Time> at(std::optional<Duration> ago, Time now) {
-  if (!ago || *ago < -oldest || *ago > oldest) return std::nullopt;
-  return now - *ago;
+/// The time `age` ago; nothing without an age or with one that is out of range (the sender is not trusted:
+/// the difference could overflow 64 bits).
+std::optional<Time> time_from_age(std::optional<Duration> age, Time now) {
+  if (!age || *age < -max_age || *age > max_age) return std::nullopt;
+  return now - *age;
 }
-std::optional<Duration> ago(Time at, Time now) {
-  if (at == never || now - at > oldest) return std::nullopt;
-  return now - at;
+/// The age of `time`, if it was set and is recent enough to matter.
+std::optional<Duration> age_of(Time time, Time now) {
+  if (time == never || now - time > max_age) return std::nullopt;
+  return now - time;
+}
+/// `value` if it lies within the range (not NaN), else `least`.
+double in_range_or_least(double value, double least, double most) {
+  return value >= least && value <= most ? value : least;
 }
-double within(double v, double least, double most) { return v >= least && v <= most ? v : least; }
 
-HostSnapshot known(const Host& h, const Settings& s, Time now) {
-  HostSnapshot k;
-  k.host = h.id;
-  const auto& o = h.outlier.known();
-  k.failure_score = o.fails;
-  k.last_outcome_age = ago(o.judged, now);
-  if (h.outlier.ejected()) k.ejection_remaining = o.ejected_until - now, k.backoff = o.backoff;
-  k.lost_probes = h.lost_probes, k.refusals = h.refusals;
-  k.relative_latency = h.slowness, k.load = h.load, k.concurrency_limit = h.window;
-  if (h.cold_since == never || now - h.cold_since >= s.warm_up_duration) return k;
-  k.start_age = now - h.cold_since;
-  for (const auto& [when, work] : h.spent.all())
-    if (when > now - s.overload_window) k.slow_start_sends.emplace_back(now - when, work);
-  return k;
+HostSnapshot snapshot_host(const Host& host, const Settings& settings, Time now) {
+  HostSnapshot snapshot;
+  snapshot.host = host.id;
+  const auto& outlier = host.outlier.known();
+  snapshot.failure_score = outlier.fails;
+  snapshot.last_outcome_age = age_of(outlier.judged, now);
+  if (host.outlier.ejected()) {
+    snapshot.ejection_remaining = outlier.ejected_until - now;
+    snapshot.backoff = outlier.backoff;
+  }
+  snapshot.lost_probes = host.lost_probes;
+  snapshot.refusals = host.refused_connections;
+  snapshot.relative_latency = host.relative_latency;
+  snapshot.load = host.load;
+  snapshot.concurrency_limit = host.concurrency_limit;
+  if (host.started_at == never || now - host.started_at >= settings.warm_up_duration) return snapshot;
+  snapshot.start_age = now - host.started_at;
+  for (const auto& [sent_at, work] : host.slow_start_usage.all())
+    if (sent_at > now - settings.overload_window) snapshot.slow_start_sends.emplace_back(now - sent_at, work);
+  return snapshot;
 }
 
-void learn(Host& h, const HostSnapshot& k, const Settings& s, Time now) {
-  fleet::OutlierDetector::State o;
-  o.fails = within(k.failure_score, 0, 1);
-  if (const auto judged = at(k.last_outcome_age, now)) o.judged = std::min(*judged, now);
-  // No ejection lasts longer than what the module itself would set.
-  if (k.ejection_remaining && *k.ejection_remaining <= oldest && *k.ejection_remaining >= -oldest)
-    o.ejected_until = now + *k.ejection_remaining;
-  o.backoff = std::clamp(k.backoff, Duration::zero(), oldest);
-  h.outlier.learn(o);
-  h.lost_probes = std::max(h.lost_probes, std::clamp(k.lost_probes, 0, 1000));
-  h.refusals = std::max(h.refusals, std::clamp(k.refusals, 0, 1000));
-  if (k.relative_latency >= 0.1 && k.relative_latency <= 50) h.slowness = k.relative_latency;
-  if (k.load >= 0 && k.load <= 1000) h.load = k.load;
-  if (k.concurrency_limit > 0 && k.concurrency_limit <= 1e6) h.window = k.concurrency_limit;
-  if (const auto since = at(k.start_age, now); since && *since <= now)
-    h.cold_since = std::max(h.cold_since, *since);
-  if (!k.start_age) return;
-  std::deque<fleet::SlowStartUsage::Spent> sent;
-  for (const auto& [when, work] : k.slow_start_sends)
-    if (when >= Duration::zero() && when < s.overload_window && work >= 0 && work < 1e9)
-      sent.emplace_back(now - when, work);
-  std::sort(sent.begin(), sent.end());
-  h.spent.told(std::move(sent));
+void merge_host(Host& host, const HostSnapshot& snapshot, const Settings& settings, Time now) {
+  fleet::OutlierDetector::State outlier;
+  outlier.fails = in_range_or_least(snapshot.failure_score, 0, 1);
+  if (const auto last_outcome = time_from_age(snapshot.last_outcome_age, now))
+    outlier.judged = std::min(*last_outcome, now);
+  // No ejection lasts longer than what the router itself would set.
+  if (snapshot.ejection_remaining && *snapshot.ejection_remaining <= max_age &&
+      *snapshot.ejection_remaining >= -max_age)
+    outlier.ejected_until = now + *snapshot.ejection_remaining;
+  outlier.backoff = std::clamp(snapshot.backoff, Duration::zero(), max_age);
+  host.outlier.learn(outlier);
+  host.lost_probes = std::max(host.lost_probes, std::clamp(snapshot.lost_probes, 0, max_failures_in_a_row));
+  host.refused_connections =
+      std::max(host.refused_connections, std::clamp(snapshot.refusals, 0, max_failures_in_a_row));
+  if (snapshot.relative_latency >= min_relative_latency && snapshot.relative_latency <= max_relative_latency)
+    host.relative_latency = snapshot.relative_latency;
+  if (snapshot.load >= 0 && snapshot.load <= max_load) host.load = snapshot.load;
+  if (snapshot.concurrency_limit > 0 && snapshot.concurrency_limit <= max_concurrency_limit)
+    host.concurrency_limit = snapshot.concurrency_limit;
+  if (const auto started_at = time_from_age(snapshot.start_age, now); started_at && *started_at <= now)
+    host.started_at = std::max(host.started_at, *started_at);
+  if (!snapshot.start_age) return;
+  std::deque<fleet::SlowStartUsage::Spent> sends;
+  for (const auto& [age, work] : snapshot.slow_start_sends)
+    if (age >= Duration::zero() && age < settings.overload_window && work >= 0 && work < max_work)
+      sends.emplace_back(now - age, work);
+  std::sort(sends.begin(), sends.end());
+  host.slow_start_usage.told(std::move(sends));
 }
 
 }  // namespace
 
-RouterSnapshot known(Learnt& mine, const Settings& settings, Time now, SnapshotScope what) {
-  RouterSnapshot k;
-  for (const auto& [id, h] : mine.hosts_) k.hosts.push_back(known(h, settings, now));
-  if (what == SnapshotScope::hosts) return k;
-  for (const auto& [id, g] : mine.groups_) {
-    if (what == SnapshotScope::split) break;
-    if (g.floor != never) k.floors.emplace_back(id, g.floor);
-    for (const auto& [session, commit] : g.sessions) k.sessions.push_back({id, session, commit});
+RouterSnapshot take_snapshot(TransferableState& state, const Settings& settings, Time now,
+                             SnapshotScope scope) {
+  RouterSnapshot snapshot;
+  for (const auto& [id, host] : state.hosts_) snapshot.hosts.push_back(snapshot_host(host, settings, now));
+  if (scope == SnapshotScope::hosts) return snapshot;
+  for (const auto& [id, group] : state.groups_) {
+    if (scope == SnapshotScope::split) break;
+    if (group.session_floor != never) snapshot.floors.emplace_back(id, group.session_floor);
+    for (const auto& [session, commit] : group.session_writes)
+      snapshot.sessions.push_back({id, session, commit});
   }
-  mine.arrived_.sum(now), mine.served_.sum(now);
-  for (auto& w : mine.wanted_) w.sum(now);
+  state.arrived_.decayed_sum(now);
+  state.served_.decayed_sum(now);
+  for (auto& demand : state.demand_) demand.decayed_sum(now);
   for (std::size_t i = 0; i < settings.classes.size(); ++i)
-    k.classes.push_back({settings.classes[i].name,
-                         mine.class_latency_[i],
-                         mine.arrived_.by[i],
-                         mine.served_.by[i],
-                         {mine.wanted_[0].by[i], mine.wanted_[1].by[i]}});
-  if (mine.started_ != never) k.age = now - mine.started_;
-  if (what != SnapshotScope::split) return k;
-  k.retry_tokens = mine.retry_tokens_ /= 2;
-  k.probe_tokens = mine.probes_.split_half();
-  k.slow_start_share_total = mine.cold_part_.split(now);
-  k.slow_start_share = k.slow_start_share_total / 2;
-  return k;
+    snapshot.classes.push_back({settings.classes[i].name,
+                                state.class_latency_[i],
+                                state.arrived_.by_class[i],
+                                state.served_.by_class[i],
+                                {state.demand_[0].by_class[i], state.demand_[1].by_class[i]}});
+  if (state.first_event_at_ != never) snapshot.age = now - state.first_event_at_;
+  if (scope != SnapshotScope::split) return snapshot;
+  state.retry_tokens_ /= 2;
+  snapshot.retry_tokens = state.retry_tokens_;
+  snapshot.probe_tokens = state.probe_budget_.split_half();
+  snapshot.slow_start_share_total = state.slow_start_share_.split(now);
+  snapshot.slow_start_share = snapshot.slow_start_share_total / 2;
+  return snapshot;
 }
 
-void learn(Learnt& mine, const Settings& settings, const RouterSnapshot& told, Time now) {
-  for (const auto& k : told.hosts)
-    if (const auto it = mine.hosts_.find(k.host); it != mine.hosts_.end())
-      learn(it->second, k, settings, now);
-  for (const auto& [id, floor] : told.floors)
-    if (const auto it = mine.groups_.find(id); it != mine.groups_.end())
-      it->second.floor = std::max(it->second.floor, floor);
-  for (const auto& k : told.sessions)
-    if (const auto it = mine.groups_.find(k.group); it != mine.groups_.end()) {
-      auto& commit = it->second.sessions.try_emplace(k.session, never).first->second;
-      commit = std::max(commit, k.commit);
+void merge_snapshot(TransferableState& state, const Settings& settings, const RouterSnapshot& snapshot,
+                    Time now) {
+  for (const auto& host : snapshot.hosts)
+    if (const auto it = state.hosts_.find(host.host); it != state.hosts_.end())
+      merge_host(it->second, host, settings, now);
+  for (const auto& [id, floor] : snapshot.floors)
+    if (const auto it = state.groups_.find(id); it != state.groups_.end())
+      it->second.session_floor = std::max(it->second.session_floor, floor);
+  for (const auto& session : snapshot.sessions)
+    if (const auto it = state.groups_.find(session.group); it != state.groups_.end()) {
+      auto& commit = it->second.session_writes.try_emplace(session.session, never).first->second;
+      commit = std::max(commit, session.commit);
     }
-  for (const auto& k : told.classes)
+  for (const auto& class_snapshot : snapshot.classes)
     for (std::size_t i = 0; i < settings.classes.size(); ++i) {
-      if (settings.classes[i].name != k.name) continue;
-      if (k.latency && *k.latency > Duration::zero() && *k.latency < oldest)
-        mine.class_latency_[i] = *k.latency;
-      const auto set = [&](Recent& r, double v) {
-        r.sum(now), r.by[i] = std::max(r.by[i], within(v, 0, 1e9));
+      if (settings.classes[i].name != class_snapshot.name) continue;
+      if (class_snapshot.latency && *class_snapshot.latency > Duration::zero() &&
+          *class_snapshot.latency < max_age)
+        state.class_latency_[i] = *class_snapshot.latency;
+      const auto raise = [&](DecayingTotals& totals, double amount) {
+        totals.decayed_sum(now);
+        totals.by_class[i] = std::max(totals.by_class[i], in_range_or_least(amount, 0, max_work));
       };
-      set(mine.arrived_, k.arrived), set(mine.served_, k.served);
-      set(mine.wanted_[0], k.demand[0]), set(mine.wanted_[1], k.demand[1]);
+      raise(state.arrived_, class_snapshot.arrived);
+      raise(state.served_, class_snapshot.served);
+      raise(state.demand_[0], class_snapshot.demand[0]);
+      raise(state.demand_[1], class_snapshot.demand[1]);
     }
-  if (const auto started = at(told.age, now))
-    mine.started_ = mine.started_ == never ? *started : std::min(mine.started_, *started);
-  if (!(told.slow_start_share > 0)) return;
-  mine.retry_tokens_ = within(told.retry_tokens, 0, 1e3);
-  mine.probes_.set_balance(within(told.probe_tokens, 0, 1e3));
-  mine.cold_part_.hold(std::min(1.0, told.slow_start_share_total),
-                       std::min({1.0, told.slow_start_share_total, told.slow_start_share}));
+  if (const auto started = time_from_age(snapshot.age, now))
+    state.first_event_at_ =
+        state.first_event_at_ == never ? *started : std::min(state.first_event_at_, *started);
+  if (!(snapshot.slow_start_share > 0)) return;
+  state.retry_tokens_ = in_range_or_least(snapshot.retry_tokens, 0, max_tokens);
+  state.probe_budget_.set_balance(in_range_or_least(snapshot.probe_tokens, 0, max_tokens));
+  state.slow_start_share_.hold(std::min(1.0, snapshot.slow_start_share_total),
+                               std::min({1.0, snapshot.slow_start_share_total, snapshot.slow_start_share}));
 }
 
 }  // namespace cedarring::handover
--- a/src/handover/router_snapshot.h
+++ b/src/handover/router_snapshot.h
@@ -1,5 +1,5 @@
-// What the module has learnt and spent, told to the router that takes its place, and taken over by it. No
-// I/O, no clock.
+// Takes a snapshot of a router's observations and budgets, and merges the snapshot of another router that it
+// replaces. No I/O, no clock.
 #pragma once
 
 #include "cedarring/router.h"
@@ -8,9 +8,13 @@
 
 namespace cedarring::handover {
 
-/// See SnapshotScope; of a split, what may be spent is halved here.
-RouterSnapshot known(state::Learnt& mine, const Settings& settings, Time now, SnapshotScope what);
-/// Only what is news, and only of hosts and classes that are known here. What may be spent is as told.
-void learn(state::Learnt& mine, const Settings& settings, const RouterSnapshot& told, Time now);
+/// The snapshot at `now`. With SnapshotScope::split the budgets of `state` are halved and the snapshot holds
+/// the other half.
+RouterSnapshot take_snapshot(state::TransferableState& state, const Settings& settings, Time now,
+                             SnapshotScope scope);
+/// Merges what is newer in `snapshot`, only for hosts, groups and classes that `state` knows. Budgets are
+/// replaced if the snapshot holds a part of them. Values out of range are ignored or clamped.
+void merge_snapshot(state::TransferableState& state, const Settings& settings, const RouterSnapshot& snapshot,
+                    Time now);
 
 }  // namespace cedarring::handover
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -1,5 +1,6 @@
-// The decision module: every choice the router makes. Its interface is include/cedarring/router.h.
-// It reads as a router works: membership, positions, primary, health, selection, admission, attempts, timers.
+// The routing decisions: which host a request is sent to, whether it is retried, refused or failed.
+// The interface is include/cedarring/router.h. Sections, in order: membership, replication positions,
+// primary, health, host selection, admission, attempts, timers.
 #include "cedarring/router.h"
 
 #include <algorithm>
@@ -14,1052 +15,1356 @@
 #include "router/state.h"
 
 namespace cedarring {
-using namespace state;  // NOLINT(google-build-using-namespace): the module's own records
+using namespace state;  // NOLINT(google-build-using-namespace): the router's own records
 
 namespace {
 
-// ---- tuned values: all are shares or multiples of settings and of what is observed ----
-constexpr double latency_gain = 0.15,
-                 class_gain = 0.03;       // EWMA gains: a host against its class, a class (slow)
-constexpr double default_latency = 0.25;  // of the class aim, until measured
-constexpr double fail_gain = 0.2;         // EWMA gain of a host's failures
-constexpr double eject_at = 0.5;          // failure score from which a host is ejected
-constexpr double refused_weight = 3;      // failures that one refused connection counts for: enough to eject
-constexpr int silent_probes = 2;          // probes lost in a row that make a host suspect
-constexpr double doubt_at = 0.5;          // doubt of the probes themselves from which lost ones say nothing
-constexpr double silence_latencies = 5;   // expected latencies without an answer that make a host suspect
-constexpr double trial_patiences = 4;     // of those, between single trials of a host taken for dead
-constexpr double lost_latencies = 12;     // expected latencies after which an attempt alone counts as lost
-constexpr double age_multiple = 3;        // times the usual report age that make a primary's claim stale
-constexpr double window_start = 12;       // in-flight window of a host over all routers at the start
-constexpr double window_high = 0.27, window_low = 0.21;  // smoothed latency over aim: window shrinks, grows
-constexpr double timeout_loads = 1.5;                    // smoothed loads that a time-out counts for, at most
-constexpr double window_least = 0.25, window_cut = 0.9;  // smallest window (replicas pool it); one shrink
-constexpr double read_share = 0.5;                   // of the primary's window that fallback reads may fill
-constexpr double load_open = 0.35, load_shut = 0.6;  // recent latency over aim: all, next to nothing admitted
-constexpr double backup_load = 1.4;  // a primary's load as it counts for reads that fall back to it
-constexpr double load_full = 2;      // what an answer 'full' counts for
-constexpr double queue_news = 1.3;   // useful probe periods for which a reported queue is believed
-constexpr double busy_util = 0.9;    // reported use of cores from which a host counts as full
-constexpr double group_seconds = 12,
-                 rate_seconds = 3;                   // memory of one group's load (few samples), of rates
-constexpr double load_samples = 12, load_prior = 3;  // samples remembered; own ones that outweigh all groups
-constexpr double admit_least = 0.03;                 // share of the work that is always admitted
-constexpr double retry_ratio = 0.2, retry_cap = 10;  // further attempts earned by a request, saved at most
-constexpr double cold_share = 0.67;                  // of the tipping budget that is used: see cold_turn
-constexpr double probe_bound_share = 0.2;            // probe period as a share of the tightest bound in use
-constexpr int asked_at_once =
-    2;  // replicas probed for a read that finds none recent enough, where only probes tell
-constexpr double probe_load = 0.01;    // urgent probes of all routers: so many in a typical latency
-constexpr double probe_points = 0.01;  // probing may cost about this much of the result
-constexpr double probe_cap = 10, probe_kept = 0.5;  // probes saved at most; share kept for urgent ones
-constexpr double hold_share = 0.45;  // of its time that a request may wait unsent, where holding costs
-constexpr double forget_aims = 60;   // longest aims after which a session's last write becomes the floor
+// Estimates of latency. A "target" is the latency target of a request's class; a "load" is latency over
+// target.
+constexpr double host_latency_gain = 0.15;      // EWMA gain of a host's relative latency and load
+constexpr double class_latency_gain = 0.03;     // EWMA gain of a class's mean latency
+constexpr double initial_latency_share = 0.25;  // of the class's target, until the latency has been measured
+constexpr double min_latency_ms = 0.1;          // least divisor, so that very short latencies divide safely
+constexpr double min_relative_latency = 0.1;    // of a host, over the class's mean latency
+constexpr double max_relative_latency = 50;     // of a host, over the class's mean latency
+constexpr int initial_probe_time_divisor = 32;  // shortest target over the expected round trip of a probe
+constexpr int initial_queue_wait_divisor = 3;   // typical latency over the wait per queued request
+constexpr int min_queue_wait_divisor = 20;      // typical latency over the least wait per queued request
+constexpr int probe_time_samples = 8;           // memory of the probes' mean round trip
+constexpr int report_age_samples = 16;          // memory of the usual age of primaries' reports
+constexpr double saturation_utilization = 1.2;  // at which the latency estimate from utilization diverges
+constexpr int role_evidence_elapsed_divisor = 4;  // an answer's role is dated this part of its time back
+
+// Health.
+constexpr double failure_gain = 0.2;              // EWMA gain of a host's failures
+constexpr double ejection_score = 0.5;            // failure score from which a host is ejected
+constexpr double refused_connection_weight = 3;   // failures; one refused connection is enough to eject
+constexpr int max_ejection_interval_targets = 8;  // longest targets: most that a send interval lengthens one
+constexpr int max_ejection_targets = 16;          // longest targets that an ejection lasts at most
+constexpr double min_ejection_jitter = 0.75;      // factor on an ejection, up to 1 / 2 more
+constexpr int suspect_lost_probes = 2;            // probes lost in a row that make a host suspect
+// Estimate of how often probes are lost at hosts that answer requests, from which lost probes are ignored.
+constexpr double max_probe_unreliability = 0.5;
+constexpr double response_timeout_latencies = 5;  // typical latencies without an answer: host unresponsive
+constexpr double max_timeout_relative_latency = 2;
+constexpr double trial_interval_timeouts = 4;  // response timeouts between trials of an unresponsive host
+constexpr double lost_attempt_latencies = 12;  // expected latencies after which a single attempt is lost
+constexpr double stale_report_multiple = 3;    // of the usual report age, from which a role claim is stale
+
+// Concurrency limits.
+constexpr double initial_fleet_concurrency = 12;  // requests in flight at a host from all routers together
+constexpr double limit_decrease_load = 0.27;      // smoothed load above which a host's limit shrinks
+constexpr double limit_increase_load = 0.21;      // smoothed load below which a host's limit grows
+constexpr double limit_increase_usage = 0.7;      // share of the limit in use from which it may grow
+constexpr double limit_decrease_factor = 0.9;     // one reduction
+constexpr double min_concurrency_limit = 0.25;    // below 1, because the replicas' limits are pooled
+constexpr double max_timeout_loads = 1.5;         // smoothed loads that a time-out counts for at most
+constexpr double fallback_read_share = 0.5;       // of the primary's limit that fallback reads may fill
+
+// Admission.
+constexpr double full_admission_load = 0.35;      // load up to which all requests are admitted
+constexpr double min_admission_load = 0.6;        // load from which only the minimum is admitted
+constexpr double min_admitted_share = 0.03;       // share of the work that is always admitted
+constexpr double fallback_load_weight = 1.4;      // a primary's load as it counts for fallback reads
+constexpr double full_host_load = 2;              // load sample of an answer `full`
+constexpr double queue_report_periods = 1.3;      // normal probe periods for which a reported queue is used
+constexpr double busy_utilization = 0.9;          // reported use of cores from which a host is fully loaded
+constexpr double group_load_memory_seconds = 12;  // long, because a group yields few samples
+constexpr double rate_memory_seconds = 3;         // of arrival rates and of the load by role
+constexpr double max_load_samples = 12;           // samples remembered
+constexpr int few_routers_divisor = 4;            // of initial_fleet_concurrency: as many routers are few
+constexpr double load_prior_samples = 3;          // weight of all groups' load beside a group's own samples
+constexpr double max_wait_share = 0.45;           // of its time that a request waits where late refusals cost
+
+// Retries and sessions.
+constexpr double retry_tokens_per_request = 0.2;
+constexpr double max_retry_tokens = 10;
+constexpr double session_memory_targets = 60;  // longest targets for which session writes are kept
+
+// Probes.
+constexpr double probe_period_staleness_share = 0.2;  // probe period over the tightest staleness bound
+constexpr int on_demand_probe_count = 2;    // probes for one read, where only probes report positions
+constexpr double urgent_probe_load = 0.01;  // urgent probes of all routers in one typical latency
+constexpr double probe_cost_share = 0.01;   // part of the requests' value that probes may cost
+constexpr double max_saved_probes = 10;
+constexpr double urgent_probe_reserve = 0.5;   // share of the saved probes reserved for urgent ones
+constexpr double min_capacity_divisor = 0.01;  // least capacity share that a cold host's probe interval uses
+constexpr double min_probe_jitter = 0.8;       // factor on a probe period
+constexpr double probe_jitter_range = 0.4;     // added to it, times a random number
+
+// Slow start: share of the overload budget that is used, see slow_start_allows.
+constexpr double slow_start_budget_share = 0.67;
+
+// Polling of the member list, as shares of Settings::max_poll_interval.
+constexpr double first_poll_spread = 0.1;  // routers that start together poll spread over this time
+constexpr double initial_poll_backoff = 0.05;
+constexpr double max_poll_backoff = 0.4;    // a retry still comes well inside the interval
+constexpr double min_backoff_jitter = 0.5;  // factor on the backoff, up to 1 more
+
+// Timer.
+constexpr double tick_quanta = 4;  // Settings::quantum in one tick
+constexpr Duration min_tick_interval{10'000};
 
 }  // namespace
 
-class Router::Impl : Learnt {
+class Router::Impl : TransferableState {
  public:
   explicit Impl(Settings settings)
-      : Learnt({settings.probe_cost, probe_points, probe_cap}), s_(std::move(settings)), random_(s_.seed) {
-    update_settings(s_);
-    retry_tokens_ = retry_cap;
-    for (auto& l : load_) l.memory = rate_seconds, l.most = load_samples;
-    probe_time_ = shortest_aim_ / 32;
-    per_queued_ = typical() / 3;
+      : TransferableState({settings.probe_cost, probe_cost_share, max_saved_probes}),
+        settings_(std::move(settings)),
+        random_engine_(settings_.seed) {
+    update_settings(settings_);
+    retry_tokens_ = max_retry_tokens;
+    for (auto& load : role_load_) {
+      load.memory_seconds = rate_memory_seconds;
+      load.max_samples = max_load_samples;
+    }
+    probe_round_trip_ = shortest_target_ / initial_probe_time_divisor;
+    wait_per_queued_request_ = typical_latency() / initial_queue_wait_divisor;
   }
 
-  /// Open requests keep their classes, which keep their numbers: what was learnt of them stays.
+  /// Open requests keep their class ids, and the learned latencies and totals of the classes are kept.
   void update_settings(Settings settings) {
     check(settings);
-    s_ = std::move(settings);
-    for (auto& c : s_.classes) c.max_attempts = c.max_attempts > 0 ? c.max_attempts : s_.max_attempts;
-    std::tie(longest_aim_, mean_aim_, shortest_aim_, tightest_) = aims(s_.classes);
-    for (auto* d : {&wanted_[0], &wanted_[1], &arrived_, &served_})
-      d->by.resize(s_.classes.size()), d->memory = d == &served_ ? group_seconds : rate_seconds;
-    for (auto i = class_latency_.size(); i < s_.classes.size(); ++i)
-      class_latency_.push_back(scale(s_.classes[i].latency_target, default_latency));
-    beat_ = std::max(scale(s_.quantum, 4), Duration(10'000));
+    settings_ = std::move(settings);
+    for (auto& request_class : settings_.classes)
+      request_class.max_attempts =
+          request_class.max_attempts > 0 ? request_class.max_attempts : settings_.max_attempts;
+    std::tie(longest_target_, mean_target_, shortest_target_, tightest_staleness_bound_) =
+        summarize_targets(settings_.classes);
+    for (auto* totals : {&demand_[0], &demand_[1], &arrived_, &served_}) {
+      totals->by_class.resize(settings_.classes.size());
+      totals->memory_seconds = totals == &served_ ? group_load_memory_seconds : rate_memory_seconds;
+    }
+    for (auto i = class_latency_.size(); i < settings_.classes.size(); ++i)
+      class_latency_.push_back(scale(settings_.classes[i].latency_target, initial_latency_share));
+    tick_interval_ = std::max(scale(settings_.quantum, tick_quanta), min_tick_interval);
   }
 
   void handle(Time now, const Event& event, std::vector<Action>& out) {
     now_ = std::max(now_, now);
-    if (started_ == never) started_ = now_;
-    out_ = &out;
-    std::visit([this](const auto& e) { on(e); }, event);
-    arm();
-    out_ = nullptr;
+    if (first_event_at_ == never) first_event_at_ = now_;
+    actions_ = &out;
+    std::visit([this](const auto& typed_event) { on(typed_event); }, event);
+    schedule_timer();
+    actions_ = nullptr;
   }
 
   void group_views(Time now, std::vector<GroupView>& out) {
     now_ = std::max(now_, now);
-    for (auto& [id, g] : groups_) {
-      GroupView v;
-      v.group = id, v.waiting = static_cast<int>(g.waiting.size());
-      const Host* top = primary(id);
-      v.has_primary = top && usable(*top);
-      if (top) v.primary_in_flight = top->in_flight(), v.primary_concurrency_limit = top->window;
-      for (const auto w : g.waiting) v.primary_waiting += only_primary(requests_.at(w).cls.value) ? 1 : 0;
-      for (const Host* m : g.members) {
-        if (!open(*m)) continue;
-        ++v.hosts, v.unavailable += healthy(*m) ? 0 : 1, v.in_flight += m->in_flight(),
-            v.concurrency_limit += m->window;
-        v.avoided += !healthy(*m) && now_ - m->last_sent > longest_aim_ * 2 ? 1 : 0;
-        if (m == top) continue;
-        ++v.replicas;
-        if (tightest_ != forever && now_ - m->position > tightest_) ++v.lagging;
+    for (auto& [id, group] : groups_) {
+      GroupView view;
+      view.group = id;
+      view.waiting = static_cast<int>(group.waiting.size());
+      const Host* group_primary = primary(id);
+      view.has_primary = group_primary && usable(*group_primary);
+      if (group_primary) {
+        view.primary_in_flight = group_primary->in_flight();
+        view.primary_concurrency_limit = group_primary->concurrency_limit;
       }
-      out.push_back(v);
+      for (const auto request : group.waiting)
+        view.primary_waiting += requires_primary(requests_.at(request).class_id.value) ? 1 : 0;
+      for (const Host* member : group.members) {
+        if (!accepts_requests(*member)) continue;
+        ++view.hosts;
+        view.unavailable += healthy(*member) ? 0 : 1;
+        view.in_flight += member->in_flight();
+        view.concurrency_limit += member->concurrency_limit;
+        view.avoided += !healthy(*member) && now_ - member->last_send_at > longest_target_ * 2 ? 1 : 0;
+        if (member == group_primary) continue;
+        ++view.replicas;
+        if (tightest_staleness_bound_ != forever && now_ - member->position > tightest_staleness_bound_)
+          ++view.lagging;
+      }
+      out.push_back(view);
     }
   }
-  void set_tuning(const Tuning& t) { tuning_ = t; }
-  void set_max_in_flight(int places) { places_ = places; }
-  RouterSnapshot snapshot(Time now, SnapshotScope what) {
-    return handover::known(*this, s_, now_ = std::max(now_, now), what);
+  void set_tuning(const Tuning& tuning) { tuning_ = tuning; }
+  void set_max_in_flight(int max_in_flight) { max_in_flight_ = max_in_flight; }
+  RouterSnapshot snapshot(Time now, SnapshotScope scope) {
+    now_ = std::max(now_, now);
+    return handover::take_snapshot(*this, settings_, now_, scope);
+  }
+  void merge_snapshot(Time now, const RouterSnapshot& snapshot) {
+    now_ = std::max(now_, now);
+    handover::merge_snapshot(*this, settings_, snapshot, now_);
+  }
+  void suspend_spending() {
+    retry_tokens_ = 0;
+    probe_budget_.set_balance(0);
+    slow_start_share_.hold(0, 0);
   }
-  void merge_snapshot(Time now, const RouterSnapshot& k) {
-    handover::learn(*this, s_, k, now_ = std::max(now_, now));
+  void set_slow_start_share(Time now, double share) {
+    slow_start_share_.widen(now + settings_.overload_window, share);
   }
-  void suspend_spending() { retry_tokens_ = 0, probes_.set_balance(0), cold_part_.hold(0, 0); }
-  void set_slow_start_share(Time now, double part) { cold_part_.widen(now + s_.overload_window, part); }
   bool tracks(HostId id) const { return hosts_.count(id) > 0; }
   std::size_t entry_count() const {
-    std::size_t n = hosts_.size() + requests_.size();
-    for (const auto& [id, g] : groups_) n += g.sessions.size() + g.waiting.size();
-    return n;
+    std::size_t count = hosts_.size() + requests_.size();
+    for (const auto& [id, group] : groups_) count += group.session_writes.size() + group.waiting.size();
+    return count;
   }
 
  private:
   // ---- membership ----
   void on(const Started&) {
-    if (s_.discovery_mode == DiscoveryMode::poll) {
-      // Spread over the routers: all may start together.
-      const auto slot = scale(s_.max_poll_interval, 0.1) / s_.instance_count;
-      ask_at_ = now_ + slot * static_cast<std::int64_t>(s_.instance_index);
-      ask_wait_ = scale(s_.max_poll_interval, 0.05);
+    if (settings_.discovery_mode == DiscoveryMode::poll) {
+      const auto slot = scale(settings_.max_poll_interval, first_poll_spread) / settings_.instance_count;
+      next_poll_at_ = now_ + slot * static_cast<std::int64_t>(settings_.instance_index);
+      poll_backoff_ = scale(settings_.max_poll_interval, initial_poll_backoff);
     }
   }
 
   void on(const MembersListed& list) {
     if (list.kind == ListKind::failed) {
-      // Ask again after growing, jittered waits, always well inside the time within which we must have asked.
-      ask_at_ = now_ + scale(ask_wait_, 0.5 + draw01());
-      ask_wait_ = std::min(ask_wait_ * 2, scale(s_.max_poll_interval, 0.4));
+      next_poll_at_ = now_ + scale(poll_backoff_, min_backoff_jitter + random_unit());
+      poll_backoff_ = std::min(poll_backoff_ * 2, scale(settings_.max_poll_interval, max_poll_backoff));
       return;
     }
-    if (list.kind != ListKind::cached) ask_wait_ = scale(s_.max_poll_interval, 0.05);
+    if (list.kind != ListKind::cached)
+      poll_backoff_ = scale(settings_.max_poll_interval, initial_poll_backoff);
     if (list.kind != ListKind::delta)
-      for (auto& [id, h] : hosts_) h.listed = false;
-    for (const auto& e : list.entries) enlist(e);
-    ready_ = 0, warm_at_.clear();
+      for (auto& [id, host] : hosts_) host.listed = false;
+    for (const auto& entry : list.entries) apply_entry(entry);
+    ready_hosts_ = 0;
+    warm_up_ends_.clear();
     for (auto it = hosts_.begin(); it != hosts_.end();) {
-      Host& h = (it++)->second;
-      if (!h.listed) take_state(h, HostState::gone);
-      ready_ += open(h) ? 1 : 0;
-      if (open(h) && warmth(h) < 1) warm_at_.insert(h.cold_since + s_.warm_up_duration);
-      if (h.state != HostState::gone || h.in_flight() > 0) continue;
-      groups_[h.group].remove(h);
-      hosts_.erase(HostId(h.id));
+      Host& host = (it++)->second;
+      if (!host.listed) apply_listed_state(host, HostState::gone);
+      ready_hosts_ += accepts_requests(host) ? 1 : 0;
+      if (accepts_requests(host) && capacity_share(host) < 1)
+        warm_up_ends_.insert(host.started_at + settings_.warm_up_duration);
+      if (host.state != HostState::gone || host.in_flight() > 0) continue;
+      groups_[host.group].remove_member(host);
+      hosts_.erase(HostId(host.id));
     }
-    for (auto& [id, g] : groups_) pump(id);
-  }
-
-  void enlist(const HostEntry& e) {
-    auto [it, fresh] = hosts_.try_emplace(e.host);
-    Host& h = it->second;
-    if (!fresh && h.group != e.group) groups_[h.group].remove(h);
-    if (fresh || h.group != e.group) {
-      h.id = e.host;
-      h.group = e.group;
-      if (fresh) h.outlier = fleet::OutlierDetector({fail_gain, rate_seconds, eject_at});
-      h.window = window_start / s_.instance_count;
-      Group& g = groups_[e.group];
-      for (auto& l : g.load) l.memory = group_seconds, l.most = load_samples;
-      auto& m = g.members;
-      m.insert(std::find_if(m.begin(), m.end(), [&](const Host* o) { return h.id < o->id; }), &h);
-      h.last_probe = now_ - scale(shortest_aim_, draw01());
+    for (auto& [id, group] : groups_) process_waiting(id);
+  }
+
+  void apply_entry(const HostEntry& entry) {
+    auto [it, added] = hosts_.try_emplace(entry.host);
+    Host& host = it->second;
+    if (!added && host.group != entry.group) groups_[host.group].remove_member(host);
+    if (added || host.group != entry.group) {
+      host.id = entry.host;
+      host.group = entry.group;
+      if (added) host.outlier = fleet::OutlierDetector({failure_gain, rate_memory_seconds, ejection_score});
+      host.concurrency_limit = initial_fleet_concurrency / settings_.instance_count;
+      Group& group = groups_[entry.group];
+      for (auto& load : group.load) {
+        load.memory_seconds = group_load_memory_seconds;
+        load.max_samples = max_load_samples;
+      }
+      auto& members = group.members;
+      const auto position = std::find_if(members.begin(), members.end(),
+                                         [&](const Host* other) { return host.id < other->id; });
+      members.insert(position, &host);
+      host.last_probe_at = now_ - scale(shortest_target_, random_unit());
     }
-    h.listed = true;
-    h.zone = e.zone;
-    h.named = e.listed_primary && s_.listed_role != ListedRole::none;
-    take_state(h, e.state);
-    // A listed role may be old, so it counts as the weakest evidence: anything heard from a host beats it.
-    if (e.listed_primary && s_.listed_role != ListedRole::none && h.role == Role::unknown) {
-      h.role = Role::primary;
-      h.role_at = never + Duration(1);
+    host.listed = true;
+    host.zone = entry.zone;
+    host.listed_as_primary = entry.listed_primary && settings_.listed_role != ListedRole::none;
+    apply_listed_state(host, entry.state);
+    // A listed role may be old, so it is the weakest evidence: any report from a host replaces it.
+    if (entry.listed_primary && settings_.listed_role != ListedRole::none && host.role == Role::unknown) {
+      host.role = Role::primary;
+      host.role_as_of = never + Duration(1);
     }
-    const Time born = e.started_at.value_or(never);
-    if (born > h.cold_since && now_ - born < s_.warm_up_duration) {
-      h.cold_since = born;
-      h.outlier.forget();
-      h.lost_probes = 0;
-      h.slowness = 1;
+    const Time started_at = entry.started_at.value_or(never);
+    if (started_at > host.started_at && now_ - started_at < settings_.warm_up_duration) {
+      host.started_at = started_at;
+      host.outlier.forget();
+      host.lost_probes = 0;
+      host.relative_latency = 1;
     }
   }
 
-  /// Where only a listed drain binds, a host that merely left the list stays in use: outcomes tell of it.
-  void take_state(Host& h, HostState state) const {
-    if (state == HostState::gone && s_.removed_hosts_stay_usable && h.state == HostState::ready) return;
-    h.state = state;
+  /// Where removed hosts stay usable, a ready host that left the list stays in use: the outcomes of requests
+  /// show whether it still serves. Only a listed drain takes it out of use.
+  void apply_listed_state(Host& host, HostState state) const {
+    if (state == HostState::gone && settings_.removed_hosts_stay_usable && host.state == HostState::ready)
+      return;
+    host.state = state;
   }
 
-  // ---- positions ----
-  void learn_position(Host& h, Time position) {
-    if (position > now_) return;  // a lower bound cannot lie ahead: a report that claims so is broken
-    if (position > h.position) h.moved = now_;
-    h.position = std::max(h.position, position);
-    h.position_at = now_;
+  // ---- replication positions ----
+  void update_position(Host& host, Time position) {
+    if (position > now_) return;  // a lower bound cannot lie in the future: the report is broken
+    if (position > host.position) host.position_advanced_at = now_;
+    host.position = std::max(host.position, position);
+    host.position_learned_at = now_;
   }
 
-  /// The design's step weight of a replica for a request: 0 is down.
-  double step_weight(const Host& h, const Request& r) const {
-    const auto& c = s_.classes[r.cls.value];
-    if (behind(h, r))
-      return h.position == never || s_.stale_read_policy == StaleReadPolicy::none
+  /// Weight of a replica for a request by its replication lag; 0: must not be used.
+  double staleness_weight(const Host& host, const Request& request) const {
+    const auto& request_class = settings_.classes[request.class_id.value];
+    if (believed_too_stale(host, request))
+      return host.position == never || settings_.stale_read_policy == StaleReadPolicy::none
                  ? 0
-                 : fleet::StaleReadSuccessRate::weight(groups_.at(h.group).past, past_);
-    return c.freshness == Freshness::bounded ? fleet::lag_weight(now_ - h.position, c.staleness_bound) : 1;
+                 : fleet::StaleReadSuccessRate::weight(groups_.at(host.group).stale_read_success,
+                                                       stale_read_success_);
+    return request_class.freshness == Freshness::bounded
+               ? fleet::lag_weight(now_ - host.position, request_class.staleness_bound)
+               : 1;
   }
-  /// Whether the replica is believed too far behind for the request; its host judges by what is true.
-  bool behind(const Host& h, const Request& r) const {
-    const auto& c = s_.classes[r.cls.value];
-    if (c.freshness == Freshness::session) return h.position < r.needs;
-    return c.freshness == Freshness::bounded && now_ - h.position > c.staleness_bound;
+  /// Whether the replica is believed to be too far behind for the request. The replica itself decides by its
+  /// true position.
+  bool believed_too_stale(const Host& host, const Request& request) const {
+    const auto& request_class = settings_.classes[request.class_id.value];
+    if (request_class.freshness == Freshness::session) return host.position < request.required_position;
+    return request_class.freshness == Freshness::bounded &&
+           now_ - host.position > request_class.staleness_bound;
   }
 
   // ---- primary ----
-  /// Newest evidence wins, by when it was true.
-  void learn_role(Host& h, Role role, Time when) {
-    if (role == Role::unknown || when < h.role_at) return;
-    h.role = role;
-    h.role_at = when;
+  /// Keeps the newest evidence, by the time at which it was true.
+  void update_role(Host& host, Role role, Time as_of) {
+    if (role == Role::unknown || as_of < host.role_as_of) return;
+    host.role = role;
+    host.role_as_of = as_of;
   }
 
   Host* primary(GroupId id) {
     Host* best = nullptr;
-    for (Host* m : groups_[id].members)
-      if (m->role == Role::primary && open(*m) && (!best || m->role_at > best->role_at)) best = m;
+    for (Host* member : groups_[id].members)
+      if (member->role == Role::primary && accepts_requests(*member) &&
+          (!best || member->role_as_of > best->role_as_of))
+        best = member;
     return best;
   }
 
   // ---- health ----
-  Duration expected(const Host& h, ClassId cls) const {
-    // Cores shared among many requests slow them all before a queue shows.
-    const double u = queue_known(h) ? h.util : 0;
-    return scale(class_latency_[cls.value], h.slowness * (1 + u * u * u / (1.2 - u))) + queue_delay(h);
+  Duration expected_latency(const Host& host, ClassId class_id) const {
+    // Cores shared among many requests slow all of them before a queue forms.
+    const double utilization = queue_known(host) ? host.utilization : 0;
+    const double slowdown = utilization * utilization * utilization / (saturation_utilization - utilization);
+    return scale(class_latency_[class_id.value], host.relative_latency * (1 + slowdown)) + queue_delay(host);
   }
 
-  /// A report of the queue is news for about as long as a position.
-  bool queue_known(const Host& h) const { return now_ - h.queued_at <= scale(useful_period(), queue_news); }
-  Duration queue_delay(const Host& h) const {
-    return queue_known(h) ? scale(per_queued_, h.queued) : Duration::zero();
+  /// A reported queue length is used for about as long as a reported position.
+  bool queue_known(const Host& host) const {
+    return now_ - host.queue_reported_at <= scale(normal_probe_period(), queue_report_periods);
+  }
+  Duration queue_delay(const Host& host) const {
+    return queue_known(host) ? scale(wait_per_queued_request_, host.queue_length) : Duration::zero();
   }
-  /// Where reports tell the queue: too long for the answer to be worth its work.
-  bool jammed(const Host& h, const Request& r) const {
-    return h.queued > 0 && queue_known(h) && now_ + queue_delay(h) > last_send(r);
+  /// Whether the reported queue is so long that the answer would come too late to be of value.
+  bool queue_too_long(const Host& host, const Request& request) const {
+    return host.queue_length > 0 && queue_known(host) &&
+           now_ + queue_delay(host) > latest_useful_send(request);
   }
 
-  /// How long a host may owe any answer before it is suspect.
-  Duration patience(const Host& h) const {
-    return std::max(shortest_aim_ / 2, scale(typical(), silence_latencies * std::min(h.slowness, 2.0)));
+  /// How long a host with requests in flight may send no answer at all before it is suspect.
+  Duration response_timeout(const Host& host) const {
+    const double relative_latency = std::min(host.relative_latency, max_timeout_relative_latency);
+    return std::max(shortest_target_ / 2,
+                    scale(typical_latency(), response_timeout_latencies * relative_latency));
   }
-  Duration typical() const {
+  /// Mean latency over all classes.
+  Duration typical_latency() const {
     return std::accumulate(class_latency_.begin(), class_latency_.end(), Duration{}) /
            static_cast<std::int64_t>(class_latency_.size());
   }
 
-  /// Silence: hangs, cuts, lost processes, frozen claims. Only a trial goes there: soon where the position
-  /// still moves (i358951), else seldom. Harm: a host that holds only long queries is spared until it
-  /// answers.
-  bool silent(const Host& h) const {
-    const auto wait = patience(h);
-    const bool stale_claim = h.role == Role::primary &&
-                             h.report_age > std::max(wait, scale(usual_age_, age_multiple)) &&
-                             now_ - h.heard > wait;
-    if ((h.lost_probes < silent_probes || probe_doubt_ > doubt_at) && !stale_claim) {
-      if (h.quiet(now_) <= wait) return false;
-      if (now_ - h.moved <= wait) return now_ - *h.out.rbegin() <= wait;
+  /// Whether the host is treated as hung, cut off or dead, or as a former primary that still claims the role
+  /// with a position that stands still. Such a host gets single trial requests only: soon while its position
+  /// advances (it is alive, only answers were lost on the way), seldom otherwise. A host that executes only
+  /// long queries looks the same, and gets no further requests until it answers.
+  bool unresponsive(const Host& host) const {
+    const auto timeout = response_timeout(host);
+    const bool stale_claim =
+        host.role == Role::primary &&
+        host.report_age > std::max(timeout, scale(usual_report_age_, stale_report_multiple)) &&
+        now_ - host.last_response_at > timeout;
+    const bool probes_answered =
+        host.lost_probes < suspect_lost_probes || probe_unreliability_ > max_probe_unreliability;
+    if (probes_answered && !stale_claim) {
+      if (host.time_without_response(now_) <= timeout) return false;
+      if (now_ - host.position_advanced_at <= timeout)
+        return now_ - *host.in_flight_sends.rbegin() <= timeout;
     }
-    // A stale claim that moves now and then is tried as well: else it would keep the host out for good.
-    const auto sign = std::max({h.last_sent, h.heard, stale_claim ? never : h.moved});
-    return !h.out.empty() || now_ - sign <= scale(wait, trial_patiences);
-  }
-
-  bool healthy(const Host& h) const {
-    if (silent(h)) return false;
-    return !h.outlier.ejected() || (h.outlier.ready_for_trial(now_) && h.in_flight() == 0);  // a single trial
-  }
-
-  /// What has nowhere else to go uses a primary in spite of its errors (iae7ffd), not of silence or refusals.
-  bool usable(const Host& h) const { return healthy(h) || (h.refusals == 0 && !silent(h)); }
-
-  void failed(Host& h, double weight) {
-    if (!h.outlier.failed(now_, started_, weight)) return;
-    // What only the primary can take has nowhere else to go meanwhile.
-    const auto gap = std::min(groups_[h.group].send_gap(), longest_aim_ * 8);
-    const auto first = std::max(shortest_aim_ / 2, h.role == Role::primary ? Duration{} : gap);
-    h.outlier.eject(now_, first, longest_aim_ * 16, 0.75 + draw01() / 2);
-  }
-
-  void answered(Host& h) {
-    h.heard = now_;
-    // A process that could not be reached and now answers has started again: cold (ib4e6e7).
-    if (h.refusals > 1 && warmth(h) >= 1) h.cold_since = now_;
-    h.refusals = 0;
-    if (h.lost_probes > 0) probe_doubt_ += (1 - probe_doubt_) * fail_gain;
-    h.lost_probes = 0;
-    h.outlier.answered(now_, started_);
-  }
-
-  void learn_latency(Host& h, const Request& r, Duration elapsed) {
-    auto& mean = class_latency_[r.cls.value];
-    if (h.queued >= 1 && queue_known(h) && h.queued_at <= now_ - elapsed)
-      per_queued_ += scale(scale(elapsed - mean, 1 / h.queued) - per_queued_, class_gain);
-    per_queued_ = std::max(per_queued_, typical() / 20);
-    mean += scale(elapsed - mean, class_gain);
-    h.slowness += latency_gain * (ms(elapsed) / std::max(0.1, ms(mean)) - h.slowness);
-    h.slowness = std::clamp(h.slowness, 0.1, 50.0);
-    congested(h, r, elapsed, true);
-  }
-
-  /// The in-flight window: AIMD on latency over aim. A time-out beside quick answers counts in their
-  /// proportion: it was lost, not queued (i358951).
-  void congested(Host& h, const Request& r, Duration elapsed, bool answer) {
-    h.load += latency_gain * (ms(elapsed) / ms(s_.classes[r.cls.value].latency_target) - h.load);
-    if (h.load > window_high && now_ - h.window_cut_at > class_latency_[r.cls.value]) {
-      h.window = std::max(window_least, h.window * window_cut);
-      h.window_cut_at = now_;
-    } else if (answer && h.load < window_low && h.in_flight() + 1 >= h.window * 0.7) {
-      h.window += 1 / std::max(1.0, h.window);
+    // The advance of a stale claim does not delay its trial: one that advances now and then would never get
+    // one, and the host would stay out of use for good.
+    const auto last_sign =
+        std::max({host.last_send_at, host.last_response_at, stale_claim ? never : host.position_advanced_at});
+    return !host.in_flight_sends.empty() || now_ - last_sign <= scale(timeout, trial_interval_timeouts);
+  }
+
+  bool healthy(const Host& host) const {
+    if (unresponsive(host)) return false;
+    const bool trial_allowed = host.outlier.ready_for_trial(now_) && host.in_flight() == 0;
+    return !host.outlier.ejected() || trial_allowed;
+  }
+
+  /// Requests that only a primary can take use it in spite of its errors, unless it is unresponsive or
+  /// refuses connections: while an ejected primary got none, all writes waited although some would have been
+  /// answered.
+  bool usable(const Host& host) const {
+    return healthy(host) || (host.refused_connections == 0 && !unresponsive(host));
+  }
+
+  /// Counts a failure of `weight` ordinary ones, and ejects the host at the threshold.
+  void record_failure(Host& host, double weight) {
+    if (!host.outlier.failed(now_, first_event_at_, weight)) return;
+    // No longer for a primary: requests that need it cannot be sent elsewhere meanwhile.
+    const auto interval =
+        std::min(groups_[host.group].send_interval(), longest_target_ * max_ejection_interval_targets);
+    const auto first = std::max(shortest_target_ / 2, host.role == Role::primary ? Duration{} : interval);
+    host.outlier.eject(now_, first, longest_target_ * max_ejection_targets,
+                       min_ejection_jitter + random_unit() / 2);
+  }
+
+  void record_response(Host& host) {
+    host.last_response_at = now_;
+    // A process that refused connections and answers again has restarted, so it is cold.
+    if (host.refused_connections > 1 && capacity_share(host) >= 1) host.started_at = now_;
+    host.refused_connections = 0;
+    if (host.lost_probes > 0) probe_unreliability_ += (1 - probe_unreliability_) * failure_gain;
+    host.lost_probes = 0;
+    host.outlier.answered(now_, first_event_at_);
+  }
+
+  void record_latency(Host& host, const Request& request, Duration elapsed) {
+    auto& mean = class_latency_[request.class_id.value];
+    if (host.queue_length >= 1 && queue_known(host) && host.queue_reported_at <= now_ - elapsed)
+      wait_per_queued_request_ +=
+          scale(scale(elapsed - mean, 1 / host.queue_length) - wait_per_queued_request_, class_latency_gain);
+    wait_per_queued_request_ = std::max(wait_per_queued_request_, typical_latency() / min_queue_wait_divisor);
+    mean += scale(elapsed - mean, class_latency_gain);
+    host.relative_latency +=
+        host_latency_gain * (to_ms(elapsed) / std::max(min_latency_ms, to_ms(mean)) - host.relative_latency);
+    host.relative_latency = std::clamp(host.relative_latency, min_relative_latency, max_relative_latency);
+    adjust_concurrency_limit(host, request, elapsed, true);
+  }
+
+  /// AIMD of the host's concurrency limit on latency over target. `answered`: not a time-out. The caller caps
+  /// `elapsed` of a time-out: beside quick answers it means an answer lost on the way, not a queue.
+  void adjust_concurrency_limit(Host& host, const Request& request, Duration elapsed, bool answered) {
+    const auto target = settings_.classes[request.class_id.value].latency_target;
+    host.load += host_latency_gain * (to_ms(elapsed) / to_ms(target) - host.load);
+    if (host.load > limit_decrease_load &&
+        now_ - host.limit_reduced_at > class_latency_[request.class_id.value]) {
+      host.concurrency_limit =
+          std::max(min_concurrency_limit, host.concurrency_limit * limit_decrease_factor);
+      host.limit_reduced_at = now_;
+    } else if (answered && host.load < limit_increase_load &&
+               host.in_flight() + 1 >= host.concurrency_limit * limit_increase_usage) {
+      host.concurrency_limit += 1 / std::max(1.0, host.concurrency_limit);
     }
   }
 
-  // ---- selection ----
-  /// What a started host can do now as a share of the full; 1 when warm.
-  double warmth(const Host& h, Duration ago = {}) const {
-    if (h.cold_since == never || now_ - h.cold_since >= s_.warm_up_duration) return 1;
-    const auto up = std::max(Duration::zero(), now_ - ago - h.cold_since);
-    return s_.cold_capacity_share + (1 - s_.cold_capacity_share) * ms(up) / ms(s_.warm_up_duration);
-  }
-
-  /// The budget of rule 4: multiple x present capacity x tip_after, in every window, from all routers. None
-  /// knows what the others send, so each keeps to a part, and the parts add up to a share of it:
-  /// - Capacity: the work that warm hosts answered, a host. No fleet answers more than it can do, so parts
-  ///   add up to a warm host at most, in overload and retry storms too; after a restart a router's is 0. The
-  ///   present share is what is promised at the start of the window. Harm: spares a host that is warmer.
-  /// - Chance: a part of hundreds is far less than one send, and sends saved up would meet when a handover or
-  ///   held work calls for all. So nothing is saved: a request goes with the chance that makes the part of
-  ///   all that may come, repeats too. Where no warm host can serve it, what may be held counts as well; on a
-  ///   primary, what needs it and reads that fall back share. Whole sends of a part need no chance.
-  /// - Share: late news excuses unless two thirds come from those told, so these may use two thirds. A third
-  ///   is left to handshakes, probes, slow hosts, chance; warm hosts are not always full, so parts are less.
-  bool cold_turn(const Request& r, Host& h, double pick, bool alone) {
-    if (warmth(h) >= 1) return true;
-    const double window = ms(s_.overload_window) / 1000, warm = warmth(h, s_.overload_window);
-    const double part = cold_share * s_.overload_multiple * warm * window * host_rate();
-    const Time from = now_ - s_.overload_window;
-    const double left = cold_part_.left(now_, part, h.spent.own(from), h.spent.others(from));
-    if (left >= work(r.cls.value)) return true;
-    const double all = std::max(1.0, arrived_.sum(now_)), seconds = arrived_.seconds(now_ - started_);
-    const double of_group =
-        std::max(1.0 / groups_.size(), std::min(1.0, groups_[r.group].rate * seconds / all));
-    const bool must = only_primary(r.cls.value);
-    double asked = 0;  // of this group, by requests like this one
-    for (std::size_t i = 0; i < s_.classes.size(); ++i)
-      if (only_primary(i) == must)
-        asked += arrived_.by[i] / seconds * work(i) * (window + (alone ? ms(worthwhile(i)) / 1000 : 0));
-    const double share = h.role != Role::primary ? 1 : must ? 1 - read_share : read_share;
-    const bool turn = r.luck * asked * of_group * pick < left * share;
-    drew_ = drew_ || !turn;
-    return turn;
-  }
-  /// The work a second that warm hosts answered, a host; one that crashed counts until the list tells.
-  double host_rate() {
-    warm_at_.erase(warm_at_.begin(), warm_at_.upper_bound(now_));
-    const auto warm = std::max(1, ready_ - static_cast<int>(warm_at_.size()));
-    return served_.sum(now_) / served_.seconds(now_ - started_) / warm;
-  }
-  double work(std::size_t i) const { return ms(class_latency_[i]) / std::max(0.1, ms(typical())); }
-  double worth(std::size_t i) const { return s_.classes[i].value / std::max(0.1, ms(class_latency_[i])); }
-  std::size_t cap(const Request& r) const { return s_.classes[r.cls.value].max_attempts; }
-  bool only_primary(std::size_t i) const { return s_.classes[i].freshness >= Freshness::fresh; }
-
-  bool open(const Host& h) const { return h.state == HostState::ready; }
-  /// Attempts that a host owes for long while it answers others do not fill its window: they are lost.
-  bool room(const Host& h, double share = 1) const {
-    const auto since = now_ - patience(h) * 2;
-    const auto lost = h.heard > since ? std::distance(h.out.begin(), h.out.lower_bound(since)) : 0;
-    return h.in_flight() - static_cast<int>(lost) < std::max(1.0, h.window * share);
-  }
-
-  /// The replicas' windows, pooled: one attempt from each of many routers would jam a host (i7ba6cd). Harm: a
-  /// slow host's window counts for the others.
-  bool pool_open(const Group& g, const Host* top) const {
-    double windows = 0;
-    int out = 0;
-    for (const Host* m : g.members)
-      if (m != top && open(*m)) windows += m->window, out += m->in_flight();
-    return out < std::max(1.0, windows);
-  }
-
-  /// What a replica whose queue is not known is taken to have: what the others of its group do. Those heard
-  /// last alone would have all reads until others are heard. Harm: a full host is taken for a usual one.
-  Duration usual_queue(const Group& g, const Host* top) const {
-    Duration all{};
+  // ---- host selection ----
+  /// Capacity of a host as a share of its full capacity, `ago` before now; 1 when it is warm now.
+  double capacity_share(const Host& host, Duration ago = {}) const {
+    if (host.started_at == never || now_ - host.started_at >= settings_.warm_up_duration) return 1;
+    const auto uptime = std::max(Duration::zero(), now_ - ago - host.started_at);
+    return settings_.cold_capacity_share +
+           (1 - settings_.cold_capacity_share) * to_ms(uptime) / to_ms(settings_.warm_up_duration);
+  }
+
+  /// Slow start: whether a host that may be cold can take this request. In every overload window all routers
+  /// together may send a cold host overload_multiple times its present capacity. No router knows what the
+  /// others send, so each has a part of that budget:
+  /// - Capacity is the work that warm hosts answered, per host. A fleet cannot answer more than its capacity,
+  ///   so the routers' parts add up to at most one warm host, also in overload and retry storms; a restarted
+  ///   router begins at 0. The capacity share is that at the start of the window, so a host that is warmer by
+  ///   now gets fewer requests than it could take.
+  /// - One of hundreds of routers has a part far below one request. Parts saved up would be spent by all
+  ///   routers at once when a primary changes or waiting requests are released, so nothing is saved: a
+  ///   request is sent with the probability at which the part covers all that may come, retries included.
+  ///   Where no warm host can serve them, requests that may still be waiting count too. On a primary,
+  ///   requests that need it and fallback reads have separate shares. While the part covers whole requests,
+  ///   they are sent without a draw.
+  /// - Excess work is excused by late notice unless two thirds of it come from routers that know of the
+  /// start;
+  ///   so these use two thirds. The rest covers handshakes, probes, slow hosts and chance. Warm hosts are not
+  ///   always fully loaded, so the parts are smaller still.
+  /// `choice_probability`: with which the host was chosen; `no_warm_host`: none can take the request.
+  bool slow_start_allows(const Request& request, Host& host, double choice_probability, bool no_warm_host) {
+    if (capacity_share(host) >= 1) return true;
+    const double window_seconds = to_ms(settings_.overload_window) / 1000;
+    const double capacity = capacity_share(host, settings_.overload_window);
+    const double budget = slow_start_budget_share * settings_.overload_multiple * capacity * window_seconds *
+                          work_rate_per_warm_host();
+    const Time window_start = now_ - settings_.overload_window;
+    auto& usage = host.slow_start_usage;
+    const double own_usage = usage.own(window_start);
+    const double left = slow_start_share_.left(now_, budget, own_usage, usage.others(window_start));
+    if (left >= relative_work(request.class_id.value)) return true;
+    const double arrivals = std::max(1.0, arrived_.decayed_sum(now_));
+    const double seconds = arrived_.effective_seconds(now_ - first_event_at_);
+    const double group_arrivals = groups_[request.group].arrival_rate * seconds;
+    const double group_share = std::max(1.0 / groups_.size(), std::min(1.0, group_arrivals / arrivals));
+    const bool needs_primary = requires_primary(request.class_id.value);
+    double demand = 0;  // work of all groups' requests that are, like this one, for a primary or for replicas
+    for (std::size_t i = 0; i < settings_.classes.size(); ++i)
+      if (requires_primary(i) == needs_primary) {
+        const double waiting_seconds = no_warm_host ? to_ms(useful_duration(i)) / 1000 : 0;
+        demand += arrived_.by_class[i] / seconds * relative_work(i) * (window_seconds + waiting_seconds);
+      }
+    const double primary_share = needs_primary ? 1 - fallback_read_share : fallback_read_share;
+    const double share = host.role != Role::primary ? 1 : primary_share;
+    const bool allowed = request.random_draw * demand * group_share * choice_probability < left * share;
+    slow_start_denied_ = slow_start_denied_ || !allowed;
+    return allowed;
+  }
+  /// Typical requests a second that warm hosts answered, per host. A crashed host counts until it leaves the
+  /// list.
+  double work_rate_per_warm_host() {
+    warm_up_ends_.erase(warm_up_ends_.begin(), warm_up_ends_.upper_bound(now_));
+    const auto warm_hosts = std::max(1, ready_hosts_ - static_cast<int>(warm_up_ends_.size()));
+    return served_.decayed_sum(now_) / served_.effective_seconds(now_ - first_event_at_) / warm_hosts;
+  }
+  /// Work of one request of a class, in typical requests.
+  double relative_work(std::size_t class_index) const {
+    return to_ms(class_latency_[class_index]) / std::max(min_latency_ms, to_ms(typical_latency()));
+  }
+  /// Value of a timely answer over its cost in milliseconds.
+  double value_per_cost(std::size_t class_index) const {
+    return settings_.classes[class_index].value /
+           std::max(min_latency_ms, to_ms(class_latency_[class_index]));
+  }
+  std::size_t max_attempts(const Request& request) const {
+    return settings_.classes[request.class_id.value].max_attempts;
+  }
+  bool requires_primary(std::size_t class_index) const {
+    return settings_.classes[class_index].freshness >= Freshness::fresh;
+  }
+
+  bool accepts_requests(const Host& host) const { return host.state == HostState::ready; }
+  /// Whether the host's attempts in flight are below `share` of its concurrency limit. Old attempts at a host
+  /// that answers others are lost and do not count.
+  bool below_concurrency_limit(const Host& host, double share = 1) const {
+    const auto lost_before = now_ - response_timeout(host) * 2;
+    const auto& sends = host.in_flight_sends;
+    const auto lost = host.last_response_at > lost_before
+                          ? std::distance(sends.begin(), sends.lower_bound(lost_before))
+                          : 0;
+    return host.in_flight() - static_cast<int>(lost) < std::max(1.0, host.concurrency_limit * share);
+  }
+
+  /// Whether the replicas' attempts in flight are below the sum of their limits. The limits are pooled
+  /// because one attempt from each of many routers would already overload a host. A slow host's limit can be
+  /// used at the others, whose requests then get slower.
+  bool below_pooled_limit(const Group& group, const Host* group_primary) const {
+    double pooled_limit = 0;
+    int in_flight = 0;
+    for (const Host* member : group.members)
+      if (member != group_primary && accepts_requests(*member)) {
+        pooled_limit += member->concurrency_limit;
+        in_flight += member->in_flight();
+      }
+    return in_flight < std::max(1.0, pooled_limit);
+  }
+
+  /// Mean delay of the replicas whose queue is known, assumed for the others: without it the replicas that
+  /// reported last would get all reads until others report. Reads sent to a full host that has not reported
+  /// wait longer than estimated.
+  Duration mean_queue_delay(const Group& group, const Host* group_primary) const {
+    Duration total{};
     std::int64_t known = 0;
-    for (const Host* m : g.members)
-      if (m != top && open(*m) && queue_known(*m)) all += queue_delay(*m), ++known;
-    return known > 0 ? all / known : Duration::zero();
-  }
-
-  /// The draw; a cold host that it falls on must have its turn, else it falls again among the warm.
-  Host* warm_draw(const Request& r, std::vector<std::pair<Host*, double>>& from) {
-    Host* h = fleet::weighted_choice(from, draw01());
-    if (!h || warmth(*h) >= 1) return h;
-    double total = 0, mine = 0;
-    for (const auto& [m, w] : from) total += w, mine += m == h ? w : 0;
-    const auto cold = [this](const auto& f) { return warmth(*f.first) < 1; };
-    const bool alone = std::all_of(from.begin(), from.end(), cold);
-    if (cold_turn(r, *h, mine / std::max(mine, total), alone)) return h;
-    from.erase(std::remove_if(from.begin(), from.end(), cold), from.end());
-    return fleet::weighted_choice(from, draw01());
-  }
-
-  /// Asks replicas (one where answers tell positions too), or the primary, when too little is known. Guards
-  /// the primary where traffic is too thin to keep positions fresh. Harm: a read waits one probe longer.
-  bool seek(Group& g, Host* top, bool primary) {
-    if (!s_.probes_allowed || !probes_.available(probe_kept)) return false;
-    auto& asked = g.asked[primary ? 1 : 0];
-    const auto pending = [&](const Host* m) { return m->probing && (m == top) == primary; };
-    if (now_ < asked.until) return std::any_of(g.members.begin(), g.members.end(), pending);
-    std::vector<std::pair<Host*, double>> from;
-    for (Host* m : g.members)
-      if ((m == top) == primary && open(*m) && !m->probing && healthy(*m) &&
-          now_ - m->last_probe >= std::max(useful_period(), cold_gap(*m)))
-        from.emplace_back(m, warmth(*m));
-    if (from.empty()) return false;
-    asked.until = now_ + std::clamp(probe_time_ * 4, beat_, shortest_aim_ / 4);
-    const int most = s_.answers_carry_position ? 1 : asked_at_once;
-    for (int i = 0; i < most && !from.empty() && probes_.available(probe_kept); ++i) {
-      Host* h = fleet::weighted_choice(from, draw01());
-      probe(*h);
-      from.erase(std::remove_if(from.begin(), from.end(), [&](const auto& f) { return f.first == h; }),
-                 from.end());
+    for (const Host* member : group.members)
+      if (member != group_primary && accepts_requests(*member) && queue_known(*member)) {
+        total += queue_delay(*member);
+        ++known;
+      }
+    return known > 0 ? total / known : Duration::zero();
+  }
+
+  /// Weighted random choice. If it is a cold host that slow start does not allow, chooses again among the
+  /// warm hosts; null without any.
+  Host* choose_weighted(const Request& request, std::vector<std::pair<Host*, double>>& candidates) {
+    Host* chosen = fleet::weighted_choice(candidates, random_unit());
+    if (!chosen || capacity_share(*chosen) >= 1) return chosen;
+    double total_weight = 0;
+    double chosen_weight = 0;
+    for (const auto& [host, weight] : candidates) {
+      total_weight += weight;
+      chosen_weight += host == chosen ? weight : 0;
+    }
+    const auto cold = [this](const auto& candidate) { return capacity_share(*candidate.first) < 1; };
+    const bool all_cold = std::all_of(candidates.begin(), candidates.end(), cold);
+    const double probability = chosen_weight / std::max(chosen_weight, total_weight);
+    if (slow_start_allows(request, *chosen, probability, all_cold)) return chosen;
+    candidates.erase(std::remove_if(candidates.begin(), candidates.end(), cold), candidates.end());
+    return fleet::weighted_choice(candidates, random_unit());
+  }
+
+  /// Probes replicas (a single one where answers report positions too), or the primary, if too little is
+  /// known of them to send a request. Returns whether a probe's answer is awaited. Keeps reads off the
+  /// primary where traffic is too thin to keep positions current; the read waits for one probe.
+  bool probe_on_demand(Group& group, Host* group_primary, bool probe_primary) {
+    if (!settings_.probes_allowed || !probe_budget_.available(urgent_probe_reserve)) return false;
+    auto& probes = group.on_demand_probes[probe_primary ? 1 : 0];
+    const auto pending = [&](const Host* member) {
+      return member->probe_in_flight && (member == group_primary) == probe_primary;
+    };
+    if (now_ < probes.until) return std::any_of(group.members.begin(), group.members.end(), pending);
+    std::vector<std::pair<Host*, double>> candidates;
+    for (Host* member : group.members)
+      if ((member == group_primary) == probe_primary && accepts_requests(*member) &&
+          !member->probe_in_flight && healthy(*member) &&
+          now_ - member->last_probe_at >= std::max(normal_probe_period(), min_probe_interval(*member)))
+        candidates.emplace_back(member, capacity_share(*member));
+    if (candidates.empty()) return false;
+    probes.until = now_ + std::clamp(probe_round_trip_ * 4, tick_interval_, shortest_target_ / 4);
+    const int max_probes = settings_.answers_carry_position ? 1 : on_demand_probe_count;
+    for (int i = 0; i < max_probes && !candidates.empty() && probe_budget_.available(urgent_probe_reserve);
+         ++i) {
+      Host* chosen = fleet::weighted_choice(candidates, random_unit());
+      send_probe(*chosen);
+      const auto is_chosen = [&](const auto& candidate) { return candidate.first == chosen; };
+      candidates.erase(std::remove_if(candidates.begin(), candidates.end(), is_chosen), candidates.end());
     }
     return true;
   }
 
-  void probe(Host& h) {
-    probes_.spend();
-    h.probing = true;
-    h.last_probe = now_;
-    out_->push_back(Probe{h.id});
+  void send_probe(Host& host) {
+    probe_budget_.spend();
+    host.probe_in_flight = true;
+    host.last_probe_at = now_;
+    actions_->push_back(Probe{host.id});
   }
 
-  /// Where no primary is known that can be used and probes cost too much, a write itself asks: any host that
-  /// is none turns it away at once and nothing ran. Each is asked once in a while, the one the list names
-  /// first, then those longest not known as replicas. Harm: a write that finds none has spent attempts.
-  Host* guess(const Request& r, Group& g, const Host* top) {
-    const bool cheap =
-        s_.probes_allowed && s_.probe_cost * static_cast<double>(g.members.size()) <= probe_points;
-    if (cheap || r.attempts.size() + 1 >= cap(r)) return nullptr;
+  /// A host to which a write is sent in search of the primary, where no usable one is known and probing all
+  /// members costs too much; null without one. A replica refuses the write at once and executes nothing. Each
+  /// host gets such a write at most once in the shortest target: the listed primary first, then hosts whose
+  /// role is known least recently. A write that does not find the primary has used up attempts.
+  Host* primary_candidate(const Request& request, Group& group, const Host* group_primary) {
+    const double cost_of_all = settings_.probe_cost * static_cast<double>(group.members.size());
+    const bool probes_affordable = settings_.probes_allowed && cost_of_all <= probe_cost_share;
+    if (probes_affordable || request.attempts.size() + 1 >= max_attempts(request)) return nullptr;
     Host* best = nullptr;
-    for (Host* m : g.members) {
-      if (m == top || !open(*m) || !healthy(*m) || !room(*m)) continue;
-      if (now_ - std::max(m->role_at, m->last_sent) < shortest_aim_) continue;
-      if (!best || std::pair(m->named, best->role_at) > std::pair(best->named, m->role_at)) best = m;
+    for (Host* member : group.members) {
+      if (member == group_primary || !accepts_requests(*member) || !healthy(*member) ||
+          !below_concurrency_limit(*member))
+        continue;
+      if (now_ - std::max(member->role_as_of, member->last_send_at) < shortest_target_) continue;
+      if (!best || std::pair(member->listed_as_primary, best->role_as_of) >
+                       std::pair(best->listed_as_primary, member->role_as_of))
+        best = member;
     }
-    return best && cold_turn(r, *best, 1, true) ? best : nullptr;
-  }
-
-  /// The ordinary path: the draw among replicas, then the primary. Null: nobody can take it now.
-  Host* choose(const Request& r) {
-    if (attempts_out_ >= places_) return nullptr;
-    const auto& c = s_.classes[r.cls.value];
-    Group& g = groups_[r.group];
-    Host* top = primary(r.group);
-    if (only_primary(r.cls.value)) {
-      if (!top || !usable(*top)) return c.freshness == Freshness::write ? guess(r, g, top) : nullptr;
-      if (!room(*top)) return nullptr;
-      if (reports_queue_ && !queue_known(*top) && seek(g, top, true)) return nullptr;
-      return jammed(*top, r) || !cold_turn(r, *top, 1, true) ? nullptr : top;
+    return best && slow_start_allows(request, *best, 1, true) ? best : nullptr;
+  }
+
+  /// The host that the request is sent to: a weighted random choice among the replicas, then the primary.
+  /// Null: no host can take it now.
+  Host* select_host(const Request& request) {
+    if (attempts_in_flight_ >= max_in_flight_) return nullptr;
+    const auto& request_class = settings_.classes[request.class_id.value];
+    Group& group = groups_[request.group];
+    Host* group_primary = primary(request.group);
+    if (requires_primary(request.class_id.value)) {
+      if (!group_primary || !usable(*group_primary))
+        return request_class.freshness == Freshness::write ? primary_candidate(request, group, group_primary)
+                                                           : nullptr;
+      if (!below_concurrency_limit(*group_primary)) return nullptr;
+      if (queues_reported_ && !queue_known(*group_primary) && probe_on_demand(group, group_primary, true))
+        return nullptr;
+      return queue_too_long(*group_primary, request) || !slow_start_allows(request, *group_primary, 1, true)
+                 ? nullptr
+                 : group_primary;
     }
-    const bool pool = pool_open(g, top);
-    const auto usual = usual_queue(g, top);
-    bool nowhere = true;  // no replica may answer it, now or soon
-    if (!(r.missed && top)) {
-      // Health narrows, then gives way; only a refused connection is certain and waits for its trial.
-      for (const bool careful : {true, false}) {
+    const bool pool_has_room = below_pooled_limit(group, group_primary);
+    const auto assumed_queue_delay = mean_queue_delay(group, group_primary);
+    bool no_replica = true;  // none can answer the request, now or soon
+    if (!(request.refused_as_stale && group_primary)) {
+      // First only healthy replicas, then all but those that refuse connections: these wait for their trial.
+      for (const bool healthy_only : {true, false}) {
         std::vector<std::pair<Host*, double>> eligible;
-        bool within = false;
+        bool fresh_enough = false;
         bool busy = false;
-        for (Host* m : g.members) {
-          auto& h = *m;
-          if (&h == top || !open(h)) continue;
-          const double step = step_weight(h, r);
-          if (step <= 0 || (careful ? !healthy(h) || r.tried(h.id) : h.refusals > 0 && !healthy(h))) continue;
-          if (!pool || !room(h) || jammed(h, r)) {
-            busy = busy || healthy(h);
+        for (Host* member : group.members) {
+          auto& host = *member;
+          if (&host == group_primary || !accepts_requests(host)) continue;
+          const double lag_weight = staleness_weight(host, request);
+          const bool excluded = healthy_only ? !healthy(host) || request.tried(host.id)
+                                             : host.refused_connections > 0 && !healthy(host);
+          if (lag_weight <= 0 || excluded) continue;
+          if (!pool_has_room || !below_concurrency_limit(host) || queue_too_long(host, request)) {
+            busy = busy || healthy(host);
             continue;
           }
-          within = within || !behind(h, r);
-          const auto queue = queue_known(h) ? Duration::zero() : usual;  // the rest is in expected()
-          const double latency = std::max(0.1, ms(expected(h, r.cls) + queue));
-          const double well = step * warmth(h) * std::pow(1 - h.outlier.failure_score(now_), 2);
-          const double w = well / (latency * (h.in_flight() + 1));
-          eligible.emplace_back(&h, w);
+          fresh_enough = fresh_enough || !believed_too_stale(host, request);
+          // expected_latency includes a known queue.
+          const auto queue = queue_known(host) ? Duration::zero() : assumed_queue_delay;
+          const double latency =
+              std::max(min_latency_ms, to_ms(expected_latency(host, request.class_id) + queue));
+          const double health_weight = std::pow(1 - host.outlier.failure_score(now_), 2);
+          const double base_weight = lag_weight * capacity_share(host) * health_weight;
+          const double weight = base_weight / (latency * (host.in_flight() + 1));
+          eligible.emplace_back(&host, weight);
         }
-        nowhere = nowhere && !within && !busy;
-        if (within) {
-          if (Host* h = warm_draw(r, eligible)) return h;
+        no_replica = no_replica && !fresh_enough && !busy;
+        if (fresh_enough) {
+          if (Host* chosen = choose_weighted(request, eligible)) return chosen;
           break;
         }
-        if (!eligible.empty() && !busy) {  // only where replicas check reads: the most advanced first
-          const bool trust = fleet::StaleReadSuccessRate::trust(g.past, past_);
-          const auto level = trust ? c.staleness_bound / 4 : Duration::zero();
-          fleet::retain_most_current(eligible, level, [&](const Host& h) { return h.lag(now_, trust); });
-          if (Host* h = warm_draw(r, eligible)) return h;
+        // Only where replicas check reads themselves are there stale candidates: the most current ones first.
+        if (!eligible.empty() && !busy) {
+          const bool assume_kept_up =
+              fleet::StaleReadSuccessRate::trust(group.stale_read_success, stale_read_success_);
+          const auto tolerance = assume_kept_up ? request_class.staleness_bound / 4 : Duration::zero();
+          fleet::retain_most_current(eligible, tolerance,
+                                     [&](const Host& host) { return host.lag(now_, assume_kept_up); });
+          if (Host* chosen = choose_weighted(request, eligible)) return chosen;
         }
-        if (careful && (busy || (top && healthy(*top))))
-          break;  // full is no reason to try the sick (ib4e6e7)
+        // Hosts at their concurrency limit are no reason to try unhealthy ones.
+        if (healthy_only && (busy || (group_primary && healthy(*group_primary)))) break;
       }
-      if (c.freshness != Freshness::any && seek(g, top, false)) return nullptr;
+      if (request_class.freshness != Freshness::any && probe_on_demand(group, group_primary, false))
+        return nullptr;
     }
-    // The primary as backup: a share of its window, or all for reads worth more than any write (iea4f33).
-    // Like writes, a read that has nowhere else to go uses it in spite of its errors.
-    const double spill = nowhere ? 1 : tuning_.read_spillover;
-    if (top && (nowhere ? usable(*top) : healthy(*top)) && !jammed(*top, r) && spill > 0 &&
-        room(*top, spill * (value(r) > write_value_ ? 1 : read_share)) && cold_turn(r, *top, 1, true))
-      return top;
+    // Fallback to the primary, within a share of its limit, or the whole limit for reads of more value than
+    // any write: stale load reports would leave only the primary to them. As for writes, a read that no other
+    // host can answer uses the primary in spite of its errors.
+    const double spillover = no_replica ? 1 : tuning_.read_spillover;
+    const double limit_share = current_value_per_cost(request) > max_write_value_ ? 1 : fallback_read_share;
+    if (group_primary && (no_replica ? usable(*group_primary) : healthy(*group_primary)) &&
+        !queue_too_long(*group_primary, request) && spillover > 0 &&
+        below_concurrency_limit(*group_primary, spillover * limit_share) &&
+        slow_start_allows(request, *group_primary, 1, true))
+      return group_primary;
     return nullptr;
   }
 
   // ---- admission ----
-  /// Rule 2 in one place: may this request be sent to `to`, or be refused (null)?
-  bool permitted(const Request& r, const Host* to) const {
-    const auto& c = s_.classes[r.cls.value];
-    if (to && r.out > 0 && !s_.hedging_allowed) return false;
-    if (to && r.attempts.size() >= c.max_attempts) return false;
-    if (c.idempotency == Idempotency::safe) return true;
-    if (r.maybe_ran == forever && r.out == 0) return true;
-    if (c.idempotency == Idempotency::unsafe) return false;
-    if (!to) return c.dedup_scope == DedupScope::all;
-    Time first = r.maybe_ran;
-    HostId where = r.maybe_host;
-    for (const auto& a : r.attempts)
-      if (a.out && a.sent < first) first = a.sent, where = a.host;
-    if (now_ - first >= c.dedup_window - s_.quantum) return false;
-    const auto it = hosts_.find(where);
-    if (c.dedup_scope == DedupScope::all) return true;
+  /// Whether the request may be sent to `target` or, with null, be refused, without the risk that it takes
+  /// effect twice.
+  bool permitted(const Request& request, const Host* target) const {
+    const auto& request_class = settings_.classes[request.class_id.value];
+    if (target && request.attempts_in_flight > 0 && !settings_.hedging_allowed) return false;
+    if (target && request.attempts.size() >= request_class.max_attempts) return false;
+    if (request_class.idempotency == Idempotency::safe) return true;
+    if (request.may_have_run_at == forever && request.attempts_in_flight == 0) return true;
+    if (request_class.idempotency == Idempotency::unsafe) return false;
+    if (!target) return request_class.dedup_scope == DedupScope::all;
+    Time first_sent_at = request.may_have_run_at;
+    HostId first_host = request.may_have_run_on;
+    for (const auto& attempt : request.attempts)
+      if (attempt.in_flight && attempt.sent_at < first_sent_at) {
+        first_sent_at = attempt.sent_at;
+        first_host = attempt.host;
+      }
+    if (now_ - first_sent_at >= request_class.dedup_window - settings_.quantum) return false;
+    const auto it = hosts_.find(first_host);
+    if (request_class.dedup_scope == DedupScope::all) return true;
     if (it == hosts_.end()) return false;
-    return c.dedup_scope == DedupScope::zone ? it->second.zone == to->zone : it->second.group == to->group;
-  }
-
-  void note_load(const Host& h, double sample) {
-    const int role = h.role == Role::primary ? 1 : 0;
-    load_[role].add(now_, sample);
-    groups_[h.group].load[role].add(now_, sample);
-  }
-
-  /// The share of the work that a group's replicas or primary can bear: one of hundreds of routers holds less
-  /// than one request a host, so its few answers say it, borrowed from all groups where this one's are few.
-  /// Guards against queues of work given up (i29ba67). Harm: an overloaded group sheds a little elsewhere.
-  double bearable(const Group& g, int role, double weight) const {
-    const double all = load_[role].weight(now_), own = g.load[role].weight(now_);
-    const double usual = load_[role].mean * all / (all + load_prior);
-    const double load = (g.load[role].mean * own + usual * load_prior) / (own + load_prior);
-    const double eased =
-        weight * load / (1 + std::min(1.0, window_start / 4 / s_.instance_count));  // few: windows bind
-    return std::clamp((load_shut - eased) / (load_shut - load_open), admit_least, 1.0);
-  }
-
-  /// Admission: the work worth most for its cost first, down to the share that hosts can bear. A loaded
-  /// primary sheds reads that fall back first: writes have nowhere else (hd66b5a). Harm: early refusals.
-  bool admitted(const Request& r, const Host& h) {
-    const int role = h.role == Role::primary ? 1 : 0;
-    auto& wanted = wanted_[role];
-    const std::size_t cls = r.cls.value;
-    wanted.add(now_, cls, ms(class_latency_[cls]));
-    const double share = bearable(groups_[r.group], role, role == 1 && !only_primary(cls) ? backup_load : 1);
+    return request_class.dedup_scope == DedupScope::zone ? it->second.zone == target->zone
+                                                         : it->second.group == target->group;
+  }
+
+  void record_load(const Host& host, double sample) {
+    const int role_index = host.role == Role::primary ? 1 : 0;
+    role_load_[role_index].add(now_, sample);
+    groups_[host.group].load[role_index].add(now_, sample);
+  }
+
+  /// Share of the work that a group's replicas (role_index 0) or primary (1) can take. One of hundreds of
+  /// routers has less than one request in flight per host, so its few answers decide, complemented by the
+  /// load of all groups where the group's own samples are few. Keeps hosts from working through queues of
+  /// requests that clients have given up. Next to an overloaded group, others with few samples refuse some
+  /// requests too.
+  double admissible_share(const Group& group, int role_index, double load_weight) const {
+    const double all_samples = role_load_[role_index].weight(now_);
+    const double own_samples = group.load[role_index].weight(now_);
+    const double usual_load = role_load_[role_index].mean * all_samples / (all_samples + load_prior_samples);
+    const double load = (group.load[role_index].mean * own_samples + usual_load * load_prior_samples) /
+                        (own_samples + load_prior_samples);
+    // With few routers the concurrency limits bind first, so admission is more lenient.
+    const double few_routers =
+        std::min(1.0, initial_fleet_concurrency / few_routers_divisor / settings_.instance_count);
+    const double effective_load = load_weight * load / (1 + few_routers);
+    return std::clamp((min_admission_load - effective_load) / (min_admission_load - full_admission_load),
+                      min_admitted_share, 1.0);
+  }
+
+  /// Admits the requests of most value per cost, up to the share of the work that the hosts can take. A
+  /// loaded primary sheds fallback reads first, because writes cannot be sent elsewhere: these reads are
+  /// refused while the primary could still take some.
+  bool admitted(const Request& request, const Host& host) {
+    const int role_index = host.role == Role::primary ? 1 : 0;
+    auto& demand = demand_[role_index];
+    const std::size_t class_index = request.class_id.value;
+    demand.add(now_, class_index, to_ms(class_latency_[class_index]));
+    const bool fallback_read = role_index == 1 && !requires_primary(class_index);
+    const double share =
+        admissible_share(groups_[request.group], role_index, fallback_read ? fallback_load_weight : 1);
     if (share >= 1) return true;
-    double above = 0;
-    for (std::size_t i = 0; i < wanted.by.size(); ++i)
-      if (worth(i) > worth(cls)) above += wanted.by[i];
-    return r.luck * wanted.by[cls] < share * wanted.sum(now_) - above;
-  }
-
-  double value(const Request& r) const {
-    const auto& c = s_.classes[r.cls.value];
-    const bool late = now_ + class_latency_[r.cls.value] > r.arrived + c.latency_target;
-    return worth(r.cls.value) * (late ? c.late_value : 1.0);
-  }
-
-  /// The last moment at which a send still earns something; how long a request of a class may wait for it.
-  Time last_send(const Request& r) const {
-    return std::min(r.deadline, r.arrived + worthwhile(r.cls.value)) - class_latency_[r.cls.value];
-  }
-  Duration worthwhile(std::size_t i) const {
-    return s_.classes[i].late_value > 0 ? s_.classes[i].deadline : s_.classes[i].latency_target;
-  }
-
-  void on(const RequestArrived& e) {
-    const auto group = groups_.find(e.group);
-    const bool known =
-        e.class_id.value >= 0 && e.class_id.value < static_cast<std::int32_t>(s_.classes.size());
-    if (!known || group == groups_.end() || group->second.members.empty()) {
-      out_->push_back(Refuse{e.request, pause(longest_aim_)});
+    double more_valuable = 0;
+    for (std::size_t i = 0; i < demand.by_class.size(); ++i)
+      if (value_per_cost(i) > value_per_cost(class_index)) more_valuable += demand.by_class[i];
+    return request.random_draw * demand.by_class[class_index] <
+           share * demand.decayed_sum(now_) - more_valuable;
+  }
+
+  /// Value over cost of an answer to a request sent now.
+  double current_value_per_cost(const Request& request) const {
+    const auto& request_class = settings_.classes[request.class_id.value];
+    const bool late =
+        now_ + class_latency_[request.class_id.value] > request.arrived_at + request_class.latency_target;
+    return value_per_cost(request.class_id.value) * (late ? request_class.late_value : 1.0);
+  }
+
+  /// The latest time at which a send can still lead to an answer of value.
+  Time latest_useful_send(const Request& request) const {
+    return std::min(request.deadline, request.arrived_at + useful_duration(request.class_id.value)) -
+           class_latency_[request.class_id.value];
+  }
+  /// How long after its arrival an answer to a request of the class has value.
+  Duration useful_duration(std::size_t class_index) const {
+    return settings_.classes[class_index].late_value > 0 ? settings_.classes[class_index].deadline
+                                                         : settings_.classes[class_index].latency_target;
+  }
+
+  void on(const RequestArrived& event) {
+    const auto found = groups_.find(event.group);
+    const bool known_class = event.class_id.value >= 0 &&
+                             event.class_id.value < static_cast<std::int32_t>(settings_.classes.size());
+    if (!known_class || found == groups_.end() || found->second.members.empty()) {
+      actions_->push_back(Refuse{event.request, retry_after(longest_target_)});
       return;
     }
-    if (requests_.count(e.request) > 0) return;
-    Request& r = requests_[e.request];
-    r.id = e.request;
-    r.cls = e.class_id;
-    r.group = e.group;
-    r.arrived = now_;
-    r.deadline = now_ + e.time_left;
-    r.luck = draw01();
-    Group& g = group->second;
-    g.count(now_, rate_seconds);
-    if (now_ >= g.next_sweep) {
-      g.next_sweep = now_ + longest_aim_;
-      g.forget(now_ - scale(longest_aim_, forget_aims));
+    if (requests_.count(event.request) > 0) return;
+    Request& request = requests_[event.request];
+    request.id = event.request;
+    request.class_id = event.class_id;
+    request.group = event.group;
+    request.arrived_at = now_;
+    request.deadline = now_ + event.time_left;
+    request.random_draw = random_unit();
+    Group& group = found->second;
+    group.count_arrival(now_, rate_memory_seconds);
+    if (now_ >= group.next_session_sweep_at) {
+      group.next_session_sweep_at = now_ + longest_target_;
+      group.forget_session_writes(now_ - scale(longest_target_, session_memory_targets));
     }
-    ++g.held;
-    retry_tokens_ = std::min(retry_cap, retry_tokens_ + retry_ratio * tuning_.retry_budget);
-    probes_.earn();
-    arrived_.add(now_, r.cls.value, 1);
-    const auto& c = s_.classes[e.class_id.value];
-    if (c.freshness == Freshness::session) {
-      r.needs = g.floor;
-      if (e.session) {
-        if (const auto it = g.sessions.find(*e.session); it != g.sessions.end()) r.needs = it->second;
+    ++group.open_requests;
+    retry_tokens_ =
+        std::min(max_retry_tokens, retry_tokens_ + retry_tokens_per_request * tuning_.retry_budget);
+    probe_budget_.earn();
+    arrived_.add(now_, request.class_id.value, 1);
+    const auto& request_class = settings_.classes[event.class_id.value];
+    if (request_class.freshness == Freshness::session) {
+      request.required_position = group.session_floor;
+      if (event.session) {
+        const auto it = group.session_writes.find(*event.session);
+        if (it != group.session_writes.end()) request.required_position = it->second;
       }
-      if (e.token_age && *e.token_age > Duration::zero()) r.needs = std::max(r.needs, now_ - *e.token_age);
+      if (event.token_age && *event.token_age > Duration::zero())
+        request.required_position = std::max(request.required_position, now_ - *event.token_age);
     }
-    r.session = e.session;
-    wait(r);
-    pump(r.group);
-  }
-
-  Duration pause(Duration d) const {
-    return s_.retry_after_allowed ? std::min(d, s_.max_retry_after) : Duration::zero();
-  }
-
-  void wait(Request& r) {
-    if (r.waiting) return;
-    r.waiting = true;
-    groups_[r.group].waiting.push_back(r.id);
-  }
-
-  /// Sends what can be sent, worth most for its cost first; writes by arrival, reads the newest first: the
-  /// oldest would all be just too late. Harm: an unlucky read is refused.
-  void pump(GroupId id) {
-    Group& g = groups_[id];
-    if (g.waiting.empty()) return;
-    write_value_ = 0;
-    for (std::size_t i = 0; i < s_.classes.size(); ++i)
-      if (s_.classes[i].freshness == Freshness::write) write_value_ = std::max(write_value_, worth(i));
-    // By class before age: equal worths must not be ordered both ways (i7ba6cd's twin).
+    request.session = event.session;
+    enqueue(request);
+    process_waiting(request.group);
+  }
+
+  /// The retry-after hint to send; zero where hints are not allowed.
+  Duration retry_after(Duration wanted) const {
+    return settings_.retry_after_allowed ? std::min(wanted, settings_.max_retry_after) : Duration::zero();
+  }
+
+  void enqueue(Request& request) {
+    if (request.waiting) return;
+    request.waiting = true;
+    groups_[request.group].waiting.push_back(request.id);
+  }
+
+  /// Sends the waiting requests that a host can take, by value per cost; within a class writes by arrival and
+  /// reads newest first, because the oldest reads would all be answered just too late. An old read may be
+  /// refused while newer ones are sent.
+  void process_waiting(GroupId id) {
+    Group& group = groups_[id];
+    if (group.waiting.empty()) return;
+    max_write_value_ = 0;
+    for (std::size_t i = 0; i < settings_.classes.size(); ++i)
+      if (settings_.classes[i].freshness == Freshness::write)
+        max_write_value_ = std::max(max_write_value_, value_per_cost(i));
+    // The class is compared before the age: among reads and writes of equal value the ages run in opposite
+    // directions, which would be no strict order.
     std::vector<std::tuple<double, std::int32_t, std::uint64_t, RequestId>> order;
-    for (const auto w : g.waiting) {
-      const auto cls = requests_.at(w).cls.value;
-      const bool write = s_.classes[cls].freshness == Freshness::write;
-      order.emplace_back(-value(requests_.at(w)), cls, write ? w.value : ~w.value, w);
+    for (const auto request_id : group.waiting) {
+      const auto class_index = requests_.at(request_id).class_id.value;
+      const bool write = settings_.classes[class_index].freshness == Freshness::write;
+      order.emplace_back(-current_value_per_cost(requests_.at(request_id)), class_index,
+                         write ? request_id.value : ~request_id.value, request_id);
     }
     std::sort(order.begin(), order.end());
-    std::vector<RequestId> left;
-    std::vector<bool> stuck(s_.classes.size(), false);
-    for (const auto& [v, cls, age, w] : order) {
-      Request& r = requests_.at(w);
-      const bool late = now_ > last_send(r) || now_ >= r.deadline || held_long(r);
-      const bool session = s_.classes[r.cls.value].freshness == Freshness::session;
-      drew_ = false;
-      Host* to = late || stuck[r.cls.value] ? nullptr : choose(r);
-      if (!late && !to && still_possible(r)) {
-        if (!session && !drew_ && r.attempts.empty()) stuck[r.cls.value] = true;
-        left.push_back(w);
+    std::vector<RequestId> still_waiting;
+    std::vector<bool> class_blocked(settings_.classes.size(), false);
+    for (const auto& [value, class_index, age, request_id] : order) {
+      Request& request = requests_.at(request_id);
+      const bool too_late =
+          now_ > latest_useful_send(request) || now_ >= request.deadline || waited_too_long(request);
+      const bool session_read = settings_.classes[request.class_id.value].freshness == Freshness::session;
+      slow_start_denied_ = false;
+      Host* target = too_late || class_blocked[request.class_id.value] ? nullptr : select_host(request);
+      if (!too_late && !target && retry_possible(request)) {
+        // Other requests of the class find no host either, unless the result depends on the single request:
+        // on its session, its random draw or the hosts that it has tried.
+        if (!session_read && !slow_start_denied_ && request.attempts.empty())
+          class_blocked[request.class_id.value] = true;
+        still_waiting.push_back(request_id);
         continue;
       }
-      r.waiting = false;
-      if (to && permitted(r, to) && admitted(r, *to))
-        dispatch(r, *to);
+      request.waiting = false;
+      if (target && permitted(request, target) && admitted(request, *target))
+        send(request, *target);
       else
-        give_up(r);
+        refuse_or_fail(request);
     }
-    g.waiting = std::move(left);
+    group.waiting = std::move(still_waiting);
   }
 
-  /// The groups in turn, from behind the one that sent last: places that all of them share may be short.
-  void pump_all() {
+  /// Processes the groups in turn, starting after the one that last used up the attempts in flight that all
+  /// groups share.
+  void process_all_waiting() {
     std::vector<GroupId> order;
-    for (const auto& [id, g] : groups_)
-      if (!g.waiting.empty()) order.push_back(id);
-    std::rotate(order.begin(), std::upper_bound(order.begin(), order.end(), turn_), order.end());
-    for (const auto id : order) pump(id);
+    for (const auto& [id, group] : groups_)
+      if (!group.waiting.empty()) order.push_back(id);
+    std::rotate(order.begin(), std::upper_bound(order.begin(), order.end(), last_limited_group_),
+                order.end());
+    for (const auto id : order) process_waiting(id);
   }
 
-  /// Where holding costs, what found no host by then is refused while its client can still try elsewhere.
-  /// Harm: a request that a host would have taken in the rest of its time is refused.
-  bool held_long(const Request& r) const {
-    return s_.late_refusal_costs && !r.reached &&
-           now_ - r.arrived >= scale(r.deadline - r.arrived, hold_share);
+  /// Where a late refusal costs more, a request that has found no host is refused while its client can still
+  /// try elsewhere, even if a host would have taken it in the rest of its time.
+  bool waited_too_long(const Request& request) const {
+    return settings_.late_refusal_costs && !request.reached_host &&
+           now_ - request.arrived_at >= scale(request.deadline - request.arrived_at, max_wait_share);
   }
 
-  bool still_possible(const Request& r) const {
-    const auto& c = s_.classes[r.cls.value];
-    return c.idempotency != Idempotency::keyed || r.maybe_ran == forever ||
-           now_ - r.maybe_ran < c.dedup_window;
+  bool retry_possible(const Request& request) const {
+    const auto& request_class = settings_.classes[request.class_id.value];
+    return request_class.idempotency != Idempotency::keyed || request.may_have_run_at == forever ||
+           now_ - request.may_have_run_at < request_class.dedup_window;
   }
 
-  /// The final answer for a request that nothing is out for: refused if that is allowed, else failed.
-  void give_up(Request& r) {
-    if (r.ended) return;
-    r.ended = true;
-    if (permitted(r, nullptr))
-      out_->push_back(Refuse{r.id, pause(scale(class_latency_[r.cls.value], 2))});
+  /// The final answer for a request without attempts in flight: refused if that is permitted, else failed.
+  void refuse_or_fail(Request& request) {
+    if (request.ended) return;
+    request.ended = true;
+    if (permitted(request, nullptr))
+      actions_->push_back(Refuse{request.id, retry_after(scale(class_latency_[request.class_id.value], 2))});
     else
-      out_->push_back(Fail{r.id});
-    forget(r.id);
+      actions_->push_back(Fail{request.id});
+    remove_request(request.id);
   }
 
-  void forget(RequestId id) {
+  /// Removes a request, unless attempts are in flight.
+  void remove_request(RequestId id) {
     const auto it = requests_.find(id);
-    if (it == requests_.end() || it->second.out > 0) return;
-    auto& w = groups_[it->second.group].waiting;
-    if (it->second.waiting) w.erase(std::remove(w.begin(), w.end(), id), w.end());
-    --groups_[it->second.group].held;
+    if (it == requests_.end() || it->second.attempts_in_flight > 0) return;
+    auto& waiting = groups_[it->second.group].waiting;
+    if (it->second.waiting) waiting.erase(std::remove(waiting.begin(), waiting.end(), id), waiting.end());
+    --groups_[it->second.group].open_requests;
     requests_.erase(it);
   }
 
   // ---- attempts ----
-  void dispatch(Request& r, Host& h) {
-    Attempt a;
-    a.host = h.id;
-    a.sent = now_;
-    a.behind = &h != primary(r.group) && behind(h, r);
-    r.attempts.push_back(a);
-    ++r.out;
-    if (++attempts_out_ >= places_) turn_ = r.group;
-    h.out.insert(now_);
-    if (warmth(h) < 1) h.spent.add(now_, work(r.cls.value));
-    h.last_sent = now_;
-    out_->push_back(Send{r.id, h.id, Time::zero(), only_primary(r.cls.value) || r.attempts.size() > 1});
-  }
-
-  void on(const AttemptEnded& e) {
-    const auto found = requests_.find(e.request);
-    if (found == requests_.end() || e.attempt >= found->second.attempts.size()) return;
-    Request& r = found->second;
-    Attempt& a = r.attempts[e.attempt];
-    if (!a.out || a.host != e.host) return;
-    a.out = false;
-    --r.out;
-    const bool full = attempts_out_-- >= places_;
-    const auto group = r.group;
-    if (const auto it = hosts_.find(e.host); it != hosts_.end()) settle(it->second, r, a, e);
-    const bool ran = e.outcome == Outcome::ok || e.outcome == Outcome::error ||
-                     e.outcome == Outcome::timeout || e.outcome == Outcome::reset ||
-                     e.outcome == Outcome::cancelled;
-    if (ran && a.sent < r.maybe_ran) r.maybe_ran = a.sent, r.maybe_host = a.host;
-    if (e.outcome == Outcome::too_stale) r.missed = true;
-    if (a.behind && (e.outcome == Outcome::ok || e.outcome == Outcome::too_stale))
-      for (auto* past : {&groups_[group].past, &past_}) past->ended(e.outcome == Outcome::ok);
-    r.reached = r.reached || (e.outcome != Outcome::connect_failed && e.outcome != Outcome::not_sent);
-    if (e.outcome == Outcome::ok && s_.classes[r.cls.value].freshness == Freshness::write) {
-      // Without a commit in the answer the present is the only safe bound.
-      if (r.session) {
-        auto& last = groups_[group].sessions[*r.session];
-        last = std::max(last, e.metadata.position.value_or(now_));
+  void send(Request& request, Host& host) {
+    Attempt attempt;
+    attempt.host = host.id;
+    attempt.sent_at = now_;
+    attempt.to_stale_replica = &host != primary(request.group) && believed_too_stale(host, request);
+    request.attempts.push_back(attempt);
+    ++request.attempts_in_flight;
+    ++attempts_in_flight_;
+    if (attempts_in_flight_ >= max_in_flight_) last_limited_group_ = request.group;
+    host.in_flight_sends.insert(now_);
+    if (capacity_share(host) < 1) host.slow_start_usage.add(now_, relative_work(request.class_id.value));
+    host.last_send_at = now_;
+    const bool sole_candidate = requires_primary(request.class_id.value) || request.attempts.size() > 1;
+    actions_->push_back(Send{request.id, host.id, Time::zero(), sole_candidate});
+  }
+
+  void on(const AttemptEnded& event) {
+    const auto found = requests_.find(event.request);
+    if (found == requests_.end() || event.attempt >= found->second.attempts.size()) return;
+    Request& request = found->second;
+    Attempt& attempt = request.attempts[event.attempt];
+    if (!attempt.in_flight || attempt.host != event.host) return;
+    attempt.in_flight = false;
+    --request.attempts_in_flight;
+    const bool limit_was_reached = attempts_in_flight_ >= max_in_flight_;
+    --attempts_in_flight_;
+    const auto group = request.group;
+    if (const auto it = hosts_.find(event.host); it != hosts_.end())
+      record_outcome(it->second, request, attempt, event);
+    const bool may_have_run = event.outcome == Outcome::ok || event.outcome == Outcome::error ||
+                              event.outcome == Outcome::timeout || event.outcome == Outcome::reset ||
+                              event.outcome == Outcome::cancelled;
+    if (may_have_run && attempt.sent_at < request.may_have_run_at) {
+      request.may_have_run_at = attempt.sent_at;
+      request.may_have_run_on = attempt.host;
+    }
+    if (event.outcome == Outcome::too_stale) request.refused_as_stale = true;
+    if (attempt.to_stale_replica && (event.outcome == Outcome::ok || event.outcome == Outcome::too_stale))
+      for (auto* success_rate : {&groups_[group].stale_read_success, &stale_read_success_})
+        success_rate->ended(event.outcome == Outcome::ok);
+    request.reached_host = request.reached_host ||
+                           (event.outcome != Outcome::connect_failed && event.outcome != Outcome::not_sent);
+    if (event.outcome == Outcome::ok &&
+        settings_.classes[request.class_id.value].freshness == Freshness::write) {
+      if (request.session) {
+        // Without a commit position in the answer the present is the only safe bound.
+        auto& last_write = groups_[group].session_writes[*request.session];
+        last_write = std::max(last_write, event.metadata.position.value_or(now_));
       }
     }
-    if (e.request_ended || e.outcome == Outcome::ok) r.ended = true;
-    if (r.ended) {
-      drop_copies(r);
-      forget(e.request);
-    } else if (r.out == 0) {
-      again(r, e.outcome, now_ - a.sent);
+    if (event.request_ended || event.outcome == Outcome::ok) request.ended = true;
+    if (request.ended) {
+      cancel_attempts(request);
+      remove_request(event.request);
+    } else if (request.attempts_in_flight == 0) {
+      retry_or_give_up(request, event.outcome, now_ - attempt.sent_at);
     }
-    if (full)
-      pump_all();
+    if (limit_was_reached)
+      process_all_waiting();
     else
-      pump(group);
-  }
-
-  /// Whatever an outcome tells of its host.
-  void settle(Host& h, const Request& r, const Attempt& a, const AttemptEnded& e) {
-    if (!r.started) h.settled(a.sent);
-    const bool write = s_.classes[r.cls.value].freshness == Freshness::write;
-    const auto aim = s_.classes[r.cls.value].latency_target;
-    if (e.metadata.position && !(write && e.metadata.role != Role::replica))
-      learn_position(h, *e.metadata.position);
-    learn_role(h, e.metadata.role, std::max(a.sent, now_ - e.elapsed / 4));
-    if (e.outcome == Outcome::too_stale && write) learn_role(h, Role::replica, std::max(a.sent, h.role_at));
-    take(h, e.report);
-    switch (e.outcome) {
+      process_waiting(group);
+  }
+
+  /// Updates the host by the outcome of an attempt and by the reports that came with it.
+  void record_outcome(Host& host, const Request& request, const Attempt& attempt, const AttemptEnded& event) {
+    if (!request.answer_started) host.remove_in_flight(attempt.sent_at);
+    const bool write = settings_.classes[request.class_id.value].freshness == Freshness::write;
+    const auto target = settings_.classes[request.class_id.value].latency_target;
+    if (event.metadata.position && !(write && event.metadata.role != Role::replica))
+      update_position(host, *event.metadata.position);
+    update_role(host, event.metadata.role,
+                std::max(attempt.sent_at, now_ - event.elapsed / role_evidence_elapsed_divisor));
+    if (event.outcome == Outcome::too_stale && write)
+      update_role(host, Role::replica, std::max(attempt.sent_at, host.role_as_of));
+    apply_report(host, event.report);
+    switch (event.outcome) {
       case Outcome::ok:
-        if (!r.started) took(h, r, a);
+        if (!request.answer_started) record_answer(host, request, attempt);
         break;
       case Outcome::too_stale:
-        h.heard = now_;
+        host.last_response_at = now_;
         break;
       case Outcome::error:
-        h.heard = now_, failed(h, 1);
+        host.last_response_at = now_;
+        record_failure(host, 1);
         break;
       case Outcome::full:
-        h.heard = now_;
-        note_load(h, load_full);
-        h.window = std::max(window_least, h.window * window_cut);
+        host.last_response_at = now_;
+        record_load(host, full_host_load);
+        host.concurrency_limit =
+            std::max(min_concurrency_limit, host.concurrency_limit * limit_decrease_factor);
         break;
       case Outcome::connect_failed:
-        // Refused at once: no process. Not set up in time: a slow or crowded one (handshake), one failure.
-        if (const bool refused = !e.connect_timed_out && e.elapsed < s_.connect_timeout / 2; refused)
-          ++h.refusals, failed(h, refused_weight);
-        else
-          failed(h, 1);
+        // Refused at once: there is no process. A connection that only timed out counts as one failure: the
+        // host is slow or overloaded by handshakes.
+        if (const bool refused = !event.connect_timed_out && event.elapsed < settings_.connect_timeout / 2;
+            refused) {
+          ++host.refused_connections;
+          record_failure(host, refused_connection_weight);
+        } else {
+          record_failure(host, 1);
+        }
         break;
       case Outcome::reset:
-        failed(h, 1);
+        record_failure(host, 1);
         break;
       case Outcome::timeout:
-        if (h.heard <= a.sent) failed(h, 1);
-        congested(h, r, std::min(now_ - a.sent, scale(aim, timeout_loads * h.load)), false);
+        if (host.last_response_at <= attempt.sent_at) record_failure(host, 1);
+        adjust_concurrency_limit(
+            host, request, std::min(now_ - attempt.sent_at, scale(target, max_timeout_loads * host.load)),
+            false);
         break;
       case Outcome::cancelled:
-        if (a.cancelled && !r.ended && h.heard <= a.sent) failed(h, 1);
+        if (attempt.cancelled && !request.ended && host.last_response_at <= attempt.sent_at)
+          record_failure(host, 1);
         break;
       default:
         break;
     }
   }
 
-  /// It has answered, whole or with the first bytes of a long value: what follows them waits for the client.
-  void took(Host& h, const Request& r, const Attempt& a) {
-    answered(h);
-    learn_latency(h, r, now_ - a.sent);
-    if (warmth(h) >= 1) served_.add(now_, r.cls.value, work(r.cls.value));
-    const auto aim = std::min(s_.classes[r.cls.value].latency_target, mean_aim_);
-    if (!a.noted) note_load(h, ms(now_ - a.sent) / ms(aim));
+  /// Records an answer, complete or with its first bytes: the rest of a long one depends on the client's
+  /// speed.
+  void record_answer(Host& host, const Request& request, const Attempt& attempt) {
+    record_response(host);
+    record_latency(host, request, now_ - attempt.sent_at);
+    if (capacity_share(host) >= 1)
+      served_.add(now_, request.class_id.value, relative_work(request.class_id.value));
+    const auto target = std::min(settings_.classes[request.class_id.value].latency_target, mean_target_);
+    if (!attempt.load_recorded) record_load(host, to_ms(now_ - attempt.sent_at) / to_ms(target));
   }
 
-  void take(Host& h, const LoadReport& report) {
-    // A primary stands at the present, so its position dates the report.
-    h.report_age =
+  void apply_report(Host& host, const LoadReport& report) {
+    // A primary's position is the present, so it dates the report.
+    host.report_age =
         report.position && report.role == Role::primary ? now_ - *report.position : Duration::zero();
-    // One that moved the position is no frozen claim, so its age is usual, however long beside our aims.
-    if (h.report_age > Duration::zero() && *report.position > h.position)
-      usual_age_ += (h.report_age - usual_age_) / (usual_age_ == Duration::zero() ? 1 : 16);
-    if (report.position) learn_position(h, *report.position);
+    // A report that advances the position is no stale claim, so its age is usual, however long it is beside
+    // the latency targets.
+    if (host.report_age > Duration::zero() && *report.position > host.position)
+      usual_report_age_ += (host.report_age - usual_report_age_) /
+                           (usual_report_age_ == Duration::zero() ? 1 : report_age_samples);
+    if (report.position) update_position(host, *report.position);
     if (report.queue_length) {
-      reports_queue_ = true;
-      h.queued = *report.queue_length;
-      h.queued_at = now_;
-      h.util = report.utilization.value_or(0);
-      note_load(h, *report.queue_length >= 1 ? load_full / 2
-                   : h.util > busy_util      ? load_shut
-                                             : load_open * h.util);
+      queues_reported_ = true;
+      host.queue_length = *report.queue_length;
+      host.queue_reported_at = now_;
+      host.utilization = report.utilization.value_or(0);
+      record_load(host, *report.queue_length >= 1             ? full_host_load / 2
+                        : host.utilization > busy_utilization ? min_admission_load
+                                                              : full_admission_load * host.utilization);
     }
     if (report.role && report.position)
-      learn_role(h, *report.role, *report.position);
+      update_role(host, *report.role, *report.position);
     else if (report.role)
-      learn_role(h, *report.role, now_ - shortest_aim_);
-  }
-
-  /// A further attempt, under a budget that counts the work behind it: guards against retry storms, leaves
-  /// fast failures to be repeated elsewhere (ib4e6e7).
-  void again(Request& r, Outcome why, Duration elapsed) {
-    const bool unseen =
-        why == Outcome::too_stale || why == Outcome::not_sent || why == Outcome::connect_failed;
-    const double work = std::min(1.0, ms(elapsed) / std::max(0.1, ms(class_latency_[r.cls.value])));
-    const double cost = unseen ? 0 : why == Outcome::error ? work : 1;
-    const bool spent = retry_tokens_ < cost || r.attempts.size() >= cap(r);
-    if (r.started || spent || now_ >= r.deadline) return give_up(r);
-    if (s_.classes[r.cls.value].idempotency == Idempotency::unsafe && r.maybe_ran != forever)
-      return give_up(r);
+      update_role(host, *report.role, now_ - shortest_target_);
+  }
+
+  /// Queues a request for a further attempt, under a budget that counts the work already spent on it: this
+  /// prevents retry storms, while fast failures may be retried elsewhere.
+  void retry_or_give_up(Request& request, Outcome outcome, Duration elapsed) {
+    const bool not_executed =
+        outcome == Outcome::too_stale || outcome == Outcome::not_sent || outcome == Outcome::connect_failed;
+    const double work = std::min(
+        1.0, to_ms(elapsed) / std::max(min_latency_ms, to_ms(class_latency_[request.class_id.value])));
+    const double cost = not_executed ? 0 : outcome == Outcome::error ? work : 1;
+    const bool budget_spent = retry_tokens_ < cost || request.attempts.size() >= max_attempts(request);
+    if (request.answer_started || budget_spent || now_ >= request.deadline) return refuse_or_fail(request);
+    if (settings_.classes[request.class_id.value].idempotency == Idempotency::unsafe &&
+        request.may_have_run_at != forever)
+      return refuse_or_fail(request);
     retry_tokens_ -= cost;
-    arrived_.add(now_, r.cls.value, 1);
-    r.luck = draw01();  // a further attempt is a further send: a cold host is drawn for anew
-    wait(r);
-  }
-
-  void drop_copies(Request& r) {
-    if (!s_.cancel_allowed) return;
-    for (std::size_t i = 0; i < r.attempts.size(); ++i) {
-      if (r.attempts[i].out && !r.attempts[i].cancelled) {
-        r.attempts[i].cancelled = true;
-        out_->push_back(Cancel{r.id, static_cast<std::uint32_t>(i)});
+    arrived_.add(now_, request.class_id.value, 1);
+    request.random_draw = random_unit();  // each send needs a slow start decision of its own
+    enqueue(request);
+  }
+
+  /// Cancels the attempts in flight of a request that has ended.
+  void cancel_attempts(Request& request) {
+    if (!settings_.cancel_allowed) return;
+    for (std::size_t i = 0; i < request.attempts.size(); ++i) {
+      if (request.attempts[i].in_flight && !request.attempts[i].cancelled) {
+        request.attempts[i].cancelled = true;
+        actions_->push_back(Cancel{request.id, static_cast<std::uint32_t>(i)});
       }
     }
   }
 
-  /// Takes back what may be repeated from silent hosts, and attempts lost by hosts that answered others
-  /// since. Harm: doubles the work of a long query; the retry budget bounds it.
-  void rescue() {
-    for (auto& [id, r] : requests_) {
-      note_overdue(r);
-      if (!s_.cancel_allowed || r.ended || r.started || r.out != 1 || retry_tokens_ < 1 ||
-          now_ > last_send(r))
+  /// Cancels, for a retry, attempts at unresponsive hosts and attempts lost by hosts that have answered
+  /// others since. A long query that is cancelled for no fault of its host is executed twice; the retry
+  /// budget limits that.
+  void cancel_lost_attempts() {
+    for (auto& [id, request] : requests_) {
+      record_overdue_attempts(request);
+      if (!settings_.cancel_allowed || request.ended || request.answer_started ||
+          request.attempts_in_flight != 1 || retry_tokens_ < 1 || now_ > latest_useful_send(request))
+        continue;
+      Attempt& attempt = request.attempts.back();
+      const auto& request_class = settings_.classes[request.class_id.value];
+      if (!attempt.in_flight || attempt.cancelled || request_class.idempotency == Idempotency::unsafe)
         continue;
-      Attempt& a = r.attempts.back();
-      const auto& c = s_.classes[r.cls.value];
-      if (!a.out || a.cancelled || c.idempotency == Idempotency::unsafe) continue;
-      if (c.idempotency == Idempotency::keyed && now_ - std::min(r.maybe_ran, a.sent) > c.dedup_window / 2)
+      const Time first_sent_at = std::min(request.may_have_run_at, attempt.sent_at);
+      if (request_class.idempotency == Idempotency::keyed &&
+          now_ - first_sent_at > request_class.dedup_window / 2)
         continue;
-      const auto h = hosts_.find(a.host);
-      // Nowhere else to go: the host would do it anew, behind what it still holds, for each of the routers.
-      const bool same = h != hosts_.end() && only_primary(r.cls.value) && primary(r.group) == &h->second;
-      if (h != hosts_.end() && (same || !silent(h->second)) &&
-          (h->second.heard <= a.sent || now_ - a.sent <= scale(expected(h->second, r.cls), lost_latencies)))
+      const auto host = hosts_.find(attempt.host);
+      // A request that needs the primary would go to the same host again, which would execute it anew behind
+      // the work that it already has, and this for every router.
+      const bool same_host = host != hosts_.end() && requires_primary(request.class_id.value) &&
+                             primary(request.group) == &host->second;
+      if (host != hosts_.end() && (same_host || !unresponsive(host->second)) &&
+          (host->second.last_response_at <= attempt.sent_at ||
+           now_ - attempt.sent_at <=
+               scale(expected_latency(host->second, request.class_id), lost_attempt_latencies)))
         continue;
-      a.cancelled = true;
-      out_->push_back(Cancel{r.id, static_cast<std::uint32_t>(r.attempts.size() - 1)});
+      attempt.cancelled = true;
+      actions_->push_back(Cancel{request.id, static_cast<std::uint32_t>(request.attempts.size() - 1)});
     }
   }
 
-  /// An attempt past its aim at a host that loses no probes tells of a queue now, not when it ends.
-  void note_overdue(Request& r) {
-    for (auto& a : r.attempts) {
-      if (!a.out || a.noted || now_ - a.sent < s_.classes[r.cls.value].latency_target) continue;
-      const auto h = hosts_.find(a.host);
-      if (h == hosts_.end() || (h->second.lost_probes > 0 && probe_doubt_ <= doubt_at)) continue;
-      a.noted = true;
-      note_load(h->second, load_shut);
+  /// Counts attempts past their latency target as load of hosts that answer probes: that shows a queue before
+  /// the attempts end.
+  void record_overdue_attempts(Request& request) {
+    for (auto& attempt : request.attempts) {
+      if (!attempt.in_flight || attempt.load_recorded ||
+          now_ - attempt.sent_at < settings_.classes[request.class_id.value].latency_target)
+        continue;
+      const auto host = hosts_.find(attempt.host);
+      if (host == hosts_.end() ||
+          (host->second.lost_probes > 0 && probe_unreliability_ <= max_probe_unreliability))
+        continue;
+      attempt.load_recorded = true;
+      record_load(host->second, min_admission_load);
     }
   }
 
-  void on(const AnswerStarted& e) {
-    const auto it = requests_.find(e.request);
-    if (it == requests_.end() || it->second.started || e.attempt >= it->second.attempts.size()) return;
-    Request& r = it->second;
-    Attempt& a = r.attempts[e.attempt];
-    const auto h = hosts_.find(a.host);
-    if (h != hosts_.end()) h->second.settled(a.sent), took(h->second, r, a);
-    r.started = a.noted = true;
+  void on(const AnswerStarted& event) {
+    const auto it = requests_.find(event.request);
+    if (it == requests_.end() || it->second.answer_started || event.attempt >= it->second.attempts.size())
+      return;
+    Request& request = it->second;
+    Attempt& attempt = request.attempts[event.attempt];
+    const auto host = hosts_.find(attempt.host);
+    if (host != hosts_.end()) {
+      host->second.remove_in_flight(attempt.sent_at);
+      record_answer(host->second, request, attempt);
+    }
+    attempt.load_recorded = true;
+    request.answer_started = true;
   }
 
-  void on(const ClientLeft& e) {
-    const auto it = requests_.find(e.request);
+  void on(const ClientLeft& event) {
+    const auto it = requests_.find(event.request);
     if (it == requests_.end()) return;
     it->second.ended = true;
-    drop_copies(it->second);
-    forget(e.request);
+    cancel_attempts(it->second);
+    remove_request(event.request);
   }
 
-  void on(const ProbeEnded& e) {
-    const auto it = hosts_.find(e.host);
+  void on(const ProbeEnded& event) {
+    const auto it = hosts_.find(event.host);
     if (it == hosts_.end()) return;
-    Host& h = it->second;
-    h.probing = false;
-    if (e.outcome == Outcome::ok) {
-      h.lost_probes = 0;
-      probe_doubt_ -= probe_doubt_ * fail_gain / 4;
-      h.seen = now_;
-      probe_time_ += (e.elapsed - probe_time_) / 8;
-      // One that could not be read changes no belief but that the host lives.
-      if (e.report.position || e.report.role || e.report.queue_length) take(h, e.report);
-    } else if (e.outcome != Outcome::not_sent) {  // that one found no place here: no fault of the host's
-      ++h.lost_probes;
+    Host& host = it->second;
+    host.probe_in_flight = false;
+    if (event.outcome == Outcome::ok) {
+      host.lost_probes = 0;
+      probe_unreliability_ -= probe_unreliability_ * failure_gain / 4;
+      host.last_probe_answer_at = now_;
+      probe_round_trip_ += (event.elapsed - probe_round_trip_) / probe_time_samples;
+      // An answer that could not be parsed shows only that the host is alive.
+      if (event.report.position || event.report.role || event.report.queue_length)
+        apply_report(host, event.report);
+    } else if (event.outcome != Outcome::not_sent) {  // a probe that was not sent is no fault of the host
+      ++host.lost_probes;
     }
-    pump(h.group);
+    process_waiting(host.group);
   }
 
   // ---- timers ----
   void on(const TimerFired&) {
-    if (beat_due_ == never || now_ < beat_due_) return;
-    beat_due_ = never;
-    if (now_ >= ask_at_) {
-      out_->push_back(OpenWatch{});
-      ask_at_ = forever;
+    if (timer_due_ == never || now_ < timer_due_) return;
+    timer_due_ = never;
+    if (now_ >= next_poll_at_) {
+      actions_->push_back(OpenWatch{});
+      next_poll_at_ = forever;
     }
-    const auto usual = probe_round();
-    rescue();
-    pump_all();
-    idle_due_ = usual == forever ? forever : now_ + std::max(beat_, usual / 4);
-    arm();
-  }
-
-  /// The beat runs while requests are held; an idle router sleeps until a probe or a call is next due.
-  void arm() {
-    const auto due = std::min(requests_.empty() ? idle_due_ : now_ + beat_, ask_at_);
-    if (due == forever || (beat_due_ != never && beat_due_ <= due)) return;
-    beat_due_ = std::max(due, now_);
-    out_->push_back(SetTimer{1, beat_due_});
-  }
-
-  Duration useful_period() const {
-    const auto period = tightest_ == forever ? shortest_aim_ : scale(tightest_, probe_bound_share);
-    return std::clamp(period, shortest_aim_ / 3, shortest_aim_ * 2);
-  }
-  /// In doubt all routers may be probing one host: their sum stays small beside its work.
-  Duration urgent_period() const {
-    return std::max(std::min(useful_period(), shortest_aim_ / 2),
-                    scale(typical(), probe_load * s_.instance_count));
-  }
-
-  /// Probes of a cold host grow as seldom as it is weak: held reads of hundreds would ask it all the time.
-  Duration cold_gap(const Host& h) const {
-    return warmth(h) >= 1 ? Duration::zero() : scale(urgent_period(), 1 / std::max(0.01, warmth(h)));
-  }
-
-  /// Probe period: a share of the tightest bound, stretched to what traffic pays for; past the bound reads
-  /// ask.
-  Duration probe_period(const Group& g) const {
-    const auto period = useful_period();
-    if (s_.probe_cost <= 0) return period;
-    const double rate = g.rate * std::exp(-std::max(0.0, ms(now_ - g.counted) / 1000 - 1) / rate_seconds);
-    const double each = static_cast<double>(g.members.size()) * s_.probe_cost / probe_points / rate;
-    if (!(each < ms(longest_aim_ * 3) / 1000)) return forever;
-    const auto paid = Duration(static_cast<std::int64_t>(each * 1e6));
-    return paid > std::max(period, tightest_) ? forever : std::max(paid, period);
-  }
-
-  /// Sends the probes that are due and tells the shortest period in use.
-  Duration probe_round() {
+    const auto shortest_period = send_due_probes();
+    cancel_lost_attempts();
+    process_all_waiting();
+    next_idle_tick_at_ =
+        shortest_period == forever ? forever : now_ + std::max(tick_interval_, shortest_period / 4);
+    schedule_timer();
+  }
+
+  /// The timer ticks while requests are open; otherwise it fires when a probe or a poll is next due. A timer
+  /// that is set already is not moved: if every arrival set it anew, it would never fire on a busy router.
+  void schedule_timer() {
+    const auto due = std::min(requests_.empty() ? next_idle_tick_at_ : now_ + tick_interval_, next_poll_at_);
+    if (due == forever || (timer_due_ != never && timer_due_ <= due)) return;
+    timer_due_ = std::max(due, now_);
+    actions_->push_back(SetTimer{1, timer_due_});
+  }
+
+  Duration normal_probe_period() const {
+    const auto period = tightest_staleness_bound_ == forever
+                            ? shortest_target_
+                            : scale(tightest_staleness_bound_, probe_period_staleness_share);
+    return std::clamp(period, shortest_target_ / 3, shortest_target_ * 2);
+  }
+  /// Period of urgent probes. All routers may be probing the same host, so their sum has to stay small beside
+  /// the host's work.
+  Duration urgent_probe_period() const {
+    return std::max(std::min(normal_probe_period(), shortest_target_ / 2),
+                    scale(typical_latency(), urgent_probe_load * settings_.instance_count));
+  }
+
+  /// Least time between probes of a host, in inverse proportion to the capacity of a cold host: probes for
+  /// the waiting reads of hundreds of routers would flood it. Zero for a warm host.
+  Duration min_probe_interval(const Host& host) const {
+    return capacity_share(host) >= 1
+               ? Duration::zero()
+               : scale(urgent_probe_period(), 1 / std::max(min_capacity_divisor, capacity_share(host)));
+  }
+
+  /// The group's probe period: a share of the tightest staleness bound, extended to what its traffic can pay
+  /// for. `forever` where that is more than the bound: then reads probe on demand.
+  Duration probe_period(const Group& group) const {
+    const auto period = normal_probe_period();
+    if (settings_.probe_cost <= 0) return period;
+    const double silence_seconds = std::max(0.0, to_ms(now_ - group.last_arrival_at) / 1000 - 1);
+    const double rate = group.arrival_rate * std::exp(-silence_seconds / rate_memory_seconds);
+    const double paid_seconds =
+        static_cast<double>(group.members.size()) * settings_.probe_cost / probe_cost_share / rate;
+    if (!(paid_seconds < to_ms(longest_target_ * 3) / 1000)) return forever;
+    const auto paid_period = Duration(static_cast<std::int64_t>(paid_seconds * 1e6));
+    return paid_period > std::max(period, tightest_staleness_bound_) ? forever
+                                                                     : std::max(paid_period, period);
+  }
+
+  /// Sends the probes that are due and returns the shortest probe period of a group.
+  Duration send_due_probes() {
     Duration shortest = forever;
-    if (!s_.probes_allowed) return shortest;
-    for (auto& [gid, g] : groups_) {
-      if (g.held == 0 && g.period == forever) continue;
-      g.period = probe_period(g);
-      if (g.period != forever) g.period = scale(g.period, 1 / tuning_.probe_rate);
-      const Host* top = primary(gid);
-      const bool urgent = !g.waiting.empty() && (!top || !usable(*top));
-      shortest = std::min(shortest, g.period);
-      for (Host* m : g.members) {
-        auto& h = *m;
-        if (h.probing || !open(h) || !probes_.available(urgent ? 0 : probe_kept)) continue;
-        const bool doubt = urgent || h.quiet(now_) > patience(h) / 2;
-        const auto period = std::max(doubt ? urgent_period() : g.period, cold_gap(h));
-        if (period == forever || (h.last_probe != never && now_ - h.last_probe < scale(period, h.phase)))
+    if (!settings_.probes_allowed) return shortest;
+    for (auto& [id, group] : groups_) {
+      if (group.open_requests == 0 && group.probe_period == forever) continue;
+      group.probe_period = probe_period(group);
+      if (group.probe_period != forever)
+        group.probe_period = scale(group.probe_period, 1 / tuning_.probe_rate);
+      const Host* group_primary = primary(id);
+      const bool primary_needed = !group.waiting.empty() && (!group_primary || !usable(*group_primary));
+      shortest = std::min(shortest, group.probe_period);
+      for (Host* member : group.members) {
+        auto& host = *member;
+        if (host.probe_in_flight || !accepts_requests(host) ||
+            !probe_budget_.available(primary_needed ? 0 : urgent_probe_reserve))
+          continue;
+        const bool urgent = primary_needed || host.time_without_response(now_) > response_timeout(host) / 2;
+        const auto period =
+            std::max(urgent ? urgent_probe_period() : group.probe_period, min_probe_interval(host));
+        if (period == forever ||
+            (host.last_probe_at != never && now_ - host.last_probe_at < scale(period, host.probe_jitter)))
           continue;
-        if (!doubt && s_.answers_carry_position && h.position_at != never &&
-            now_ - h.position_at < period / 2)
+        if (!urgent && settings_.answers_carry_position && host.position_learned_at != never &&
+            now_ - host.position_learned_at < period / 2)
           continue;
-        h.phase = 0.8 + 0.4 * draw01();
-        probe(h);
+        host.probe_jitter = min_probe_jitter + probe_jitter_range * random_unit();
+        send_probe(host);
       }
     }
     return shortest;
   }
 
-  double draw01() { return static_cast<double>(random_() >> 11U) * 0x1.0p-53; }
+  /// Uniform in [0, 1), with 53 random bits.
+  double random_unit() { return static_cast<double>(random_engine_() >> 11U) * 0x1.0p-53; }
 
-  Settings s_;
-  std::mt19937_64 random_;
+  Settings settings_;
+  std::mt19937_64 random_engine_;
   Time now_ = Time::zero();
-  std::vector<Action>* out_ = nullptr;
+  std::vector<Action>* actions_ = nullptr;  // of the event being handled; owned by the caller
   std::map<RequestId, Request> requests_;
-  Duration longest_aim_{}, mean_aim_{}, shortest_aim_ = forever, tightest_ = forever, beat_{};
-  Duration probe_time_{}, usual_age_{};  // EWMA of a probe's round trip, of the age of primaries' reports
-  Time beat_due_ = never, idle_due_ = forever, ask_at_ = forever;
-  Duration ask_wait_{}, per_queued_{};  // between calls; wait for each request queued, as seen from answers
-  bool reports_queue_ = false;          // some report told how many requests wait
-  bool drew_ = false;                   // the last choice met a cold host out of turn: others may have theirs
-  double probe_doubt_ = 0;              // EWMA: hosts answer requests although their probes were lost
-  std::multiset<Time> warm_at_;         // when the cold ones of them will be warm
-  int ready_ = 0;                       // hosts listed as ready
-  Tuning tuning_;                       // while service is reduced
-  int places_ = 1 << 30, attempts_out_ = 0;  // attempts that may be out at once; that are
-  GroupId turn_{INT64_MIN};                  // which sent last where places are short
-  double write_value_ = 0;                   // worth over cost of the dearest write class
+  // latency targets and staleness bound of the classes
+  Duration longest_target_{};
+  Duration mean_target_{};
+  Duration shortest_target_ = forever;
+  Duration tightest_staleness_bound_ = forever;
+  // timer
+  Duration tick_interval_{};
+  Time timer_due_ = never;
+  Time next_idle_tick_at_ = forever;
+  Time next_poll_at_ = forever;  // of the member list
+  Duration poll_backoff_{};
+  // estimates
+  Duration probe_round_trip_{};         // EWMA
+  Duration usual_report_age_{};         // EWMA of the age of primaries' reports
+  Duration wait_per_queued_request_{};  // as seen from answers
+  bool queues_reported_ = false;        // some report had a queue length
+  double probe_unreliability_ = 0;      // EWMA: hosts answer requests although their probes were lost
+  bool slow_start_denied_ = false;    // in the last selection of a host, which depends on the request's draw
+  std::multiset<Time> warm_up_ends_;  // of the ready hosts that are cold
+  int ready_hosts_ = 0;
+  Tuning tuning_;
+  int max_in_flight_ = 1 << 30;  // attempts
+  int attempts_in_flight_ = 0;
+  GroupId last_limited_group_{INT64_MIN};  // sent last when max_in_flight_ was reached
+  double max_write_value_ = 0;             // highest value per cost of a write class
 };
 
 Router::Router(Settings settings) : impl_(std::make_unique<Impl>(std::move(settings))) {}
@@ -1072,13 +1377,13 @@
 bool Router::tracks(HostId host) const { return impl_->tracks(host); }
 void Router::group_views(Time now, std::vector<GroupView>& out) { impl_->group_views(now, out); }
 void Router::set_tuning(const Tuning& tuning) { impl_->set_tuning(tuning); }
-void Router::set_max_in_flight(int places) { impl_->set_max_in_flight(places); }
-RouterSnapshot Router::snapshot(Time now, SnapshotScope what) { return impl_->snapshot(now, what); }
-void Router::merge_snapshot(Time now, const RouterSnapshot& knowledge) {
-  impl_->merge_snapshot(now, knowledge);
+void Router::set_max_in_flight(int max_in_flight) { impl_->set_max_in_flight(max_in_flight); }
+RouterSnapshot Router::snapshot(Time now, SnapshotScope scope) { return impl_->snapshot(now, scope); }
+void Router::merge_snapshot(Time now, const RouterSnapshot& snapshot) {
+  impl_->merge_snapshot(now, snapshot);
 }
 void Router::suspend_spending() { impl_->suspend_spending(); }
-void Router::set_slow_start_share(Time now, double part) { impl_->set_slow_start_share(now, part); }
+void Router::set_slow_start_share(Time now, double share) { impl_->set_slow_start_share(now, share); }
 void Router::update_settings(Settings settings) { impl_->update_settings(std::move(settings)); }
 std::size_t Router::entry_count() const { return impl_->entry_count(); }
 
