--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -1,4 +1,4 @@
-// The module by hand-made events. Host 1 is the primary of group 1 unless a test says otherwise.
+// Tests of the router by single events. Host 1 is the primary of group 1 unless a test says otherwise.
 #include "cedarring/router.h"
 
 #include <gtest/gtest.h>
@@ -15,1390 +15,1454 @@
 
 using namespace std::chrono_literals;
 
-constexpr ClassId bounded{0}, session{1}, any{2}, fresh{3}, write{4}, keyed{5};
-
-RequestClass make_class(const char* name, Freshness need, Idempotency effect = Idempotency::safe) {
-  RequestClass c;
-  c.name = name;
-  c.latency_target = 500ms;
-  c.deadline = 2s;
-  c.freshness = need;
-  c.idempotency = effect;
-  c.staleness_bound = need == Freshness::bounded ? Duration(1s) : Duration(0);
-  c.dedup_window = effect == Idempotency::keyed ? Duration(1200ms) : Duration(0);
-  c.dedup_scope = effect == Idempotency::keyed ? DedupScope::group : DedupScope::all;
-  return c;
+constexpr ClassId bounded{0};
+constexpr ClassId session{1};
+constexpr ClassId any{2};
+constexpr ClassId fresh{3};
+constexpr ClassId write{4};
+constexpr ClassId keyed{5};
+
+RequestClass make_class(const char* name, Freshness freshness, Idempotency idempotency = Idempotency::safe) {
+  RequestClass request_class;
+  request_class.name = name;
+  request_class.latency_target = 500ms;
+  request_class.deadline = 2s;
+  request_class.freshness = freshness;
+  request_class.idempotency = idempotency;
+  request_class.staleness_bound = freshness == Freshness::bounded ? Duration(1s) : Duration(0);
+  request_class.dedup_window = idempotency == Idempotency::keyed ? Duration(1200ms) : Duration(0);
+  request_class.dedup_scope = idempotency == Idempotency::keyed ? DedupScope::group : DedupScope::all;
+  return request_class;
 }
 
 Settings make_settings() {
-  Settings s;
-  s.seed = 7;
-  s.cancel_allowed = true;
-  s.retry_after_allowed = true;
-  s.warm_up_duration = 10s;
-  s.cold_capacity_share = 0.2;
-  s.classes = {make_class("bounded", Freshness::bounded),
-               make_class("session", Freshness::session),
-               make_class("any", Freshness::any),
-               make_class("fresh", Freshness::fresh),
-               make_class("write", Freshness::write, Idempotency::unsafe),
-               make_class("keyed", Freshness::write, Idempotency::keyed)};
-  return s;
-}
-
-class Bench {
+  Settings settings;
+  settings.seed = 7;
+  settings.cancel_allowed = true;
+  settings.retry_after_allowed = true;
+  settings.warm_up_duration = 10s;
+  settings.cold_capacity_share = 0.2;
+  settings.classes = {make_class("bounded", Freshness::bounded),
+                      make_class("session", Freshness::session),
+                      make_class("any", Freshness::any),
+                      make_class("fresh", Freshness::fresh),
+                      make_class("write", Freshness::write, Idempotency::unsafe),
+                      make_class("keyed", Freshness::write, Idempotency::keyed)};
+  return settings;
+}
+
+/// A router with one group of hosts. Feeds it events and records its actions.
+class Harness {
  public:
-  explicit Bench(Settings s = make_settings(), std::uint32_t hosts = 3, Time start = 100s)
-      : now(start), router_(std::move(s)) {
-    give(Started{});
+  explicit Harness(Settings settings = make_settings(), std::uint32_t hosts = 3, Time start = 100s)
+      : now(start), router_(std::move(settings)) {
+    handle(Started{});
     std::vector<HostEntry> entries;
     for (std::uint32_t i = 1; i <= hosts; ++i) entries.push_back(entry(i));
-    list(ListKind::cached, entries);
+    list_hosts(ListKind::cached, entries);
   }
   static HostEntry entry(std::uint32_t id, HostState state = HostState::ready) {
-    HostEntry e;
-    e.host = HostId{id};
-    e.group = GroupId{1};
-    e.state = state;
-    return e;
+    HostEntry host_entry;
+    host_entry.host = HostId{id};
+    host_entry.group = GroupId{1};
+    host_entry.state = state;
+    return host_entry;
   }
-  void give(const Event& e) {
+  void handle(const Event& event) {
     std::vector<Action> actions;
-    router_.handle(now, e, actions);
-    for (const auto& a : actions) {
-      if (const auto* s = std::get_if<Send>(&a)) {
-        sends.push_back(*s);
-        last_host[s->request.value] = s->host.value;
-        ++attempts[s->request.value];
-      } else if (const auto* c = std::get_if<Cancel>(&a)) {
-        cancels.push_back(*c);
-      } else if (const auto* r = std::get_if<Refuse>(&a)) {
-        refused[r->request.value] = r->retry_after;
-      } else if (const auto* f = std::get_if<Fail>(&a)) {
-        failed.insert(f->request.value);
-      } else if (const auto* p = std::get_if<Probe>(&a)) {
-        probes.push_back(p->host.value);
-      } else if (const auto* t = std::get_if<SetTimer>(&a)) {
-        timer = *t;
-      } else if (std::holds_alternative<OpenWatch>(a)) {
-        watches.push_back(now);
+    router_.handle(now, event, actions);
+    for (const auto& action : actions) {
+      if (const auto* send = std::get_if<Send>(&action)) {
+        sends.push_back(*send);
+        last_host[send->request.value] = send->host.value;
+        ++attempts[send->request.value];
+      } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
+        cancels.push_back(*cancel);
+      } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+        refused[refuse->request.value] = refuse->retry_after;
+      } else if (const auto* fail = std::get_if<Fail>(&action)) {
+        failed.insert(fail->request.value);
+      } else if (const auto* probe = std::get_if<Probe>(&action)) {
+        probed_hosts.push_back(probe->host.value);
+      } else if (const auto* set_timer = std::get_if<SetTimer>(&action)) {
+        timer = *set_timer;
+      } else if (std::holds_alternative<OpenWatch>(action)) {
+        watch_times.push_back(now);
       }
     }
   }
-  void list(ListKind kind, std::vector<HostEntry> entries) { give(MembersListed{kind, std::move(entries)}); }
-  /// A probe's answer: where the host stands, and whether it is the primary.
-  void report(std::uint32_t host, Time position, bool primary, std::optional<double> queue = {}) {
-    ProbeEnded e;
-    e.host = HostId{host};
-    e.report.position = position;
-    e.report.queue_length = queue;
-    e.report.role = primary ? Role::primary : Role::replica;
-    give(e);
+  void list_hosts(ListKind kind, std::vector<HostEntry> entries) {
+    handle(MembersListed{kind, std::move(entries)});
+  }
+  /// Hands in a probe's answer: the host's position, whether it is the primary, its queue length.
+  void answer_probe(std::uint32_t host, Time position, bool primary, std::optional<double> queue = {}) {
+    ProbeEnded event;
+    event.host = HostId{host};
+    event.report.position = position;
+    event.report.queue_length = queue;
+    event.report.role = primary ? Role::primary : Role::replica;
+    handle(event);
   }
-  std::uint64_t ask(ClassId cls, std::optional<std::uint64_t> session_key = {}, Duration left = 2s,
-                    std::optional<Duration> age = {}) {
-    RequestArrived e;
-    e.request = RequestId{++next};
-    e.class_id = cls;
-    e.group = GroupId{1};
-    e.time_left = left;
-    if (session_key) e.session = SessionId{*session_key};
-    e.token_age = age;
-    give(e);
-    return next;
+  /// Hands in a client's request and returns its id.
+  std::uint64_t submit(ClassId class_id, std::optional<std::uint64_t> session_key = {},
+                       Duration time_left = 2s, std::optional<Duration> token_age = {}) {
+    RequestArrived event;
+    event.request = RequestId{++last_request};
+    event.class_id = class_id;
+    event.group = GroupId{1};
+    event.time_left = time_left;
+    if (session_key) event.session = SessionId{*session_key};
+    event.token_age = token_age;
+    handle(event);
+    return last_request;
   }
-  void end(std::uint64_t request, Outcome outcome, AnswerMetadata note = {}, bool ended = false) {
-    AttemptEnded e;
-    e.request = RequestId{request};
-    e.attempt = attempts[request] - 1;
-    e.host = HostId{last_host[request]};
-    e.outcome = outcome;
-    e.metadata = note;
-    e.request_ended = ended || outcome == Outcome::ok;
-    give(e);
+  /// Ends the request's last attempt; the request too if `request_ended` or if the outcome is ok.
+  void end_attempt(std::uint64_t request, Outcome outcome, AnswerMetadata metadata = {},
+                   bool request_ended = false) {
+    AttemptEnded event;
+    event.request = RequestId{request};
+    event.attempt = attempts[request] - 1;
+    event.host = HostId{last_host[request]};
+    event.outcome = outcome;
+    event.metadata = metadata;
+    event.request_ended = request_ended || outcome == Outcome::ok;
+    handle(event);
   }
-  /// Lets time pass, beat by beat.
-  static constexpr Time asleep = Time::max();
-  void pass(Duration d) {
-    const auto until = now + d;
+  /// The due time of a timer that is not set.
+  static constexpr Time no_timer = Time::max();
+  /// Advances the clock and fires the router's timer whenever it is due.
+  void advance(Duration duration) {
+    const auto until = now + duration;
     while (timer.due <= until) {
       now = std::max(now, timer.due);
       const auto fired = timer.timer;
-      timer.due = asleep;
-      give(TimerFired{fired});
+      timer.due = no_timer;
+      handle(TimerFired{fired});
     }
     now = until;
   }
-  [[nodiscard]] bool sent(std::uint64_t request) const { return last_host.count(request) > 0; }
-  [[nodiscard]] std::size_t held() const { return router_.entry_count(); }
-  /// Sends a request and waits out the probes that it may need first.
-  std::uint32_t to(ClassId cls, std::optional<std::uint64_t> key = {}, std::optional<Duration> age = {}) {
-    const auto r = ask(cls, key, 2s, age);
-    pass(60ms);
-    return sent(r) ? last_host[r] : 0;
+  [[nodiscard]] bool was_sent(std::uint64_t request) const { return last_host.count(request) > 0; }
+  [[nodiscard]] std::size_t entry_count() const { return router_.entry_count(); }
+  /// Submits a request, allows time for the probes that it may need first, and returns the host to which it
+  /// was sent, or 0.
+  std::uint32_t route(ClassId class_id, std::optional<std::uint64_t> session_key = {},
+                      std::optional<Duration> token_age = {}) {
+    const auto request = submit(class_id, session_key, 2s, token_age);
+    advance(60ms);
+    return was_sent(request) ? last_host[request] : 0;
   }
-  /// Where `n` reads of a class go, each answered at once.
-  std::map<std::uint32_t, int> spread(ClassId cls, int n) {
-    std::map<std::uint32_t, int> to;
-    for (int i = 0; i < n; ++i) {
-      const auto r = ask(cls);
-      if (!sent(r)) {
-        ++to[0];
+  /// Submits `count` reads of a class, ends each at once, and returns their number by host; 0: not sent.
+  std::map<std::uint32_t, int> count_by_host(ClassId class_id, int count) {
+    std::map<std::uint32_t, int> counts;
+    for (int i = 0; i < count; ++i) {
+      const auto request = submit(class_id);
+      if (!was_sent(request)) {
+        ++counts[0];
         continue;
       }
-      ++to[last_host[r]];
-      end(r, Outcome::cancelled, {}, true);
+      ++counts[last_host[request]];
+      end_attempt(request, Outcome::cancelled, {}, true);
     }
-    return to;
+    return counts;
   }
 
   Time now;
   std::vector<Send> sends;
   std::vector<Cancel> cancels;
-  std::map<std::uint64_t, Duration> refused;
+  std::map<std::uint64_t, Duration> refused;  // retry-after hint by request
   std::set<std::uint64_t> failed;
-  std::vector<std::uint32_t> probes;
-  std::vector<Time> watches;
+  std::vector<std::uint32_t> probed_hosts;  // in the order of the probes
+  std::vector<Time> watch_times;
   SetTimer timer;
-  std::map<std::uint64_t, std::uint32_t> last_host;
-  std::map<std::uint64_t, std::uint32_t> attempts;
-  std::uint64_t next = 0;
+  std::map<std::uint64_t, std::uint32_t> last_host;  // by request
+  std::map<std::uint64_t, std::uint32_t> attempts;   // by request
+  std::uint64_t last_request = 0;
 
  private:
   Router router_;
 };
 
-// ---- weights and positions ----------------------------------------------------------------------
-
-TEST(Weights, FullUnderHalfTheBoundHalfUpToItDownPast) {
-  Bench b;
-  b.report(1, b.now, true);
-  b.report(2, b.now - 499ms, false);
-  b.report(3, b.now - 500ms, false);
-  auto to = b.spread(bounded, 3000);
-  EXPECT_EQ(to[1], 0);
-  EXPECT_NEAR(to[2], 2000, 120);  // 1 against 0.5
-  b.now += 501ms;                 // host 2 stands at 1000 ms, host 3 at 1001 ms
-  b.report(1, b.now, true);
-  to = b.spread(bounded, 100);
-  EXPECT_EQ(to[2], 100);
-}
-
-TEST(Weights, PositionsNeverRegressAndAreNotBelievedAhead) {
-  Bench b;
-  b.report(1, b.now, true);
-  b.report(2, b.now - 100ms, false);
-  b.report(2, b.now - 5s, false);
-  b.report(3, b.now + 1s, false);
-  EXPECT_EQ(b.spread(bounded, 50)[2], 50);
-}
-
-TEST(Weights, AnswersCarryPositions) {
-  Bench b;
-  b.report(1, b.now, true);
-  const auto r = b.ask(any);
-  const auto host = b.last_host[r];
-  b.end(r, Outcome::ok, AnswerMetadata{Role::replica, b.now});
-  EXPECT_EQ(b.spread(bounded, 50)[host], 50);
-}
-
-TEST(Weights, SessionReadNeedsItsOwnWrite) {
-  Bench b;
-  b.report(1, b.now, true);
-  b.report(2, b.now - 10ms, false);
-  b.report(3, b.now - 10ms, false);
-  const auto w = b.ask(write, 9);
-  ASSERT_EQ(b.last_host[w], 1U);
-  b.end(w, Outcome::ok, AnswerMetadata{Role::primary, b.now});
-  const auto commit = b.now;
-  EXPECT_EQ(b.to(session, 9), 1U);
-  EXPECT_NE(b.to(session, 8), 1U);
-  b.now += 300ms;
-  b.report(1, b.now, true);
-  b.report(3, commit, false);
-  EXPECT_EQ(b.last_host[b.ask(session, 9)], 3U);
-}
-
-TEST(Weights, CarriedTokenDatesTheWrite) {
-  auto s = make_settings();
-  s.token_mode = TokenMode::carried;
-  Bench b(s);
-  b.report(1, b.now, true);
-  b.report(2, b.now - 100ms, false);
-  EXPECT_EQ(b.last_host[b.ask(session, 9, 2s, 250ms)], 2U);
-  EXPECT_EQ(b.to(session, 9, 50ms), 1U);
-  EXPECT_NE(b.to(session, 9, 0ms), 1U) << "no write: any replica will do";
-}
-
-TEST(Weights, ForgottenSessionLeavesAFloor) {
-  Bench b;
-  b.report(1, b.now, true);
-  b.report(2, b.now, false);
-  const auto w = b.ask(write, 9);
-  b.end(w, Outcome::ok, AnswerMetadata{Role::primary, b.now + 1us});
-  const auto held = b.held();
-  b.pass(120s);
-  b.end(b.ask(any), Outcome::ok);
-  EXPECT_LT(b.held(), held);
-  b.report(1, b.now, true);
-  EXPECT_EQ(b.to(session, 9), 1U) << "no replica is known to have reached the forgotten write";
-}
-
-TEST(Weights, AnyReadsUseUnheardReplicas) {
-  Bench b;
-  b.report(1, b.now, true);
-  const auto to = b.spread(any, 200);
-  EXPECT_EQ(to.count(1), 0U);
-  EXPECT_GT(to.at(2), 50);
-  EXPECT_GT(to.at(3), 50);
-}
-
-TEST(Fallback, PrimaryTakesReadsThatNoReplicaCan) {
-  Bench b;
-  b.report(1, b.now, true);
-  b.report(2, b.now - 1001ms, false);
-  EXPECT_EQ(b.to(bounded), 1U) << "after asking in vain";
-  EXPECT_GE(b.probes.size(), 1U);
-}
-
-TEST(Fallback, ReadsLeaveThePrimaryRoom) {
-  Bench b;
-  b.report(1, b.now, true);
+// ---- replica selection ----------------------------------------------------------------------
+
+TEST(ReplicaSelection, WeightIsFullBelowHalfTheStalenessBoundHalfUpToItAndZeroBeyond) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  harness.answer_probe(2, harness.now - 499ms, false);
+  harness.answer_probe(3, harness.now - 500ms, false);
+  auto counts = harness.count_by_host(bounded, 3000);
+  EXPECT_EQ(counts[1], 0);
+  EXPECT_NEAR(counts[2], 2000, 120);  // 1 against 0.5
+  harness.now += 501ms;               // now host 2 lags by 1000 ms, host 3 by 1001 ms
+  harness.answer_probe(1, harness.now, true);
+  counts = harness.count_by_host(bounded, 100);
+  EXPECT_EQ(counts[2], 100);
+}
+
+TEST(ReplicaSelection, PositionsThatRegressOrLieInTheFutureAreIgnored) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  harness.answer_probe(2, harness.now - 100ms, false);
+  harness.answer_probe(2, harness.now - 5s, false);
+  harness.answer_probe(3, harness.now + 1s, false);
+  EXPECT_EQ(harness.count_by_host(bounded, 50)[2], 50);
+}
+
+TEST(ReplicaSelection, PositionInAnAnswerMakesTheReplicaEligible) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  const auto request = harness.submit(any);
+  const auto host = harness.last_host[request];
+  harness.end_attempt(request, Outcome::ok, AnswerMetadata{Role::replica, harness.now});
+  EXPECT_EQ(harness.count_by_host(bounded, 50)[host], 50);
+}
+
+TEST(ReplicaSelection, SessionReadGoesToAHostThatHasTheSessionsWrite) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  harness.answer_probe(2, harness.now - 10ms, false);
+  harness.answer_probe(3, harness.now - 10ms, false);
+  const auto write_request = harness.submit(write, 9);
+  ASSERT_EQ(harness.last_host[write_request], 1U);
+  harness.end_attempt(write_request, Outcome::ok, AnswerMetadata{Role::primary, harness.now});
+  const auto commit = harness.now;
+  EXPECT_EQ(harness.route(session, 9), 1U);
+  EXPECT_NE(harness.route(session, 8), 1U);
+  harness.now += 300ms;
+  harness.answer_probe(1, harness.now, true);
+  harness.answer_probe(3, commit, false);
+  EXPECT_EQ(harness.last_host[harness.submit(session, 9)], 3U);
+}
+
+TEST(ReplicaSelection, TokenAgeSetsThePositionThatASessionReadRequires) {
+  auto settings = make_settings();
+  settings.token_mode = TokenMode::carried;
+  Harness harness(settings);
+  harness.answer_probe(1, harness.now, true);
+  harness.answer_probe(2, harness.now - 100ms, false);
+  EXPECT_EQ(harness.last_host[harness.submit(session, 9, 2s, 250ms)], 2U);
+  EXPECT_EQ(harness.route(session, 9, 50ms), 1U);
+  EXPECT_NE(harness.route(session, 9, 0ms), 1U) << "no write in the session: any replica may answer";
+}
+
+TEST(ReplicaSelection, SessionReadAfterItsWriteWasForgottenGoesToThePrimary) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  harness.answer_probe(2, harness.now, false);
+  const auto write_request = harness.submit(write, 9);
+  harness.end_attempt(write_request, Outcome::ok, AnswerMetadata{Role::primary, harness.now + 1us});
+  const auto entries_before = harness.entry_count();
+  harness.advance(120s);
+  harness.end_attempt(harness.submit(any), Outcome::ok);
+  EXPECT_LT(harness.entry_count(), entries_before);
+  harness.answer_probe(1, harness.now, true);
+  EXPECT_EQ(harness.route(session, 9), 1U) << "no replica is known to have reached the forgotten write";
+}
+
+TEST(ReplicaSelection, ReadsOfAnyStalenessUseReplicasOfUnknownPosition) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  const auto counts = harness.count_by_host(any, 200);
+  EXPECT_EQ(counts.count(1), 0U);
+  EXPECT_GT(counts.at(2), 50);
+  EXPECT_GT(counts.at(3), 50);
+}
+
+// ---- fallback to the primary and stale replicas -----------------------------------------------
+
+TEST(PrimaryFallback, BoundedReadWithoutEligibleReplicaGoesToThePrimaryAfterAProbe) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  harness.answer_probe(2, harness.now - 1001ms, false);
+  EXPECT_EQ(harness.route(bounded), 1U) << "after a probe without an answer";
+  EXPECT_GE(harness.probed_hosts.size(), 1U);
+}
+
+TEST(PrimaryFallback, FallbackReadsLeaveThePrimaryCapacityForWrites) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
   std::vector<std::uint64_t> reads;
-  for (int i = 0; i < 40; ++i) reads.push_back(b.ask(bounded));
-  EXPECT_FALSE(b.sent(reads.back()));
-  EXPECT_TRUE(b.sent(b.ask(write, 1)));
-}
-
-TEST(Fallback, CheckingSitesKeepASmallShareAndGoToThePrimaryAfterAMiss) {
-  auto s = make_settings();
-  s.stale_read_policy = StaleReadPolicy::refuse;
-  Bench b(s);
-  b.report(1, b.now, true);
-  b.report(2, b.now - 100ms, false);
-  b.report(3, b.now - 1500ms, false);
-  auto to = b.spread(bounded, 2000);
-  EXPECT_NEAR(to[3], 95, 40);  // 0.05 beside 1
-  const auto r = b.ask(bounded);
-  b.end(r, Outcome::too_stale, AnswerMetadata{Role::replica, {}});
-  EXPECT_EQ(b.last_host[r], 1U);
-}
-
-/// One of hundreds of routers believes most replicas past the bound that are not: what they answer says so.
-TEST(Fallback, TheShareOfReplicasPastTheBoundFollowsWhatTheyAnswer) {
-  auto s = make_settings();
-  s.stale_read_policy = StaleReadPolicy::refuse;
-  Bench b(s);
-  const auto hear = [&](Duration late) {
-    b.report(1, b.now, true), b.report(2, b.now - 100ms, false), b.report(3, b.now - late, false);
+  for (int i = 0; i < 40; ++i) reads.push_back(harness.submit(bounded));
+  EXPECT_FALSE(harness.was_sent(reads.back()));
+  EXPECT_TRUE(harness.was_sent(harness.submit(write, 1)));
+}
+
+TEST(StaleReplicas, ThatCheckReadsGetASmallShareAndTheRetryGoesToThePrimary) {
+  auto settings = make_settings();
+  settings.stale_read_policy = StaleReadPolicy::refuse;
+  Harness harness(settings);
+  harness.answer_probe(1, harness.now, true);
+  harness.answer_probe(2, harness.now - 100ms, false);
+  harness.answer_probe(3, harness.now - 1500ms, false);
+  auto counts = harness.count_by_host(bounded, 2000);
+  EXPECT_NEAR(counts[3], 95, 40);  // a weight of 0.05 beside 1
+  const auto request = harness.submit(bounded);
+  harness.end_attempt(request, Outcome::too_stale, AnswerMetadata{Role::replica, {}});
+  EXPECT_EQ(harness.last_host[request], 1U);
+}
+
+/// One of hundreds of routers has old positions, so that it takes most replicas for stale although they are
+/// not. Whether they answer stale reads corrects that.
+TEST(StaleReplicas, ShareFollowsTheSuccessRateOfStaleReads) {
+  auto settings = make_settings();
+  settings.stale_read_policy = StaleReadPolicy::refuse;
+  Harness harness(settings);
+  const auto report_positions = [&](Duration lag) {
+    harness.answer_probe(1, harness.now, true);
+    harness.answer_probe(2, harness.now - 100ms, false);
+    harness.answer_probe(3, harness.now - lag, false);
   };
-  hear(1500ms);
-  const auto share = [&] { return b.spread(bounded, 2000)[3] / 2000.0; };
-  const auto past = [&](Outcome how) {  // those that the draw sends there end like that
-    for (int n = 0; n < 40;) {
-      const auto r = b.ask(bounded);
-      const bool there = b.last_host[r] == 3;
-      n += there ? 1 : 0;
-      // Its position stays what it was, as where another answers for it.
-      b.end(r, there ? how : Outcome::ok, AnswerMetadata{Role::replica, {}});
-      if (there && how == Outcome::too_stale) b.end(r, Outcome::ok, AnswerMetadata{Role::primary, {}});
+  report_positions(1500ms);
+  const auto share = [&] { return harness.count_by_host(bounded, 2000)[3] / 2000.0; };
+  const auto end_stale_reads = [&](Outcome outcome) {  // of the reads sent to host 3
+    for (int stale_reads = 0; stale_reads < 40;) {
+      const auto request = harness.submit(bounded);
+      const bool there = harness.last_host[request] == 3;
+      stale_reads += there ? 1 : 0;
+      // The answer has no position: the replica's known position does not change.
+      harness.end_attempt(request, there ? outcome : Outcome::ok, AnswerMetadata{Role::replica, {}});
+      if (there && outcome == Outcome::too_stale)
+        harness.end_attempt(request, Outcome::ok, AnswerMetadata{Role::primary, {}});
     }
   };
   EXPECT_NEAR(share(), 0.048, 0.02);
-  past(Outcome::ok);
-  EXPECT_NEAR(share(), 0.33, 0.06) << "half of one within the bound, never more";
-  past(Outcome::too_stale);
+  end_stale_reads(Outcome::ok);
+  EXPECT_NEAR(share(), 0.33, 0.06) << "at most half the weight of a replica within the bound";
+  end_stale_reads(Outcome::too_stale);
   EXPECT_NEAR(share(), 0.048, 0.02);
-  past(Outcome::ok);
-  s.stale_read_policy = StaleReadPolicy::none;  // where it would answer whatever it holds, it gets nothing
-  Bench unchecked(s);
-  unchecked.report(1, unchecked.now, true), unchecked.report(2, unchecked.now - 100ms, false);
-  unchecked.report(3, unchecked.now - 1500ms, false);
-  EXPECT_EQ(unchecked.spread(bounded, 500)[3], 0);
-}
-
-TEST(Fallback, CheckingSitesTryTheMostAdvancedWhenNoneQualifies) {
-  auto s = make_settings();
-  s.stale_read_policy = StaleReadPolicy::wait;
-  Bench b(s);
-  b.report(1, b.now, true);
-  b.report(2, b.now - 3s, false);
-  b.report(3, b.now - 2s, false);
-  EXPECT_EQ(b.last_host[b.ask(bounded)], 3U);
-}
-
-/// Of replicas heard at different times the last one heard would always seem the most advanced: each of many
-/// routers would stay with one. Where reads past the bound are answered, what counts is how far behind each
-/// was when heard.
-TEST(Fallback, AmongReplicasHeardLongAgoThoseThatWereLevelAreDrawn) {
-  auto s = make_settings();
-  s.stale_read_policy = StaleReadPolicy::refuse;
-  Bench b(s, 4);
-  const auto hear = [&] {
-    b.report(1, b.now, true);
-    for (const std::uint32_t h : {2, 3}) b.report(h, b.now - 10ms, false), b.now += 20ms;
-    b.report(4, b.now - 900ms, false);  // behind, though heard last
-    b.now += 1100ms;                    // all are past the bound
+  end_stale_reads(Outcome::ok);
+  settings.stale_read_policy =
+      StaleReadPolicy::none;  // a replica that does not check reads must get no stale ones
+  Harness unchecked(settings);
+  unchecked.answer_probe(1, unchecked.now, true);
+  unchecked.answer_probe(2, unchecked.now - 100ms, false);
+  unchecked.answer_probe(3, unchecked.now - 1500ms, false);
+  EXPECT_EQ(unchecked.count_by_host(bounded, 500)[3], 0);
+}
+
+TEST(StaleReplicas, MostCurrentOneIsTriedWhenNoneIsWithinTheBound) {
+  auto settings = make_settings();
+  settings.stale_read_policy = StaleReadPolicy::wait;
+  Harness harness(settings);
+  harness.answer_probe(1, harness.now, true);
+  harness.answer_probe(2, harness.now - 3s, false);
+  harness.answer_probe(3, harness.now - 2s, false);
+  EXPECT_EQ(harness.last_host[harness.submit(bounded)], 3U);
+}
+
+/// Of replicas that reported at different times the last one would always seem the most current, and each of
+/// many routers would send all its reads to one host. Where stale reads are answered, the lag at the time of
+/// the report counts instead.
+TEST(StaleReplicas, LoadIsSpreadOverThoseThatWereCurrentAtTheirLastReport) {
+  auto settings = make_settings();
+  settings.stale_read_policy = StaleReadPolicy::refuse;
+  Harness harness(settings, 4);
+  const auto report_positions = [&] {
+    harness.answer_probe(1, harness.now, true);
+    for (const std::uint32_t host : {2, 3}) {
+      harness.answer_probe(host, harness.now - 10ms, false);
+      harness.now += 20ms;
+    }
+    harness.answer_probe(4, harness.now - 900ms, false);  // lags although it reports last
+    harness.now += 1100ms;                                // all are past the bound
   };
-  hear();
-  auto to = b.spread(bounded, 300);
-  EXPECT_EQ(to[3], 300) << "nothing says that they have kept up: by position";
+  report_positions();
+  auto counts = harness.count_by_host(bounded, 300);
+  EXPECT_EQ(counts[3], 300) << "no stale read was answered yet: chosen by known position";
   for (int i = 0; i < 60; ++i) {
-    const auto r = b.ask(bounded);
-    b.now += 100ms;  // a usual answer, so that no speed sets it apart
-    b.end(r, Outcome::ok, AnswerMetadata{Role::replica, {}});
+    const auto request = harness.submit(bounded);
+    harness.now += 100ms;  // all answers take the same time, so that latency makes no difference
+    harness.end_attempt(request, Outcome::ok, AnswerMetadata{Role::replica, {}});
   }
-  to = b.spread(bounded, 1000);
-  EXPECT_GT(to[2], 300);
-  EXPECT_GT(to[3], 300);
-  EXPECT_EQ(to[2] + to[3], 1000) << "not the one that was behind";
+  counts = harness.count_by_host(bounded, 1000);
+  EXPECT_GT(counts[2], 300);
+  EXPECT_GT(counts[3], 300);
+  EXPECT_EQ(counts[2] + counts[3], 1000) << "none to the replica that lagged at its report";
   for (int i = 0; i < 12; ++i) {
-    const auto r = b.ask(bounded);
-    b.end(r, Outcome::too_stale, AnswerMetadata{Role::replica, {}});
-    b.end(r, Outcome::ok, AnswerMetadata{Role::primary, {}});
+    const auto request = harness.submit(bounded);
+    harness.end_attempt(request, Outcome::too_stale, AnswerMetadata{Role::replica, {}});
+    harness.end_attempt(request, Outcome::ok, AnswerMetadata{Role::primary, {}});
   }
-  EXPECT_EQ(b.spread(bounded, 300)[3], 300) << "turned away: by position again";
+  EXPECT_EQ(harness.count_by_host(bounded, 300)[3], 300)
+      << "stale reads were refused: chosen by known position again";
 }
 
 // ---- the primary --------------------------------------------------------------------------------
 
-TEST(Primary, NewestEvidenceWinsByWhenItWasTrue) {
-  Bench b;
-  b.report(1, b.now, true);
-  b.report(2, b.now - 200ms, true);  // an old report that arrives late
-  EXPECT_EQ(b.last_host[b.ask(write, 1)], 1U);
-  b.now += 1s;
-  b.report(2, b.now - 10ms, true);
-  EXPECT_EQ(b.last_host[b.ask(write, 2)], 2U);
-}
-
-TEST(Primary, ListedRoleIsOnlyAHint) {
-  auto s = make_settings();
-  s.listed_role = ListedRole::start;
-  Bench b(s, 0);
-  auto listed = Bench::entry(1);
+TEST(Primary, RoleFollowsTheEvidenceThatWasTrueLast) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  harness.answer_probe(2, harness.now - 200ms, true);  // an old report that arrives late
+  EXPECT_EQ(harness.last_host[harness.submit(write, 1)], 1U);
+  harness.now += 1s;
+  harness.answer_probe(2, harness.now - 10ms, true);
+  EXPECT_EQ(harness.last_host[harness.submit(write, 2)], 2U);
+}
+
+TEST(Primary, ReportOfAHostOverridesTheListedRole) {
+  auto settings = make_settings();
+  settings.listed_role = ListedRole::start;
+  Harness harness(settings, 0);
+  auto listed = Harness::entry(1);
   listed.listed_primary = true;
-  b.list(ListKind::full, {listed, Bench::entry(2)});
-  EXPECT_EQ(b.last_host[b.ask(write, 1)], 1U);
-  b.report(2, b.now, true);
-  b.list(ListKind::full, {listed, Bench::entry(2)});
-  EXPECT_EQ(b.last_host[b.ask(write, 2)], 2U);
-}
-
-TEST(Primary, HandoverMovesAWriteThatWasTurnedAway) {
-  Bench b;
-  b.report(1, b.now, true);
-  const auto w = b.ask(write, 1);
-  b.now += 20ms;
-  b.end(w, Outcome::too_stale, AnswerMetadata{Role::replica, {}});
-  EXPECT_EQ(b.attempts[w], 1U);
-  b.pass(150ms);
-  EXPECT_FALSE(b.probes.empty()) << "looks again by probing";
-  b.report(2, b.now, true);
-  EXPECT_EQ(b.last_host[w], 2U);
-}
-
-TEST(Primary, WritesWaitInOrderWhileNoneIsKnown) {
-  Bench b;
-  const auto first = b.ask(write, 1);
-  const auto second = b.ask(write, 2);
-  EXPECT_TRUE(b.sends.empty());
-  b.report(1, b.now, true);
-  ASSERT_EQ(b.sends.size(), 2U);
-  EXPECT_EQ(b.sends[0].request.value, first);
-  EXPECT_EQ(b.sends[1].request.value, second);
-}
-
-TEST(Primary, SilentPrimaryGetsNoNewWrites) {
-  Bench b;
-  b.report(1, b.now, true);
-  EXPECT_TRUE(b.sent(b.ask(write, 1)));
-  b.pass(1200ms);
-  EXPECT_FALSE(b.sent(b.ask(write, 2)));
-}
-
-TEST(Primary, CrashIsSeenByLostProbes) {
-  Bench b;
-  b.report(1, b.now, true);
-  for (int i = 0; i < 2; ++i) b.give(ProbeEnded{HostId{1}, Outcome::connect_failed, 250ms, {}});
-  EXPECT_FALSE(b.sent(b.ask(write, 1)));
-  b.now += 10ms;
-  b.report(2, b.now, true);
-  EXPECT_EQ(b.last_host[b.next], 2U);
-}
-
-// ---- rule 1: one final answer in time -----------------------------------------------------------
-
-TEST(Rules, OneWaitingRequestIsAnsweredWithinItsTime) {
-  Bench b;
-  const auto w = b.ask(write, 1, 800ms);
-  b.pass(820ms);
-  EXPECT_EQ(b.refused.count(w), 1U);
-  EXPECT_EQ(b.failed.count(w), 0U);
-}
-
-// i015cf8, ib7160c: an arrival in the beat's own batch re-armed it, and it never rang on a busy router.
-TEST(Rules, OneArrivalsInEveryBatchDoNotStarveTheBeat) {
-  Bench b;
-  const auto w = b.ask(write, 1, 800ms);
+  harness.list_hosts(ListKind::full, {listed, Harness::entry(2)});
+  EXPECT_EQ(harness.last_host[harness.submit(write, 1)], 1U);
+  harness.answer_probe(2, harness.now, true);
+  harness.list_hosts(ListKind::full, {listed, Harness::entry(2)});
+  EXPECT_EQ(harness.last_host[harness.submit(write, 2)], 2U);
+}
+
+TEST(Primary, WriteRefusedByAFormerPrimaryIsSentToItsSuccessor) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  const auto write_request = harness.submit(write, 1);
+  harness.now += 20ms;
+  harness.end_attempt(write_request, Outcome::too_stale, AnswerMetadata{Role::replica, {}});
+  EXPECT_EQ(harness.attempts[write_request], 1U);
+  harness.advance(150ms);
+  EXPECT_FALSE(harness.probed_hosts.empty()) << "searches for the primary with probes";
+  harness.answer_probe(2, harness.now, true);
+  EXPECT_EQ(harness.last_host[write_request], 2U);
+}
+
+TEST(Primary, WritesWaitInOrderUntilAPrimaryIsKnown) {
+  Harness harness;
+  const auto first = harness.submit(write, 1);
+  const auto second = harness.submit(write, 2);
+  EXPECT_TRUE(harness.sends.empty());
+  harness.answer_probe(1, harness.now, true);
+  ASSERT_EQ(harness.sends.size(), 2U);
+  EXPECT_EQ(harness.sends[0].request.value, first);
+  EXPECT_EQ(harness.sends[1].request.value, second);
+}
+
+TEST(Primary, WriteIsHeldWhileThePrimaryIsUnresponsive) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  EXPECT_TRUE(harness.was_sent(harness.submit(write, 1)));
+  harness.advance(1200ms);
+  EXPECT_FALSE(harness.was_sent(harness.submit(write, 2)));
+}
+
+TEST(Primary, WriteMovesToTheSuccessorAfterProbesWereLost) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  for (int i = 0; i < 2; ++i) harness.handle(ProbeEnded{HostId{1}, Outcome::connect_failed, 250ms, {}});
+  EXPECT_FALSE(harness.was_sent(harness.submit(write, 1)));
+  harness.now += 10ms;
+  harness.answer_probe(2, harness.now, true);
+  EXPECT_EQ(harness.last_host[harness.last_request], 2U);
+}
+
+// ---- one final answer in time -----------------------------------------------------------
+
+TEST(FinalAnswer, WaitingRequestIsRefusedWithinItsTime) {
+  Harness harness;
+  const auto write_request = harness.submit(write, 1, 800ms);
+  harness.advance(820ms);
+  EXPECT_EQ(harness.refused.count(write_request), 1U);
+  EXPECT_EQ(harness.failed.count(write_request), 0U);
+}
+
+// Guards against a timer that each arrival in its own batch set anew, so that it never fired on a busy
+// router.
+TEST(FinalAnswer, TimerFiresAlthoughRequestsArriveInEveryBatch) {
+  Harness harness;
+  const auto write_request = harness.submit(write, 1, 800ms);
   for (int i = 0; i < 400; ++i) {
-    b.now += 5ms;
-    b.ask(any);
-    if (b.now >= b.timer.due) b.give(TimerFired{b.timer.timer});
+    harness.now += 5ms;
+    harness.submit(any);
+    if (harness.now >= harness.timer.due) harness.handle(TimerFired{harness.timer.timer});
   }
-  EXPECT_EQ(b.refused.count(w), 1U);
+  EXPECT_EQ(harness.refused.count(write_request), 1U);
 }
 
-TEST(Rules, OneNothingIsSentAfterTheEnd) {
-  Bench b;
-  b.report(1, b.now, true);
-  const auto r = b.ask(any);
-  b.give(ClientLeft{RequestId{r}});
-  const auto sends = b.sends.size();
-  b.end(r, Outcome::error);
-  b.pass(500ms);
-  EXPECT_EQ(b.sends.size(), sends);
-  EXPECT_EQ(b.refused.count(r) + b.failed.count(r), 0U);
+TEST(FinalAnswer, NothingIsSentAfterTheClientHasLeft) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  const auto request = harness.submit(any);
+  harness.handle(ClientLeft{RequestId{request}});
+  const auto sends = harness.sends.size();
+  harness.end_attempt(request, Outcome::error);
+  harness.advance(500ms);
+  EXPECT_EQ(harness.sends.size(), sends);
+  EXPECT_EQ(harness.refused.count(request) + harness.failed.count(request), 0U);
 }
 
-// ---- rule 2: no effect twice --------------------------------------------------------------------
+// ---- no effect twice --------------------------------------------------------------------
 
-TEST(Rules, TwoUnsafeThatMayHaveRunFailsAndIsNotRepeated) {
+TEST(DuplicateExecution, UnsafeRequestThatMayHaveRunFailsWithoutRetry) {
   for (const auto outcome : {Outcome::error, Outcome::timeout, Outcome::reset, Outcome::cancelled}) {
-    Bench b;
-    b.report(1, b.now, true);
-    const auto w = b.ask(write, 1);
-    b.end(w, outcome);
-    EXPECT_EQ(b.attempts[w], 1U);
-    EXPECT_EQ(b.failed.count(w), 1U);
-    EXPECT_EQ(b.refused.count(w), 0U);
+    Harness harness;
+    harness.answer_probe(1, harness.now, true);
+    const auto write_request = harness.submit(write, 1);
+    harness.end_attempt(write_request, outcome);
+    EXPECT_EQ(harness.attempts[write_request], 1U);
+    EXPECT_EQ(harness.failed.count(write_request), 1U);
+    EXPECT_EQ(harness.refused.count(write_request), 0U);
   }
 }
 
-TEST(Rules, TwoUnsafeThatNeverRanIsRepeated) {
+TEST(DuplicateExecution, UnsafeRequestThatDidNotRunIsRetried) {
   for (const auto outcome : {Outcome::full, Outcome::connect_failed, Outcome::not_sent}) {
-    Bench b;
-    b.report(1, b.now, true);
-    for (int i = 0; i < 12; ++i) b.end(b.ask(write, 1), Outcome::ok);  // not overloaded
-    const auto w = b.ask(write, 1);
-    b.end(w, outcome);
-    b.pass(330ms);  // a refused connection waits for the host's trial
-    EXPECT_EQ(b.attempts[w], 2U);
+    Harness harness;
+    harness.answer_probe(1, harness.now, true);
+    for (int i = 0; i < 12; ++i)
+      harness.end_attempt(harness.submit(write, 1), Outcome::ok);  // so that the primary is not overloaded
+    const auto write_request = harness.submit(write, 1);
+    harness.end_attempt(write_request, outcome);
+    harness.advance(330ms);  // after a refused connection the host gets a trial request first
+    EXPECT_EQ(harness.attempts[write_request], 2U);
   }
 }
 
-TEST(Rules, TwoKeyedIsRepeatedInsideItsWindowOnlyAndNeverRefused) {
-  Bench b;
-  b.report(1, b.now, true);
-  const auto w = b.ask(keyed, 1);
-  b.now += 100ms;
-  b.end(w, Outcome::error);
-  EXPECT_EQ(b.attempts[w], 2U);
-  b.now += 1150ms;  // past the window of the first, though not of the second
-  b.report(1, b.now, true);
-  b.end(w, Outcome::error);
-  EXPECT_EQ(b.attempts[w], 2U);
-  b.pass(100ms);
-  EXPECT_EQ(b.failed.count(w), 1U);
-  EXPECT_EQ(b.refused.count(w), 0U);
-}
-
-TEST(Rules, TwoSafeIsRepeatedElsewhere) {
-  Bench b;
-  b.report(1, b.now, true);
-  const auto r = b.ask(any);
-  const auto first = b.last_host[r];
-  b.end(r, Outcome::error);
-  EXPECT_EQ(b.attempts[r], 2U);
-  EXPECT_NE(b.last_host[r], first);
-}
-
-TEST(Rules, TwoSilentHostsWorkIsTakenBackBeforeItIsSentAgain) {
-  Bench b;
-  b.report(1, b.now, true);
-  const auto r = b.ask(any, {}, 2s);
-  for (int i = 0; i < 2; ++i) b.give(ProbeEnded{HostId{b.last_host[r]}, Outcome::timeout, 250ms, {}});
-  b.pass(50ms);
-  ASSERT_EQ(b.cancels.size(), 1U);
-  EXPECT_EQ(b.attempts[r], 1U) << "one attempt out at a time";
-  b.end(r, Outcome::cancelled);
-  EXPECT_EQ(b.attempts[r], 2U);
-}
-
-// ---- rule 3: drains -----------------------------------------------------------------------------
-
-TEST(Rules, ThreeNothingGoesToADrainingOrRemovedHost) {
-  Bench b;
-  b.report(1, b.now, true);
-  b.list(ListKind::delta, {Bench::entry(2, HostState::draining)});
-  EXPECT_EQ(b.spread(any, 50)[3], 50);
-  b.list(ListKind::full, {Bench::entry(1), Bench::entry(2)});
-  EXPECT_EQ(b.spread(any, 50)[2], 50) << "3 is absent from a full list, 2 is back";
-  b.list(ListKind::delta, {Bench::entry(1, HostState::gone)});
-  EXPECT_FALSE(b.sent(b.ask(write, 1)));
-}
-
-TEST(Rules, ThreeWhereOnlyDrainsBindAHostThatLeftTheListStaysInUse) {
-  auto s = make_settings();
-  s.removed_hosts_stay_usable = true;
-  Bench b(s);
-  b.report(1, b.now, true);
-  b.list(ListKind::full, {Bench::entry(1), Bench::entry(2)});
-  EXPECT_GT(b.spread(any, 100)[3], 20);
-  b.list(ListKind::delta, {Bench::entry(3, HostState::draining)});
-  EXPECT_EQ(b.spread(any, 50)[3], 0);
-}
-
-// ---- rule 4: cold hosts -------------------------------------------------------------------------
-
-TEST(Rules, FourAStartedHostGetsABudgetPerWindow) {
-  Bench b;
-  b.report(1, b.now, true);
-  auto back = Bench::entry(2);
-  back.started_at = b.now - 100ms;
-  b.list(ListKind::delta, {back});
-  int cold = 0;
+TEST(DuplicateExecution, KeyedRequestIsRetriedOnlyWithinItsDedupWindowAndNeverRefused) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  const auto write_request = harness.submit(keyed, 1);
+  harness.now += 100ms;
+  harness.end_attempt(write_request, Outcome::error);
+  EXPECT_EQ(harness.attempts[write_request], 2U);
+  harness.now += 1150ms;  // past the dedup window of the first attempt, not of the second
+  harness.answer_probe(1, harness.now, true);
+  harness.end_attempt(write_request, Outcome::error);
+  EXPECT_EQ(harness.attempts[write_request], 2U);
+  harness.advance(100ms);
+  EXPECT_EQ(harness.failed.count(write_request), 1U);
+  EXPECT_EQ(harness.refused.count(write_request), 0U);
+}
+
+TEST(DuplicateExecution, SafeRequestIsRetriedAtAnotherHost) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  const auto request = harness.submit(any);
+  const auto first = harness.last_host[request];
+  harness.end_attempt(request, Outcome::error);
+  EXPECT_EQ(harness.attempts[request], 2U);
+  EXPECT_NE(harness.last_host[request], first);
+}
+
+TEST(DuplicateExecution, AttemptAtAnUnresponsiveHostEndsBeforeTheRetry) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  const auto request = harness.submit(any, {}, 2s);
+  for (int i = 0; i < 2; ++i)
+    harness.handle(ProbeEnded{HostId{harness.last_host[request]}, Outcome::timeout, 250ms, {}});
+  harness.advance(50ms);
+  ASSERT_EQ(harness.cancels.size(), 1U);
+  EXPECT_EQ(harness.attempts[request], 1U) << "one attempt in flight at a time";
+  harness.end_attempt(request, Outcome::cancelled);
+  EXPECT_EQ(harness.attempts[request], 2U);
+}
+
+// ---- draining -----------------------------------------------------------------------------
+
+TEST(Draining, DrainingOrRemovedHostGetsNoRequests) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  harness.list_hosts(ListKind::delta, {Harness::entry(2, HostState::draining)});
+  EXPECT_EQ(harness.count_by_host(any, 50)[3], 50);
+  harness.list_hosts(ListKind::full, {Harness::entry(1), Harness::entry(2)});
+  EXPECT_EQ(harness.count_by_host(any, 50)[2], 50)
+      << "host 3 is absent from a full list, host 2 is ready again";
+  harness.list_hosts(ListKind::delta, {Harness::entry(1, HostState::gone)});
+  EXPECT_FALSE(harness.was_sent(harness.submit(write, 1)));
+}
+
+TEST(Draining, RemovedHostStaysInUseWhereOnlyListedDrainsCount) {
+  auto settings = make_settings();
+  settings.removed_hosts_stay_usable = true;
+  Harness harness(settings);
+  harness.answer_probe(1, harness.now, true);
+  harness.list_hosts(ListKind::full, {Harness::entry(1), Harness::entry(2)});
+  EXPECT_GT(harness.count_by_host(any, 100)[3], 20);
+  harness.list_hosts(ListKind::delta, {Harness::entry(3, HostState::draining)});
+  EXPECT_EQ(harness.count_by_host(any, 50)[3], 0);
+}
+
+// ---- slow start of cold hosts -------------------------------------------------------------------------
+
+TEST(SlowStart, RestartedHostGetsABudgetPerWindowUntilItIsWarm) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  auto restarted = Harness::entry(2);
+  restarted.started_at = harness.now - 100ms;
+  harness.list_hosts(ListKind::delta, {restarted});
+  int cold_sends = 0;
   for (int i = 0; i < 200; ++i) {
-    const auto r = b.ask(any);
-    cold += b.last_host[r] == 2U ? 1 : 0;
-    b.now += 10ms;
-    b.end(r, Outcome::ok, AnswerMetadata{Role::replica, {}});
+    const auto request = harness.submit(any);
+    cold_sends += harness.last_host[request] == 2U ? 1 : 0;
+    harness.now += 10ms;
+    harness.end_attempt(request, Outcome::ok, AnswerMetadata{Role::replica, {}});
   }
-  EXPECT_GE(cold, 1);
-  EXPECT_LE(cold, 60) << "cold_from 0.2 x multiple 3 x one half, of what the warm ones get";
-  b.pass(11s);
-  b.report(1, b.now, true);
-  EXPECT_GT(b.spread(any, 200)[2], 60);
+  EXPECT_GE(cold_sends, 1);
+  EXPECT_LE(cold_sends, 60)
+      << "capacity share 0.2 x overload multiple 3 x one half, of the warm hosts' requests";
+  harness.advance(11s);
+  harness.answer_probe(1, harness.now, true);
+  EXPECT_GT(harness.count_by_host(any, 200)[2], 60);
 }
 
 /// Hundreds of routers over groups of three hosts: host 3g + 1 is the primary of group g. Every attempt is
-/// answered after `latency`. Host 1 starts cold at `start`; what is sent to it is noted.
-class Fleet {
+/// answered after `latency`. Host 1 starts cold in begin_cold_start; the work sent to it is recorded.
+class RouterFleet {
  public:
-  static constexpr int routers = 300, groups = 12;
-  static constexpr double per_host = 15;  // requests a second that a host answers before the start
-  explicit Fleet(bool known_primary = true) : known_primary_(known_primary) {
-    for (std::uint32_t i = 0; i < routers; ++i) restart(i);
+  static constexpr int routers = 300;
+  static constexpr int groups = 12;
+  static constexpr double host_rate = 15;  // requests a second that a host answers before the cold start
+  explicit RouterFleet(bool known_primary = true) : known_primary_(known_primary) {
+    for (std::uint32_t i = 0; i < routers; ++i) restart_router(i);
   }
-  void restart(std::uint32_t i) {
-    Settings s;
-    s.seed = 977 + i + 100'000 * static_cast<std::uint64_t>(restarts_++);
-    s.instance_count = routers;
-    s.instance_index = i;
-    s.retry_after_allowed = true;
-    s.warm_up_duration = 10s;
-    s.cold_capacity_share = 0.2;
-    s.overload_multiple = 2;
-    s.overload_window = 1500ms;
-    s.probe_cost = 0.02;
-    auto quick = make_class("any", Freshness::any);
-    auto write = make_class("write", Freshness::write, Idempotency::keyed);
-    auto lagged = make_class("bounded", Freshness::bounded);
-    s.classes = {quick, write, lagged};
-    if (i == nodes_.size()) nodes_.emplace_back();
-    Node& n = nodes_[i];
-    n.router = std::make_unique<Router>(s);
-    n.due.clear();
-    n.open.clear();
-    n.tries.clear();
-    give(n, Started{});
+  void restart_router(std::uint32_t index) {
+    Settings settings;
+    settings.seed = 977 + index + 100'000 * static_cast<std::uint64_t>(restarts_++);
+    settings.instance_count = routers;
+    settings.instance_index = index;
+    settings.retry_after_allowed = true;
+    settings.warm_up_duration = 10s;
+    settings.cold_capacity_share = 0.2;
+    settings.overload_multiple = 2;
+    settings.overload_window = 1500ms;
+    settings.probe_cost = 0.02;
+    auto any_class = make_class("any", Freshness::any);
+    auto write_class = make_class("write", Freshness::write, Idempotency::keyed);
+    auto bounded_class = make_class("bounded", Freshness::bounded);
+    settings.classes = {any_class, write_class, bounded_class};
+    if (index == nodes_.size()) nodes_.emplace_back();
+    Node& node = nodes_[index];
+    node.router = std::make_unique<Router>(settings);
+    node.due_events.clear();
+    node.open.clear();
+    node.attempts.clear();
+    handle(node, Started{});
     MembersListed list;
-    for (std::uint32_t h = 1; h <= 3 * groups; ++h) list.entries.push_back(entry(h));
+    for (std::uint32_t host = 1; host <= 3 * groups; ++host) list.entries.push_back(entry(host));
     list.kind = ListKind::cached;
-    give(n, list);
-    for (std::uint32_t g = known_primary_ ? 0 : 1; g < groups; ++g) report(n, 3 * g + 1);
+    handle(node, list);
+    for (std::uint32_t group = known_primary_ ? 0 : 1; group < groups; ++group)
+      report_primary(node, 3 * group + 1);
   }
-  /// The group of host 1 is left with it alone; all routers hear at once.
-  void begin() {
-    start_ = now_;
+  /// Restarts host 1 and removes the others of its group; all routers are notified at once.
+  void begin_cold_start() {
+    cold_start_at_ = now_;
     MembersListed list;
     list.kind = ListKind::delta;
-    for (std::uint32_t h = 1; h <= 3; ++h) list.entries.push_back(entry(h));
-    for (auto& n : nodes_) give(n, list);
+    for (std::uint32_t host = 1; host <= 3; ++host) list.entries.push_back(entry(host));
+    for (auto& node : nodes_) handle(node, list);
   }
-  void tell_primary() {
+  void report_first_primary() {
     known_primary_ = true;
-    for (auto& n : nodes_) report(n, 1);
+    for (auto& node : nodes_) report_primary(node, 1);
   }
-  /// Traffic, spread evenly: `load` times the usual, `to_first` of it to the group of host 1.
-  void run(Duration d, double load = 1, double to_first = 1.0 / groups) {
-    const double rate = load * per_host * groups * 3;
-    for (const auto until = now_ + d; now_ < until;) {
+  /// Traffic, spread evenly: `load` times the usual, a share `first_group_share` of it to the group of
+  /// host 1.
+  void run(Duration duration, double load = 1, double first_group_share = 1.0 / groups) {
+    const double rate = load * host_rate * groups * 3;
+    for (const auto until = now_ + duration; now_ < until;) {
       now_ += 5ms;
-      for (auto& n : nodes_) advance(n);
-      for (credit_ += rate * 0.005; credit_ >= 1; --credit_) {
-        RequestArrived e;
-        e.request = RequestId{++next_};
-        e.class_id = ClassId{static_cast<std::int32_t>(random_() % 3)};
-        const bool first = random_() % 1000 < static_cast<unsigned>(to_first * 1000);
-        e.group = GroupId{first ? 0 : 1 + static_cast<std::int64_t>(random_() % (groups - 1))};
-        e.time_left = 2s;
-        give(nodes_[random_() % routers], e);
+      for (auto& node : nodes_) advance(node);
+      for (arrivals_due_ += rate * 0.005; arrivals_due_ >= 1; --arrivals_due_) {
+        RequestArrived event;
+        event.request = RequestId{++last_request_};
+        event.class_id = ClassId{static_cast<std::int32_t>(random_() % 3)};
+        const bool first_group = random_() % 1000 < static_cast<unsigned>(first_group_share * 1000);
+        event.group = GroupId{first_group ? 0 : 1 + static_cast<std::int64_t>(random_() % (groups - 1))};
+        event.time_left = 2s;
+        handle(nodes_[random_() % routers], event);
       }
     }
   }
-  /// One write for the group of host 1 at every router at once.
-  void flood() {
-    for (auto& n : nodes_) {
-      RequestArrived e;
-      e.request = RequestId{++next_};
-      e.class_id = ClassId{1};
-      e.group = GroupId{0};
-      e.time_left = 2s;
-      give(n, e);
+  /// Hands in one write for the group of host 1 at every router at once.
+  void write_at_every_router() {
+    for (auto& node : nodes_) {
+      RequestArrived event;
+      event.request = RequestId{++last_request_};
+      event.class_id = ClassId{1};
+      event.group = GroupId{0};
+      event.time_left = 2s;
+      handle(node, event);
     }
   }
-  /// The fullest window: sends to host 1, with a probe as a hundredth, over what rule 4 lets through then.
-  [[nodiscard]] double fullest() const {
-    double most = 0;
+  /// The highest share, in any overload window, of the work that may be sent to the cold host 1 in it; a
+  /// probe counts for a hundredth of a request.
+  [[nodiscard]] double max_budget_use() const {
+    double highest = 0;
     for (std::size_t i = 0; i < work_.size(); ++i) {
       double sum = 0;
       for (auto k = i; k < work_.size() && work_[k].first < work_[i].first + 1500ms; ++k)
         sum += work_[k].second;
-      const double age = static_cast<double>((work_[i].first - start_).count()) / 1e6;
-      const double capacity = (0.2 + 0.08 * (age + 0.75)) * per_host;  // its mean in this window
-      most = std::max(most, sum / (2 * capacity * 1.5));
+      const double uptime = static_cast<double>((work_[i].first - cold_start_at_).count()) / 1e6;
+      const double mean_capacity = (0.2 + 0.08 * (uptime + 0.75)) * host_rate;  // in this window
+      highest = std::max(highest, sum / (2 * mean_capacity * 1.5));
     }
-    return most;
+    return highest;
   }
-  [[nodiscard]] int sent() const {
+  /// Requests sent to host 1 since its cold start.
+  [[nodiscard]] int cold_sends() const {
     return static_cast<int>(std::count_if(
-        work_.begin(), work_.end(), [](auto& w) { return w.second == 1; }));
+        work_.begin(), work_.end(), [](auto& entry) { return entry.second == 1; }));
   }
-  [[nodiscard]] int probed() const { return static_cast<int>(work_.size()) - sent(); }
-  bool deaf = false;  // host 1 answers no probe
-  double errors = 0;  // share of the attempts that fail at once, but those at host 1
+  /// Probes sent to host 1 since its cold start.
+  [[nodiscard]] int cold_probes() const { return static_cast<int>(work_.size()) - cold_sends(); }
+  bool lose_probes = false;  // of host 1
+  double error_share = 0;    // of the attempts at other hosts than 1: these fail at once
   Duration latency{120'000};
 
  private:
   struct Node {
     std::unique_ptr<Router> router;
-    std::multimap<Time, Event> due;
-    std::map<std::uint64_t, std::uint32_t> tries;
+    std::multimap<Time, Event> due_events;
+    std::map<std::uint64_t, std::uint32_t> attempts;  // by request
     std::set<std::uint64_t> open;
   };
-  HostEntry entry(std::uint32_t h) const {
-    HostEntry e;
-    e.host = HostId{h};
-    e.group = GroupId{(h - 1) / 3};
-    if (start_ > 0s && h <= 3) {
-      e.state = h == 1 ? HostState::ready : HostState::gone;
-      if (h == 1) e.started_at = start_;
+  HostEntry entry(std::uint32_t host) const {
+    HostEntry host_entry;
+    host_entry.host = HostId{host};
+    host_entry.group = GroupId{(host - 1) / 3};
+    if (cold_start_at_ > 0s && host <= 3) {
+      host_entry.state = host == 1 ? HostState::ready : HostState::gone;
+      if (host == 1) host_entry.started_at = cold_start_at_;
     }
-    return e;
+    return host_entry;
   }
-  void report(Node& n, std::uint32_t h) {
-    ProbeEnded e;
-    e.host = HostId{h};
-    e.report.position = now_;
-    e.report.role = Role::primary;
-    give(n, e);
+  void report_primary(Node& node, std::uint32_t host) {
+    ProbeEnded event;
+    event.host = HostId{host};
+    event.report.position = now_;
+    event.report.role = Role::primary;
+    handle(node, event);
   }
-  void advance(Node& n) {
-    while (!n.due.empty() && n.due.begin()->first <= now_) {
-      const auto e = n.due.begin()->second;
-      n.due.erase(n.due.begin());
-      give(n, e);
+  void advance(Node& node) {
+    while (!node.due_events.empty() && node.due_events.begin()->first <= now_) {
+      const auto event = node.due_events.begin()->second;
+      node.due_events.erase(node.due_events.begin());
+      handle(node, event);
     }
   }
-  void give(Node& n, const Event& event) {
+  void handle(Node& node, const Event& event) {
     std::vector<Action> actions;
-    n.router->handle(now_, event, actions);
-    for (const auto& a : actions) {
-      if (const auto* s = std::get_if<Send>(&a)) {
-        if (s->host == HostId{1} && start_ > 0s) work_.emplace_back(now_, 1);
-        const bool bad = s->host != HostId{1} && random_() % 1000 < static_cast<unsigned>(errors * 1000);
-        AttemptEnded e;
-        e.request = s->request;
-        e.attempt = n.tries[s->request.value]++;
-        e.host = s->host;
-        e.outcome = bad ? Outcome::error : Outcome::ok;
-        e.elapsed = bad ? Duration(5ms) : latency;
-        e.request_ended = !bad;
-        e.metadata.role = s->host.value % 3 == 1 ? Role::primary : Role::replica;
-        n.due.emplace(now_ + e.elapsed, e);
-      } else if (const auto* p = std::get_if<Probe>(&a)) {
-        if (p->host == HostId{1} && start_ > 0s) work_.emplace_back(now_, 0.01);
-        ProbeEnded e;
-        e.host = p->host;
-        e.elapsed = 2ms;
-        e.report.position = now_;
-        if (p->host != HostId{1} || known_primary_)
-          e.report.role = p->host.value % 3 == 1 ? Role::primary : Role::replica;
-        const bool lost = deaf && p->host == HostId{1};
-        if (lost) e.outcome = Outcome::timeout, e.report = {};
-        n.due.emplace(now_ + (lost ? 250ms : 2ms), e);
-      } else if (const auto* t = std::get_if<SetTimer>(&a)) {
-        n.due.emplace(std::max(t->due, now_ + 5ms), TimerFired{t->timer});
+    node.router->handle(now_, event, actions);
+    for (const auto& action : actions) {
+      if (const auto* send = std::get_if<Send>(&action)) {
+        if (send->host == HostId{1} && cold_start_at_ > 0s) work_.emplace_back(now_, 1);
+        const bool fails =
+            send->host != HostId{1} && random_() % 1000 < static_cast<unsigned>(error_share * 1000);
+        AttemptEnded ended;
+        ended.request = send->request;
+        ended.attempt = node.attempts[send->request.value]++;
+        ended.host = send->host;
+        ended.outcome = fails ? Outcome::error : Outcome::ok;
+        ended.elapsed = fails ? Duration(5ms) : latency;
+        ended.request_ended = !fails;
+        ended.metadata.role = send->host.value % 3 == 1 ? Role::primary : Role::replica;
+        node.due_events.emplace(now_ + ended.elapsed, ended);
+      } else if (const auto* probe = std::get_if<Probe>(&action)) {
+        if (probe->host == HostId{1} && cold_start_at_ > 0s) work_.emplace_back(now_, 0.01);
+        ProbeEnded ended;
+        ended.host = probe->host;
+        ended.elapsed = 2ms;
+        ended.report.position = now_;
+        if (probe->host != HostId{1} || known_primary_)
+          ended.report.role = probe->host.value % 3 == 1 ? Role::primary : Role::replica;
+        const bool lost = lose_probes && probe->host == HostId{1};
+        if (lost) {
+          ended.outcome = Outcome::timeout;
+          ended.report = {};
+        }
+        node.due_events.emplace(now_ + (lost ? 250ms : 2ms), ended);
+      } else if (const auto* set_timer = std::get_if<SetTimer>(&action)) {
+        node.due_events.emplace(std::max(set_timer->due, now_ + 5ms), TimerFired{set_timer->timer});
       }
     }
   }
-  Time now_ = 100s, start_ = 0s;
+  Time now_ = 100s;
+  Time cold_start_at_ = 0s;
   bool known_primary_;
   int restarts_ = 0;
   std::vector<Node> nodes_;
-  std::vector<std::pair<Time, double>> work_;
-  double credit_ = 0;
-  std::uint64_t next_ = 0;
+  std::vector<std::pair<Time, double>> work_;  // sent to host 1 since its cold start, in requests
+  double arrivals_due_ = 0;
+  std::uint64_t last_request_ = 0;
   std::mt19937_64 random_{11};
 };
 
-TEST(ColdHost, TheOnlyHostLeftGetsNoMoreThanItsBudgetInAnyWindow) {
-  Fleet f;
-  f.run(4s);
-  f.begin();
-  f.run(10s, 1, 2.0 / Fleet::groups);
-  EXPECT_LE(f.fullest(), 1) << "its group's traffic doubles as well";
-  EXPECT_GE(f.sent(), 70) << "it is used";  // 61 with a half of the budget
-}
-
-TEST(ColdHost, WorkHeldByAllRoutersDoesNotMeetWhenThePrimaryIsTold) {
-  Fleet f(false);
-  f.run(4s, 1, 0.4);
-  f.begin();
-  f.run(8s, 1, 0.4);
-  f.tell_primary();
-  f.run(2s, 1, 0.4);
-  EXPECT_LE(f.fullest(), 1);
-  EXPECT_GE(f.sent(), 3);
-}
-
-TEST(ColdHost, ABurstOfRepeatedAttemptsIsNoSignThatItCanTakeMore) {
-  Fleet f;
-  f.run(4s);
-  f.errors = 0.75;
-  f.run(3s, 2.5);
-  f.begin();
-  f.run(4s, 2.5);
-  EXPECT_LE(f.fullest(), 1);
-}
-
-TEST(ColdHost, ReadsHeldByHundredsDoNotFloodItWithProbes) {
-  Fleet f(false);
-  f.deaf = true;
-  f.run(4s);
-  f.begin();
-  f.run(4s, 1, 0.4);
-  EXPECT_GT(f.probed(), 0);
-  EXPECT_LE(f.probed(), 750) << "each router once in 0.36 s (a hundredth of 300 latencies) over its warmth";
-}
-
-TEST(ColdHost, RoutersThatRestartBringNoFreshBudget) {
-  Fleet f;
-  f.run(4s);
-  f.begin();
-  f.run(3s, 1, 0.25);
-  for (std::uint32_t i = 0; i < Fleet::routers; ++i) f.restart(i);
-  f.flood();
-  f.run(2s, 1, 0.25);
-  EXPECT_LE(f.fullest(), 1);
-}
-
-/// Where some queues are known and others not, those heard last must not have all reads until others are
-/// heard: the others count as usual ones. Nobody is asked for its queue alone.
-TEST(Size, AReplicaWhoseQueueIsNotKnownIsDrawnAsAUsualOne) {
-  auto s = make_settings();
-  s.probe_cost = 0.05;
-  s.probes_allowed = true;
-  s.answers_carry_position = true;
-  Bench b(s, 4);
-  b.report(1, b.now, true, 0.0);
-  b.report(2, b.now, false, 0.0), b.report(3, b.now, false, 0.0), b.report(4, b.now, false, 0.0);
-  b.pass(3s);  // no report counts as news any more
-  b.report(2, b.now, false, 0.0);
-  const auto asked = b.probes.size();
-  auto to = b.spread(any, 3000);
-  for (const std::uint32_t h : {2, 3, 4}) EXPECT_NEAR(to[h], 1000, 150) << h;
-  EXPECT_EQ(b.probes.size(), asked);
-  b.report(2, b.now, false,
-           3.0);  // what is heard of one says something of all, and no more of it than of them
-  to = b.spread(any, 3000);
-  for (const std::uint32_t h : {2, 3, 4}) EXPECT_NEAR(to[h], 1000, 150) << h;
-  b.report(3, b.now, false, 0.0);  // a known queue tells them apart
-  to = b.spread(any, 3000);
-  EXPECT_GT(to[3], to[2] * 2);
-  EXPECT_GT(to[3], to[4]);
-  EXPECT_GT(to[4], to[2]);
-}
-
-TEST(Size, AThinTrickleAsksWhenAReadNeedsItAndSleepsOtherwise) {
-  auto s = make_settings();
-  s.instance_count = 300;
-  s.probe_cost = 0.02;
-  Bench b(s);
-  b.report(1, b.now, true);
-  b.end(b.ask(any), Outcome::ok);
-  b.pass(1s);
-  const auto idle = b.probes.size();
-  b.pass(60s);
-  EXPECT_EQ(b.probes.size(), idle);
-  EXPECT_EQ(b.timer.due, Bench::asleep);
-  const auto r = b.ask(bounded);
-  ASSERT_GT(b.probes.size(), idle);
-  EXPECT_FALSE(b.sent(r));
-  b.report(b.probes.back(), b.now - 100ms, false);
-  EXPECT_EQ(b.last_host[r], b.probes.back());
-}
-
-TEST(Size, OneReplicaIsAskedWhereAnswersTellPositionsToo) {
-  for (const bool carry : {false, true}) {
-    auto s = make_settings();
-    s.instance_count = 400;
-    s.probe_cost = 0.04;
-    s.answers_carry_position = carry;
-    Bench b(s, 4);
-    b.report(1, b.now, true);
-    b.pass(3s);
-    b.probes.clear();
-    b.ask(bounded);
-    EXPECT_EQ(b.probes.size(), carry ? 1U : 2U);
+TEST(SlowStart, OnlyHostOfAGroupStaysWithinItsBudgetInAnyWindow) {
+  RouterFleet fleet;
+  fleet.run(4s);
+  fleet.begin_cold_start();
+  fleet.run(10s, 1, 2.0 / RouterFleet::groups);
+  EXPECT_LE(fleet.max_budget_use(), 1) << "although its group's traffic doubles";
+  EXPECT_GE(fleet.cold_sends(), 70) << "the budget is used";  // 61 with half of the budget
+}
+
+TEST(SlowStart, RequestsWaitingAtAllRoutersStayWithinTheBudgetOnceThePrimaryIsKnown) {
+  RouterFleet fleet(false);
+  fleet.run(4s, 1, 0.4);
+  fleet.begin_cold_start();
+  fleet.run(8s, 1, 0.4);
+  fleet.report_first_primary();
+  fleet.run(2s, 1, 0.4);
+  EXPECT_LE(fleet.max_budget_use(), 1);
+  EXPECT_GE(fleet.cold_sends(), 3);
+}
+
+TEST(SlowStart, BudgetDoesNotGrowWithABurstOfRetries) {
+  RouterFleet fleet;
+  fleet.run(4s);
+  fleet.error_share = 0.75;
+  fleet.run(3s, 2.5);
+  fleet.begin_cold_start();
+  fleet.run(4s, 2.5);
+  EXPECT_LE(fleet.max_budget_use(), 1);
+}
+
+TEST(SlowStart, ReadsWaitingAtManyRoutersDoNotFloodAColdHostWithProbes) {
+  RouterFleet fleet(false);
+  fleet.lose_probes = true;
+  fleet.run(4s);
+  fleet.begin_cold_start();
+  fleet.run(4s, 1, 0.4);
+  EXPECT_GT(fleet.cold_probes(), 0);
+  EXPECT_LE(fleet.cold_probes(), 750)
+      << "each router once in 0.36 s (a hundredth of 300 latencies) over the capacity share";
+}
+
+TEST(SlowStart, RestartedRoutersStayWithinTheBudget) {
+  RouterFleet fleet;
+  fleet.run(4s);
+  fleet.begin_cold_start();
+  fleet.run(3s, 1, 0.25);
+  for (std::uint32_t i = 0; i < RouterFleet::routers; ++i) fleet.restart_router(i);
+  fleet.write_at_every_router();
+  fleet.run(2s, 1, 0.25);
+  EXPECT_LE(fleet.max_budget_use(), 1);
+}
+
+/// Where only some queues are known, the replicas that reported last must not get all reads until others
+/// report: the others count with the mean queue. No host is probed only for its queue.
+TEST(ReplicaSelection, ReplicaWithUnknownQueueCountsAsOneWithTheMeanQueue) {
+  auto settings = make_settings();
+  settings.probe_cost = 0.05;
+  settings.probes_allowed = true;
+  settings.answers_carry_position = true;
+  Harness harness(settings, 4);
+  harness.answer_probe(1, harness.now, true, 0.0);
+  harness.answer_probe(2, harness.now, false, 0.0);
+  harness.answer_probe(3, harness.now, false, 0.0);
+  harness.answer_probe(4, harness.now, false, 0.0);
+  harness.advance(3s);  // all reports are too old to be used
+  harness.answer_probe(2, harness.now, false, 0.0);
+  const auto probes_before = harness.probed_hosts.size();
+  auto counts = harness.count_by_host(any, 3000);
+  for (const std::uint32_t host : {2, 3, 4}) EXPECT_NEAR(counts[host], 1000, 150) << host;
+  EXPECT_EQ(harness.probed_hosts.size(), probes_before);
+  // The only known queue is the mean queue, which counts for all replicas alike.
+  harness.answer_probe(2, harness.now, false, 3.0);
+  counts = harness.count_by_host(any, 3000);
+  for (const std::uint32_t host : {2, 3, 4}) EXPECT_NEAR(counts[host], 1000, 150) << host;
+  harness.answer_probe(3, harness.now, false, 0.0);  // now two queues are known
+  counts = harness.count_by_host(any, 3000);
+  EXPECT_GT(counts[3], counts[2] * 2);
+  EXPECT_GT(counts[3], counts[4]);
+  EXPECT_GT(counts[4], counts[2]);
+}
+
+TEST(Probing, ThinTrafficProbesOnDemandAndSetsNoTimerOtherwise) {
+  auto settings = make_settings();
+  settings.instance_count = 300;
+  settings.probe_cost = 0.02;
+  Harness harness(settings);
+  harness.answer_probe(1, harness.now, true);
+  harness.end_attempt(harness.submit(any), Outcome::ok);
+  harness.advance(1s);
+  const auto probes_before = harness.probed_hosts.size();
+  harness.advance(60s);
+  EXPECT_EQ(harness.probed_hosts.size(), probes_before);
+  EXPECT_EQ(harness.timer.due, Harness::no_timer);
+  const auto request = harness.submit(bounded);
+  ASSERT_GT(harness.probed_hosts.size(), probes_before);
+  EXPECT_FALSE(harness.was_sent(request));
+  harness.answer_probe(harness.probed_hosts.back(), harness.now - 100ms, false);
+  EXPECT_EQ(harness.last_host[request], harness.probed_hosts.back());
+}
+
+TEST(Probing, OnlyOneReplicaIsProbedOnDemandWhereAnswersCarryPositions) {
+  for (const bool answers_carry_position : {false, true}) {
+    auto settings = make_settings();
+    settings.instance_count = 400;
+    settings.probe_cost = 0.04;
+    settings.answers_carry_position = answers_carry_position;
+    Harness harness(settings, 4);
+    harness.answer_probe(1, harness.now, true);
+    harness.advance(3s);
+    harness.probed_hosts.clear();
+    harness.submit(bounded);
+    EXPECT_EQ(harness.probed_hosts.size(), answers_carry_position ? 1U : 2U);
   }
 }
 
-TEST(Size, RecentLoadShedsTheLeastWorthFirst) {
-  auto s = make_settings();
-  s.instance_count = 300;
-  s.classes[4].value = 6;
-  Bench b(s);
-  b.report(1, b.now, true);
-  const auto serve = [&](ClassId cls) {
-    const auto r = b.ask(cls, 1);
-    if (!b.sent(r)) return 0;
-    b.now += 240ms;
-    b.report(1, b.now, true);
-    b.end(r, Outcome::ok);
+TEST(Admission, LoadedPrimaryShedsRequestsOfLeastValueFirst) {
+  auto settings = make_settings();
+  settings.instance_count = 300;
+  settings.classes[4].value = 6;
+  Harness harness(settings);
+  harness.answer_probe(1, harness.now, true);
+  const auto serve = [&](ClassId class_id) {  // returns the number of answered requests, 0 or 1
+    const auto request = harness.submit(class_id, 1);
+    if (!harness.was_sent(request)) return 0;
+    harness.now += 240ms;
+    harness.answer_probe(1, harness.now, true);
+    harness.end_attempt(request, Outcome::ok);
     return 1;
   };
-  int writes = 0, others = 0;
+  int writes = 0;
+  int reads = 0;
   for (int i = 0; i < 20; ++i) {
     writes += serve(write);
-    others += serve(fresh);
+    reads += serve(fresh);
   }
-  EXPECT_GT(writes, others);
+  EXPECT_GT(writes, reads);
 }
 
-/// A lone primary, loaded so that part of what needs it is shed: reads that only fall back to it go first.
-TEST(Size, ReadsThatFallBackLeaveALoadedPrimaryFirst) {
+/// A single primary is loaded so that some requests are shed: writes and fresh reads have no other host, so
+/// fallback reads have to be shed first.
+TEST(Admission, LoadedPrimaryShedsFallbackReadsFirst) {
   std::map<int, int> served;
-  for (const auto cls : {fresh, bounded}) {
-    auto s = make_settings();
-    s.instance_count = 400;
-    Bench b(s, 1);
-    b.report(1, b.now, true);
+  for (const auto class_id : {fresh, bounded}) {
+    auto settings = make_settings();
+    settings.instance_count = 400;
+    Harness harness(settings, 1);
+    harness.answer_probe(1, harness.now, true);
     for (int i = 0; i < 300; ++i) {
-      const auto r = b.ask(cls);
-      b.pass(230ms);
-      if (!b.sent(r)) continue;
-      served[cls.value] += i >= 100 ? 1 : 0;
-      b.end(r, Outcome::ok, AnswerMetadata{Role::primary, {}});
+      const auto request = harness.submit(class_id);
+      harness.advance(230ms);
+      if (!harness.was_sent(request)) continue;
+      served[class_id.value] += i >= 100 ? 1 : 0;
+      harness.end_attempt(request, Outcome::ok, AnswerMetadata{Role::primary, {}});
     }
   }
   EXPECT_GT(served[fresh.value], 50);
   EXPECT_LT(served[bounded.value], served[fresh.value] * 2 / 3);
 }
 
-TEST(Size, LostProbesSayNothingWhileHostsAnswer) {
-  Bench b;
-  b.report(1, b.now, true);
-  const auto lose = [&] {
+TEST(Health, LostProbesAreIgnoredWhileTheHostAnswersRequests) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  const auto lose_probes = [&] {
     for (int i = 0; i < 2; ++i) {
-      ProbeEnded e;
-      e.host = HostId{1};
-      e.outcome = Outcome::timeout;
-      b.give(e);
+      ProbeEnded event;
+      event.host = HostId{1};
+      event.outcome = Outcome::timeout;
+      harness.handle(event);
     }
   };
   for (int i = 0; i < 6; ++i) {
-    const auto w = b.ask(write, 1);
-    lose();
-    if (b.sent(w)) b.end(w, Outcome::ok, AnswerMetadata{Role::primary, b.now});
+    const auto write_request = harness.submit(write, 1);
+    lose_probes();
+    if (harness.was_sent(write_request))
+      harness.end_attempt(write_request, Outcome::ok, AnswerMetadata{Role::primary, harness.now});
   }
-  lose();
-  EXPECT_TRUE(b.sent(b.ask(write, 1)));
+  lose_probes();
+  EXPECT_TRUE(harness.was_sent(harness.submit(write, 1)));
 }
 
-TEST(Size, ASlowConnectionIsNoRefusal) {
+TEST(Health, ConnectTimeoutDoesNotEjectAsARefusedConnectionDoes) {
   for (const auto elapsed : {0ms, 250ms}) {
-    Bench b;
-    b.report(1, b.now, true);
-    const auto w = b.ask(write, 1);
-    AttemptEnded e;
-    e.request = RequestId{w};
-    e.host = HostId{1};
-    e.outcome = Outcome::connect_failed;
-    e.elapsed = elapsed;
-    b.give(e);
-    EXPECT_EQ(b.attempts[w], elapsed == 0ms ? 1U : 2U);
+    Harness harness;
+    harness.answer_probe(1, harness.now, true);
+    const auto write_request = harness.submit(write, 1);
+    AttemptEnded event;
+    event.request = RequestId{write_request};
+    event.host = HostId{1};
+    event.outcome = Outcome::connect_failed;
+    event.elapsed = elapsed;
+    harness.handle(event);
+    EXPECT_EQ(harness.attempts[write_request], elapsed == 0ms ? 1U : 2U);
   }
 }
 
-TEST(Size, ReadsGoWhereTheReportedQueueIsShort) {
-  Bench b;
-  b.report(1, b.now, true);
-  b.report(2, b.now, false, 200);
-  b.report(3, b.now, false, 0);
-  EXPECT_EQ(b.spread(bounded, 20)[3], 20);
+TEST(ReplicaSelection, ReadsGoToTheReplicaWithTheShorterQueue) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  harness.answer_probe(2, harness.now, false, 200);
+  harness.answer_probe(3, harness.now, false, 0);
+  EXPECT_EQ(harness.count_by_host(bounded, 20)[3], 20);
 }
 
-// ---- rule 5: no stale read ----------------------------------------------------------------------
+// ---- no stale reads ----------------------------------------------------------------------
 
-TEST(Rules, FiveAnUnheardOrLaggingReplicaGetsNoBoundedRead) {
-  Bench b;
-  EXPECT_FALSE(b.sent(b.ask(bounded)));
-  b.report(2, b.now - 1001ms, false);
-  EXPECT_TRUE(b.sends.empty());
-  b.report(2, b.now - 900ms, false);
-  EXPECT_EQ(b.last_host[b.next], 2U);
+TEST(StaleReads, ReplicaOfUnknownPositionOrBeyondTheBoundGetsNoBoundedRead) {
+  Harness harness;
+  EXPECT_FALSE(harness.was_sent(harness.submit(bounded)));
+  harness.answer_probe(2, harness.now - 1001ms, false);
+  EXPECT_TRUE(harness.sends.empty());
+  harness.answer_probe(2, harness.now - 900ms, false);
+  EXPECT_EQ(harness.last_host[harness.last_request], 2U);
 }
 
-TEST(Rules, FiveAFurtherAttemptIsJudgedAtItsOwnInstant) {
-  Bench b;
-  b.report(2, b.now - 900ms, false);
-  b.report(3, b.now - 900ms, false);
-  const auto r = b.ask(bounded);
-  b.now += 150ms;
-  b.end(r, Outcome::error);
-  EXPECT_EQ(b.attempts[r], 1U);
+TEST(StaleReads, RetryIsCheckedAgainstTheBoundAtItsOwnTime) {
+  Harness harness;
+  harness.answer_probe(2, harness.now - 900ms, false);
+  harness.answer_probe(3, harness.now - 900ms, false);
+  const auto request = harness.submit(bounded);
+  harness.now += 150ms;
+  harness.end_attempt(request, Outcome::error);
+  EXPECT_EQ(harness.attempts[request], 1U);
 }
 
-TEST(Rules, FiveFreshReadsGoToThePrimary) {
-  Bench b;
-  b.report(1, b.now, true);
-  b.report(2, b.now, false);
-  EXPECT_EQ(b.spread(fresh, 30)[1], 30);
+TEST(StaleReads, FreshReadsGoToThePrimary) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  harness.answer_probe(2, harness.now, false);
+  EXPECT_EQ(harness.count_by_host(fresh, 30)[1], 30);
 }
 
 // ---- health -------------------------------------------------------------------------------------
 
-TEST(Health, FastFailuresAreNotTakenForSpeed) {
-  Bench b;
-  b.report(1, b.now, true);
+TEST(Health, HostThatFailsFastGetsFewReads) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
   for (int i = 0; i < 30; ++i) {
-    const auto r = b.ask(any);
-    if (b.last_host[r] == 2U) b.end(r, Outcome::error);
-    b.now += 20ms;
-    if (b.last_host[r] == 3U) b.end(r, Outcome::ok, AnswerMetadata{Role::replica, {}});
+    const auto request = harness.submit(any);
+    if (harness.last_host[request] == 2U) harness.end_attempt(request, Outcome::error);
+    harness.now += 20ms;
+    if (harness.last_host[request] == 3U)
+      harness.end_attempt(request, Outcome::ok, AnswerMetadata{Role::replica, {}});
   }
-  EXPECT_GT(b.spread(any, 100)[3], 90);
+  EXPECT_GT(harness.count_by_host(any, 100)[3], 90);
 }
 
-TEST(Health, NeverEveryMemberIsOut) {
-  Bench b(make_settings(), 2);
-  b.report(1, b.now, false);
-  b.report(2, b.now, false);
+TEST(Health, ReadIsSentAlthoughAllReplicasAreUnhealthy) {
+  Harness harness(make_settings(), 2);
+  harness.answer_probe(1, harness.now, false);
+  harness.answer_probe(2, harness.now, false);
   for (int i = 0; i < 12; ++i) {
-    const auto r = b.ask(any);
-    ASSERT_TRUE(b.sent(r));
-    b.end(r, Outcome::reset, {}, true);
+    const auto request = harness.submit(any);
+    ASSERT_TRUE(harness.was_sent(request));
+    harness.end_attempt(request, Outcome::reset, {}, true);
   }
-  EXPECT_TRUE(b.sent(b.ask(any)));
+  EXPECT_TRUE(harness.was_sent(harness.submit(any)));
 }
 
-TEST(Health, TimeOutsShrinkTheWindowOfAHostThatAnswersOthers) {
-  Bench b(make_settings(), 2);
-  b.report(1, b.now, true);
-  const auto fill = [&] {
-    std::vector<std::uint64_t> out;
+TEST(Health, TimeoutsReduceTheLimitOfAHostThatAnswersOthers) {
+  Harness harness(make_settings(), 2);
+  harness.answer_probe(1, harness.now, true);
+  const auto fill = [&] {  // returns the requests that fit at host 2
+    std::vector<std::uint64_t> in_flight;
     for (int i = 0; i < 60; ++i) {
-      const auto r = b.ask(any, {}, 2s);
-      if (b.sent(r) && b.last_host[r] == 2U) out.push_back(r);
+      const auto request = harness.submit(any, {}, 2s);
+      if (harness.was_sent(request) && harness.last_host[request] == 2U) in_flight.push_back(request);
     }
-    return out;
+    return in_flight;
   };
   const auto before = fill();
-  b.now += 400ms;
-  for (std::size_t i = 0; i < 4; ++i) b.end(before[i], Outcome::ok, AnswerMetadata{Role::replica, {}});
+  harness.now += 400ms;
+  for (std::size_t i = 0; i < 4; ++i)
+    harness.end_attempt(before[i], Outcome::ok, AnswerMetadata{Role::replica, {}});
   for (std::size_t i = 4; i < before.size(); ++i) {
-    b.now += 130ms;
-    b.end(before[i], Outcome::timeout, {}, true);
+    harness.now += 130ms;
+    harness.end_attempt(before[i], Outcome::timeout, {}, true);
   }
-  b.pass(3s);
+  harness.advance(3s);
   EXPECT_LT(fill().size(), before.size());
 }
 
-// i358951: a lost answer comes back as a time-out many aims late; beside quick answers it is no sign of a
-// queue.
-TEST(Health, LostAnswersDoNotShutTheWindow) {
-  Bench b(make_settings(), 2);
-  b.report(1, b.now, true);
+// Answers lost on the way come back as time-outs long after the latency target. Beside quick answers they are
+// no sign of a queue, and must not close the concurrency limit.
+TEST(Health, LostAnswersBesideQuickOnesKeepTheConcurrencyLimitOpen) {
+  Harness harness(make_settings(), 2);
+  harness.answer_probe(1, harness.now, true);
   for (int i = 0; i < 60; ++i) {
-    const auto lost = b.ask(any);
-    const auto quick = b.ask(any);
-    ASSERT_EQ(b.last_host[quick], 2U);
-    b.now += 60ms;
-    b.end(quick, Outcome::ok, AnswerMetadata{Role::replica, {}});
+    const auto lost = harness.submit(any);
+    const auto quick = harness.submit(any);
+    ASSERT_EQ(harness.last_host[quick], 2U);
+    harness.now += 60ms;
+    harness.end_attempt(quick, Outcome::ok, AnswerMetadata{Role::replica, {}});
     if (i % 4 == 0) {
-      b.now += 1500ms;
-      b.end(lost, Outcome::timeout, {}, true);
+      harness.now += 1500ms;
+      harness.end_attempt(lost, Outcome::timeout, {}, true);
     } else {
-      b.end(lost, Outcome::ok, AnswerMetadata{Role::replica, {}});
+      harness.end_attempt(lost, Outcome::ok, AnswerMetadata{Role::replica, {}});
     }
   }
-  int room = 0;
-  for (int i = 0; i < 40; ++i) room += b.sent(b.ask(any)) ? 1 : 0;
-  EXPECT_GE(room, 4);
-}
-
-TEST(Primary, AQuietPrimaryWhosePositionMovesGetsATrial) {
-  Bench b;
-  b.report(1, b.now, true);
-  ASSERT_TRUE(b.sent(b.ask(write, 1)));  // its answer is lost
-  const auto pass = [&](Duration d) {
-    for (const auto until = b.now + d; b.now < until;) {
-      b.pass(100ms);
-      b.report(1, b.now, true);
+  int sent = 0;
+  for (int i = 0; i < 40; ++i) sent += harness.was_sent(harness.submit(any)) ? 1 : 0;
+  EXPECT_GE(sent, 4);
+}
+
+TEST(Primary, UnresponsiveOneWithAdvancingPositionGetsASingleTrial) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  ASSERT_TRUE(harness.was_sent(harness.submit(write, 1)));  // its answer is lost
+  const auto advance_with_reports = [&](Duration duration) {
+    for (const auto until = harness.now + duration; harness.now < until;) {
+      harness.advance(100ms);
+      harness.answer_probe(1, harness.now, true);
     }
   };
-  pass(1200ms);
-  const auto second = b.ask(write, 2);
-  pass(300ms);
-  EXPECT_EQ(b.last_host[second], 1U);
-  const auto third = b.ask(write, 3);
-  EXPECT_FALSE(b.sent(third)) << "one trial at a time";
-  b.end(second, Outcome::ok, AnswerMetadata{Role::primary, b.now});
-  EXPECT_TRUE(b.sent(third));
-}
-
-TEST(Primary, AFrozenClaimIsNotBelievedForLong) {
-  Bench b;
-  const auto claimed = b.now;
-  b.report(1, claimed, true);
-  ASSERT_TRUE(b.sent(b.ask(write, 1)));
+  advance_with_reports(1200ms);
+  const auto second = harness.submit(write, 2);
+  advance_with_reports(300ms);
+  EXPECT_EQ(harness.last_host[second], 1U);
+  const auto third = harness.submit(write, 3);
+  EXPECT_FALSE(harness.was_sent(third)) << "one trial at a time";
+  harness.end_attempt(second, Outcome::ok, AnswerMetadata{Role::primary, harness.now});
+  EXPECT_TRUE(harness.was_sent(third));
+}
+
+TEST(Primary, ClaimWithAStandingPositionIsRejectedAfterATimeout) {
+  Harness harness;
+  const auto claimed_at = harness.now;
+  harness.answer_probe(1, claimed_at, true);
+  ASSERT_TRUE(harness.was_sent(harness.submit(write, 1)));
   for (int i = 0; i < 12; ++i) {
-    b.pass(100ms);
-    b.report(1, claimed, true);  // probes are answered, the position stands still
+    harness.advance(100ms);
+    harness.answer_probe(1, claimed_at, true);  // probes are answered, but the position does not advance
   }
-  EXPECT_FALSE(b.sent(b.ask(write, 2)));
+  EXPECT_FALSE(harness.was_sent(harness.submit(write, 2)));
 }
 
-// A site whose aims are short beside the age of its reports: a claim that moves on is no frozen one.
-TEST(Primary, AMovingClaimIsBelievedHoweverOldReportsAre) {
-  auto s = make_settings();
-  for (auto& c : s.classes) c.latency_target = 80ms;
-  Bench b(s);
+// Where latency targets are short beside the age of reports, a claim whose position advances is not stale.
+TEST(Primary, ClaimWithAnAdvancingPositionIsAcceptedDespiteOldReports) {
+  auto settings = make_settings();
+  for (auto& c : settings.classes) c.latency_target = 80ms;
+  Harness harness(settings);
   for (int i = 0; i < 20; ++i) {
-    b.pass(100ms);
-    b.report(1, b.now - 250ms, true);
+    harness.advance(100ms);
+    harness.answer_probe(1, harness.now - 250ms, true);
   }
-  b.pass(90ms);
-  EXPECT_TRUE(b.sent(b.ask(write, 1)));
+  harness.advance(90ms);
+  EXPECT_TRUE(harness.was_sent(harness.submit(write, 1)));
 }
 
-// Replicas past the bound and a primary that fails most requests: some of its answers beat none.
-TEST(Primary, AReadWithNowhereElseToGoUsesItInSpiteOfErrors) {
+// All replicas are past the staleness bound and the primary fails most requests: the few reads that it
+// answers would otherwise get no answer at all.
+TEST(Primary, FailingOneIsUsedForReadsOnlyWhenAllReplicasAreStale) {
   for (const bool lagging : {true, false}) {
-    Bench b;
-    const auto start = b.now;
-    int erred = 0;
+    Harness harness;
+    const auto start = harness.now;
+    int errors = 0;
     for (int i = 0; i < 30; ++i) {
-      b.pass(100ms);
-      b.report(1, b.now, true);
-      for (const std::uint32_t replica : {2U, 3U}) b.report(replica, lagging ? start : b.now, false);
-      const auto r = b.ask(fresh);
-      if (!b.sent(r)) continue;
-      ++erred;
-      b.end(r, Outcome::error);
-      b.end(r, Outcome::error, {}, true);
+      harness.advance(100ms);
+      harness.answer_probe(1, harness.now, true);
+      for (const std::uint32_t replica : {2U, 3U})
+        harness.answer_probe(replica, lagging ? start : harness.now, false);
+      const auto request = harness.submit(fresh);
+      if (!harness.was_sent(request)) continue;
+      ++errors;
+      harness.end_attempt(request, Outcome::error);
+      harness.end_attempt(request, Outcome::error, {}, true);
     }
-    ASSERT_GT(erred, 5);
-    b.report(1, b.now, true);
-    EXPECT_EQ(b.to(bounded) == 1U, lagging);
+    ASSERT_GT(errors, 5);
+    harness.answer_probe(1, harness.now, true);
+    EXPECT_EQ(harness.route(bounded) == 1U, lagging);
   }
 }
 
-// ib4e6e7: a process that refused connections and answers again has started anew, announced or not.
-TEST(Rules, FourAHostBackFromRefusalsCountsAsCold) {
-  Bench b;
-  b.report(1, b.now, true);
+// A process that refused connections and answers again has restarted, whether or not the list shows it.
+TEST(SlowStart, HostThatAnswersAfterRefusedConnectionsIsCold) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
   int refusals = 0;
   for (int i = 0; i < 200 && refusals < 2; ++i) {
-    const auto r = b.ask(any);
-    ASSERT_TRUE(b.sent(r));
-    const bool two = b.last_host[r] == 2U;
-    refusals += two ? 1 : 0;
-    b.end(r, two ? Outcome::connect_failed : Outcome::cancelled, {}, true);
-    b.pass(200ms);
+    const auto request = harness.submit(any);
+    ASSERT_TRUE(harness.was_sent(request));
+    const bool to_host_2 = harness.last_host[request] == 2U;
+    refusals += to_host_2 ? 1 : 0;
+    harness.end_attempt(request, to_host_2 ? Outcome::connect_failed : Outcome::cancelled, {}, true);
+    harness.advance(200ms);
   }
   ASSERT_EQ(refusals, 2);
-  bool back = false;
-  for (int i = 0; i < 200 && !back; ++i) {
-    const auto r = b.ask(any);
-    back = b.last_host[r] == 2U;
-    b.now += 50ms;
-    b.end(r, Outcome::ok, AnswerMetadata{Role::replica, {}});
-    b.pass(200ms);
+  bool answered = false;
+  for (int i = 0; i < 200 && !answered; ++i) {
+    const auto request = harness.submit(any);
+    answered = harness.last_host[request] == 2U;
+    harness.now += 50ms;
+    harness.end_attempt(request, Outcome::ok, AnswerMetadata{Role::replica, {}});
+    harness.advance(200ms);
   }
-  ASSERT_TRUE(back);
-  auto to = b.spread(any, 200);
-  EXPECT_LE(to[2], 60);
-}
-
-TEST(Health, RefusedConnectionsAreNotTriedAgainAtOnce) {
-  Bench b(make_settings(), 2);
-  b.report(1, b.now, false);
-  b.report(2, b.now, false);
-  const auto first = b.ask(any);
-  for (int i = 0; i < 8 && b.refused.empty() && b.attempts[first] == static_cast<std::uint32_t>(i + 1); ++i)
-    b.end(first, Outcome::connect_failed);
-  EXPECT_EQ(b.attempts[first], 2U) << "both hosts once";
-}
-
-// A hundred routers that took writes back from a slow primary and sent them there again only made its queue
-// longer.
-TEST(Health, WhatOnlyThePrimaryCanTakeIsNotTakenBackFromItToBeSentThereAgain) {
-  Bench b;
-  b.report(1, b.now, true);
-  const auto w = b.ask(keyed, 1);
-  const auto f = b.ask(fresh);
-  ASSERT_TRUE(b.sent(w) && b.sent(f));
-  for (int i = 0; i < 2; ++i) b.give(ProbeEnded{HostId{1}, Outcome::timeout, 250ms, {}});
-  b.pass(100ms);
-  EXPECT_TRUE(b.cancels.empty());
-  b.now += 10ms;
-  b.report(2, b.now, true);  // another has taken over: now there is somewhere to go
-  b.pass(100ms);
-  EXPECT_EQ(b.cancels.size(), 2U);
-}
-
-// One of a hundred routers meets a host every few seconds: after four lost requests the day is over.
-TEST(Health, OneFailureAfterLongQuietKeepsAHostOutAndOneAmongManyDoesNot) {
-  for (const bool thin : {true, false}) {
-    Bench b(make_settings(), 4);
-    b.report(1, b.now, true);
-    std::uint32_t bad = 0;
-    for (int i = 0; i < 300 && bad == 0; ++i) {
-      const auto r = b.ask(any);
-      ASSERT_TRUE(b.sent(r));
-      b.now += 20ms;
-      if (i >= 100 && b.last_host[r] == 2)
-        bad = 2, b.end(r, Outcome::error, {}, true);
-      else
-        b.end(r, Outcome::ok, AnswerMetadata{Role::replica, {}});
-      b.pass(thin ? 4s : 5ms);
+  ASSERT_TRUE(answered);
+  auto counts = harness.count_by_host(any, 200);
+  EXPECT_LE(counts[2], 60);
+}
+
+TEST(Health, HostThatRefusedAConnectionIsNotRetriedAtOnce) {
+  Harness harness(make_settings(), 2);
+  harness.answer_probe(1, harness.now, false);
+  harness.answer_probe(2, harness.now, false);
+  const auto first = harness.submit(any);
+  for (int i = 0;
+       i < 8 && harness.refused.empty() && harness.attempts[first] == static_cast<std::uint32_t>(i + 1); ++i)
+    harness.end_attempt(first, Outcome::connect_failed);
+  EXPECT_EQ(harness.attempts[first], 2U) << "each host once";
+}
+
+// A hundred routers that cancelled writes at a slow primary and sent them there again made its queue longer.
+TEST(Health, RequestsForThePrimaryAreCancelledThereOnlyWhenAnotherTookOver) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  const auto write_request = harness.submit(keyed, 1);
+  const auto fresh_read = harness.submit(fresh);
+  ASSERT_TRUE(harness.was_sent(write_request) && harness.was_sent(fresh_read));
+  for (int i = 0; i < 2; ++i) harness.handle(ProbeEnded{HostId{1}, Outcome::timeout, 250ms, {}});
+  harness.advance(100ms);
+  EXPECT_TRUE(harness.cancels.empty());
+  harness.now += 10ms;
+  harness.answer_probe(2, harness.now, true);  // host 2 has become the primary
+  harness.advance(100ms);
+  EXPECT_EQ(harness.cancels.size(), 2U);
+}
+
+// One of a hundred routers sends a host a request every few seconds only: it must not need several failures
+// to eject the host.
+TEST(Health, OneFailureEjectsAHostUnderThinTrafficButNotUnderDenseTraffic) {
+  for (const bool thin_traffic : {true, false}) {
+    Harness harness(make_settings(), 4);
+    harness.answer_probe(1, harness.now, true);
+    std::uint32_t failed_host = 0;
+    for (int i = 0; i < 300 && failed_host == 0; ++i) {
+      const auto request = harness.submit(any);
+      ASSERT_TRUE(harness.was_sent(request));
+      harness.now += 20ms;
+      if (i >= 100 && harness.last_host[request] == 2) {
+        failed_host = 2;
+        harness.end_attempt(request, Outcome::error, {}, true);
+      } else {
+        harness.end_attempt(request, Outcome::ok, AnswerMetadata{Role::replica, {}});
+      }
+      harness.advance(thin_traffic ? 4s : 5ms);
     }
-    ASSERT_EQ(bad, 2U);
-    const auto to = b.spread(any, 60);
-    EXPECT_EQ(to.count(2) == 0, thin);
-    // It is tried again when its time is up, and one answer makes it whole.
-    bool back = false;
-    for (int i = 0; i < 200 && !back; ++i) {
-      const auto r = b.ask(any);
-      back = b.last_host[r] == 2;
-      b.now += 20ms;
-      b.end(r, Outcome::ok, AnswerMetadata{Role::replica, {}});
-      b.pass(1s);
+    ASSERT_EQ(failed_host, 2U);
+    const auto counts = harness.count_by_host(any, 60);
+    EXPECT_EQ(counts.count(2) == 0, thin_traffic);
+    // The host gets a trial request after its ejection, and one answer ends it.
+    bool answered = false;
+    for (int i = 0; i < 200 && !answered; ++i) {
+      const auto request = harness.submit(any);
+      answered = harness.last_host[request] == 2;
+      harness.now += 20ms;
+      harness.end_attempt(request, Outcome::ok, AnswerMetadata{Role::replica, {}});
+      harness.advance(1s);
     }
-    EXPECT_TRUE(back) << thin;
+    EXPECT_TRUE(answered) << thin_traffic;
   }
 }
 
-TEST(Primary, AWriteAsksForThePrimaryItselfWhereProbesCostTooMuch) {
-  auto s = make_settings();
-  s.probe_cost = 0.08;
-  Bench b(s, 4);
-  const auto w = b.ask(keyed, 1);
-  std::set<std::uint32_t> asked;
+TEST(Primary, WriteIsTriedAtEachHostWhereProbesCostTooMuch) {
+  auto settings = make_settings();
+  settings.probe_cost = 0.08;
+  Harness harness(settings, 4);
+  const auto write_request = harness.submit(keyed, 1);
+  std::set<std::uint32_t> tried_hosts;
   for (int i = 0; i < 4; ++i) {
-    ASSERT_EQ(b.attempts[w], static_cast<std::uint32_t>(i + 1));
-    const auto host = b.last_host[w];
-    EXPECT_TRUE(asked.insert(host).second) << "asked twice: " << host;
-    if (i < 3) b.end(w, Outcome::too_stale, AnswerMetadata{Role::replica, {}});
+    ASSERT_EQ(harness.attempts[write_request], static_cast<std::uint32_t>(i + 1));
+    const auto host = harness.last_host[write_request];
+    EXPECT_TRUE(tried_hosts.insert(host).second) << "tried twice: " << host;
+    if (i < 3) harness.end_attempt(write_request, Outcome::too_stale, AnswerMetadata{Role::replica, {}});
   }
-  b.end(w, Outcome::ok, AnswerMetadata{Role::primary, b.now});
-  const auto next = b.ask(keyed, 1);
-  EXPECT_EQ(b.last_host[next], b.last_host[w]) << "the answer has told it";
-}
-
-TEST(Primary, AWriteThatFindsNoneKeepsAnAttemptAndItsPace) {
-  auto s = make_settings();
-  s.probe_cost = 0.08;
-  s.max_attempts = 6;
-  Bench b(s, 2);
-  const auto w = b.ask(keyed, 1);
-  for (int i = 0; i < 40 && b.refused.count(w) == 0; ++i) {
-    if (b.sent(w)) b.end(w, Outcome::too_stale, AnswerMetadata{Role::replica, {}});
-    if (b.now < Time(100s) + 200ms) {
-      SCOPED_TRACE("each host once in a while");
-      EXPECT_LE(b.attempts[w], 2U);
+  harness.end_attempt(write_request, Outcome::ok, AnswerMetadata{Role::primary, harness.now});
+  const auto next_write = harness.submit(keyed, 1);
+  EXPECT_EQ(harness.last_host[next_write], harness.last_host[write_request])
+      << "the answer has shown the primary";
+}
+
+TEST(Primary, WriteThatFindsNoneIsPacedAndKeepsItsLastAttempt) {
+  auto settings = make_settings();
+  settings.probe_cost = 0.08;
+  settings.max_attempts = 6;
+  Harness harness(settings, 2);
+  const auto write_request = harness.submit(keyed, 1);
+  for (int i = 0; i < 40 && harness.refused.count(write_request) == 0; ++i) {
+    if (harness.was_sent(write_request))
+      harness.end_attempt(write_request, Outcome::too_stale, AnswerMetadata{Role::replica, {}});
+    if (harness.now < Time(100s) + 200ms) {
+      SCOPED_TRACE("each host once in the shortest latency target");
+      EXPECT_LE(harness.attempts[write_request], 2U);
     }
-    b.pass(50ms);
+    harness.advance(50ms);
   }
-  EXPECT_LE(b.attempts[w], 5U);
+  EXPECT_LE(harness.attempts[write_request], 5U);
 }
 
-TEST(Primary, ProbesAreKeptForAGroupWithoutOne) {
-  auto s = make_settings();
-  s.probe_cost = 0.08;
-  Bench b(s, 4);
-  b.report(1, b.now, true, 0.0);
+TEST(Primary, ReservedProbesSearchForAMissingOne) {
+  auto settings = make_settings();
+  settings.probe_cost = 0.08;
+  Harness harness(settings, 4);
+  harness.answer_probe(1, harness.now, true, 0.0);
   std::size_t answered = 0;
-  for (int i = 0; i < 300; ++i) {  // reads that have to know a position: they may use half of what is saved
-    const auto r = b.ask(bounded);
-    for (; answered < b.probes.size(); ++answered)
-      b.report(b.probes[answered], b.now, b.probes[answered] == 1, 0.0);
-    if (b.sent(r)) b.end(r, Outcome::ok, AnswerMetadata{Role::replica, {}});
-    b.pass(50ms);
+  for (int i = 0; i < 300; ++i) {  // reads that need a position: their probes may use half of the saved ones
+    const auto request = harness.submit(bounded);
+    for (; answered < harness.probed_hosts.size(); ++answered)
+      harness.answer_probe(harness.probed_hosts[answered], harness.now, harness.probed_hosts[answered] == 1,
+                           0.0);
+    if (harness.was_sent(request))
+      harness.end_attempt(request, Outcome::ok, AnswerMetadata{Role::replica, {}});
+    harness.advance(50ms);
   }
-  const auto for_reads = b.probes.size();
-  EXPECT_GT(for_reads, 10U);
-  b.list(ListKind::delta, {Bench::entry(1, HostState::draining)});
-  b.ask(fresh);
-  b.pass(1s);
-  EXPECT_GE(b.probes.size(), for_reads + 3) << "a read that needs the primary is waiting";
-}
-
-// iae7ffd: an ejected primary kept every write waiting, though some would have been answered.
-TEST(Health, APrimaryThatFailsFastStaysInUseForWrites) {
-  Bench b;
-  b.report(1, b.now, true);
-  for (int i = 0; i < 8; ++i) b.end(b.ask(write, 1), Outcome::error);
-  EXPECT_TRUE(b.sent(b.ask(write, 1)));
-}
-
-// iea4f33: late reports leave only the primary; what is worth more than any write may fill it.
-TEST(Fallback, ReadsWorthMoreThanWritesMayFillThePrimary) {
-  const auto taken = [](double worth) {
-    auto s = make_settings();
-    s.classes[0].value = worth;
-    Bench b(s);
-    b.report(1, b.now, true);
-    int n = 0;
-    for (int i = 0; i < 40; ++i) n += b.sent(b.ask(bounded)) ? 1 : 0;
-    return n;
+  const auto probes_for_reads = harness.probed_hosts.size();
+  EXPECT_GT(probes_for_reads, 10U);
+  harness.list_hosts(ListKind::delta, {Harness::entry(1, HostState::draining)});
+  harness.submit(fresh);
+  harness.advance(1s);
+  EXPECT_GE(harness.probed_hosts.size(), probes_for_reads + 3) << "a read that needs the primary is waiting";
+}
+
+// Guards against an ejected primary that keeps every write waiting although some would be answered.
+TEST(Health, PrimaryThatFailsFastStillGetsWrites) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  for (int i = 0; i < 8; ++i) harness.end_attempt(harness.submit(write, 1), Outcome::error);
+  EXPECT_TRUE(harness.was_sent(harness.submit(write, 1)));
+}
+
+// Stale load reports leave only the primary to bounded reads: reads of more value than any write may use its
+// whole concurrency limit, others half of it.
+TEST(PrimaryFallback, ReadsOfMoreValueThanWritesMayUseThePrimarysWholeLimit) {
+  const auto sent_reads = [](double value) {
+    auto settings = make_settings();
+    settings.classes[0].value = value;
+    Harness harness(settings);
+    harness.answer_probe(1, harness.now, true);
+    int sent = 0;
+    for (int i = 0; i < 40; ++i) sent += harness.was_sent(harness.submit(bounded)) ? 1 : 0;
+    return sent;
   };
-  EXPECT_EQ(taken(5), 2 * taken(0.5));
-}
-
-// i7ba6cd: one attempt from each of many routers already jams a host.
-TEST(Health, ManyRoutersShareTheReplicasWindows) {
-  auto s = make_settings();
-  s.instance_count = 24;
-  Bench b(s, 6);
-  b.report(1, b.now, true);
-  int n = 0;
-  for (int i = 0; i < 40; ++i) n += b.sent(b.ask(any)) ? 1 : 0;
-  EXPECT_LE(n, 4) << "five replicas at half an attempt each, and the primary's share";
-  EXPECT_GE(n, 2);
-}
-
-// i7ba6cd's small twin: reads and writes of equal worth, ordered two ways at once, broke the queue.
-TEST(OddInput, EqualWorthsOfReadsAndWritesKeepTheQueueWhole) {
-  Bench b;
-  std::vector<std::uint64_t> all;
-  for (int i = 0; i < 400; ++i) all.push_back(b.ask(i % 3 == 0 ? write : i % 3 == 1 ? fresh : bounded));
-  b.pass(2100ms);
-  for (const auto r : all) EXPECT_EQ(b.refused.count(r) + b.failed.count(r), 1U);
-}
-
-TEST(Health, WaitingReadsGoNewestFirst) {
-  Bench b(make_settings(), 2);
-  b.report(1, b.now, true);
-  std::vector<std::uint64_t> all;
-  for (int i = 0; i < 30; ++i) all.push_back(b.ask(any));
-  ASSERT_FALSE(b.sent(all[28]));
-  b.end(all[0], Outcome::ok, AnswerMetadata{Role::replica, {}});
-  EXPECT_TRUE(b.sent(all[29]));
-  EXPECT_FALSE(b.sent(all[20]));
+  EXPECT_EQ(sent_reads(5), 2 * sent_reads(0.5));
+}
+
+// One attempt from each of many routers already overloads a host.
+TEST(Health, ConcurrencyLimitsOfReplicasArePooledForManyRouters) {
+  auto settings = make_settings();
+  settings.instance_count = 24;
+  Harness harness(settings, 6);
+  harness.answer_probe(1, harness.now, true);
+  int sent = 0;
+  for (int i = 0; i < 40; ++i) sent += harness.was_sent(harness.submit(any)) ? 1 : 0;
+  EXPECT_LE(sent, 4) << "five replicas at half an attempt each, and the primary's share";
+  EXPECT_GE(sent, 2);
+}
+
+// Guards against a sort order that compared the ages of reads and writes of equal value in opposite
+// directions, so that it was no strict order and requests got lost.
+TEST(UnusualInput, ReadsAndWritesOfEqualValueAllGetAFinalAnswer) {
+  Harness harness;
+  std::vector<std::uint64_t> requests;
+  for (int i = 0; i < 400; ++i)
+    requests.push_back(harness.submit(i % 3 == 0 ? write : i % 3 == 1 ? fresh : bounded));
+  harness.advance(2100ms);
+  for (const auto request : requests)
+    EXPECT_EQ(harness.refused.count(request) + harness.failed.count(request), 1U);
+}
+
+TEST(Health, WaitingReadsAreSentNewestFirst) {
+  Harness harness(make_settings(), 2);
+  harness.answer_probe(1, harness.now, true);
+  std::vector<std::uint64_t> requests;
+  for (int i = 0; i < 30; ++i) requests.push_back(harness.submit(any));
+  ASSERT_FALSE(harness.was_sent(requests[28]));
+  harness.end_attempt(requests[0], Outcome::ok, AnswerMetadata{Role::replica, {}});
+  EXPECT_TRUE(harness.was_sent(requests[29]));
+  EXPECT_FALSE(harness.was_sent(requests[20]));
 }
 
 // ---- discovery ----------------------------------------------------------------------------------
 
-TEST(Discovery, AskModeSubscribesSpreadOverTheRoutersAndAgainAfterFailure) {
-  auto s = make_settings();
-  s.discovery_mode = DiscoveryMode::poll;
-  s.instance_count = 4;
-  s.instance_index = 3;
-  s.max_poll_interval = 10s;
-  Bench b(s);
-  const auto start = b.now;
-  b.pass(5s);
-  ASSERT_EQ(b.watches.size(), 1U);
-  EXPECT_GT(b.watches[0], start + 500ms);
-  Duration longest{};
+TEST(Discovery, PollModeSpreadsFirstPollsAndRetriesWithinTheMaximumInterval) {
+  auto settings = make_settings();
+  settings.discovery_mode = DiscoveryMode::poll;
+  settings.instance_count = 4;
+  settings.instance_index = 3;
+  settings.max_poll_interval = 10s;
+  Harness harness(settings);
+  const auto start = harness.now;
+  harness.advance(5s);
+  ASSERT_EQ(harness.watch_times.size(), 1U);
+  EXPECT_GT(harness.watch_times[0], start + 500ms);
+  Duration longest_wait{};
   for (int i = 0; i < 6; ++i) {
-    const auto told = b.now;
-    b.give(MembersListed{ListKind::failed, {}});
-    b.pass(9s);
-    ASSERT_EQ(b.watches.size(), static_cast<std::size_t>(i + 2));
-    longest = std::max(longest, b.watches.back() - told);
+    const auto failed_at = harness.now;
+    harness.handle(MembersListed{ListKind::failed, {}});
+    harness.advance(9s);
+    ASSERT_EQ(harness.watch_times.size(), static_cast<std::size_t>(i + 2));
+    longest_wait = std::max(longest_wait, harness.watch_times.back() - failed_at);
   }
-  EXPECT_GT(longest, 1500ms);
-  EXPECT_LT(longest, 10s);
-}
-
-TEST(Discovery, PushModeAsksNothing) {
-  Bench b;
-  b.pass(30s);
-  EXPECT_TRUE(b.watches.empty());
-}
-
-// ---- odd input ----------------------------------------------------------------------------------
-
-TEST(OddInput, UnknownGroupOrClassIsRefusedWithAPause) {
-  Bench b;
-  RequestArrived e;
-  e.request = RequestId{900};
-  e.class_id = any;
-  e.group = GroupId{77};
-  e.time_left = 1s;
-  b.give(e);
-  EXPECT_GT(b.refused.at(900), 0ms);
-  e.request = RequestId{901};
-  e.group = GroupId{1};
-  e.class_id = ClassId{-1};
-  b.give(e);
-  EXPECT_GT(b.refused.at(901), 0ms);
-}
-
-TEST(OddInput, LateDuplicateAndUnknownIdsAreIgnored) {
-  Bench b;
-  b.report(1, b.now, true);
-  const auto r = b.ask(any);
-  b.end(r, Outcome::ok);
-  b.end(r, Outcome::error);
-  b.give(ClientLeft{RequestId{r}});
-  b.give(ClientLeft{RequestId{12345}});
-  b.give(ProbeEnded{HostId{99}, Outcome::ok, 1ms, {}});
-  b.give(TimerFired{4711});
-  EXPECT_EQ(b.attempts[r], 1U);
-  EXPECT_TRUE(b.refused.empty());
-  EXPECT_TRUE(b.failed.empty());
-}
-
-TEST(OddInput, ContradictorySettingsNameTheKey) {
-  auto s = make_settings();
-  s.cold_capacity_share = 0;
+  EXPECT_GT(longest_wait, 1500ms);
+  EXPECT_LT(longest_wait, 10s);
+}
+
+TEST(Discovery, PushModeOpensNoWatch) {
+  Harness harness;
+  harness.advance(30s);
+  EXPECT_TRUE(harness.watch_times.empty());
+}
+
+// ---- unusual input ----------------------------------------------------------------------------------
+
+TEST(UnusualInput, UnknownGroupOrClassIsRefusedWithARetryAfterHint) {
+  Harness harness;
+  RequestArrived event;
+  event.request = RequestId{900};
+  event.class_id = any;
+  event.group = GroupId{77};
+  event.time_left = 1s;
+  harness.handle(event);
+  EXPECT_GT(harness.refused.at(900), 0ms);
+  event.request = RequestId{901};
+  event.group = GroupId{1};
+  event.class_id = ClassId{-1};
+  harness.handle(event);
+  EXPECT_GT(harness.refused.at(901), 0ms);
+}
+
+TEST(UnusualInput, EventsWithEndedOrUnknownIdsAreIgnored) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  const auto request = harness.submit(any);
+  harness.end_attempt(request, Outcome::ok);
+  harness.end_attempt(request, Outcome::error);
+  harness.handle(ClientLeft{RequestId{request}});
+  harness.handle(ClientLeft{RequestId{12345}});
+  harness.handle(ProbeEnded{HostId{99}, Outcome::ok, 1ms, {}});
+  harness.handle(TimerFired{4711});
+  EXPECT_EQ(harness.attempts[request], 1U);
+  EXPECT_TRUE(harness.refused.empty());
+  EXPECT_TRUE(harness.failed.empty());
+}
+
+TEST(UnusualInput, ContradictorySettingsThrowWithTheSettingsName) {
+  auto settings = make_settings();
+  settings.cold_capacity_share = 0;
   try {
-    Router router(s);
+    Router router(settings);
     FAIL();
-  } catch (const std::invalid_argument& e) {
-    EXPECT_STREQ(e.what(), "cold_from");
+  } catch (const std::invalid_argument& error) {
+    EXPECT_STREQ(error.what(), "cold_from");
   }
 }
 
-TEST(OddInput, MemoryStaysBounded) {
-  Bench b;
-  b.report(1, b.now, true);
-  std::size_t most = 0;
+TEST(UnusualInput, EntryCountStaysBoundedWithManySessions) {
+  Harness harness;
+  harness.answer_probe(1, harness.now, true);
+  std::size_t max_entries = 0;
   for (int i = 0; i < 3000; ++i) {
-    b.report(1, b.now, true);
-    const auto w = b.ask(write, static_cast<std::uint64_t>(i));
-    if (b.sent(w)) b.end(w, Outcome::ok, AnswerMetadata{Role::primary, b.now});
-    b.pass(100ms);
-    most = std::max(most, b.held());
+    harness.answer_probe(1, harness.now, true);
+    const auto write_request = harness.submit(write, static_cast<std::uint64_t>(i));
+    if (harness.was_sent(write_request))
+      harness.end_attempt(write_request, Outcome::ok, AnswerMetadata{Role::primary, harness.now});
+    harness.advance(100ms);
+    max_entries = std::max(max_entries, harness.entry_count());
   }
-  EXPECT_LT(most, 700U);
+  EXPECT_LT(max_entries, 700U);
 }
 
-TEST(OddInput, SameEventsSameActions) {
-  const auto play = [] {
-    Bench b(make_settings(), 5);
-    b.report(1, b.now, true);
-    std::vector<std::uint32_t> to;
-    for (int i = 0; i < 200; ++i) to.push_back(b.last_host[b.ask(any)]);
-    return to;
+TEST(UnusualInput, SameSeedAndEventsGiveTheSameActions) {
+  const auto chosen_hosts = [] {
+    Harness harness(make_settings(), 5);
+    harness.answer_probe(1, harness.now, true);
+    std::vector<std::uint32_t> hosts;
+    for (int i = 0; i < 200; ++i) hosts.push_back(harness.last_host[harness.submit(any)]);
+    return hosts;
   };
-  EXPECT_EQ(play(), play());
+  EXPECT_EQ(chosen_hosts(), chosen_hosts());
 }
 
 }  // namespace
