--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -39,11 +39,11 @@
 constexpr double failure_gain = 0.2;              // EWMA gain of a host's failures
 constexpr double ejection_score = 0.5;            // failure score from which a host is ejected
 constexpr double refused_connection_weight = 3;   // failures; one refused connection is enough to eject
-constexpr int max_ejection_interval_targets = 8;  // longest targets: most that a send interval lengthens one
-constexpr int max_ejection_targets = 16;          // longest targets that an ejection lasts at most
-constexpr double min_ejection_jitter = 0.75;      // factor on an ejection, up to 1 / 2 more
+constexpr int max_ejection_interval_targets = 8;  // longest targets; caps the first ejection
+constexpr int max_ejection_targets = 16;          // longest targets; caps repeated ejections
+constexpr double min_ejection_jitter = 0.75;      // factor on an ejection; 0.5 above it at most
 constexpr int suspect_lost_probes = 2;            // probes lost in a row that make a host suspect
-// Estimate of how often probes are lost at hosts that answer requests, from which lost probes are ignored.
+// Lost probes are ignored above this share of probes lost at hosts that answer requests.
 constexpr double max_probe_unreliability = 0.5;
 constexpr double response_timeout_latencies = 5;  // typical latencies without an answer: host unresponsive
 constexpr double max_timeout_relative_latency = 2;
@@ -63,7 +63,7 @@
 
 // Admission.
 constexpr double full_admission_load = 0.35;      // load up to which all requests are admitted
-constexpr double min_admission_load = 0.6;        // load from which only the minimum is admitted
+constexpr double saturated_load = 0.6;            // load from which only min_admitted_share is admitted
 constexpr double min_admitted_share = 0.03;       // share of the work that is always admitted
 constexpr double fallback_load_weight = 1.4;      // a primary's load as it counts for fallback reads
 constexpr double full_host_load = 2;              // load sample of an answer `full`
@@ -72,9 +72,10 @@
 constexpr double group_load_memory_seconds = 12;  // long, because a group yields few samples
 constexpr double rate_memory_seconds = 3;         // of arrival rates and of the load by role
 constexpr double max_load_samples = 12;           // samples remembered
-constexpr int few_routers_divisor = 4;            // of initial_fleet_concurrency: as many routers are few
-constexpr double load_prior_samples = 3;          // weight of all groups' load beside a group's own samples
-constexpr double max_wait_share = 0.45;           // of its time that a request waits where late refusals cost
+constexpr int few_routers_divisor =
+    4;  // initial_fleet_concurrency over the number of routers that count as few
+constexpr double load_prior_samples = 3;  // weight of all groups' load beside a group's own samples
+constexpr double max_wait_share = 0.45;   // of its time that a request waits where late refusals cost
 
 // Retries and sessions.
 constexpr double retry_tokens_per_request = 0.2;
@@ -99,7 +100,7 @@
 constexpr double first_poll_spread = 0.1;  // routers that start together poll spread over this time
 constexpr double initial_poll_backoff = 0.05;
 constexpr double max_poll_backoff = 0.4;    // a retry still comes well inside the interval
-constexpr double min_backoff_jitter = 0.5;  // factor on the backoff, up to 1 more
+constexpr double min_backoff_jitter = 0.5;  // factor on the backoff; 1 above it at most
 
 // Timer.
 constexpr double tick_quanta = 4;  // Settings::quantum in one tick
@@ -389,6 +390,7 @@
     return !host.in_flight_sends.empty() || now_ - last_sign <= scale(timeout, trial_interval_timeouts);
   }
 
+  /// Whether the host is responsive and either not ejected or due for a trial: a single request at a time.
   bool healthy(const Host& host) const {
     if (unresponsive(host)) return false;
     const bool trial_allowed = host.outlier.ready_for_trial(now_) && host.in_flight() == 0;
@@ -405,7 +407,8 @@
   /// Counts a failure of `weight` ordinary ones, and ejects the host at the threshold.
   void record_failure(Host& host, double weight) {
     if (!host.outlier.failed(now_, first_event_at_, weight)) return;
-    // No longer for a primary: requests that need it cannot be sent elsewhere meanwhile.
+    // Long enough that the next request of this router is not the trial yet. Not so for a primary: requests
+    // that need it cannot be sent elsewhere meanwhile.
     const auto interval =
         std::min(groups_[host.group].send_interval(), longest_target_ * max_ejection_interval_targets);
     const auto first = std::max(shortest_target_ / 2, host.role == Role::primary ? Duration{} : interval);
@@ -413,6 +416,7 @@
                        min_ejection_jitter + random_unit() / 2);
   }
 
+  /// Resets the signs of failure of a host that has answered a request.
   void record_response(Host& host) {
     host.last_response_at = now_;
     // A process that refused connections and answers again has restarted, so it is cold.
@@ -423,6 +427,7 @@
     host.outlier.answered(now_, first_event_at_);
   }
 
+  /// Updates the latency estimates of the class, the host and its queue, and the host's concurrency limit.
   void record_latency(Host& host, const Request& request, Duration elapsed) {
     auto& mean = class_latency_[request.class_id.value];
     if (host.queue_length >= 1 && queue_known(host) && host.queue_reported_at <= now_ - elapsed)
@@ -474,10 +479,10 @@
   ///   Where no warm host can serve them, requests that may still be waiting count too. On a primary,
   ///   requests that need it and fallback reads have separate shares. While the part covers whole requests,
   ///   they are sent without a draw.
-  /// - Excess work is excused by late notice unless two thirds of it come from routers that know of the
-  /// start;
-  ///   so these use two thirds. The rest covers handshakes, probes, slow hosts and chance. Warm hosts are not
-  ///   always fully loaded, so the parts are smaller still.
+  /// - Routers that have not been notified of the start yet exceed the budget unknowingly, which is tolerated
+  ///   unless two thirds of the work come from notified routers; so these use two thirds of the budget. The
+  ///   rest covers handshakes, probes, slow hosts and chance. Warm hosts are not always fully loaded, so the
+  ///   parts are smaller still.
   /// `choice_probability`: with which the host was chosen; `no_warm_host`: none can take the request.
   bool slow_start_allows(const Request& request, Host& host, double choice_probability, bool no_warm_host) {
     if (capacity_share(host) >= 1) return true;
@@ -753,6 +758,7 @@
                                                          : it->second.group == target->group;
   }
 
+  /// Adds a load sample of the host to its group and to all hosts of its role.
   void record_load(const Host& host, double sample) {
     const int role_index = host.role == Role::primary ? 1 : 0;
     role_load_[role_index].add(now_, sample);
@@ -774,7 +780,7 @@
     const double few_routers =
         std::min(1.0, initial_fleet_concurrency / few_routers_divisor / settings_.instance_count);
     const double effective_load = load_weight * load / (1 + few_routers);
-    return std::clamp((min_admission_load - effective_load) / (min_admission_load - full_admission_load),
+    return std::clamp((saturated_load - effective_load) / (saturated_load - full_admission_load),
                       min_admitted_share, 1.0);
   }
 
@@ -1109,7 +1115,7 @@
       host.queue_reported_at = now_;
       host.utilization = report.utilization.value_or(0);
       record_load(host, *report.queue_length >= 1             ? full_host_load / 2
-                        : host.utilization > busy_utilization ? min_admission_load
+                        : host.utilization > busy_utilization ? saturated_load
                                                               : full_admission_load * host.utilization);
     }
     if (report.role && report.position)
@@ -1192,7 +1198,7 @@
           (host->second.lost_probes > 0 && probe_unreliability_ <= max_probe_unreliability))
         continue;
       attempt.load_recorded = true;
-      record_load(host->second, min_admission_load);
+      record_load(host->second, saturated_load);
     }
   }
 
@@ -1357,8 +1363,8 @@
   Duration wait_per_queued_request_{};  // as seen from answers
   bool queues_reported_ = false;        // some report had a queue length
   double probe_unreliability_ = 0;      // EWMA: hosts answer requests although their probes were lost
-  bool slow_start_denied_ = false;    // in the last selection of a host, which depends on the request's draw
-  std::multiset<Time> warm_up_ends_;  // of the ready hosts that are cold
+  bool slow_start_denied_ = false;      // while the last host was selected; depends on the request's draw
+  std::multiset<Time> warm_up_ends_;    // of the ready hosts that are cold
   int ready_hosts_ = 0;
   Tuning tuning_;
   int max_in_flight_ = 1 << 30;  // attempts
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -182,7 +182,7 @@
   Router router_;
 };
 
-// ---- replica selection ----------------------------------------------------------------------
+// ---- replica selection --------------------------------------------------------------------------
 
 TEST(ReplicaSelection, WeightIsFullBelowHalfTheStalenessBoundHalfUpToItAndZeroBeyond) {
   Harness harness;
@@ -267,7 +267,7 @@
   EXPECT_GT(counts.at(3), 50);
 }
 
-// ---- fallback to the primary and stale replicas -----------------------------------------------
+// ---- fallback to the primary and stale replicas -------------------------------------------------
 
 TEST(PrimaryFallback, BoundedReadWithoutEligibleReplicaGoesToThePrimaryAfterAProbe) {
   Harness harness;
@@ -286,7 +286,7 @@
   EXPECT_TRUE(harness.was_sent(harness.submit(write, 1)));
 }
 
-TEST(StaleReplicas, ThatCheckReadsGetASmallShareAndTheRetryGoesToThePrimary) {
+TEST(StaleReplicas, SmallShareOfReadsGoesToThemAndTheRetryToThePrimary) {
   auto settings = make_settings();
   settings.stale_read_policy = StaleReadPolicy::refuse;
   Harness harness(settings);
@@ -330,8 +330,8 @@
   end_stale_reads(Outcome::too_stale);
   EXPECT_NEAR(share(), 0.048, 0.02);
   end_stale_reads(Outcome::ok);
-  settings.stale_read_policy =
-      StaleReadPolicy::none;  // a replica that does not check reads must get no stale ones
+  // A replica that does not check reads must get no stale ones.
+  settings.stale_read_policy = StaleReadPolicy::none;
   Harness unchecked(settings);
   unchecked.answer_probe(1, unchecked.now, true);
   unchecked.answer_probe(2, unchecked.now - 100ms, false);
@@ -339,7 +339,7 @@
   EXPECT_EQ(unchecked.count_by_host(bounded, 500)[3], 0);
 }
 
-TEST(StaleReplicas, MostCurrentOneIsTriedWhenNoneIsWithinTheBound) {
+TEST(StaleReplicas, MostCurrentReplicaIsTriedWhenNoneIsWithinTheBound) {
   auto settings = make_settings();
   settings.stale_read_policy = StaleReadPolicy::wait;
   Harness harness(settings);
@@ -352,7 +352,7 @@
 /// Of replicas that reported at different times the last one would always seem the most current, and each of
 /// many routers would send all its reads to one host. Where stale reads are answered, the lag at the time of
 /// the report counts instead.
-TEST(StaleReplicas, LoadIsSpreadOverThoseThatWereCurrentAtTheirLastReport) {
+TEST(StaleReplicas, ReadsAreSpreadOverReplicasThatWereCurrentAtTheirLastReport) {
   auto settings = make_settings();
   settings.stale_read_policy = StaleReadPolicy::refuse;
   Harness harness(settings, 4);
@@ -453,7 +453,7 @@
   EXPECT_EQ(harness.last_host[harness.last_request], 2U);
 }
 
-// ---- one final answer in time -----------------------------------------------------------
+// ---- one final answer in time -------------------------------------------------------------------
 
 TEST(FinalAnswer, WaitingRequestIsRefusedWithinItsTime) {
   Harness harness;
@@ -488,7 +488,7 @@
   EXPECT_EQ(harness.refused.count(request) + harness.failed.count(request), 0U);
 }
 
-// ---- no effect twice --------------------------------------------------------------------
+// ---- no effect twice ----------------------------------------------------------------------------
 
 TEST(DuplicateExecution, UnsafeRequestThatMayHaveRunFailsWithoutRetry) {
   for (const auto outcome : {Outcome::error, Outcome::timeout, Outcome::reset, Outcome::cancelled}) {
@@ -554,7 +554,7 @@
   EXPECT_EQ(harness.attempts[request], 2U);
 }
 
-// ---- draining -----------------------------------------------------------------------------
+// ---- draining -----------------------------------------------------------------------------------
 
 TEST(Draining, DrainingOrRemovedHostGetsNoRequests) {
   Harness harness;
@@ -579,7 +579,7 @@
   EXPECT_EQ(harness.count_by_host(any, 50)[3], 0);
 }
 
-// ---- slow start of cold hosts -------------------------------------------------------------------------
+// ---- slow start of cold hosts -------------------------------------------------------------------
 
 TEST(SlowStart, RestartedHostGetsABudgetPerWindowUntilItIsWarm) {
   Harness harness;
@@ -988,7 +988,7 @@
   EXPECT_EQ(harness.count_by_host(bounded, 20)[3], 20);
 }
 
-// ---- no stale reads ----------------------------------------------------------------------
+// ---- no stale reads -----------------------------------------------------------------------------
 
 TEST(StaleReads, ReplicaOfUnknownPositionOrBeyondTheBoundGetsNoBoundedRead) {
   Harness harness;
@@ -1089,7 +1089,7 @@
   EXPECT_GE(sent, 4);
 }
 
-TEST(Primary, UnresponsiveOneWithAdvancingPositionGetsASingleTrial) {
+TEST(Primary, UnresponsivePrimaryWithAdvancingPositionGetsASingleTrial) {
   Harness harness;
   harness.answer_probe(1, harness.now, true);
   ASSERT_TRUE(harness.was_sent(harness.submit(write, 1)));  // its answer is lost
@@ -1124,7 +1124,7 @@
 // Where latency targets are short beside the age of reports, a claim whose position advances is not stale.
 TEST(Primary, ClaimWithAnAdvancingPositionIsAcceptedDespiteOldReports) {
   auto settings = make_settings();
-  for (auto& c : settings.classes) c.latency_target = 80ms;
+  for (auto& request_class : settings.classes) request_class.latency_target = 80ms;
   Harness harness(settings);
   for (int i = 0; i < 20; ++i) {
     harness.advance(100ms);
@@ -1136,7 +1136,7 @@
 
 // All replicas are past the staleness bound and the primary fails most requests: the few reads that it
 // answers would otherwise get no answer at all.
-TEST(Primary, FailingOneIsUsedForReadsOnlyWhenAllReplicasAreStale) {
+TEST(Primary, FailingPrimaryIsUsedForReadsOnlyWhenAllReplicasAreStale) {
   for (const bool lagging : {true, false}) {
     Harness harness;
     const auto start = harness.now;
@@ -1265,7 +1265,7 @@
       << "the answer has shown the primary";
 }
 
-TEST(Primary, WriteThatFindsNoneIsPacedAndKeepsItsLastAttempt) {
+TEST(Primary, WriteThatFindsNoPrimaryIsPacedAndKeepsItsLastAttempt) {
   auto settings = make_settings();
   settings.probe_cost = 0.08;
   settings.max_attempts = 6;
@@ -1283,7 +1283,7 @@
   EXPECT_LE(harness.attempts[write_request], 5U);
 }
 
-TEST(Primary, ReservedProbesSearchForAMissingOne) {
+TEST(Primary, ReservedProbesSearchForAMissingPrimary) {
   auto settings = make_settings();
   settings.probe_cost = 0.08;
   Harness harness(settings, 4);
@@ -1395,7 +1395,7 @@
   EXPECT_TRUE(harness.watch_times.empty());
 }
 
-// ---- unusual input ----------------------------------------------------------------------------------
+// ---- unusual input ------------------------------------------------------------------------------
 
 TEST(UnusualInput, UnknownGroupOrClassIsRefusedWithARetryAfterHint) {
   Harness harness;
