--- a/bench/contracts_bench.cpp
+++ b/bench/contracts_bench.cpp
@@ -44,7 +44,7 @@
   for (auto _ : state) {
     a.request = RequestId{++n};
     a.tenant = static_cast<std::int32_t>(n * 7 % teams);
-    a.cls = ClassId{static_cast<std::int32_t>(n & 3U)};
+    a.class_id = ClassId{static_cast<std::int32_t>(n & 3U)};
     now += 1us;
     benchmark::DoNotOptimize(c.admit(a, now));
     c.on_request_end(a, {gates::RequestEnd::served, {}, {}, true, 50ms}, now);
--- a/bench/levels_bench.cpp
+++ b/bench/levels_bench.cpp
@@ -70,7 +70,7 @@
   for (auto _ : state) {
     a.request = RequestId{++n};
     a.caller = n * 0x9e3779b97f4a7c15ULL;
-    a.cls = ClassId{static_cast<std::int32_t>(n & 3U)};
+    a.class_id = ClassId{static_cast<std::int32_t>(n & 3U)};
     a.group = GroupId{static_cast<std::int64_t>(n % static_cast<std::uint64_t>(state.range(0))) + 1};
     benchmark::DoNotOptimize(l.admit(a, Time{1'010'000'000}));
   }
@@ -89,7 +89,7 @@
   e.elapsed = std::chrono::milliseconds(50);
   Time now{1'010'000'000};
   for (auto _ : state) {
-    a.cls = ClassId{static_cast<std::int32_t>(now.count() & 3)};
+    a.class_id = ClassId{static_cast<std::int32_t>(now.count() & 3)};
     l.on_request_end(a, e, now += std::chrono::microseconds(37));
   }
 }
--- a/include/cedarring/router.h
+++ b/include/cedarring/router.h
@@ -1,4 +1,5 @@
-// The interface of cedarring: settings, events in, actions out. No decisions live here.
+// Public interface of cedarring: settings, input events and output actions of the routing state machine.
+// Declarations only; the routing decisions are in src/router.
 #pragma once
 
 #include <chrono>
@@ -11,11 +12,12 @@
 
 namespace cedarring {
 
+/// A length of time in microseconds.
 using Duration = std::chrono::microseconds;
-/// Time on the caller's monotonic clock, counted from any fixed instant.
+/// A point in time in microseconds on the caller's monotonic clock, counted from any fixed instant.
 using Time = std::chrono::microseconds;
 
-/// A number that cannot be mixed up with an id of another type.
+/// A numeric identifier; identifiers with different tags are different types and do not convert.
 template <class Tag, class Rep>
 struct Id {
   Rep value{};
@@ -25,207 +27,249 @@
 };
 using HostId = Id<struct HostTag, std::uint32_t>;
 using GroupId = Id<struct GroupTag, std::int64_t>;
-using ClassId = Id<struct ClassTag, std::int32_t>;  // index into Settings::classes; -1 is unknown
+/// Index into Settings::classes; -1 for a class that is not configured.
+using ClassId = Id<struct ClassTag, std::int32_t>;
 using ZoneId = Id<struct ZoneTag, std::int32_t>;
 using SessionId = Id<struct SessionTag, std::uint64_t>;
 using RequestId = Id<struct RequestTag, std::uint64_t>;
 
-enum class Idempotency { safe, keyed, unsafe };  // what a repeat of the request does
-enum class DedupScope { all, zone, group };      // where a keyed repeat is dropped
+/// Whether a request may run twice: `safe` always, `keyed` within its deduplication window, `unsafe` never.
+enum class Idempotency { safe, keyed, unsafe };
+/// Hosts among which a repeat of a keyed request is recognized and dropped.
+enum class DedupScope { all, zone, group };
+/// State that a request needs to see. `any`: any replica; `bounded`: at most RequestClass::staleness_bound
+/// old; `session`: at least the session's own writes; `fresh`: the newest state, read at the primary;
+/// `write`: changes state, runs at the primary.
 enum class Freshness { any, bounded, session, fresh, write };
-enum class StaleReadPolicy { none, refuse, wait };  // what a host does with a read it is too far behind for
-enum class ListedRole { none, late, start };        // how the list's primary flag follows the role
+/// How a host treats a read that needs a later position than it has: not checked, refused at once
+/// (Outcome::too_stale), or delayed until the host has caught up.
+enum class StaleReadPolicy { none, refuse, wait };
+/// Meaning of HostEntry::listed_primary: not maintained, follows role changes with a delay, or shows the role
+/// at start-up.
+enum class ListedRole { none, late, start };
+/// Where the position of a session's last write is kept: in the router, or in a token that the client sends.
 enum class TokenMode { remembered, carried };
+/// Whether member lists arrive unasked, or the router requests them with OpenWatch.
 enum class DiscoveryMode { push, poll };
 enum class Role { unknown, primary, replica };
+/// State of a host in the member list; `draining` and `gone` hosts receive no new requests.
 enum class HostState { gone, draining, ready };
+/// Content of a member list: changed entries only, all entries, all entries as of some earlier time, or a
+/// failed request without entries.
 enum class ListKind { delta, full, cached, failed };
+/// Result of an attempt or a probe. `full`: the host rejected it for lack of capacity; `not_sent`: never
+/// written, through no fault of the host; `too_stale`: the host's position is too old for the read.
 enum class Outcome { ok, error, full, timeout, connect_failed, reset, cancelled, not_sent, too_stale };
-/// moot: never sent, and no fault of the host's.
-constexpr const char* name_of(Outcome o) {
+/// The outcome's name in logs and records. Two names differ from their enumerators: `not_sent` is written
+/// "moot" and `too_stale` is written "miss".
+constexpr const char* name_of(Outcome outcome) {
   constexpr const char* names[] = {"ok",    "error",     "full", "timeout", "connect_failed",
                                    "reset", "cancelled", "moot", "miss"};
-  return names[static_cast<int>(o)];
+  return names[static_cast<int>(outcome)];
 }
 
+/// A kind of request: its time limits, its value to the operator, and the consistency it needs.
 struct RequestClass {
   std::string name;
-  Duration latency_target{};  // answers within this earn full worth
-  Duration deadline{};        // what a client waits over all its tries
-  double value = 1;
-  double late_value = 0;
+  Duration latency_target{};  // an answer within this time earns `value`; above 0, at most `deadline`
+  Duration deadline{};        // the longest that a client waits, over all its retries
+  double value = 1;           // of an answer within the latency target, 0 or more, relative to other classes
+  double late_value = 0;      // of an answer after the latency target, as a factor on `value`, 0 or more
   Idempotency idempotency = Idempotency::safe;
   DedupScope dedup_scope = DedupScope::all;
-  Duration dedup_window{};  // how long a keyed repeat is dropped
+  Duration dedup_window{};  // time within which a repeat of a keyed request is dropped; above 0 for `keyed`
   Freshness freshness = Freshness::any;
-  Duration staleness_bound{};      // of bounded reads
-  std::uint32_t max_attempts = 0;  // for a request, at most; 0: the settings' max_attempts
+  Duration staleness_bound{};      // maximum replication lag for bounded reads; above 0 for `bounded`
+  std::uint32_t max_attempts = 0;  // per request; 0 uses Settings::max_attempts
 };
 bool operator==(const RequestClass& a, const RequestClass& b);
 
+/// Configuration of a router.
 struct Settings {
-  std::uint64_t seed = 0;
-  std::uint32_t instance_index = 0;  // of this router among `routers`
-  std::uint32_t instance_count = 1;
-  ZoneId zone{};
-  std::vector<RequestClass> classes;
+  std::uint64_t seed = 0;             // of the router's random numbers; equal seeds give equal decisions
+  std::uint32_t instance_index = 0;   // of this router among `instance_count`, from 0
+  std::uint32_t instance_count = 1;   // routers that share the hosts, 1 or more
+  ZoneId zone{};                      // in which this router runs
+  std::vector<RequestClass> classes;  // at least one
   StaleReadPolicy stale_read_policy = StaleReadPolicy::none;
   ListedRole listed_role = ListedRole::none;
   TokenMode token_mode = TokenMode::remembered;
   DiscoveryMode discovery_mode = DiscoveryMode::push;
-  bool answers_carry_position = false;
+  bool answers_carry_position = false;  // answers report the host's role and replication position
   bool probes_allowed = true;
-  bool cancel_allowed = false;
-  bool hedging_allowed = false;
-  bool retry_after_allowed = false;
-  bool removed_hosts_stay_usable = false;
-  bool late_refusal_costs = false;  // a late refusal of what was never sent costs more than an early one
-  std::uint32_t max_attempts = 8;
-  Duration max_retry_after{1'000'000};
-  Duration max_poll_interval{10'000'000};
-  Duration drain_grace{1'000'000};  // nothing new to a host this long after it was told draining or gone
-  Duration warm_up_duration{};      // a started host is warm after this
-  double cold_capacity_share = 1;   // and begins with this share of its capacity
-  double overload_multiple = 3;
-  Duration overload_window{1'000'000};
-  Duration quantum{5'000};
-  double probe_cost = 0;
-  Duration connect_timeout{250'000};  // connections not set up by then fail
-  Duration idle_timeout{15'000'000};  // idle connections close after this
+  bool cancel_allowed = false;             // attempts may be cancelled
+  bool hedging_allowed = false;            // a request may have several attempts in flight
+  bool retry_after_allowed = false;        // refusals may carry a delay after which the client retries
+  bool removed_hosts_stay_usable = false;  // a ready host that leaves the list stays in use
+  bool late_refusal_costs =
+      false;  // a late refusal of a request that was never sent costs more than an early one
+  std::uint32_t max_attempts = 8;          // per request, 1 or more; see RequestClass::max_attempts
+  Duration max_retry_after{1'000'000};     // upper limit of Refuse::retry_after
+  Duration max_poll_interval{10'000'000};  // between two requests for the member list; above 0
+  Duration drain_grace{1'000'000};  // a host listed as draining or gone gets no new attempt after this time
+  Duration warm_up_duration{};      // a started host reaches its full capacity after this time; 0 or more
+  double cold_capacity_share = 1;   // share of its capacity that a host has at its start, above 0 to 1
+  double overload_multiple = 3;     // multiple of a cold host's capacity that overloads it; above 0
+  Duration overload_window{1'000'000};  // period over which the overload of a cold host is counted; above 0
+  Duration quantum{5'000};              // resolution of the caller's clock and timers; 0 or more
+  double probe_cost = 0;                // of one probe, in values of a request; 0 makes probes free
+  Duration connect_timeout{250'000};    // a connection that is not established by then has failed
+  Duration idle_timeout{15'000'000};    // idle connections to hosts are closed after this time
 };
 
-/// Throws std::invalid_argument, naming the setting, when the settings contradict themselves.
+/// Validates the settings. Throws std::invalid_argument, whose text is the configuration key of the first
+/// setting that is out of range or contradicts another one.
 void check(const Settings& settings);
 
 // ---- events -------------------------------------------------------------------------------------
 
+/// A host in a member list.
 struct HostEntry {
   HostId host;
   GroupId group;
   ZoneId zone;
   HostState state = HostState::ready;
-  bool listed_primary = false;
-  double weight = 1;
-  std::optional<Time> started_at;  // absent: long past
+  bool listed_primary = false;     // see ListedRole
+  double weight = 1;               // relative capacity, as listed; routing does not use it
+  std::optional<Time> started_at;  // start of the host's process; absent if it is fully warmed up
 };
+/// A member list was received, or a request for it failed.
 struct MembersListed {
   ListKind kind = ListKind::full;
   std::vector<HostEntry> entries;
 };
+/// A client sent a request.
 struct RequestArrived {
   RequestId request;
   ClassId class_id;
   GroupId group;
-  Duration time_left{};
-  std::optional<SessionId> session;
-  std::optional<Duration> token_age;  // carried tokens; absent or zero: no write
+  Duration time_left{};               // until the client gives up
+  std::optional<SessionId> session;   // required for session consistency
+  std::optional<Duration> token_age;  // TokenMode::carried: age of the last write; absent or zero: no write
 };
-/// A load report. Only what the host told is set.
+/// A host's load report; a field that the host did not report is absent.
 struct LoadReport {
-  std::optional<Time> position;
+  std::optional<Time> position;  // replication position
   std::optional<Role> role;
-  std::optional<double> queue_length;  // requests waiting there
-  std::optional<double> utilization;   // how busy its cores are, 1 at most
+  std::optional<double> queue_length;  // requests waiting at the host, 0 or more
+  std::optional<double> utilization;   // of the host's processor cores, 0 to 1
 };
-/// What an answer tells of its host. For a write that went through, `position` is its commit.
+/// Role and position of the host that sent an answer. For a successful write, `position` is its commit.
 struct AnswerMetadata {
   Role role = Role::unknown;
   std::optional<Time> position;
 };
+/// An attempt ended, with or without an answer.
 struct AttemptEnded {
   RequestId request;
-  std::uint32_t attempt = 0;
+  std::uint32_t attempt = 0;  // index among the request's attempts, from 0
   HostId host;
   Outcome outcome = Outcome::ok;
-  Duration elapsed{};
-  bool request_ended = false;
+  Duration elapsed{};          // since the attempt was sent
+  bool request_ended = false;  // the client has its final answer; no further attempt is needed
   AnswerMetadata metadata;
   LoadReport report;
   bool connect_timed_out =
-      false;  // of connect_failed: it did not come up in its time, rather than being refused
+      false;  // with connect_failed: the connect timeout expired, not a refused connection
 };
+/// The first part of an answer was passed on to the client, so the request cannot be retried any more.
 struct AnswerStarted {
   RequestId request;
   std::uint32_t attempt = 0;
 };
+/// The client disconnected or cancelled its request.
 struct ClientLeft {
   RequestId request;
 };
+/// A probe ended, with or without an answer.
 struct ProbeEnded {
   HostId host;
   Outcome outcome = Outcome::ok;
-  Duration elapsed{};
+  Duration elapsed{};  // since the probe was sent
   LoadReport report;
 };
+/// A timer set by SetTimer is due.
 struct TimerFired {
   std::uint64_t timer = 0;
 };
-struct Started {};  // hand this in once, before anything else
+/// The router starts; must be the first event.
+struct Started {};
 using Event = std::variant<Started, MembersListed, RequestArrived, AttemptEnded, AnswerStarted, ClientLeft,
                            ProbeEnded, TimerFired>;
 
 // ---- actions ------------------------------------------------------------------------------------
 
+/// Send the request to the host, as its next attempt.
 struct Send {
   RequestId request;
   HostId host;
-  Time give_up_at{};
-  bool sole_candidate =
-      false;  // no other host can take it, or one has been left already: a slow connection is waited for
+  Time give_up_at{};  // end the attempt at this time; zero: no limit of its own
+  // No other host can take the request, or an attempt elsewhere has failed already: wait the full connect
+  // timeout.
+  bool sole_candidate = false;
 };
+/// Cancel an attempt in flight.
 struct Cancel {
   RequestId request;
   std::uint32_t attempt = 0;
 };
+/// Reject the request. The client may safely send it again.
 struct Refuse {
   RequestId request;
-  Duration retry_after{};
+  Duration retry_after{};  // delay to suggest to the client; zero: none
 };
+/// End the request with an error. It may have run, and running it twice might do harm.
 struct Fail {
   RequestId request;
 };
+/// Send a health probe to the host.
 struct Probe {
   HostId host;
 };
+/// Deliver TimerFired with this number at `due`.
 struct SetTimer {
   std::uint64_t timer = 0;
   Time due{};
 };
+/// Request the member list, with updates where the source supports them.
 struct OpenWatch {};
 using Action = std::variant<Send, Cancel, Refuse, Fail, Probe, SetTimer, OpenWatch>;
 
-// ---- what those who watch may see and change ------------------------------------------------------
+// ---- monitoring and control -----------------------------------------------------------------------
 
-/// What the module believes of a group.
+/// The router's current estimate of a group's state.
 struct GroupView {
   GroupId group;
-  bool has_primary = false;        // one is known that may be used now
-  int hosts = 0, unavailable = 0;  // listed as ready; of them ejected or silent
-  int avoided = 0;                // of those out, sent nothing for two longest aims: no trial, no short pause
-  int replicas = 0, lagging = 0;  // of them, known no better than past the tightest bound of a class
-  int in_flight = 0, waiting = 0;
-  double concurrency_limit = 0;  // requests in flight that its hosts are believed to take well, over all
-  int primary_in_flight = 0;     // of these, the primary's; of those waiting, what only the primary can take
+  bool has_primary = false;      // a usable primary is known
+  int hosts = 0;                 // listed as ready
+  int unavailable = 0;           // of `hosts`: ejected or not responding
+  int avoided = 0;               // of `unavailable`: sent nothing for twice the longest latency target
+  int replicas = 0;              // of `hosts`: not the primary
+  int lagging = 0;               // of `replicas`: not known to be within the tightest staleness bound
+  int in_flight = 0;             // attempts
+  int waiting = 0;               // requests not yet sent
+  double concurrency_limit = 0;  // sum of the hosts' estimated limits on attempts in flight
+  int primary_in_flight = 0;     // of `in_flight`: at the primary
   double primary_concurrency_limit = 0;
-  int primary_waiting = 0;
+  int primary_waiting = 0;  // of `waiting`: requests that only the primary can serve
 };
-/// Factors on the module's own figures, set while service is reduced.
+/// Factors on the router's internal budgets, lowered while service is degraded.
 struct Tuning {
-  double probe_rate = 1;    // 0.1 to 10
-  double retry_budget = 1;  // 0 to 1
-  double read_spillover =
-      1;  // 0 to 1: of the primary's window that reads may fill while replicas are only busy
+  double probe_rate = 1;      // 0.1 to 10
+  double retry_budget = 1;    // 0 to 1
+  double read_spillover = 1;  // 0 to 1: share of the primary's concurrency limit open to reads while the
+                              // replicas are merely busy
 };
 
 struct RouterSnapshot;  // cedarring/snapshot.h
-/// hosts: these alone. split: the other router begins now, and what may be spent is from here on in two
-/// parts, of which the other's is told; all but the sessions.
+/// Content of a snapshot. `hosts`: host state only. `split`: everything but the sessions, and all budgets are
+/// halved between this router and the one that receives the snapshot.
 enum class SnapshotScope { all, hosts, split };
 
-/// One router's decisions. Not thread-safe; shares nothing with other instances.
+/// The routing state machine: takes events, returns actions. Not thread-safe; instances share no state.
 class Router {
  public:
-  /// Throws std::invalid_argument, naming the setting, when the settings contradict themselves.
+  /// Throws std::invalid_argument as check() does.
   explicit Router(Settings settings);
   ~Router();
   Router(Router&&) noexcept;
@@ -233,33 +277,35 @@
   Router(const Router&) = delete;
   Router& operator=(const Router&) = delete;
 
-  /// Takes one event at `now`, which must not go back, and appends what is to be done to `out`.
+  /// Handles one event at `now`, which must not decrease between calls, and appends the resulting actions to
+  /// `out`.
   void handle(Time now, const Event& event, std::vector<Action>& out);
 
-  /// Whether the host is still of interest; an id that is not may be forgotten by the caller.
+  /// Whether the router still holds state for the host; the caller may drop the id of any other host.
   [[nodiscard]] bool tracks(HostId host) const;
 
-  /// By group. The time must not go back; no event is taken and nothing decided.
+  /// Writes the state of each group to `out`. `now` must not decrease between calls. Makes no decisions.
   void group_views(Time now, std::vector<GroupView>& out);
   void set_tuning(const Tuning& tuning);
-  /// How many attempts may be out at once, 1 or more; what finds no place waits within its time. Those that
-  /// are out already stay.
-  void set_max_in_flight(int places);
-  /// Other settings from now on. Classes keep their numbers: there are as many as before or more, and one
-  /// whose requests are open must not change. Throws as the constructor does, and then changes nothing.
+  /// Limits the attempts in flight over all hosts to `max_in_flight`, 1 or more. Requests beyond the limit
+  /// wait within their deadlines; attempts already in flight continue.
+  void set_max_in_flight(int max_in_flight);
+  /// Replaces the settings. The class list may only grow at its end, and a class with open requests must not
+  /// change. Throws std::invalid_argument as check() does, without changing anything.
   void update_settings(Settings settings);
 
-  /// What it knows, for a router that takes its place.
-  [[nodiscard]] RouterSnapshot snapshot(Time now, SnapshotScope what);
-  /// Takes over what another has told, where that is news; of hosts and classes that are known here.
-  void merge_snapshot(Time now, const RouterSnapshot& knowledge);
-  /// Another router may be spending, too, and has not told yet how much: nothing may be spent.
+  /// State for a successor router; with SnapshotScope::split also halves this router's budgets.
+  [[nodiscard]] RouterSnapshot snapshot(Time now, SnapshotScope scope);
+  /// Merges newer state from a predecessor, for the hosts and classes that this router knows.
+  void merge_snapshot(Time now, const RouterSnapshot& snapshot);
+  /// Sets the retry, probe and slow-start budgets to zero, because a predecessor that still runs has not yet
+  /// reported its share.
   void suspend_spending();
-  /// From one window on this one may use this part of what may be spent on cold hosts: 1 where no other
-  /// spends any more, less where one does and has not been heard.
-  void set_slow_start_share(Time now, double part);
+  /// Sets this router's share (0 to 1) of the slow-start budgets, from one overload window after `now` on: 1
+  /// if no other router spends them any more, less if another one does and its usage is unknown.
+  void set_slow_start_share(Time now, double share);
 
-  /// How many entries are held (requests, hosts, sessions): it stays bounded.
+  /// Number of requests, hosts and sessions held; it is bounded.
   [[nodiscard]] std::size_t entry_count() const;
 
  private:
--- a/include/cedarring/snapshot.h
+++ b/include/cedarring/snapshot.h
@@ -1,6 +1,6 @@
-// What one router may tell another that takes its place: what it has learnt of hosts and sessions, and what
-// it has spent of budgets. Plain records. Times are told as ages, so that the two need not agree on a clock;
-// commits and floors are positions, on the hosts' own.
+// State that a router hands to its successor: estimates of hosts and classes, session positions, and the
+// remaining budgets. Plain data. Times are given as ages, so that the two routers need no common clock;
+// commits and floors are replication positions, on the hosts' clock.
 #pragma once
 
 #include <cstdint>
@@ -13,43 +13,53 @@
 
 namespace cedarring {
 
+/// State of one host.
 struct HostSnapshot {
   HostId host;
-  std::string name;  // for those who tell it on: ids are each process's own. The router leaves it empty
+  // The host's external name, which replaces the id between processes. Set by the caller; the router leaves
+  // it empty.
+  std::string name;
   // outlier detection
-  double failure_score = 0;                  // its score, 0 to 1
-  std::optional<Duration> last_outcome_age;  // how long ago an outcome last told of it
-  std::optional<Duration>
-      ejection_remaining;  // for how much longer; 0 or less: its time is up, not yet proved well
-  Duration backoff{};      // of that ejection
-  std::int32_t lost_probes = 0, refusals = 0;  // in a row
-  // a cold start
-  std::optional<Duration> start_age;  // how long ago its process started, if it may still be cold
-  std::vector<std::pair<Duration, double>>
-      slow_start_sends;  // to it while cold: how long ago, and how much, in typical requests
+  double failure_score = 0;                    // 0 to 1
+  std::optional<Duration> last_outcome_age;    // since the outcome of a request last changed the score
+  std::optional<Duration> ejection_remaining;  // 0 or less: expired, and no request has succeeded since
+  Duration backoff{};                          // length of the last ejection, before jitter
+  std::int32_t lost_probes = 0;                // consecutive probes without an answer
+  std::int32_t refusals = 0;                   // consecutive refused connections
+  // slow start
+  std::optional<Duration> start_age;  // since the host's process started; absent if it is warmed up
+  // Requests sent during slow start: age, and work in units of a typical request.
+  std::vector<std::pair<Duration, double>> slow_start_sends;
   // estimates
-  double relative_latency = 1, load = 0, concurrency_limit = 0;  // see the module; a window of 0 is none
+  double relative_latency = 1;   // latency relative to the mean of the request's class
+  double load = 0;               // latency relative to the latency target
+  double concurrency_limit = 0;  // attempts in flight; 0: unknown
 };
+/// Position of a session's last write.
 struct SessionSnapshot {
   GroupId group;
   SessionId session;
-  Time commit{};  // of its last write
+  Time commit{};
 };
+/// Recent traffic of a class; the counts decay over time.
 struct ClassSnapshot {
   std::string name;
-  std::optional<Duration> latency;
-  double arrived = 0, served = 0;  // recent, fading; served: in typical requests
-  double demand[2] = {0, 0};       // recent work asked of replicas, of primaries
+  std::optional<Duration> latency;  // mean
+  double arrived = 0;               // requests
+  double served = 0;                // work, in units of a typical request
+  double demand[2] = {0, 0};        // work asked of the replicas [0] and of the primary [1]
 };
+/// State of a router.
 struct RouterSnapshot {
   std::vector<HostSnapshot> hosts;
   std::vector<SessionSnapshot> sessions;
-  std::vector<std::pair<GroupId, Time>> floors;  // newest commit whose session is forgotten
+  std::vector<std::pair<GroupId, Time>> floors;  // newest commit among the sessions that were dropped
   std::vector<ClassSnapshot> classes;
-  std::optional<Duration> age;                // of the router that tells
-  double retry_tokens = 0, probe_tokens = 0;  // saved up for the one that is told
-  double slow_start_share_total = 0,
-         slow_start_share = 0;  // of the bounds on cold hosts: for both routers, for the one that is told
+  std::optional<Duration> age;        // since the sending router started
+  double retry_tokens = 0;            // given to the receiving router
+  double probe_tokens = 0;            // given to the receiving router
+  double slow_start_share_total = 0;  // share (0 to 1) of the slow-start budgets for both routers together
+  double slow_start_share = 0;        // of `slow_start_share_total`: for the receiving router
 };
 
 }  // namespace cedarring
--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -297,8 +297,8 @@
   gates::ServiceInfo s;
   s.classes = settings.classes;
   s.tenants = budgets.size();
-  s.max_pause = settings.max_retry_after;
-  s.pauses = settings.retry_after_allowed;
+  s.max_retry_after = settings.max_retry_after;
+  s.retry_after_allowed = settings.retry_after_allowed;
   s.seed = settings.seed ^ salt;  // neither the router's own draws nor another gate's
   return s;
 }
--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -460,9 +460,9 @@
       told = until;
       h.relative_latency = h.concurrency_limit = 0, h.load = -1;  // estimates are each process's own
       h.start_age.reset(), h.slow_start_sends.clear();
-      news.k.hosts.push_back(std::move(h));
+      news.snapshot.hosts.push_back(std::move(h));
     }
-    if (!news.k.hosts.empty()) link_->send("hosts", s->front() + ' ' + handover::to_text(news));
+    if (!news.snapshot.hosts.empty()) link_->send("hosts", s->front() + ' ' + handover::to_text(news));
   }
 }
 
@@ -546,9 +546,9 @@
   } else if (p.kind == "hosts") {
     auto news = handover::from_text<handover::HostsSection>(rest);
     if (auto* s = service(word); s && news) {
-      for (const auto& h : news->k.hosts)
+      for (const auto& h : news->snapshot.hosts)
         if (h.ejection_remaining) told_[s->front() + ' ' + h.name] = clock_.now() + *h.ejection_remaining;
-      s->broker().merge_snapshot(std::move(news->k));
+      s->broker().merge_snapshot(std::move(news->snapshot));
     }
   } else if (p.kind == "serving" && !follows_ && !handing_) {
     split();  // one of a build that does not ask for it
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -80,9 +80,9 @@
       spoilt.emplace_back(name);
   };
   read(
-      "sessions", handover::SessionsSection{}, [&](auto p) { broker_.merge_snapshot(std::move(p.k)); });
+      "sessions", handover::SessionsSection{}, [&](auto p) { broker_.merge_snapshot(std::move(p.snapshot)); });
   read(
-      "hosts", handover::HostsSection{}, [&](auto p) { broker_.merge_snapshot(std::move(p.k)); });
+      "hosts", handover::HostsSection{}, [&](auto p) { broker_.merge_snapshot(std::move(p.snapshot)); });
   read(
       "tenants", broker::BudgetSnapshots{}, [&](auto p) { broker_.take_budgets(p); });
   read(
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -44,7 +44,7 @@
 void Broker::update_settings(Settings settings, std::vector<TenantBudget> budgets) {
   const Time now = clock_();
   std::vector<bool> open(contracts_.size(), false), kept(contracts_.size(), false);
-  for (const auto& [id, r] : requests_) open[static_cast<std::size_t>(r.ask.cls.value)] = true;
+  for (const auto& [id, r] : requests_) open[static_cast<std::size_t>(r.ask.class_id.value)] = true;
   std::vector<RequestClass> fresh;
   for (const auto& c : settings.classes) {
     const auto cls = with_attempts(c, settings);
@@ -129,7 +129,7 @@
   r.taken = now;
   r.deadline = deadline;
   r.ask.request = id;
-  r.ask.cls = cls;
+  r.ask.class_id = cls;
   r.ask.group = ask.group;
   r.ask.retry = ask.retry;
   r.ask.time_left = deadline - now;
@@ -151,7 +151,7 @@
   }
   RequestArrived event;
   event.request = id;
-  event.class_id = r.ask.cls;
+  event.class_id = r.ask.class_id;
   event.group = ask.group;
   event.time_left = deadline - now;
   event.session = ask.session;
@@ -164,7 +164,7 @@
 gates::Verdict Broker::pass_gates(Request& r, Time now) {
   // Gates know the classes and tenants of the start: what a reload has brought passes them by until the next
   // one.
-  if (static_cast<std::size_t>(r.ask.cls.value) >= gated_classes_ ||
+  if (static_cast<std::size_t>(r.ask.class_id.value) >= gated_classes_ ||
       (r.ask.tenant >= 0 && static_cast<std::size_t>(r.ask.tenant) >= gated_tenants_))
     return {};
   for (auto* gate : gates_) {
@@ -233,7 +233,7 @@
 
 void Broker::attempt_written(AttemptKey key) {
   const auto it = requests_.find(key.request.value);
-  if (it != requests_.end()) ++contracts_[static_cast<std::size_t>(it->second.ask.cls.value)].counts->tries;
+  if (it != requests_.end()) ++contracts_[static_cast<std::size_t>(it->second.ask.class_id.value)].counts->tries;
 }
 
 void Broker::collect_metrics(telemetry::Metrics& out) {
@@ -270,7 +270,7 @@
   r.message = std::move(result.message);
   // A write's position is its commit, which its primary alone is known to hold.
   const bool commit =
-      contracts_[static_cast<std::size_t>(r.ask.cls.value)].cls.freshness == Freshness::write &&
+      contracts_[static_cast<std::size_t>(r.ask.class_id.value)].cls.freshness == Freshness::write &&
       result.metadata.role != Role::replica;
   hear(a.host, result.metadata.role, commit ? std::nullopt : result.metadata.position);
   // What a host has served ends the request: the router learns of both at once, then the client gets it.
@@ -458,7 +458,7 @@
       gates_[i]->on_request_end(r.ask, {end, by, why, r.ran, now - r.taken}, now);
   }
   if (end == gates::RequestEnd::abandoned) return;
-  auto& counts = *contracts_[static_cast<std::size_t>(r.ask.cls.value)].counts;
+  auto& counts = *contracts_[static_cast<std::size_t>(r.ask.class_id.value)].counts;
   ++(end == gates::RequestEnd::served    ? counts.ok
      : end == gates::RequestEnd::refused ? counts.shed
                                          : counts.errors);
@@ -497,7 +497,7 @@
 void Broker::tell_course(const Request& r) const {
   RequestTrace c;
   c.name = r.name;
-  c.contract = contracts_[static_cast<std::size_t>(r.ask.cls.value)].cls.name;
+  c.contract = contracts_[static_cast<std::size_t>(r.ask.class_id.value)].cls.name;
   c.group = r.ask.group;
   c.retry = r.ask.retry;
   c.elapsed = r.ended_at - r.taken;
--- a/src/contracts/contracts.cpp
+++ b/src/contracts/contracts.cpp
@@ -270,18 +270,18 @@
   v.admitted = false;
   v.decided_by = gates::Decider::contracts;
   v.reason = why;
-  if (service_.pauses)
-    v.retry_after = spread(wait, service_.max_pause, static_cast<double>(random_()) * 0x1p-32);
+  if (service_.retry_after_allowed)
+    v.retry_after = spread(wait, service_.max_retry_after, static_cast<double>(random_()) * 0x1p-32);
   return v;
 }
 
 gates::Verdict Contracts::admit(const gates::GateRequest& ask, Time now) {
   now = std::max(now, stepped_);
   const auto team = team_of(ask.tenant);
-  if (config_.mode == Mode::off || team < 0 || ask.cls.value < 0 ||
-      static_cast<std::size_t>(ask.cls.value) >= service_.classes.size())
+  if (config_.mode == Mode::off || team < 0 || ask.class_id.value < 0 ||
+      static_cast<std::size_t>(ask.class_id.value) >= service_.classes.size())
     return {};
-  const auto t = static_cast<std::size_t>(team), c = static_cast<std::size_t>(ask.cls.value);
+  const auto t = static_cast<std::size_t>(team), c = static_cast<std::size_t>(ask.class_id.value);
   auto& cell = at(t, c);
   auto& book = this->book(cell);
   ++book.now.asked;
@@ -335,10 +335,10 @@
 void Contracts::on_request_end(const gates::GateRequest& ask, const gates::RequestResult& ending,
                                Time /*now*/) {
   const auto team = team_of(ask.tenant);
-  if (config_.mode == Mode::off || team < 0 || ask.cls.value < 0 ||
-      static_cast<std::size_t>(ask.cls.value) >= service_.classes.size())
+  if (config_.mode == Mode::off || team < 0 || ask.class_id.value < 0 ||
+      static_cast<std::size_t>(ask.class_id.value) >= service_.classes.size())
     return;
-  const auto t = static_cast<std::size_t>(team), c = static_cast<std::size_t>(ask.cls.value);
+  const auto t = static_cast<std::size_t>(team), c = static_cast<std::size_t>(ask.class_id.value);
   auto& cell = at(t, c);
   auto& book = this->book(cell);
   const auto* terms = this->terms(t, c, closure_);
@@ -363,11 +363,11 @@
       ++book.now.left;
       break;
     case gates::RequestEnd::refused:
-      if (ending.by == gates::Decider::levels)
+      if (ending.decided_by == gates::Decider::levels)
         ++book.now.refused_levels;
-      else if (ending.by != gates::Decider::contracts)
+      else if (ending.decided_by != gates::Decider::contracts)
         ++book.now.refused_router;
-      else if (ending.why == gates::Reason::contention)
+      else if (ending.reason == gates::Reason::contention)
         ++book.now.refused_contention;
       else
         ++book.now.refused_contract;
@@ -375,14 +375,14 @@
   }
   // The gateway's promise is about what was within the contract, and about what it has refused of that in
   // contention. A client that leaves by itself has not waited for the promise.
-  if (((admitted && !beyond) || ending.why == gates::Reason::contention) &&
+  if (((admitted && !beyond) || ending.reason == gates::Reason::contention) &&
       ending.end != gates::RequestEnd::abandoned) {
     ++book.now.within_ended;
     if (in_time) ++book.now.within_in_time;
   }
   if (!admitted) return;
   auto& resource = resources_[{ask.group.value, needs_primary(c)}];
-  if (ending.end == gates::RequestEnd::refused && ending.by == gates::Decider::router) ++resource.refused;
+  if (ending.end == gates::RequestEnd::refused && ending.decided_by == gates::Decider::router) ++resource.refused;
   if (ending.end == gates::RequestEnd::served) {
     // What an answer took beyond the quick ones is waiting, not work: an expectile on the low side, which a
     // queue before the hosts moves little.
--- a/src/fleet/connect_timeout.h
+++ b/src/fleet/connect_timeout.h
@@ -1,6 +1,7 @@
-// How long a connection to a host may take to come up before a request goes elsewhere: from what connections
-// took lately, as RFC 6298 does for retransmissions. A host that says nothing then costs a request a little
-// of its time, not all of it; nothing was sent, so nothing can have run. No I/O, no clock.
+// Adaptive connect timeout: how long a connection attempt to a host may take before the request is tried on
+// another host. Estimated from recent connect times as RFC 6298 estimates retransmission timeouts. A host
+// that does not respond then costs a request only part of its time; nothing was sent, so nothing can have
+// run. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -12,27 +13,37 @@
 
 class AdaptiveConnectTimeout {
  public:
-  /// A connection has come up after `took`. Those given up tell nothing of how long they would have taken.
-  void took(Duration took) {
-    const auto us = static_cast<double>(took.count());
-    if (mean_ < 0)
-      mean_ = us, spread_ = us / 2;
-    else
-      spread_ += (std::abs(us - mean_) - spread_) / 4, mean_ += (us - mean_) / 8;
-    lost_ = 0;
+  /// Records a connection that was established after `elapsed`. Abandoned attempts are not recorded here,
+  /// because their full connect time is unknown.
+  void connected(Duration elapsed) {
+    const auto us = static_cast<double>(elapsed.count());
+    if (mean_us_ < 0) {
+      mean_us_ = us;
+      deviation_us_ = us / 2;
+    } else {
+      deviation_us_ += (std::abs(us - mean_us_) - deviation_us_) / 4;
+      mean_us_ += (us - mean_us_) / 8;
+    }
+    consecutive_timeouts_ = 0;
   }
-  /// One has been given up. Where none comes up in between the patience doubles: they may all be slow.
-  void gave_up() { lost_ = std::min(lost_ + 1, 16); }
-  /// Between an eighth of `most` and `most`; `most` as long as nothing has been seen.
-  [[nodiscard]] Duration allowed(Duration most) const {
-    if (mean_ < 0) return most;
-    const double wanted = (mean_ + 4 * spread_) * static_cast<double>(1 << lost_);
-    return std::clamp(Duration(static_cast<std::int64_t>(std::min(wanted, 1e12))), most / 8, most);
+  /// Records an abandoned attempt. Each one in a row doubles the timeout: all connections may be slow.
+  void timed_out() { consecutive_timeouts_ = std::min(consecutive_timeouts_ + 1, max_doublings); }
+  /// The timeout for the next attempt: between an eighth of `max_timeout` and `max_timeout`; `max_timeout`
+  /// until a connection has been recorded.
+  [[nodiscard]] Duration timeout(Duration max_timeout) const {
+    if (mean_us_ < 0) return max_timeout;
+    const double estimate_us =
+        (mean_us_ + 4 * deviation_us_) * static_cast<double>(1 << consecutive_timeouts_);
+    const Duration estimate(static_cast<std::int64_t>(std::min(estimate_us, max_estimate_us)));
+    return std::clamp(estimate, max_timeout / 8, max_timeout);
   }
 
  private:
-  double mean_ = -1, spread_ = 0;  // us; below 0: none seen yet
-  int lost_ = 0;                   // given up since the last that came up
+  static constexpr int max_doublings = 16;
+  static constexpr double max_estimate_us = 1e12;  // fits a Duration
+  double mean_us_ = -1;                            // below 0: no connection recorded yet
+  double deviation_us_ = 0;                        // mean deviation from the mean
+  int consecutive_timeouts_ = 0;                   // since the last established connection
 };
 
 }  // namespace cedarring::fleet
--- a/src/fleet/outlier_detector.h
+++ b/src/fleet/outlier_detector.h
@@ -1,6 +1,7 @@
-// Outlier detection: how the outcomes of requests at a host become a verdict on it, and how the verdict
-// fades. Of many outcomes each counts for little; one that comes after long quiet counts for all that was not
-// seen since, as it is for one of hundreds of gateways. No I/O, no clock, no randomness of its own.
+// Outlier detection: turns the outcomes of requests at a host into a failure score, ejects the host above a
+// threshold, and lets the score decay. An outcome among many changes the score a little; one after a long
+// pause stands for all the outcomes that this gateway, one of hundreds, did not see. No I/O, no clock, no
+// randomness of its own.
 #pragma once
 
 #include <algorithm>
@@ -12,69 +13,85 @@
 
 class OutlierDetector {
  public:
-  /// How outcomes count. `gain` (0 to 1): of one among many. `seconds` (over 0): after which one counts for
-  /// nearly all, and a verdict whose time is up has faded. `eject_at` (0 to 1): the score from which the host
-  /// is kept out.
   struct Config {
-    double gain, seconds, eject_at;
+    double gain;     // weight of one outcome among many, 0 to 1
+    double seconds;  // time constant, above 0: of an outcome's weight after a pause, and of the score's decay
+                     // after an ejection
+    double eject_at;  // failure score from which the host is ejected, 0 to 1
   };
-  /// What another process of the same gateway may be told.
+  /// State that another process of the same gateway may take over.
   struct State {
-    double fails = 0;  // 0 to 1
-    Time judged = unset, ejected_until = unset;
-    Duration backoff{};
+    double failure_score = 0;  // 0 to 1
+    Time last_outcome_at = unset;
+    Time ejected_until = unset;
+    Duration backoff{};  // length of the last ejection, before jitter
   };
-  /// Far before any clock, near enough to subtract.
+  /// Earlier than any time on the clock, and safe to subtract.
   static constexpr Time unset{-40'000'000'000'000'000};
 
-  explicit OutlierDetector(const Config& terms) : terms_(terms) {}
-  [[nodiscard]] const State& known() const { return k_; }
-  /// Takes over what another process has learnt where that is news: the later ejection, the later outcome.
-  void learn(const State& other) {
-    if (other.judged > k_.judged) k_.fails = std::clamp(other.fails, 0.0, 1.0), k_.judged = other.judged;
-    if (other.ejected_until <= k_.ejected_until) return;
-    k_.ejected_until = other.ejected_until, k_.backoff = std::max(k_.backoff, other.backoff);
+  explicit OutlierDetector(const Config& config) : config_(config) {}
+  [[nodiscard]] const State& state() const { return state_; }
+  /// Merges the state of another process: the score with the later outcome, and the later ejection.
+  void merge(const State& other) {
+    if (other.last_outcome_at > state_.last_outcome_at) {
+      state_.failure_score = std::clamp(other.failure_score, 0.0, 1.0);
+      state_.last_outcome_at = other.last_outcome_at;
+    }
+    if (other.ejected_until <= state_.ejected_until) return;
+    state_.ejected_until = other.ejected_until;
+    state_.backoff = std::max(state_.backoff, other.backoff);
   }
-  /// The host is another than it was: a process that has just started.
-  void forget() { k_.fails = 0, k_.ejected_until = unset; }
-  /// A request failed there, which counts for `weight` ordinary ones; `since`: when we began to look. True:
-  /// it is to be ejected.
-  bool failed(Time now, Time since, double weight) {
-    k_.fails += std::min(1.0, gain(now, since) * weight) * (1 - k_.fails);
-    k_.judged = now;
-    return k_.fails >= terms_.eject_at;
+  /// Clears the score and the ejection, because the host's process was restarted.
+  void reset() {
+    state_.failure_score = 0;
+    state_.ejected_until = unset;
   }
-  /// Keeps it out: for `first` or twice as long as before, `most` at most, times `jitter`.
-  void eject(Time now, Duration first, Duration most, double jitter) {
-    k_.backoff = std::max(first, std::min(k_.backoff * 2, most));
-    k_.ejected_until =
-        now + Duration(static_cast<std::int64_t>(static_cast<double>(k_.backoff.count()) * jitter));
+  /// Records a failed request that counts as `weight` ordinary ones. `observed_since` is when this process
+  /// began to send requests. Returns whether the host should be ejected.
+  bool record_failure(Time now, Time observed_since, double weight) {
+    state_.failure_score += std::min(1.0, gain(now, observed_since) * weight) * (1 - state_.failure_score);
+    state_.last_outcome_at = now;
+    return state_.failure_score >= config_.eject_at;
   }
-  void answered(Time now, Time since) {
-    k_.fails -= gain(now, since) * k_.fails;
-    k_.judged = now;
-    if (ejected() && now >= k_.ejected_until)
-      k_.ejected_until = unset, k_.fails = std::min(k_.fails, terms_.eject_at * 0.8);
-    if (k_.fails < 0.1) k_.backoff = Duration::zero();
+  /// Ejects the host for `first`, or for twice the last ejection but at most `max_backoff`, whichever is
+  /// longer; multiplied by `jitter`.
+  void eject(Time now, Duration first, Duration max_backoff, double jitter) {
+    state_.backoff = std::max(first, std::min(state_.backoff * 2, max_backoff));
+    state_.ejected_until =
+        now + Duration(static_cast<std::int64_t>(static_cast<double>(state_.backoff.count()) * jitter));
   }
-  /// Ejected and not yet proved well.
-  [[nodiscard]] bool ejected() const { return k_.ejected_until != unset; }
-  /// Its time is up, and one request may try it.
-  [[nodiscard]] bool ready_for_trial(Time now) const { return ejected() && now >= k_.ejected_until; }
-  /// The score as it weighs now, 0 to 1. A verdict fades once its time is up: else nobody would try the host
-  /// again.
+  /// Records an answered request. Ends an expired ejection, with a score below the ejection threshold.
+  void record_success(Time now, Time observed_since) {
+    state_.failure_score -= gain(now, observed_since) * state_.failure_score;
+    state_.last_outcome_at = now;
+    if (ejected() && now >= state_.ejected_until) {
+      state_.ejected_until = unset;
+      state_.failure_score = std::min(state_.failure_score, config_.eject_at * recovered_share);
+    }
+    if (state_.failure_score < healthy_score) state_.backoff = Duration::zero();
+  }
+  /// Whether the host was ejected and no request has succeeded since the ejection expired.
+  [[nodiscard]] bool ejected() const { return state_.ejected_until != unset; }
+  /// Whether the ejection has expired, so that one request may test the host.
+  [[nodiscard]] bool ready_for_trial(Time now) const { return ejected() && now >= state_.ejected_until; }
+  /// The score at `now`, 0 to 1. It decays after an expired ejection; otherwise no request would test the
+  /// host again.
   [[nodiscard]] double failure_score(Time now) const {
-    if (!ejected() || now <= k_.ejected_until) return k_.fails;
-    return k_.fails * std::exp(-seconds(now - k_.ejected_until) / terms_.seconds);
+    if (!ejected() || now <= state_.ejected_until) return state_.failure_score;
+    return state_.failure_score * std::exp(-seconds(now - state_.ejected_until) / config_.seconds);
   }
 
  private:
+  static constexpr double recovered_share = 0.8;  // of eject_at: highest score after a recovery
+  static constexpr double healthy_score = 0.1;  // below it the next ejection starts from the shortest length
+
   static double seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
-  [[nodiscard]] double gain(Time now, Time since) const {
-    return std::max(terms_.gain, 1 - std::exp(-seconds(now - std::max(k_.judged, since)) / terms_.seconds));
+  [[nodiscard]] double gain(Time now, Time observed_since) const {
+    const Duration pause = now - std::max(state_.last_outcome_at, observed_since);
+    return std::max(config_.gain, 1 - std::exp(-seconds(pause) / config_.seconds));
   }
-  Config terms_;
-  State k_;
+  Config config_;
+  State state_;
 };
 
 }  // namespace cedarring::fleet
--- a/src/fleet/probe_budget.h
+++ b/src/fleet/probe_budget.h
@@ -1,5 +1,5 @@
-// What a router may spend on probes: requests pay for them at the price in the settings. Of a fleet however
-// large, all probes together cost the same part of what the requests are worth. No I/O, no clock.
+// Token budget for health probes. Each request adds a fraction of a token and each probe spends one, so that
+// probes cost a fixed share of the requests' value, whatever the size of the fleet. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -8,25 +8,32 @@
 
 class ProbeBudget {
  public:
-  /// `price`: of a probe, in worths of a request, 0 or more; 0 makes all probes free. `part`: of the worth of
-  /// all requests that probes may cost, 0 to 1. `most`: probes saved at most, 1 or more; as many are there at
-  /// the start.
-  ProbeBudget(double price, double part, double most)
-      : earned_(price > 0 ? part / price : 0), most_(most), saved_(most), free_(price <= 0) {}
-  /// A request has come.
-  void earn() { saved_ = std::min(most_, saved_ + earned_); }
-  /// Whether there is a probe to be had for what leaves the share `kept` (0 to 1) of `most` to more urgent
-  /// ones.
-  [[nodiscard]] bool available(double kept = 0) const { return free_ || saved_ >= 1 + kept * most_; }
-  /// One is sent, whether or not it was to be had.
-  void spend() { saved_ -= free_ ? 0 : 1; }
-  /// Half of what is saved, for another process of this gateway.
-  double split_half() { return saved_ /= 2; }
-  /// What another process has given, or told to be spent: in place of what was saved.
-  void set_balance(double saved) { saved_ = std::clamp(saved, 0.0, most_); }
+  /// `probe_cost`: of one probe, in values of a request, 0 or more; 0 makes probes free. `share`: of the
+  /// requests' value that probes may cost, 0 to 1. `max_tokens`: limit of the balance, 1 or more, and the
+  /// balance at the start.
+  ProbeBudget(double probe_cost, double share, double max_tokens)
+      : tokens_per_request_(probe_cost > 0 ? share / probe_cost : 0),
+        max_tokens_(max_tokens),
+        tokens_(max_tokens),
+        free_(probe_cost <= 0) {}
+  /// Adds the tokens of one request.
+  void earn() { tokens_ = std::min(max_tokens_, tokens_ + tokens_per_request_); }
+  /// Whether a probe may be sent while the share `reserved` (0 to 1) of the maximum balance is left for more
+  /// urgent probes.
+  [[nodiscard]] bool available(double reserved = 0) const {
+    return free_ || tokens_ >= 1 + reserved * max_tokens_;
+  }
+  /// Spends one token; the balance may become negative.
+  void spend() { tokens_ -= free_ ? 0 : 1; }
+  /// Halves the balance and returns the other half, for another process of this gateway.
+  double split_half() { return tokens_ /= 2; }
+  /// Replaces the balance, limited to 0 to the maximum.
+  void set_balance(double tokens) { tokens_ = std::clamp(tokens, 0.0, max_tokens_); }
 
  private:
-  double earned_, most_, saved_;
+  double tokens_per_request_;
+  double max_tokens_;
+  double tokens_;
   bool free_;
 };
 
--- a/src/fleet/replica_lag.h
+++ b/src/fleet/replica_lag.h
@@ -1,8 +1,8 @@
-// The design's steps: what a replica weighs in the draw by how far behind it seems. Past the bound it has a
-// small fixed share beside those within, where hosts check reads themselves. A gateway that hears seldom
-// believes most replicas past the bound that are not, and its reads crowd on the few it has just heard; so
-// that share follows how often such reads were answered: a host turns one away at no harm but the way there.
-// No I/O, no clock, no randomness.
+// Replica selection by replication lag: weights by estimated lag. A replica beyond a read's staleness bound
+// keeps a small weight where hosts check reads themselves, because a gateway that seldom receives positions
+// overestimates the lag of most replicas, and its reads would crowd on the few that it has just heard from.
+// The weight follows the success rate of such reads; a rejected read costs only its round trip. No I/O, no
+// clock, no randomness.
 #pragma once
 
 #include <algorithm>
@@ -13,51 +13,53 @@
 
 namespace cedarring::fleet {
 
-/// How far behind a replica is believed to be that was `lag` behind when it was last heard, `age` ago. What
-/// it did since nobody knows: with trust it has kept up, without it has stood still, as by its known position
-/// alone. Replicas heard at different times cannot be told apart otherwise: the one heard last would always
-/// be the most advanced, and each of many gateways would stay with one.
-[[nodiscard]] inline Duration estimated_lag(Duration lag, Duration age, bool trust) {
-  return trust ? lag : lag + age;
+/// The estimated lag of a replica that was `lag` behind at its last report, `age` ago. Its progress since
+/// then is unknown: with `assume_current` it is taken to have kept up, otherwise to have stood still at its
+/// last known position. Standing still alone would always rank the replica that reported last as the most
+/// current one, and each of many gateways would stay with one replica.
+[[nodiscard]] inline Duration estimated_lag(Duration lag, Duration age, bool assume_current) {
+  return assume_current ? lag : lag + age;
 }
 
-/// Leaves of the candidates the most advanced, and those that are level with it within `level`.
+/// Removes all candidates but the one with the least lag and those within `tolerance` of it.
 template <class Candidate, class Lag>
-void retain_most_current(std::vector<std::pair<Candidate*, double>>& from, Duration level, const Lag& lag) {
+void retain_most_current(std::vector<std::pair<Candidate*, double>>& candidates, Duration tolerance,
+                         const Lag& lag) {
   auto least = Duration::max();
-  for (const auto& [c, w] : from) least = std::min(least, lag(*c));
-  from.erase(
-      std::remove_if(from.begin(), from.end(), [&](const auto& f) { return lag(*f.first) - level > least; }),
-      from.end());
+  for (const auto& [candidate, weight] : candidates) least = std::min(least, lag(*candidate));
+  candidates.erase(std::remove_if(candidates.begin(), candidates.end(),
+                                  [&](const auto& entry) { return lag(*entry.first) - tolerance > least; }),
+                   candidates.end());
 }
 
-/// Up to the bound: full weight under half of it, half from there.
+/// Weight of a replica within the staleness bound: 1 below half of the bound, 0.5 from there.
 [[nodiscard]] inline double lag_weight(Duration lag, Duration bound) { return lag < bound / 2 ? 1 : 0.5; }
 
-/// How often reads at replicas believed past their bound are answered, smoothed; 0 to 1.
+/// Success rate of reads at replicas whose estimated lag is beyond the staleness bound, smoothed; 0 to 1.
 class StaleReadSuccessRate {
  public:
-  static constexpr double least = 0.05;  // the design's
-  static constexpr double most = 0.5;    // that of the step before: never more than one within the bound
-
-  explicit StaleReadSuccessRate(double at_first) : answered_(at_first) {}
-  /// A read that went to such a replica was answered, or turned away as too old.
-  void ended(bool answered) { answered_ += gain * ((answered ? 1.0 : 0.0) - answered_); }
-  /// 0.05 to 0.5, for a group and all groups together: one of hundreds of gateways sees too little of a group
-  /// by itself, and a group that lags is not to be hidden by the others. One in five turned away makes it
-  /// 0.2, every second the least.
+  static constexpr double min_weight = 0.05;
+  static constexpr double max_weight = 0.5;  // of the step before: never above a replica within the bound
+
+  explicit StaleReadSuccessRate(double initial_rate) : rate_(initial_rate) {}
+  /// Records a read at such a replica: answered, or rejected as too stale.
+  void record(bool answered) { rate_ += gain * ((answered ? 1.0 : 0.0) - rate_); }
+  /// Weight of such a replica, `min_weight` to `max_weight`, from the rates of its group and of all groups.
+  /// One of hundreds of gateways sees too few reads of a group by itself, and other groups must not hide a
+  /// group that lags. One rejected read in five gives about 0.2, every second one the minimum.
   [[nodiscard]] static double weight(const StaleReadSuccessRate& group, const StaleReadSuccessRate& all) {
-    const double both = group.answered_ * all.answered_;
-    return std::max(least, most * both * both * both * both);
+    const double both = group.rate_ * all.rate_;
+    return std::max(min_weight, max_weight * both * both * both * both);
   }
-  /// Whether such replicas are to be trusted to have kept up: the share is at half of its most at least.
-  [[nodiscard]] static bool trust(const StaleReadSuccessRate& group, const StaleReadSuccessRate& all) {
-    return weight(group, all) >= most / 2;
+  /// Whether such replicas may be assumed to have kept up: their weight is at least half of the maximum.
+  [[nodiscard]] static bool assume_current(const StaleReadSuccessRate& group,
+                                           const StaleReadSuccessRate& all) {
+    return weight(group, all) >= max_weight / 2;
   }
 
  private:
   static constexpr double gain = 0.1;
-  double answered_;
+  double rate_;
 };
 
 }  // namespace cedarring::fleet
--- a/src/fleet/slow_start_usage.h
+++ b/src/fleet/slow_start_usage.h
@@ -1,4 +1,5 @@
-// The work that was sent to a cold host in the last window: what the tipping rule bounds. No I/O, no clock.
+// Work sent to a host during its slow start, over a sliding window; compared with the slow-start limit that
+// keeps a cold host from being overloaded. No I/O, no clock.
 #pragma once
 
 #include <deque>
@@ -10,30 +11,32 @@
 
 class SlowStartUsage {
  public:
-  /// When, and how much, in typical requests.
-  using Spent = std::pair<Time, double>;
-  /// This process sends; times do not go back.
+  /// Time of a send, and its work in units of a typical request.
+  using SentWork = std::pair<Time, double>;
+  /// Records a send of this process; times must not decrease.
   void add(Time at, double work) { own_.emplace_back(at, work); }
-  /// What another process of this gateway had sent, in place of what was told before; by time.
-  void told(std::deque<Spent> spent) { told_ = std::move(spent); }
-  /// The work sent after `from` by this process, and as told by another; what is older is forgotten.
-  double own(Time from) { return since(own_, from); }
-  double others(Time from) { return since(told_, from); }
-  /// All of it, in any order.
-  [[nodiscard]] std::deque<Spent> all() const {
-    auto all = told_;
+  /// Replaces the sends of another process of this gateway, sorted by time.
+  void set_others(std::deque<SentWork> sends) { others_ = std::move(sends); }
+  /// The work sent after `from` by this process; drops older entries.
+  double own(Time from) { return sum_since(own_, from); }
+  /// The work sent after `from` by the other process; drops older entries.
+  double others(Time from) { return sum_since(others_, from); }
+  /// The sends of both processes, unsorted.
+  [[nodiscard]] std::deque<SentWork> all() const {
+    auto all = others_;
     all.insert(all.end(), own_.begin(), own_.end());
     return all;
   }
 
  private:
-  static double since(std::deque<Spent>& spent, Time from) {
-    while (!spent.empty() && spent.front().first <= from) spent.pop_front();
+  static double sum_since(std::deque<SentWork>& sends, Time from) {
+    while (!sends.empty() && sends.front().first <= from) sends.pop_front();
     double sum = 0;
-    for (const auto& [at, work] : spent) sum += work;
+    for (const auto& [at, work] : sends) sum += work;
     return sum;
   }
-  std::deque<Spent> own_, told_;
+  std::deque<SentWork> own_;
+  std::deque<SentWork> others_;
 };
 
 }  // namespace cedarring::fleet
--- a/src/fleet/watch_timing.h
+++ b/src/fleet/watch_timing.h
@@ -1,6 +1,7 @@
-// How long a watch on the list may say nothing, and how soon it is opened anew. PROTOCOL: a heartbeat every 2
-// s. What a watch that has fallen silent misses counts as told 6 s after, so silence is seen and the watch
-// opened anew well inside them, a second time if the first says nothing either. No I/O, no clock.
+// Timing of the watch on the member list: when a silent watch has failed, and how soon it is opened again.
+// The server sends a heartbeat every 2 s, and changes count as known to the gateway after 6 s. A silent watch
+// is therefore detected and reopened well within 6 s, and a second time if the new watch is silent too. No
+// I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -11,28 +12,32 @@
 
 class WatchTiming {
  public:
+  /// Interval between heartbeats of the server.
   static constexpr Duration heartbeat{2'000'000};
 
-  /// `grace`: how long after being told of a drain requests may still go to the host.
-  explicit WatchTiming(Duration grace) : most_(std::clamp(grace / 4, Duration(20'000), Duration(250'000))) {}
-  /// The most that it may say nothing whole, a list or a heartbeat: one heartbeat late by half. A call that
-  /// is not answered yet may be waiting for its turn; it has failed once that has taken longer than a
-  /// heartbeat.
-  [[nodiscard]] static Duration silence(bool answered) {
+  /// `drain_grace`: time after a drain notice during which requests may still be sent to the host.
+  explicit WatchTiming(Duration drain_grace)
+      : max_delay_(std::clamp(drain_grace / 4, Duration(20'000), Duration(250'000))) {}
+  /// Time without a complete message after which the watch has failed. An answered watch may be late by half
+  /// a heartbeat. One without an answer yet may still be queued at the server; it fails a quarter of a
+  /// heartbeat after the first heartbeat was due.
+  [[nodiscard]] static Duration silence_timeout(bool answered) {
     return answered ? heartbeat * 3 / 2 : heartbeat * 5 / 4;
   }
-  /// It has said something whole.
-  void heard() { next_ = Duration{}; }
-  /// It has ended: the wait before it is opened anew, where nobody else decides that. None after one that was
-  /// answered: what the list's agent learns meanwhile counts as told.
-  Duration after_end() {
-    const auto wait = next_;
-    next_ = std::min(std::max(next_ * 2, Duration(10'000)), most_);
-    return wait;
+  /// Resets the reopen delay, because the watch delivered a complete message.
+  void on_message() { next_delay_ = Duration{}; }
+  /// Delay before an ended watch is opened again, if the router does not set it. Zero after a watch that
+  /// delivered a message, because changes count as known from the moment the server learns of them; then
+  /// doubling from 10 ms up to a quarter of the drain grace, limited to 20 ms to 250 ms.
+  Duration next_reopen_delay() {
+    const auto delay = next_delay_;
+    next_delay_ = std::min(std::max(next_delay_ * 2, Duration(10'000)), max_delay_);
+    return delay;
   }
 
  private:
-  Duration most_, next_{};
+  Duration max_delay_;
+  Duration next_delay_{};
 };
 
 }  // namespace cedarring::fleet
--- a/src/fleet/weighted_choice.h
+++ b/src/fleet/weighted_choice.h
@@ -1,4 +1,4 @@
-// A draw among candidates by weight. No randomness of its own.
+// Weighted choice among candidates. Has no randomness of its own.
 #pragma once
 
 #include <utility>
@@ -6,16 +6,18 @@
 
 namespace cedarring::fleet {
 
-/// The candidate that `at` (0 up to, not including, 1) falls on; each has a part in proportion to its weight
-/// (0 or more). Null without candidates.
+/// Returns the candidate at `position` (0 up to, not including, 1) when each one takes a share in proportion
+/// to its weight (0 or more). Null without candidates.
 template <class Candidate>
-Candidate* weighted_choice(const std::vector<std::pair<Candidate*, double>>& from, double at) {
+Candidate* weighted_choice(const std::vector<std::pair<Candidate*, double>>& candidates, double position) {
   double total = 0;
-  for (const auto& [c, w] : from) total += w;
-  at *= total;
-  for (const auto& [c, w] : from)
-    if ((at -= w) < 0) return c;
-  return from.empty() ? nullptr : from.back().first;
+  for (const auto& [candidate, weight] : candidates) total += weight;
+  double remaining = position * total;
+  for (const auto& [candidate, weight] : candidates) {
+    remaining -= weight;
+    if (remaining < 0) return candidate;
+  }
+  return candidates.empty() ? nullptr : candidates.back().first;
 }
 
 }  // namespace cedarring::fleet
--- a/src/gates/gate.h
+++ b/src/gates/gate.h
@@ -1,6 +1,6 @@
-// What stands between a request and the router: a chain of gates, each of which may turn the request away. A
-// gate decides from what it is handed, without I/O, a clock or randomness of its own, so that the same object
-// runs in the gateway, in simulated time and in tests.
+// Admission control in front of the router: a chain of gates, each of which may reject a request. A gate
+// decides from its arguments and its own state, without I/O, a clock or global randomness, so that the same
+// object runs in the gateway, in simulated time and in tests.
 #pragma once
 
 #include <cstdint>
@@ -10,29 +10,31 @@
 
 namespace cedarring::gates {
 
-/// What a gate needs to know of the service that it stands before. Set once; durations in microseconds.
+/// The service that a gate protects. Set once.
 struct ServiceInfo {
   std::vector<RequestClass> classes;
-  std::size_t tenants = 0;
-  Duration max_pause{500'000};  // clients keep to no longer one
-  bool pauses = true;           // whether they are told one
-  std::uint64_t seed = 0;
+  std::size_t tenants = 0;            // number of configured tenants
+  Duration max_retry_after{500'000};  // upper limit of Verdict::retry_after
+  bool retry_after_allowed = true;    // whether refusals may carry a retry delay
+  std::uint64_t seed = 0;             // of random numbers in gates
 };
 
-/// Who has turned a request away, and why. Closed: the log, the client's error and reports all name these.
+/// The component that rejected a request. Logs, client errors and reports use the names of name_of().
 enum class Decider : std::uint8_t { nobody, levels, contracts, router };
+/// Why a gate rejected a request.
 enum class Reason : std::uint8_t {
   none,
-  class_shed,     // the present level gives up this class, or this caller's part of it
-  budget_shed,    // the present level gives up what comes beyond a tenant's budget
-  tenant_shed,    // the present level gives up this tenant's requests
-  no_primary,     // the group has no primary to take it, and is not expected to soon
-  over_contract,  // beyond what the team's contract promises
-  contention,     // beyond the team's part of a host that is the bottleneck
+  class_shed,     // the active level sheds this class, or the share of its callers that includes this one
+  budget_shed,    // the active level sheds requests beyond a tenant's budget
+  tenant_shed,    // the active level sheds this tenant
+  no_primary,     // the group has no primary for the request, and none is expected soon
+  over_contract,  // beyond the rate that the team's contract guarantees
+  contention,     // beyond the team's share of a host that is the bottleneck
 };
 
-constexpr const char* name_of(Decider d) {
-  switch (d) {
+/// The decider's name in logs and reports.
+constexpr const char* name_of(Decider decider) {
+  switch (decider) {
     case Decider::nobody:
       return "nobody";
     case Decider::levels:
@@ -44,8 +46,9 @@
   }
   return "nobody";
 }
-constexpr const char* name_of(Reason r) {
-  switch (r) {
+/// The reason's text in logs, client errors and reports.
+constexpr const char* name_of(Reason reason) {
+  switch (reason) {
     case Reason::none:
       return "none";
     case Reason::class_shed:
@@ -64,31 +67,32 @@
   return "none";
 }
 
-/// A request as gates see it. Everything is a number: a verdict allocates nothing.
+/// The properties of a request that gates decide on. Holds numbers only, so that a verdict allocates nothing.
 struct GateRequest {
   RequestId request;
-  ClassId cls;
+  ClassId class_id;
   GroupId group;
-  std::int32_t tenant = -1;    // index among the budgets; -1: none named
-  std::uint64_t caller = 0;    // hash of the session or key: the same for a caller's retries; 0: unknown
-  bool beyond_budget = false;  // of its tenant's share at this gateway
-  bool retry = false;          // marked by the client as one
-  Duration time_left{};
+  std::int32_t tenant = -1;    // index into the configured tenants; -1: none
+  std::uint64_t caller = 0;    // hash of the session or key, the same for a caller's retries; 0: unknown
+  bool beyond_budget = false;  // exceeds its tenant's share at this gateway
+  bool retry = false;          // marked as a retry by the client
+  Duration time_left{};        // until the client gives up
 };
 
+/// A gate's decision on a request.
 struct Verdict {
   bool admitted = true;
   Decider decided_by = Decider::nobody;
   Reason reason = Reason::none;
-  Duration retry_after{};  // when the caller may come again; zero: nothing is said
-  bool beyond_contract =
-      false;  // admitted, but beyond what was promised: gates behind see it as beyond the budget
+  Duration retry_after{};        // delay to suggest to the client; zero: none
+  bool beyond_contract = false;  // admitted, but beyond the contract: later gates see it as beyond the budget
 };
 
-/// How a request that was asked for has ended; told once for each, whoever ended it.
+/// How a request ended; reported once per request, whichever component ended it.
 enum class RequestEnd : std::uint8_t { served, refused, failed, abandoned };
-constexpr const char* name_of(RequestEnd e) {
-  switch (e) {
+/// The name in logs and records. `abandoned`, a client that left early, is written "left".
+constexpr const char* name_of(RequestEnd end) {
+  switch (end) {
     case RequestEnd::served:
       return "served";
     case RequestEnd::refused:
@@ -100,24 +104,27 @@
   }
   return "failed";
 }
+/// The end of a request, as reported to gates.
 struct RequestResult {
   RequestEnd end = RequestEnd::failed;
-  Decider by = Decider::nobody;  // of a refusal, and why where a gate has refused it
-  Reason why = Reason::none;
-  bool ran = false;    // an attempt was written to a host, or may have been
-  Duration elapsed{};  // since the request was taken
+  Decider decided_by = Decider::nobody;  // of a refusal
+  Reason reason = Reason::none;          // of a refusal by a gate
+  bool ran = false;                      // an attempt was, or may have been, written to a host
+  Duration elapsed{};                    // since the request was accepted
 };
 
 class Gate {
  public:
   virtual ~Gate() = default;
-  /// Whether the request may go on to the next gate, or the router after the last. Never holds one back.
-  virtual Verdict admit(const GateRequest& ask, Time now) = 0;
-  /// Whether a further attempt may be made for a request that this gate let through; the first needs no
-  /// asking. One that may not ends the attempt as never sent.
-  virtual bool may_retry(const GateRequest& /*ask*/, Time /*now*/) { return true; }
-  /// Told for each request that passed this gate, and for each that it turned away.
-  virtual void on_request_end(const GateRequest& /*ask*/, const RequestResult& /*ending*/, Time /*now*/) {}
+  /// Decides whether the request may pass to the next gate, or to the router after the last gate. Decides at
+  /// once: a gate does not delay requests.
+  virtual Verdict admit(const GateRequest& request, Time now) = 0;
+  /// Whether a request that this gate admitted may make another attempt; not asked for the first one. If not,
+  /// the attempt ends with Outcome::not_sent.
+  virtual bool may_retry(const GateRequest& /*request*/, Time /*now*/) { return true; }
+  /// Called once for each request that this gate admitted or rejected.
+  virtual void on_request_end(const GateRequest& /*request*/, const RequestResult& /*result*/, Time /*now*/) {
+  }
 };
 
 }  // namespace cedarring::gates
--- a/src/handover/budget_share.h
+++ b/src/handover/budget_share.h
@@ -1,5 +1,5 @@
-// What part of a budget each of two processes of one gateway may spend. The parts never exceed the whole
-// together, whatever the two know of each other later. No I/O, no clock.
+// Division of a budget between the two processes of one gateway during an upgrade. The two shares never
+// exceed the whole budget, even while the processes know nothing of each other's spending. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -8,11 +8,13 @@
 
 namespace cedarring::handover {
 
-/// waits: it begins, and has not been told yet what the other leaves it.
+/// Stage of a process in an upgrade. `waiting`: the process has started and does not know yet which share its
+/// predecessor leaves to it.
 enum class HandoverStage { single, outgoing, waiting, incoming };
 
-/// The part, 0 to 1, of a budget of which `burst` units may be spent at once; units are not divided, so one
-/// that is too small for two belongs to the process that begins.
+/// The share (0 to 1) of a budget that a process in this stage may spend. `burst` is the number of units that
+/// may be spent at once. Units are not divided, so a budget of less than two units belongs to the incoming
+/// process.
 inline double budget_share(HandoverStage stage, double burst) {
   if (stage == HandoverStage::single) return 1;
   if (stage == HandoverStage::waiting) return 0;
@@ -20,33 +22,44 @@
   return stage == HandoverStage::incoming ? 1 : 0;
 }
 
-/// A part of a bound on what is spent in any window of a certain length. It shrinks at once; it grows only
-/// when the windows in which another process may have spent the rest are over.
+/// This process's share of a limit on the spending in any window of a fixed length. The share shrinks at
+/// once; it grows only after the windows in which another process may have spent the rest.
 class WindowShare {
  public:
-  /// Another process begins: half of what this one may use is the other's. Returns what was whole.
+  /// Another process starts: leaves it half of this process's share. Returns the share before the split.
   double split(Time now) {
-    const double whole = of(now);
-    hold(whole, whole / 2);
-    return whole;
+    const double total = share_at(now);
+    set(total, total / 2);
+    return total;
   }
-  /// `whole`: what both may use together, of which the other has told what it had spent; `part`: this one's.
-  void hold(double whole, double part) { whole_ = whole, part_ = part, widens_ = false; }
-  /// From `at` on this process may use `to`.
-  void widen(Time at, double to) { widens_ = true, at_ = at, to_ = to; }
-  [[nodiscard]] double of(Time now) const { return wide(now) ? to_ : part_; }
-  /// What is left of `bound`, where this process has spent `own` in the window and the other had spent
-  /// `told`.
-  [[nodiscard]] double left(Time now, double bound, double own, double told) const {
-    if (wide(now)) return bound * to_ - own - told;
-    return std::min(bound * part_ - own, bound * whole_ - own - told);
+  /// Sets the share of both processes together, `total`, and of this process, `share`; both 0 to 1. The other
+  /// process has reported its spending so far.
+  void set(double total, double share) {
+    total_ = total;
+    share_ = share;
+    increase_scheduled_ = false;
+  }
+  /// Raises this process's share to `share` from `at` on.
+  void schedule_increase(Time at, double share) {
+    increase_scheduled_ = true;
+    increase_at_ = at;
+    increased_share_ = share;
+  }
+  [[nodiscard]] double share_at(Time now) const { return increased(now) ? increased_share_ : share_; }
+  /// What this process may still spend of `limit` in the current window, in which it has spent `own` and the
+  /// other process had reported spending `others`; may be negative.
+  [[nodiscard]] double remaining(Time now, double limit, double own, double others) const {
+    if (increased(now)) return limit * increased_share_ - own - others;
+    return std::min(limit * share_ - own, limit * total_ - own - others);
   }
 
  private:
-  [[nodiscard]] bool wide(Time now) const { return widens_ && now >= at_; }
-  double whole_ = 1, part_ = 1, to_ = 1;
-  bool widens_ = false;
-  Time at_{};
+  [[nodiscard]] bool increased(Time now) const { return increase_scheduled_ && now >= increase_at_; }
+  double total_ = 1;
+  double share_ = 1;
+  double increased_share_ = 1;
+  bool increase_scheduled_ = false;
+  Time increase_at_{};
 };
 
 }  // namespace cedarring::handover
--- a/src/handover/json_archive.h
+++ b/src/handover/json_archive.h
@@ -1,6 +1,7 @@
-// Records as JSON objects and back. A record names its fields once, in a function `serialize(archive,
-// record)`; JsonWriter writes them, JsonReader reads them: a field that is not there keeps its value, one
-// that is not known is skipped, one of another kind spoils the whole. No I/O.
+// Serialization of records as JSON objects. A record type lists its fields once, in a function
+// `serialize(archive, record)`, which JsonWriter and JsonReader both call. On reading, a missing field keeps
+// its value, an unknown field is skipped, and a field of the wrong type makes the whole record invalid. No
+// I/O.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -22,164 +23,189 @@
 
 namespace cedarring::handover {
 
+/// Writes records to a buffer, which must outlive the writer. Durations are written in microseconds.
 class JsonWriter {
  public:
-  explicit JsonWriter(rapidjson::StringBuffer& to) : w_(to) {}
+  explicit JsonWriter(rapidjson::StringBuffer& buffer) : writer_(buffer) {}
+  /// Writes one field of the current object.
   template <class T>
-  void operator()(const char* key, const T& v) {
-    w_.Key(key), put(v);
+  void operator()(const char* key, const T& value) {
+    writer_.Key(key);
+    write(value);
   }
+  /// Writes a number, or a record by its serialize function. Infinite and undefined numbers become 0.
   template <class T>
-  void put(const T& v) {
+  void write(const T& value) {
     if constexpr (std::is_same_v<T, bool>)
-      w_.Bool(v);
+      writer_.Bool(value);
     else if constexpr (std::is_floating_point_v<T>)
-      w_.Double(std::isfinite(v) ? v : 0);
+      writer_.Double(std::isfinite(value) ? value : 0);
     else if constexpr (std::is_integral_v<T> && std::is_signed_v<T>)
-      w_.Int64(v);
+      writer_.Int64(value);
     else if constexpr (std::is_integral_v<T>)
-      w_.Uint64(v);
+      writer_.Uint64(value);
     else {
-      w_.StartObject();
-      serialize(*this, const_cast<T&>(v));  // which only reads it: one function for both ways
-      w_.EndObject();
+      writer_.StartObject();
+      // A writer only reads the record; serialize takes it as non-const because JsonReader fills it.
+      serialize(*this, const_cast<T&>(value));
+      writer_.EndObject();
     }
   }
-  void put(const std::string& v) { w_.String(v.data(), static_cast<rapidjson::SizeType>(v.size())); }
-  void put(Duration v) { w_.Int64(v.count()); }
+  void write(const std::string& value) {
+    writer_.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
+  }
+  void write(Duration value) { writer_.Int64(value.count()); }
   template <class Tag, class Rep>
-  void put(Id<Tag, Rep> v) {
-    put(v.value);
+  void write(Id<Tag, Rep> id) {
+    write(id.value);
   }
   template <class T>
-  void put(const std::optional<T>& v) {
-    if (v)
-      put(*v);
+  void write(const std::optional<T>& value) {
+    if (value)
+      write(*value);
     else
-      w_.Null();
+      writer_.Null();
   }
   template <class A, class B>
-  void put(const std::pair<A, B>& v) {
-    w_.StartArray(), put(v.first), put(v.second), w_.EndArray();
+  void write(const std::pair<A, B>& pair) {
+    writer_.StartArray();
+    write(pair.first);
+    write(pair.second);
+    writer_.EndArray();
   }
   template <class T>
-  void put(const std::vector<T>& v) {
-    w_.StartArray();
-    for (const auto& x : v) put(x);
-    w_.EndArray();
+  void write(const std::vector<T>& values) {
+    writer_.StartArray();
+    for (const auto& value : values) write(value);
+    writer_.EndArray();
   }
   template <class T>
-  void put(const std::map<std::string, T>& v) {
-    w_.StartObject();
-    for (const auto& [key, x] : v) (*this)(key.c_str(), x);
-    w_.EndObject();
+  void write(const std::map<std::string, T>& values) {
+    writer_.StartObject();
+    for (const auto& [key, value] : values) (*this)(key.c_str(), value);
+    writer_.EndObject();
+  }
+  /// Begins a document, an array of the format version and one record.
+  void begin_document(int version) {
+    writer_.StartArray();
+    writer_.Int(version);
   }
-  void begin(int v) { w_.StartArray(), w_.Int(v); }
-  void end() { w_.EndArray(); }
+  void end_document() { writer_.EndArray(); }
 
  private:
-  rapidjson::Writer<rapidjson::StringBuffer> w_;
+  rapidjson::Writer<rapidjson::StringBuffer> writer_;
 };
 
+/// Reads records from a parsed JSON value, which must outlive the reader.
 class JsonReader {
  public:
-  explicit JsonReader(const rapidjson::Value& from) : from_(&from) {}
+  explicit JsonReader(const rapidjson::Value& object) : object_(&object) {}
+  /// Reads one field of the current object, if it is there.
   template <class T>
-  void operator()(const char* key, T& v) {
-    if (!from_->IsObject()) return fail();
-    if (const auto it = from_->FindMember(key); it != from_->MemberEnd()) take(it->value, v);
+  void operator()(const char* key, T& value) {
+    if (!object_->IsObject()) return fail();
+    if (const auto it = object_->FindMember(key); it != object_->MemberEnd()) read(it->value, value);
   }
+  /// Whether every field so far had the expected type and range.
   [[nodiscard]] bool good() const { return good_; }
   template <class T>
-  void take(const rapidjson::Value& j, T& v) {
+  void read(const rapidjson::Value& json, T& value) {
     if constexpr (std::is_same_v<T, bool>)
-      j.IsBool() ? void(v = j.GetBool()) : fail();
+      json.IsBool() ? void(value = json.GetBool()) : fail();
     else if constexpr (std::is_floating_point_v<T>)
-      j.IsNumber() ? void(v = j.GetDouble()) : fail();
+      json.IsNumber() ? void(value = json.GetDouble()) : fail();
     else if constexpr (std::is_integral_v<T>)
-      whole(j, v);
+      read_integer(json, value);
     else {
-      const auto* outer = std::exchange(from_, &j);
-      if (j.IsObject())
-        serialize(*this, v);
+      const auto* outer = std::exchange(object_, &json);
+      if (json.IsObject())
+        serialize(*this, value);
       else
         fail();
-      from_ = outer;
+      object_ = outer;
     }
   }
-  void take(const rapidjson::Value& j, std::string& v) {
-    j.IsString() ? void(v.assign(j.GetString(), j.GetStringLength())) : fail();
+  void read(const rapidjson::Value& json, std::string& value) {
+    json.IsString() ? void(value.assign(json.GetString(), json.GetStringLength())) : fail();
   }
-  void take(const rapidjson::Value& j, Duration& v) {
-    // Sums of two stay within 63 bits.
-    j.IsInt64() && std::abs(j.GetInt64()) < INT64_MAX / 4 ? void(v = Duration(j.GetInt64())) : fail();
+  void read(const rapidjson::Value& json, Duration& value) {
+    // The limit keeps the sum of two durations within 63 bits.
+    json.IsInt64() && std::abs(json.GetInt64()) < INT64_MAX / 4 ? void(value = Duration(json.GetInt64()))
+                                                                : fail();
   }
   template <class Tag, class Rep>
-  void take(const rapidjson::Value& j, Id<Tag, Rep>& v) {
-    whole(j, v.value);
+  void read(const rapidjson::Value& json, Id<Tag, Rep>& id) {
+    read_integer(json, id.value);
   }
   template <class T>
-  void take(const rapidjson::Value& j, std::optional<T>& v) {
-    if (j.IsNull()) return v.reset();
-    take(j, v.emplace());
+  void read(const rapidjson::Value& json, std::optional<T>& value) {
+    if (json.IsNull()) return value.reset();
+    read(json, value.emplace());
   }
   template <class A, class B>
-  void take(const rapidjson::Value& j, std::pair<A, B>& v) {
-    if (!j.IsArray() || j.Size() != 2) return fail();
-    take(j[0], v.first), take(j[1], v.second);
+  void read(const rapidjson::Value& json, std::pair<A, B>& pair) {
+    if (!json.IsArray() || json.Size() != 2) return fail();
+    read(json[0], pair.first);
+    read(json[1], pair.second);
   }
   template <class T>
-  void take(const rapidjson::Value& j, std::vector<T>& v) {
-    if (!j.IsArray()) return fail();
-    v.clear();
-    for (const auto& x : j.GetArray()) take(x, v.emplace_back());
+  void read(const rapidjson::Value& json, std::vector<T>& values) {
+    if (!json.IsArray()) return fail();
+    values.clear();
+    for (const auto& element : json.GetArray()) read(element, values.emplace_back());
   }
   template <class T>
-  void take(const rapidjson::Value& j, std::map<std::string, T>& v) {
-    if (!j.IsObject()) return fail();
-    v.clear();
-    for (const auto& m : j.GetObject()) take(m.value, v[{m.name.GetString(), m.name.GetStringLength()}]);
+  void read(const rapidjson::Value& json, std::map<std::string, T>& values) {
+    if (!json.IsObject()) return fail();
+    values.clear();
+    for (const auto& member : json.GetObject())
+      read(member.value, values[{member.name.GetString(), member.name.GetStringLength()}]);
   }
 
  private:
   void fail() { good_ = false; }
   template <class T>
-  void whole(const rapidjson::Value& j, T& v) {
+  void read_integer(const rapidjson::Value& json, T& value) {
     if constexpr (std::is_signed_v<T>) {
-      if (j.IsInt64() && j.GetInt64() >= std::numeric_limits<T>::min() &&
-          j.GetInt64() <= std::numeric_limits<T>::max())
-        return void(v = static_cast<T>(j.GetInt64()));
+      if (json.IsInt64() && json.GetInt64() >= std::numeric_limits<T>::min() &&
+          json.GetInt64() <= std::numeric_limits<T>::max())
+        return void(value = static_cast<T>(json.GetInt64()));
     } else {
-      if (j.IsUint64() && j.GetUint64() <= std::numeric_limits<T>::max())
-        return void(v = static_cast<T>(j.GetUint64()));
+      if (json.IsUint64() && json.GetUint64() <= std::numeric_limits<T>::max())
+        return void(value = static_cast<T>(json.GetUint64()));
     }
     fail();
   }
-  const rapidjson::Value* from_;
+  const rapidjson::Value* object_;
   bool good_ = true;
 };
 
-inline constexpr int format_version = 1;  // of what fields mean; another one cannot be read
+/// Version of the documents' field meanings; documents of another version are rejected.
+inline constexpr int format_version = 1;
 
+/// Writes a record as a document.
 template <class T>
 std::string to_text(const T& record) {
   rapidjson::StringBuffer buffer;
-  JsonWriter put(buffer);
-  put.begin(format_version), put.put(record), put.end();
+  JsonWriter writer(buffer);
+  writer.begin_document(format_version);
+  writer.write(record);
+  writer.end_document();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-/// Nothing for a text of another form, or one that is not whole.
+/// Reads a document; nothing if it is malformed or truncated, has another version, or has an invalid field.
 template <class T>
 std::optional<T> from_text(const std::string& text) {
-  rapidjson::Document d;
-  d.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
-  if (d.HasParseError() || !d.IsArray() || d.Size() != 2 || !d[0].IsInt() || d[0].GetInt() != format_version)
+  rapidjson::Document document;
+  document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
+  if (document.HasParseError() || !document.IsArray() || document.Size() != 2 || !document[0].IsInt() ||
+      document[0].GetInt() != format_version)
     return std::nullopt;
   T record;
-  JsonReader take(d);
-  take.take(d[1], record);
-  if (!take.good()) return std::nullopt;
+  JsonReader reader(document);
+  reader.read(document[1], record);
+  if (!reader.good()) return std::nullopt;
   return record;
 }
 
--- a/src/handover/resource_shares.h
+++ b/src/handover/resource_shares.h
@@ -1,4 +1,5 @@
-// What each of two processes of one gateway may hold while an upgrade runs. No I/O, no clock.
+// Division of memory and connections between the two processes of one gateway during an upgrade. No I/O, no
+// clock.
 #pragma once
 
 #include <algorithm>
@@ -6,22 +7,25 @@
 
 namespace cedarring::handover {
 
-/// Bytes in buffers, clients, connections to hosts.
+/// Limits of a process.
 struct ResourceShares {
-  std::size_t memory = 0, clients = 0, hosts = 0;
+  std::size_t memory = 0;   // bytes in buffers
+  std::size_t clients = 0;  // client connections
+  std::size_t hosts = 0;    // connections to hosts
 };
 
-/// Of `whole`, what the process that `ends` or the one that begins may hold while both run. The ending one
-/// takes no new clients, so its part of those is what it still has, `held` (at most all); the beginning one
-/// has the rest. Of what grows by itself, buffers and connections to hosts, each has half. The parts never
-/// exceed the whole together.
-inline ResourceShares split_resources(const ResourceShares& whole, bool ends, std::size_t held) {
-  ResourceShares s;
-  const auto theirs = std::min(held, whole.clients);
-  s.clients = ends ? theirs : whole.clients - theirs;
-  s.memory = ends ? whole.memory / 2 : whole.memory - whole.memory / 2;
-  s.hosts = ends ? whole.hosts / 2 : whole.hosts - whole.hosts / 2;
-  return s;
+/// The limits of the outgoing or the incoming process within `total`. The outgoing process accepts no new
+/// clients, so its limit is `outgoing_clients`, the connections that it still has (at most all of them), and
+/// the incoming process may accept the rest. Memory and connections to hosts grow in both processes, so each
+/// gets half. The two limits never exceed the total together.
+inline ResourceShares split_resources(const ResourceShares& total, bool outgoing,
+                                      std::size_t outgoing_clients) {
+  ResourceShares share;
+  const auto kept_clients = std::min(outgoing_clients, total.clients);
+  share.clients = outgoing ? kept_clients : total.clients - kept_clients;
+  share.memory = outgoing ? total.memory / 2 : total.memory - total.memory / 2;
+  share.hosts = outgoing ? total.hosts / 2 : total.hosts - total.hosts / 2;
+  return share;
 }
 
 }  // namespace cedarring::handover
--- a/src/handover/router_snapshot.cpp
+++ b/src/handover/router_snapshot.cpp
@@ -26,9 +26,9 @@
 HostSnapshot known(const Host& h, const Settings& s, Time now) {
   HostSnapshot k;
   k.host = h.id;
-  const auto& o = h.outlier.known();
-  k.failure_score = o.fails;
-  k.last_outcome_age = ago(o.judged, now);
+  const auto& o = h.outlier.state();
+  k.failure_score = o.failure_score;
+  k.last_outcome_age = ago(o.last_outcome_at, now);
   if (h.outlier.ejected()) k.ejection_remaining = o.ejected_until - now, k.backoff = o.backoff;
   k.lost_probes = h.lost_probes, k.refusals = h.refusals;
   k.relative_latency = h.slowness, k.load = h.load, k.concurrency_limit = h.window;
@@ -41,13 +41,13 @@
 
 void learn(Host& h, const HostSnapshot& k, const Settings& s, Time now) {
   fleet::OutlierDetector::State o;
-  o.fails = within(k.failure_score, 0, 1);
-  if (const auto judged = at(k.last_outcome_age, now)) o.judged = std::min(*judged, now);
+  o.failure_score = within(k.failure_score, 0, 1);
+  if (const auto judged = at(k.last_outcome_age, now)) o.last_outcome_at = std::min(*judged, now);
   // No ejection lasts longer than what the module itself would set.
   if (k.ejection_remaining && *k.ejection_remaining <= oldest && *k.ejection_remaining >= -oldest)
     o.ejected_until = now + *k.ejection_remaining;
   o.backoff = std::clamp(k.backoff, Duration::zero(), oldest);
-  h.outlier.learn(o);
+  h.outlier.merge(o);
   h.lost_probes = std::max(h.lost_probes, std::clamp(k.lost_probes, 0, 1000));
   h.refusals = std::max(h.refusals, std::clamp(k.refusals, 0, 1000));
   if (k.relative_latency >= 0.1 && k.relative_latency <= 50) h.slowness = k.relative_latency;
@@ -56,12 +56,12 @@
   if (const auto since = at(k.start_age, now); since && *since <= now)
     h.cold_since = std::max(h.cold_since, *since);
   if (!k.start_age) return;
-  std::deque<fleet::SlowStartUsage::Spent> sent;
+  std::deque<fleet::SlowStartUsage::SentWork> sent;
   for (const auto& [when, work] : k.slow_start_sends)
     if (when >= Duration::zero() && when < s.overload_window && work >= 0 && work < 1e9)
       sent.emplace_back(now - when, work);
   std::sort(sent.begin(), sent.end());
-  h.spent.told(std::move(sent));
+  h.spent.set_others(std::move(sent));
 }
 
 }  // namespace
@@ -120,7 +120,7 @@
   if (!(told.slow_start_share > 0)) return;
   mine.retry_tokens_ = within(told.retry_tokens, 0, 1e3);
   mine.probes_.set_balance(within(told.probe_tokens, 0, 1e3));
-  mine.cold_part_.hold(std::min(1.0, told.slow_start_share_total),
+  mine.cold_part_.set(std::min(1.0, told.slow_start_share_total),
                        std::min({1.0, told.slow_start_share_total, told.slow_start_share}));
 }
 
--- a/src/handover/snapshot_fields.h
+++ b/src/handover/snapshot_fields.h
@@ -1,5 +1,5 @@
-// The fields of what a router tells, see handover/json_archive.h. In two records: commits of sessions are
-// many and change by the request, all else goes over twice.
+// JSON fields of a router snapshot; see handover/json_archive.h. The snapshot is written in two sections:
+// session commits are numerous and change with every write, the other state is sent twice during a handover.
 #pragma once
 
 #include "cedarring/snapshot.h"
@@ -7,42 +7,60 @@
 namespace cedarring {
 
 template <class Archive>
-void serialize(Archive& archive, HostSnapshot& h) {
-  archive("host", h.name), archive("fails", h.failure_score), archive("judged_us", h.last_outcome_age),
-      archive("ejected_us", h.ejection_remaining), archive("backoff_us", h.backoff);
-  archive("lost_probes", h.lost_probes), archive("refusals", h.refusals), archive("cold_us", h.start_age),
-      archive("sent", h.slow_start_sends);
-  archive("slowness", h.relative_latency), archive("load", h.load), archive("window", h.concurrency_limit);
+void serialize(Archive& archive, HostSnapshot& host) {
+  archive("host", host.name);
+  archive("fails", host.failure_score);
+  archive("judged_us", host.last_outcome_age);
+  archive("ejected_us", host.ejection_remaining);
+  archive("backoff_us", host.backoff);
+  archive("lost_probes", host.lost_probes);
+  archive("refusals", host.refusals);
+  archive("cold_us", host.start_age);
+  archive("sent", host.slow_start_sends);
+  archive("slowness", host.relative_latency);
+  archive("load", host.load);
+  archive("window", host.concurrency_limit);
 }
 template <class Archive>
-void serialize(Archive& archive, SessionSnapshot& s) {
-  archive("group", s.group), archive("session", s.session), archive("commit_us", s.commit);
+void serialize(Archive& archive, SessionSnapshot& session) {
+  archive("group", session.group);
+  archive("session", session.session);
+  archive("commit_us", session.commit);
 }
 template <class Archive>
-void serialize(Archive& archive, ClassSnapshot& c) {
-  archive("name", c.name), archive("latency_us", c.latency), archive("arrived", c.arrived),
-      archive("served", c.served);
-  archive("asked_replicas", c.demand[0]), archive("asked_primaries", c.demand[1]);
+void serialize(Archive& archive, ClassSnapshot& request_class) {
+  archive("name", request_class.name);
+  archive("latency_us", request_class.latency);
+  archive("arrived", request_class.arrived);
+  archive("served", request_class.served);
+  archive("asked_replicas", request_class.demand[0]);
+  archive("asked_primaries", request_class.demand[1]);
 }
 
 namespace handover {
 
+/// Hosts, classes and budgets of a router.
 struct HostsSection {
-  RouterSnapshot k;
+  RouterSnapshot snapshot;
 };
 template <class Archive>
-void serialize(Archive& archive, HostsSection& p) {
-  archive("hosts", p.k.hosts), archive("classes", p.k.classes), archive("age_us", p.k.age),
-      archive("retries", p.k.retry_tokens);
-  archive("probes", p.k.probe_tokens), archive("cold_whole", p.k.slow_start_share_total),
-      archive("cold_part", p.k.slow_start_share);
+void serialize(Archive& archive, HostsSection& section) {
+  archive("hosts", section.snapshot.hosts);
+  archive("classes", section.snapshot.classes);
+  archive("age_us", section.snapshot.age);
+  archive("retries", section.snapshot.retry_tokens);
+  archive("probes", section.snapshot.probe_tokens);
+  archive("cold_whole", section.snapshot.slow_start_share_total);
+  archive("cold_part", section.snapshot.slow_start_share);
 }
+/// Session positions of a router.
 struct SessionsSection {
-  RouterSnapshot k;
+  RouterSnapshot snapshot;
 };
 template <class Archive>
-void serialize(Archive& archive, SessionsSection& p) {
-  archive("sessions", p.k.sessions), archive("floors", p.k.floors);
+void serialize(Archive& archive, SessionsSection& section) {
+  archive("sessions", section.snapshot.sessions);
+  archive("floors", section.snapshot.floors);
 }
 
 }  // namespace handover
--- a/src/levels/levels.cpp
+++ b/src/levels/levels.cpp
@@ -70,13 +70,13 @@
 }
 
 gates::Verdict Levels::admit(const gates::GateRequest& ask, Time now) {
-  if (ask.cls.value < 0 || static_cast<std::size_t>(ask.cls.value) >= counters_.size()) return {};
-  auto& counter = counters_[static_cast<std::size_t>(ask.cls.value)];
+  if (ask.class_id.value < 0 || static_cast<std::size_t>(ask.class_id.value) >= counters_.size()) return {};
+  auto& counter = counters_[static_cast<std::size_t>(ask.class_id.value)];
   ++counter.asked;
   asks_ += 1, retries_ += ask.retry ? 1 : 0;
   const auto group = groups_.find(ask.group);
   const bool lost = group != groups_.end() && !group->second.primary;
-  const auto at = cell(ask.cls.value, ask.beyond_budget, lost);
+  const auto at = cell(ask.class_id.value, ask.beyond_budget, lost);
   const auto remaining = [&] {
     return group->second.takeover.remaining(std::max(Duration::zero(), now - group->second.lost));
   };
@@ -89,10 +89,10 @@
   }
   double share = static_cast<double>(table_[at].share);
   auto why = gates::Reason::class_shed;
-  if (ask.beyond_budget && share > static_cast<double>(table_[cell(ask.cls.value, false, lost)].share))
+  if (ask.beyond_budget && share > static_cast<double>(table_[cell(ask.class_id.value, false, lost)].share))
     why = gates::Reason::budget_shed;
   for (const auto& t : tenants_)
-    if (t.tenant == ask.tenant && (t.cls < 0 || t.cls == ask.cls.value) &&
+    if (t.tenant == ask.tenant && (t.cls < 0 || t.cls == ask.class_id.value) &&
         (!t.only_beyond_budget || ask.beyond_budget) && static_cast<double>(t.share) > share)
       share = static_cast<double>(t.share), why = gates::Reason::tenant_shed;
   if (fault > share) share = fault, why = lost ? gates::Reason::no_primary : gates::Reason::class_shed;
@@ -106,13 +106,13 @@
     ++counter.refused_without_primary;
   else
     ++counter.shed;
-  if (!service_.pauses) return v;
+  if (!service_.retry_after_allowed) return v;
   // Until a primary is expected, or as long as a level stays at the least.
   const auto expected =
       why == gates::Reason::no_primary
           ? remaining()
           : pressure_.since() + std::max(pressure_.least_stay(), config_.pressure.apart) - now;
-  v.retry_after = spread_pause(expected, service_.max_pause, draw());
+  v.retry_after = spread_pause(expected, service_.max_retry_after, draw());
   return v;
 }
 
@@ -120,7 +120,7 @@
   // What a lost primary brings about is the other axis's: it must not be taken for pressure as well.
   if (const auto it = groups_.find(ask.group); it != groups_.end())
     if (!it->second.primary || (it->second.back && now - ending.elapsed < it->second.found + settle)) return;
-  meter_.add(ask.cls, ending, now);
+  meter_.add(ask.class_id, ending, now);
 }
 
 Sample Levels::sample(const Condition& c, const Group* group, Time now) {
--- a/src/levels/meter.h
+++ b/src/levels/meter.h
@@ -24,8 +24,8 @@
     if (cls.value < 0 || static_cast<std::size_t>(cls.value) >= by_.size() ||
         e.end == gates::RequestEnd::abandoned)
       return;
-    if (e.end == gates::RequestEnd::refused && e.by != gates::Decider::router &&
-        e.by != gates::Decider::nobody)
+    if (e.end == gates::RequestEnd::refused && e.decided_by != gates::Decider::router &&
+        e.decided_by != gates::Decider::nobody)
       return;
     auto& c = by_[static_cast<std::size_t>(cls.value)];
     fade(c, now);
--- a/src/router/fields.h
+++ b/src/router/fields.h
@@ -1,5 +1,5 @@
-// Text fields as the simulator's wire and the sockets write them: name and value, numbers, lists, words. Pure
-// functions over text; no view outlives the text that it was made from.
+// Parsing of text fields: name=value pairs, numbers, lists and keywords. Used for the simulator's lines and
+// for load reports from hosts. Pure functions; a returned view refers to the text passed in.
 #pragma once
 
 #include <cmath>
@@ -16,44 +16,48 @@
 
 namespace cedarring::text {
 
-/// A line that cannot be read as what it claims to be.
+/// A line is malformed.
 class ParseError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-inline constexpr double largest_ms = 1e13;  // keeps microseconds inside 63 bits
+inline constexpr double max_ms = 1e13;                // keeps microseconds within 63 bits
+inline constexpr std::size_t max_number_length = 64;  // characters of a decimal number
+inline constexpr std::size_t max_digits = 20;         // of an unsigned 64-bit integer
 
 struct Field {
   std::string_view name;
   std::string_view value;
 };
 
-/// The name=value parts of a line; `tail` names a field that runs to the end of the line.
-inline std::vector<Field> split_fields(std::string_view text) {
+/// Splits a line at spaces and returns its name=value pairs; other parts are skipped.
+inline std::vector<Field> split_fields(std::string_view line) {
   std::vector<Field> fields;
-  while (!text.empty()) {
-    const auto end = text.find(' ');
-    const auto part = text.substr(0, end);
-    if (const auto eq = part.find('='); eq != std::string_view::npos)
-      fields.push_back({part.substr(0, eq), part.substr(eq + 1)});
+  while (!line.empty()) {
+    const auto end = line.find(' ');
+    const auto part = line.substr(0, end);
+    if (const auto equals = part.find('='); equals != std::string_view::npos)
+      fields.push_back({part.substr(0, equals), part.substr(equals + 1)});
     if (end == std::string_view::npos) break;
-    text.remove_prefix(end + 1);
+    line.remove_prefix(end + 1);
   }
   return fields;
 }
 
+/// Parses a finite decimal number; nothing unless the whole text is one.
 inline std::optional<double> to_number(std::string_view text) {
-  if (text.empty() || text.size() > 64) return std::nullopt;
-  const std::string copy(text);
+  if (text.empty() || text.size() > max_number_length) return std::nullopt;
+  const std::string terminated(text);
   char* end = nullptr;
-  const double value = std::strtod(copy.c_str(), &end);
-  if (end != copy.c_str() + copy.size() || !std::isfinite(value)) return std::nullopt;
+  const double value = std::strtod(terminated.c_str(), &end);
+  if (end != terminated.c_str() + terminated.size() || !std::isfinite(value)) return std::nullopt;
   return value;
 }
 
-inline std::optional<std::uint64_t> to_whole(std::string_view text) {
-  if (text.empty() || text.size() > 20) return std::nullopt;
+/// Parses an unsigned integer of decimal digits; nothing unless the whole text is one that fits.
+inline std::optional<std::uint64_t> to_unsigned(std::string_view text) {
+  if (text.empty() || text.size() > max_digits) return std::nullopt;
   std::uint64_t value = 0;
   for (const char c : text) {
     if (c < '0' || c > '9') return std::nullopt;
@@ -64,32 +68,36 @@
   return value;
 }
 
+/// Converts milliseconds; throws ParseError beyond max_ms.
 inline Duration from_ms(double ms) {
-  if (std::fabs(ms) > largest_ms) throw ParseError("time out of range");
+  if (std::fabs(ms) > max_ms) throw ParseError("time out of range");
   return Duration(std::llround(ms * 1000.0));
 }
 
+/// A keyword of the text and the value that it stands for.
 template <class Enum>
-struct Word {
-  std::string_view word;
+struct Keyword {
+  std::string_view text;
   Enum value;
 };
 
+/// The value of a keyword; nothing if the text is not in the table.
 template <class Enum, std::size_t N>
-std::optional<Enum> lookup(const Word<Enum> (&words)[N], std::string_view text) {
-  for (const auto& w : words)
-    if (w.word == text) return w.value;
+std::optional<Enum> lookup(const Keyword<Enum> (&keywords)[N], std::string_view text) {
+  for (const auto& keyword : keywords)
+    if (keyword.text == text) return keyword.value;
   return std::nullopt;
 }
 
-inline std::vector<std::string_view> split_commas(std::string_view text) {
+/// Splits a list at commas; an empty text is an empty list.
+inline std::vector<std::string_view> split_commas(std::string_view list) {
   std::vector<std::string_view> parts;
-  if (text.empty()) return parts;
+  if (list.empty()) return parts;
   for (;;) {
-    const auto end = text.find(',');
-    parts.push_back(text.substr(0, end));
+    const auto end = list.find(',');
+    parts.push_back(list.substr(0, end));
     if (end == std::string_view::npos) return parts;
-    text.remove_prefix(end + 1);
+    list.remove_prefix(end + 1);
   }
 }
 
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -120,8 +120,8 @@
   void merge_snapshot(Time now, const RouterSnapshot& k) {
     handover::learn(*this, s_, k, now_ = std::max(now_, now));
   }
-  void suspend_spending() { retry_tokens_ = 0, probes_.set_balance(0), cold_part_.hold(0, 0); }
-  void set_slow_start_share(Time now, double part) { cold_part_.widen(now + s_.overload_window, part); }
+  void suspend_spending() { retry_tokens_ = 0, probes_.set_balance(0), cold_part_.set(0, 0); }
+  void set_slow_start_share(Time now, double part) { cold_part_.schedule_increase(now + s_.overload_window, part); }
   bool tracks(HostId id) const { return hosts_.count(id) > 0; }
   std::size_t entry_count() const {
     std::size_t n = hosts_.size() + requests_.size();
@@ -191,7 +191,7 @@
     const Time born = e.started_at.value_or(never);
     if (born > h.cold_since && now_ - born < s_.warm_up_duration) {
       h.cold_since = born;
-      h.outlier.forget();
+      h.outlier.reset();
       h.lost_probes = 0;
       h.slowness = 1;
     }
@@ -294,7 +294,7 @@
   bool usable(const Host& h) const { return healthy(h) || (h.refusals == 0 && !silent(h)); }
 
   void failed(Host& h, double weight) {
-    if (!h.outlier.failed(now_, started_, weight)) return;
+    if (!h.outlier.record_failure(now_, started_, weight)) return;
     // What only the primary can take has nowhere else to go meanwhile.
     const auto gap = std::min(groups_[h.group].send_gap(), longest_aim_ * 8);
     const auto first = std::max(shortest_aim_ / 2, h.role == Role::primary ? Duration{} : gap);
@@ -308,7 +308,7 @@
     h.refusals = 0;
     if (h.lost_probes > 0) probe_doubt_ += (1 - probe_doubt_) * fail_gain;
     h.lost_probes = 0;
-    h.outlier.answered(now_, started_);
+    h.outlier.record_success(now_, started_);
   }
 
   void learn_latency(Host& h, const Request& r, Duration elapsed) {
@@ -358,7 +358,7 @@
     const double window = ms(s_.overload_window) / 1000, warm = warmth(h, s_.overload_window);
     const double part = cold_share * s_.overload_multiple * warm * window * host_rate();
     const Time from = now_ - s_.overload_window;
-    const double left = cold_part_.left(now_, part, h.spent.own(from), h.spent.others(from));
+    const double left = cold_part_.remaining(now_, part, h.spent.own(from), h.spent.others(from));
     if (left >= work(r.cls.value)) return true;
     const double all = std::max(1.0, arrived_.sum(now_)), seconds = arrived_.seconds(now_ - started_);
     const double of_group =
@@ -515,7 +515,7 @@
           break;
         }
         if (!eligible.empty() && !busy) {  // only where replicas check reads: the most advanced first
-          const bool trust = fleet::StaleReadSuccessRate::trust(g.past, past_);
+          const bool trust = fleet::StaleReadSuccessRate::assume_current(g.past, past_);
           const auto level = trust ? c.staleness_bound / 4 : Duration::zero();
           fleet::retain_most_current(eligible, level, [&](const Host& h) { return h.lag(now_, trust); });
           if (Host* h = warm_draw(r, eligible)) return h;
@@ -763,7 +763,7 @@
     if (ran && a.sent < r.maybe_ran) r.maybe_ran = a.sent, r.maybe_host = a.host;
     if (e.outcome == Outcome::too_stale) r.missed = true;
     if (a.behind && (e.outcome == Outcome::ok || e.outcome == Outcome::too_stale))
-      for (auto* past : {&groups_[group].past, &past_}) past->ended(e.outcome == Outcome::ok);
+      for (auto* past : {&groups_[group].past, &past_}) past->record(e.outcome == Outcome::ok);
     r.reached = r.reached || (e.outcome != Outcome::connect_failed && e.outcome != Outcome::not_sent);
     if (e.outcome == Outcome::ok && s_.classes[r.cls.value].freshness == Freshness::write) {
       // Without a commit in the answer the present is the only safe bound.
--- a/src/router/settings.cpp
+++ b/src/router/settings.cpp
@@ -1,4 +1,4 @@
-// Tells settings that contradict themselves. Decides nothing.
+// Validation of settings.
 #include <stdexcept>
 
 #include "cedarring/router.h"
@@ -12,24 +12,24 @@
          a.staleness_bound == b.staleness_bound && a.max_attempts == b.max_attempts;
 }
 
-void check(const Settings& s) {
-  const auto demand = [](bool ok, const char* key) {
-    if (!ok) throw std::invalid_argument(key);
+void check(const Settings& settings) {
+  const auto require = [](bool valid, const char* key) {
+    if (!valid) throw std::invalid_argument(key);
   };
-  demand(!s.classes.empty(), "classes");
-  demand(s.instance_count >= 1 && s.instance_index < s.instance_count, "position");
-  demand(s.max_attempts >= 1, "send_cap");
-  demand(s.cold_capacity_share > 0 && s.cold_capacity_share <= 1, "cold_from");
-  demand(s.warm_up_duration >= Duration::zero(), "cold");
-  demand(s.overload_multiple > 0, "tip_multiple");
-  demand(s.overload_window > Duration::zero(), "tip_after");
-  demand(s.quantum >= Duration::zero(), "quantum");
-  demand(s.max_poll_interval > Duration::zero(), "ask_within");
-  for (const auto& c : s.classes) {
-    demand(c.latency_target > Duration::zero() && c.latency_target <= c.deadline, "aim");
-    demand(c.value >= 0 && c.late_value >= 0, "worth");
-    demand(c.freshness != Freshness::bounded || c.staleness_bound > Duration::zero(), "class_bound");
-    demand(c.idempotency != Idempotency::keyed || c.dedup_window > Duration::zero(), "window");
+  require(!settings.classes.empty(), "classes");
+  require(settings.instance_count >= 1 && settings.instance_index < settings.instance_count, "position");
+  require(settings.max_attempts >= 1, "send_cap");
+  require(settings.cold_capacity_share > 0 && settings.cold_capacity_share <= 1, "cold_from");
+  require(settings.warm_up_duration >= Duration::zero(), "cold");
+  require(settings.overload_multiple > 0, "tip_multiple");
+  require(settings.overload_window > Duration::zero(), "tip_after");
+  require(settings.quantum >= Duration::zero(), "quantum");
+  require(settings.max_poll_interval > Duration::zero(), "ask_within");
+  for (const auto& c : settings.classes) {
+    require(c.latency_target > Duration::zero() && c.latency_target <= c.deadline, "aim");
+    require(c.value >= 0 && c.late_value >= 0, "worth");
+    require(c.freshness != Freshness::bounded || c.staleness_bound > Duration::zero(), "class_bound");
+    require(c.idempotency != Idempotency::keyed || c.dedup_window > Duration::zero(), "window");
   }
 }
 
--- a/src/router/settings_parser.cpp
+++ b/src/router/settings_parser.cpp
@@ -1,3 +1,4 @@
+// Implementation of the parsers of settings and load reports.
 #include "router/settings_parser.h"
 
 #include <algorithm>
@@ -10,31 +11,49 @@
 namespace cedarring {
 namespace {
 
-using namespace text;  // NOLINT(google-build-using-namespace): the fields that settings are made of
+using namespace text;  // NOLINT(google-build-using-namespace): field parsers
 
-constexpr Word<Idempotency> effect_words[] = {{"read_like", Idempotency::safe},
-                                              {"idempotency_key", Idempotency::keyed},
-                                              {"non_idempotent", Idempotency::unsafe}};
-constexpr Word<DedupScope> scope_words[] = {
+constexpr Keyword<Idempotency> idempotency_keywords[] = {{"read_like", Idempotency::safe},
+                                                         {"idempotency_key", Idempotency::keyed},
+                                                         {"non_idempotent", Idempotency::unsafe}};
+constexpr Keyword<DedupScope> dedup_scope_keywords[] = {
     {"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::group}};
-constexpr Word<Freshness> need_words[] = {{"mutate", Freshness::write},
-                                          {"strong", Freshness::fresh},
-                                          {"causal", Freshness::session},
-                                          {"lag_bound", Freshness::bounded},
-                                          {"eventual", Freshness::any}};
-constexpr Word<StaleReadPolicy> check_words[] = {
+constexpr Keyword<Freshness> freshness_keywords[] = {{"mutate", Freshness::write},
+                                                     {"strong", Freshness::fresh},
+                                                     {"causal", Freshness::session},
+                                                     {"lag_bound", Freshness::bounded},
+                                                     {"eventual", Freshness::any}};
+constexpr Keyword<StaleReadPolicy> stale_read_keywords[] = {
     {"none", StaleReadPolicy::none}, {"bounce", StaleReadPolicy::refuse}, {"await", StaleReadPolicy::wait}};
-constexpr Word<ListedRole> role_words[] = {
+constexpr Keyword<ListedRole> listed_role_keywords[] = {
     {"none", ListedRole::none}, {"trailing", ListedRole::late}, {"static", ListedRole::start}};
-constexpr Word<TokenMode> token_words[] = {{"kept", TokenMode::remembered}, {"brought", TokenMode::carried}};
-constexpr Word<DiscoveryMode> mode_words[] = {{"automatic", DiscoveryMode::push},
-                                              {"subscribe", DiscoveryMode::poll}};
+constexpr Keyword<TokenMode> token_mode_keywords[] = {{"kept", TokenMode::remembered},
+                                                      {"brought", TokenMode::carried}};
+constexpr Keyword<DiscoveryMode> discovery_keywords[] = {{"automatic", DiscoveryMode::push},
+                                                         {"subscribe", DiscoveryMode::poll}};
 
-/// Settings by path, each read with a default; a value of the wrong shape is named in the exception.
-class Facts {
+constexpr std::uint32_t max_count = 1'000'000;
+constexpr std::uint32_t max_classes = 10'000;
+
+// Defaults of settings that are absent from the text.
+constexpr double default_latency_target_ms = 1000;
+constexpr double default_deadline_ms = 1000;
+constexpr double default_poll_interval_ms = 10000;
+constexpr double default_drain_grace_ms = 1000;
+constexpr double default_overload_multiple = 3;
+constexpr double default_overload_window_ms = 1000;
+constexpr double default_quantum_ms = 5;
+constexpr double default_connect_timeout_ms = 250;
+constexpr double default_idle_timeout_ms = 15000;
+
+constexpr double microseconds_per_second = 1e6;
+
+/// The settings of a text by name. Each getter returns a default for an absent setting and throws
+/// std::invalid_argument, whose text is the name, for an invalid value.
+class SettingsText {
  public:
-  explicit Facts(std::string_view text) {
-    for (const auto& f : split_fields(text)) values_[std::string(f.name)] = f.value;
+  explicit SettingsText(std::string_view text) {
+    for (const auto& field : split_fields(text)) values_[std::string(field.name)] = field.value;
   }
   [[nodiscard]] std::string_view text(const std::string& key, std::string_view fallback = "") const {
     const auto it = values_.find(key);
@@ -44,10 +63,10 @@
     const auto it = values_.find(key);
     if (it == values_.end()) return fallback;
     const auto value = to_number(it->second);
-    if (!value || std::fabs(*value) > largest_ms) throw std::invalid_argument(key);
+    if (!value || std::fabs(*value) > max_ms) throw std::invalid_argument(key);
     return *value;
   }
-  [[nodiscard]] Duration ms(const std::string& key, double fallback) const {
+  [[nodiscard]] Duration milliseconds(const std::string& key, double fallback) const {
     return from_ms(number(key, fallback));
   }
   [[nodiscard]] bool flag(const std::string& key, bool fallback) const {
@@ -58,16 +77,17 @@
     throw std::invalid_argument(key);
   }
   template <class Enum, std::size_t N>
-  [[nodiscard]] Enum word(const std::string& key, const Word<Enum> (&words)[N], Enum fallback) const {
+  [[nodiscard]] Enum keyword(const std::string& key, const Keyword<Enum> (&keywords)[N],
+                             Enum fallback) const {
     const auto value = text(key);
     if (value.empty()) return fallback;
-    const auto found = lookup(words, value);
+    const auto found = lookup(keywords, value);
     if (!found) throw std::invalid_argument(key);
     return *found;
   }
   [[nodiscard]] std::uint32_t count(const std::string& key, std::uint32_t fallback) const {
     const double value = number(key, fallback);
-    if (value < 0 || value > 1e6 || value != std::floor(value)) throw std::invalid_argument(key);
+    if (value < 0 || value > max_count || value != std::floor(value)) throw std::invalid_argument(key);
     return static_cast<std::uint32_t>(value);
   }
 
@@ -77,25 +97,26 @@
 
 }  // namespace
 
-ZoneId zone_id(std::string_view name, std::vector<std::string>& zones) {
+ZoneId find_or_add_zone(std::string_view name, std::vector<std::string>& zones) {
   for (std::size_t i = 0; i < zones.size(); ++i)
     if (zones[i] == name) return ZoneId{static_cast<std::int32_t>(i)};
   zones.emplace_back(name);
   return ZoneId{static_cast<std::int32_t>(zones.size() - 1)};
 }
 
-LoadReport parse_report(std::optional<std::string_view> stats, Time base, char separator) {
+LoadReport parse_report(std::optional<std::string_view> report_text, Time base, char separator) {
+  constexpr double max_position_s = max_ms / 1e3;
   LoadReport report;
-  if (!stats) return report;
-  for (const auto part : split_commas(*stats)) {
-    const auto mark = part.find(separator);
-    if (mark == std::string_view::npos) continue;
-    const auto value = to_number(part.substr(mark + 1));
+  if (!report_text) return report;
+  for (const auto part : split_commas(*report_text)) {
+    const auto separator_at = part.find(separator);
+    if (separator_at == std::string_view::npos) continue;
+    const auto value = to_number(part.substr(separator_at + 1));
     if (!value) continue;
-    const auto name = part.substr(0, mark);
-    if (name == "x0" && std::fabs(*value) < largest_ms / 1e3) {
-      // Rounded down: a position must never be believed above what the host holds.
-      report.position = base + Time(static_cast<std::int64_t>(std::floor(*value * 1e6)));
+    const auto name = part.substr(0, separator_at);
+    if (name == "x0" && std::fabs(*value) < max_position_s) {
+      // Rounded down: an estimate above the host's real position would allow stale reads.
+      report.position = base + Time(static_cast<std::int64_t>(std::floor(*value * microseconds_per_second)));
     } else if (name == "x1") {
       report.role = *value >= 0.5 ? Role::primary : Role::replica;
     } else if (name == "pending" && *value >= 0) {
@@ -107,77 +128,79 @@
   return report;
 }
 
-LoadReport parse_whole_report(std::string_view stats) {
+LoadReport parse_strict_report(std::string_view report_text) {
   std::set<std::string_view> names;
-  for (const auto part : split_commas(stats)) {
-    const auto mark = part.find('=');
-    if (mark == std::string_view::npos || mark == 0 || !names.insert(part.substr(0, mark)).second) return {};
-    const auto value = to_number(part.substr(mark + 1));
-    if (!value || *value < 0 || (part.substr(0, mark) == "x1" && *value != 0 && *value != 1)) return {};
+  for (const auto part : split_commas(report_text)) {
+    const auto equals = part.find('=');
+    if (equals == std::string_view::npos || equals == 0) return {};
+    const auto name = part.substr(0, equals);
+    if (!names.insert(name).second) return {};
+    const auto value = to_number(part.substr(equals + 1));
+    if (!value || *value < 0 || (name == "x1" && *value != 0 && *value != 1)) return {};
   }
-  return parse_report(stats, Time::zero(), '=');
+  return parse_report(report_text, Time::zero(), '=');
 }
 
 Settings parse_settings(std::string_view text, std::uint64_t seed, std::string_view zone,
                         std::vector<std::string>& zones, Time& base_time) {
-  const Facts facts(text);
-  Settings s;
-  s.seed = seed;
-  for (const auto name : split_commas(facts.text("zones"))) zone_id(name, zones);
-  s.zone = zone_id(zone.empty() ? facts.text("az") : zone, zones);
-  s.instance_index = facts.count("position", 0);
-  s.instance_count = facts.count("balancers", 1);
-  base_time = facts.ms("specifics.base_time", 0);
-  const auto needs = split_commas(facts.text("specifics.needs_by_class"));
-  const auto bounds = split_commas(facts.text("specifics.class_bound"));
-  const auto classes = facts.count("classes.count", 0);
-  if (classes > 10000) throw std::invalid_argument("classes.count");
-  for (std::uint32_t i = 0; i < classes; ++i) {
-    const std::string at = "classes." + std::to_string(i) + ".";
-    RequestClass c;
-    c.name = facts.text(at + "name");
-    c.latency_target = facts.ms(at + "aim", 1000);
-    c.deadline = facts.ms(at + "deadline", 1000);
-    c.value = facts.number(at + "importance", 1);
-    c.late_value = facts.number(at + "late_worth", 0);
-    c.idempotency = facts.word(at + "effect", effect_words, Idempotency::safe);
-    c.dedup_scope = facts.word(at + "group", scope_words, DedupScope::all);
-    c.dedup_window = facts.ms(at + "window", 0);
-    if (i < needs.size()) {
-      const auto need = lookup(need_words, needs[i]);
-      if (!need) throw std::invalid_argument("specifics.needs_by_class");
-      c.freshness = *need;
+  const SettingsText values(text);
+  Settings settings;
+  settings.seed = seed;
+  for (const auto name : split_commas(values.text("zones"))) find_or_add_zone(name, zones);
+  settings.zone = find_or_add_zone(zone.empty() ? values.text("az") : zone, zones);
+  settings.instance_index = values.count("position", 0);
+  settings.instance_count = values.count("balancers", 1);
+  base_time = values.milliseconds("specifics.base_time", 0);
+  const auto freshness_by_class = split_commas(values.text("specifics.needs_by_class"));
+  const auto staleness_bounds = split_commas(values.text("specifics.class_bound"));
+  const auto class_count = values.count("classes.count", 0);
+  if (class_count > max_classes) throw std::invalid_argument("classes.count");
+  for (std::uint32_t i = 0; i < class_count; ++i) {
+    const std::string prefix = "classes." + std::to_string(i) + ".";
+    RequestClass request_class;
+    request_class.name = values.text(prefix + "name");
+    request_class.latency_target = values.milliseconds(prefix + "aim", default_latency_target_ms);
+    request_class.deadline = values.milliseconds(prefix + "deadline", default_deadline_ms);
+    request_class.value = values.number(prefix + "importance", 1);
+    request_class.late_value = values.number(prefix + "late_worth", 0);
+    request_class.idempotency = values.keyword(prefix + "effect", idempotency_keywords, Idempotency::safe);
+    request_class.dedup_scope = values.keyword(prefix + "group", dedup_scope_keywords, DedupScope::all);
+    request_class.dedup_window = values.milliseconds(prefix + "window", 0);
+    if (i < freshness_by_class.size()) {
+      const auto freshness = lookup(freshness_keywords, freshness_by_class[i]);
+      if (!freshness) throw std::invalid_argument("specifics.needs_by_class");
+      request_class.freshness = *freshness;
     }
-    if (i < bounds.size()) {
-      const auto bound = to_number(bounds[i]);
+    if (i < staleness_bounds.size()) {
+      const auto bound = to_number(staleness_bounds[i]);
       if (!bound) throw std::invalid_argument("specifics.class_bound");
-      c.staleness_bound = from_ms(*bound);
+      request_class.staleness_bound = from_ms(*bound);
     }
-    s.classes.push_back(c);
+    settings.classes.push_back(request_class);
   }
-  s.stale_read_policy = facts.word("specifics.checks", check_words, StaleReadPolicy::none);
-  s.listed_role = facts.word("specifics.list_role", role_words, ListedRole::none);
-  s.token_mode = facts.word("specifics.token_mode", token_words, TokenMode::remembered);
-  s.discovery_mode = facts.word("registry_mode", mode_words, DiscoveryMode::push);
-  s.answers_carry_position = facts.flag("specifics.stamps", false);
-  s.probes_allowed = facts.flag("limits.may_probe", false);
-  s.cancel_allowed = facts.flag("limits.cancel", false);
-  s.hedging_allowed = facts.flag("limits.second_copies", false);
-  s.retry_after_allowed = facts.flag("limits.retry_after", false);
-  s.removed_hosts_stay_usable = facts.flag("guarantees.dropped_stay_open", false);
-  s.max_attempts = facts.count("limits.send_cap", 1);
-  s.max_retry_after = facts.ms("limits.max_retry_after", 0);
-  s.max_poll_interval = facts.ms("guarantees.ask_within", 10000);
-  s.drain_grace = facts.ms("guarantees.stop_sending_within", 1000);
-  s.warm_up_duration = facts.ms("guarantees.cold", 0);
-  s.cold_capacity_share = facts.number("guarantees.cold_from", 1);
-  s.overload_multiple = facts.number("guarantees.tip_multiple", 3);
-  s.overload_window = facts.ms("guarantees.tip_after", 1000);
-  s.quantum = facts.ms("quantum", 5);
-  s.connect_timeout = facts.ms("limits.connect_timeout", 250);
-  s.idle_timeout = facts.ms("limits.idle_close", 15000);
-  s.probe_cost = facts.number("prices.probe", 0);
-  return s;
+  settings.stale_read_policy = values.keyword("specifics.checks", stale_read_keywords, StaleReadPolicy::none);
+  settings.listed_role = values.keyword("specifics.list_role", listed_role_keywords, ListedRole::none);
+  settings.token_mode = values.keyword("specifics.token_mode", token_mode_keywords, TokenMode::remembered);
+  settings.discovery_mode = values.keyword("registry_mode", discovery_keywords, DiscoveryMode::push);
+  settings.answers_carry_position = values.flag("specifics.stamps", false);
+  settings.probes_allowed = values.flag("limits.may_probe", false);
+  settings.cancel_allowed = values.flag("limits.cancel", false);
+  settings.hedging_allowed = values.flag("limits.second_copies", false);
+  settings.retry_after_allowed = values.flag("limits.retry_after", false);
+  settings.removed_hosts_stay_usable = values.flag("guarantees.dropped_stay_open", false);
+  settings.max_attempts = values.count("limits.send_cap", 1);
+  settings.max_retry_after = values.milliseconds("limits.max_retry_after", 0);
+  settings.max_poll_interval = values.milliseconds("guarantees.ask_within", default_poll_interval_ms);
+  settings.drain_grace = values.milliseconds("guarantees.stop_sending_within", default_drain_grace_ms);
+  settings.warm_up_duration = values.milliseconds("guarantees.cold", 0);
+  settings.cold_capacity_share = values.number("guarantees.cold_from", 1);
+  settings.overload_multiple = values.number("guarantees.tip_multiple", default_overload_multiple);
+  settings.overload_window = values.milliseconds("guarantees.tip_after", default_overload_window_ms);
+  settings.quantum = values.milliseconds("quantum", default_quantum_ms);
+  settings.connect_timeout = values.milliseconds("limits.connect_timeout", default_connect_timeout_ms);
+  settings.idle_timeout = values.milliseconds("limits.idle_close", default_idle_timeout_ms);
+  settings.probe_cost = values.number("prices.probe", 0);
+  return settings;
 }
 
 }  // namespace cedarring
--- a/src/router/settings_parser.h
+++ b/src/router/settings_parser.h
@@ -1,5 +1,4 @@
-// Settings and load reports, read from text. The one parser of both: the gateway and the simulator's adapter
-// use it.
+// Parsers of settings and load reports, shared by the gateway and the simulator's adapter.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +11,20 @@
 
 namespace cedarring {
 
-/// Settings from name=value pairs by path, as an `enlist` line has them. Adds the names of zones to `zones`,
-/// sets `base_time` to what positions on that wire are counted from. Throws std::invalid_argument naming the
-/// key.
-Settings parse_settings(std::string_view facts, std::uint64_t seed, std::string_view zone,
+/// Parses settings from space-separated name=value pairs with dotted names. `zone` overrides the zone in the
+/// text unless it is empty. Adds new zone names to `zones` and sets `base_time` to the origin of the hosts'
+/// replication positions. Throws std::invalid_argument, whose text is the name of the invalid setting.
+Settings parse_settings(std::string_view text, std::uint64_t seed, std::string_view zone,
                         std::vector<std::string>& zones, Time& base_time);
 
-/// A load report from name-separator-value pairs set apart by commas; what cannot be read is passed over.
-LoadReport parse_report(std::optional<std::string_view> stats, Time base, char separator = ':');
-/// The same from a socket, where a part that cannot be read puts all of it in doubt: then it tells nothing.
-LoadReport parse_whole_report(std::string_view stats);
+/// Parses a load report from comma-separated pairs of a name, `separator` and a value. Positions are seconds
+/// after `base`. Unknown and unreadable pairs are skipped.
+LoadReport parse_report(std::optional<std::string_view> report_text, Time base, char separator = ':');
+/// Parses a load report of name=value pairs with positions as absolute times; an unreadable, duplicate or
+/// negative value makes the whole report empty.
+LoadReport parse_strict_report(std::string_view report_text);
 
-/// The number of a zone's name, which is added if it is new.
-ZoneId zone_id(std::string_view name, std::vector<std::string>& zones);
+/// Returns the id of a zone, its index in `zones`; adds the name if it is new.
+ZoneId find_or_add_zone(std::string_view name, std::vector<std::string>& zones);
 
 }  // namespace cedarring
--- a/src/sim/adapter.cpp
+++ b/src/sim/adapter.cpp
@@ -1,3 +1,4 @@
+// Implementation of the simulator adapter: parsing of lines, mapping of names to ids, formatting of actions.
 #include "sim/adapter.h"
 
 #include <algorithm>
@@ -13,47 +14,50 @@
 
 namespace cedarring::sim {
 
-using namespace text;  // NOLINT(google-build-using-namespace): the fields that lines are made of
+using namespace text;  // NOLINT(google-build-using-namespace): field parsers
 
 namespace {
 
+/// A line of the simulator's protocol: a verb and its fields. The getters throw ParseError for an invalid
+/// value; those named `require` also do so for a missing one.
 class Line {
  public:
   Line(std::string_view verb, std::string_view rest) : verb_(verb), fields_(split_fields(rest)) {}
 
   [[nodiscard]] std::optional<std::string_view> text(std::string_view name) const {
-    for (const auto& f : fields_)
-      if (f.name == name) return f.value;
+    for (const auto& field : fields_)
+      if (field.name == name) return field.value;
     return std::nullopt;
   }
-  [[nodiscard]] std::string_view need(std::string_view name) const {
+  [[nodiscard]] std::string_view require(std::string_view name) const {
     const auto value = text(name);
-    if (!value || value->empty()) throw ParseError(std::string(verb_) + " lacks " + std::string(name));
+    if (!value || value->empty())
+      throw ParseError(std::string(verb_) + ": missing field " + std::string(name));
     return *value;
   }
   [[nodiscard]] std::optional<double> number(std::string_view name) const {
     const auto value = text(name);
     if (!value) return std::nullopt;
     const auto parsed = to_number(*value);
-    if (!parsed) throw ParseError(std::string(verb_) + ": bad number in " + std::string(name));
+    if (!parsed) throw ParseError(std::string(verb_) + ": invalid number in field " + std::string(name));
     return parsed;
   }
-  [[nodiscard]] double need_number(std::string_view name) const {
-    static_cast<void>(need(name));
+  [[nodiscard]] double require_number(std::string_view name) const {
+    static_cast<void>(require(name));
     return *number(name);
   }
-  [[nodiscard]] std::optional<std::uint64_t> whole(std::string_view name) const {
+  [[nodiscard]] std::optional<std::uint64_t> unsigned_integer(std::string_view name) const {
     const auto value = text(name);
     if (!value) return std::nullopt;
-    const auto parsed = to_whole(*value);
-    if (!parsed) throw ParseError(std::string(verb_) + ": bad whole number in " + std::string(name));
+    const auto parsed = to_unsigned(*value);
+    if (!parsed) throw ParseError(std::string(verb_) + ": invalid integer in field " + std::string(name));
     return parsed;
   }
-  [[nodiscard]] std::int64_t need_int(std::string_view name) const {
-    static_cast<void>(need(name));
-    const auto value = *whole(name);
+  [[nodiscard]] std::int64_t require_int(std::string_view name) const {
+    static_cast<void>(require(name));
+    const auto value = *unsigned_integer(name);
     if (value > static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max()))
-      throw ParseError(std::string(verb_) + ": " + std::string(name) + " out of range");
+      throw ParseError(std::string(verb_) + ": field " + std::string(name) + " out of range");
     return static_cast<std::int64_t>(value);
   }
   [[nodiscard]] bool flag(std::string_view name) const {
@@ -66,88 +70,104 @@
   std::vector<Field> fields_;
 };
 
-constexpr Word<Outcome> outcome_words[] = {{"served", Outcome::ok},
-                                           {"server_error", Outcome::error},
-                                           {"turned_away", Outcome::full},
-                                           {"no_answer", Outcome::timeout},
-                                           {"no_connection", Outcome::connect_failed},
-                                           {"connection_lost", Outcome::reset},
-                                           {"called_off", Outcome::cancelled},
-                                           {"not_sent", Outcome::not_sent},
-                                           {"not_stored", Outcome::too_stale}};
-SessionId session_id(std::string_view key) {  // FNV-1a; a clash only makes a read stricter
-  std::uint64_t h = 14695981039346656037ULL;
-  for (const char c : key) h = (h ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
-  return SessionId{h};
+constexpr Keyword<Outcome> outcome_keywords[] = {{"served", Outcome::ok},
+                                                 {"server_error", Outcome::error},
+                                                 {"turned_away", Outcome::full},
+                                                 {"no_answer", Outcome::timeout},
+                                                 {"no_connection", Outcome::connect_failed},
+                                                 {"connection_lost", Outcome::reset},
+                                                 {"called_off", Outcome::cancelled},
+                                                 {"not_sent", Outcome::not_sent},
+                                                 {"not_stored", Outcome::too_stale}};
+
+/// FNV-1a hash of a session key. Sessions with equal hashes share a position, which only makes their reads
+/// stricter.
+SessionId session_id(std::string_view key) {
+  constexpr std::uint64_t offset_basis = 14695981039346656037ULL;
+  constexpr std::uint64_t prime = 1099511628211ULL;
+  std::uint64_t hash = offset_basis;
+  for (const char c : key) hash = (hash ^ static_cast<unsigned char>(c)) * prime;
+  return SessionId{hash};
 }
 
-AnswerMetadata parse_note(std::optional<std::uint64_t> mark, Time base) {
-  AnswerMetadata note;
-  if (!mark) return note;
-  const auto role = *mark & 3U;
-  note.role = role == 1 ? Role::primary : role == 2 ? Role::replica : Role::unknown;
-  const auto ms = *mark >> 2U;
-  if (ms > 0 && ms < static_cast<std::uint64_t>(largest_ms))
-    note.position = base + Time(static_cast<std::int64_t>(ms) * 1000);
-  return note;
+/// Decodes the `mark` of an answer: the role in the lowest two bits, the position in milliseconds after
+/// `base` above them; a position of 0 is unknown.
+AnswerMetadata parse_metadata(std::optional<std::uint64_t> mark, Time base) {
+  constexpr std::uint64_t role_mask = 3;
+  constexpr std::uint64_t primary_role = 1;
+  constexpr std::uint64_t replica_role = 2;
+  constexpr unsigned role_bits = 2;
+  AnswerMetadata metadata;
+  if (!mark) return metadata;
+  const auto role = *mark & role_mask;
+  metadata.role = role == primary_role ? Role::primary : role == replica_role ? Role::replica : Role::unknown;
+  const auto position_ms = *mark >> role_bits;
+  if (position_ms > 0 && position_ms < static_cast<std::uint64_t>(max_ms))
+    metadata.position = base + Time(static_cast<std::int64_t>(position_ms) * 1000);
+  return metadata;
 }
 
-void put_ms(std::string& out, Duration value) {
+/// Appends a time in milliseconds, with three decimals unless it is a whole number.
+void append_ms(std::string& out, Duration value) {
   const auto us = value.count();
   out += std::to_string(us / 1000);
-  if (const auto rest = us % 1000; rest != 0) {
-    std::string digits = std::to_string(rest + 1000);
-    digits[0] = '.';
-    out += digits;
+  if (const auto fraction = us % 1000; fraction != 0) {
+    std::string decimals = std::to_string(fraction + 1000);  // four digits; the first becomes the point
+    decimals[0] = '.';
+    out += decimals;
   }
 }
 
 }  // namespace
 
+/// A host in a member list as the simulator describes it; ids are assigned per instance.
 struct Adapter::Item {
   std::string host;
   std::string zone;
   HostEntry entry;
 };
 
+/// A simulated router, with its mapping between the simulator's names and ids.
 struct Adapter::Instance {
   std::unique_ptr<Router> router;
   std::vector<std::string> zones;
   std::map<std::string, ClassId, std::less<>> classes;
-  Time base{};
+  Time base_time{};  // origin of replication positions
   std::map<std::string, HostId, std::less<>> host_ids;
   std::map<HostId, std::string> host_names;
   std::uint32_t next_host = 1;
   struct Request {
     std::string name;
-    int out = 0;  // attempts without an outcome
+    int in_flight = 0;  // attempts without an outcome
     bool ended = false;
   };
   std::unordered_map<std::string, RequestId> request_ids;
   std::unordered_map<std::uint64_t, Request> requests;
   std::uint64_t next_request = 1;
 
-  HostId host(std::string_view name) {
+  HostId find_or_add_host(std::string_view name) {
     if (const auto it = host_ids.find(name); it != host_ids.end()) return it->second;
     const HostId id{next_host++};
     host_ids.emplace(name, id);
     host_names.emplace(id, name);
     return id;
   }
-  std::optional<HostId> known_host(std::string_view name) const {
+  std::optional<HostId> find_host(std::string_view name) const {
     const auto it = host_ids.find(name);
     return it == host_ids.end() ? std::nullopt : std::optional<HostId>(it->second);
   }
-  std::optional<RequestId> known_request(std::string_view name) const {
+  std::optional<RequestId> find_request(std::string_view name) const {
     const auto it = request_ids.find(std::string(name));
     return it == request_ids.end() ? std::nullopt : std::optional<RequestId>(it->second);
   }
-  void settle(RequestId id) {  // forgets the names of requests that nothing more will be heard of
+  /// Drops the name of a request that has ended and has no attempt in flight.
+  void release(RequestId id) {
     const auto it = requests.find(id.value);
-    if (it == requests.end() || !it->second.ended || it->second.out > 0) return;
+    if (it == requests.end() || !it->second.ended || it->second.in_flight > 0) return;
     request_ids.erase(it->second.name);
     requests.erase(it);
   }
+  /// Drops the names of hosts that the router no longer tracks.
   void prune_hosts() {
     for (auto it = host_names.begin(); it != host_names.end();) {
       if (router->tracks(it->first)) {
@@ -163,132 +183,142 @@
 Adapter::Adapter() = default;
 Adapter::~Adapter() = default;
 
-void Adapter::feed(std::int64_t number, Instance& in, const Event& event, std::string& out) {
+void Adapter::deliver(std::int64_t number, Instance& instance, const Event& event, std::string& out) {
   std::vector<Action> actions;
-  in.router->handle(now_, event, actions);
-  const std::string tag = " router=" + std::to_string(number);
+  instance.router->handle(now_, event, actions);
+  const std::string router_field = " router=" + std::to_string(number);
   for (const auto& action : actions) {
-    // Whatever names a request that has ended meanwhile has nothing left to say on the wire.
-    const auto gone = [&](RequestId id) { return in.requests.count(id.value) == 0; };
-    if (const auto* x = std::get_if<Send>(&action); x && gone(x->request)) continue;
-    if (const auto* x = std::get_if<Cancel>(&action); x && gone(x->request)) continue;
-    if (const auto* x = std::get_if<Refuse>(&action); x && gone(x->request)) continue;
-    if (const auto* x = std::get_if<Fail>(&action); x && gone(x->request)) continue;
-    if (const auto* a = std::get_if<Send>(&action)) {
-      auto& r = in.requests.at(a->request.value);
-      ++r.out;
-      out += "dispatch" + tag + " txn=" + r.name + " host=" + in.host_names.at(a->host);
-      if (a->give_up_at > Time::zero()) {
+    // Actions for a request that has ended in the meantime are not written.
+    const auto released = [&](RequestId id) { return instance.requests.count(id.value) == 0; };
+    if (const auto* send = std::get_if<Send>(&action); send && released(send->request)) continue;
+    if (const auto* cancel = std::get_if<Cancel>(&action); cancel && released(cancel->request)) continue;
+    if (const auto* refuse = std::get_if<Refuse>(&action); refuse && released(refuse->request)) continue;
+    if (const auto* fail = std::get_if<Fail>(&action); fail && released(fail->request)) continue;
+    if (const auto* send = std::get_if<Send>(&action)) {
+      auto& request = instance.requests.at(send->request.value);
+      ++request.in_flight;
+      out +=
+          "dispatch" + router_field + " txn=" + request.name + " host=" + instance.host_names.at(send->host);
+      if (send->give_up_at > Time::zero()) {
         out += " stop_at=";
-        put_ms(out, a->give_up_at);
+        append_ms(out, send->give_up_at);
       }
-    } else if (const auto* c = std::get_if<Cancel>(&action)) {
-      out += "cancel" + tag + " txn=" + in.requests.at(c->request.value).name +
-             " trial=" + std::to_string(c->attempt);
-    } else if (const auto* b = std::get_if<Refuse>(&action)) {
-      auto& r = in.requests.at(b->request.value);
-      r.ended = true;
-      out += "bounce" + tag + " txn=" + r.name;
-      if (b->retry_after > Duration::zero()) {
+    } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
+      out += "cancel" + router_field + " txn=" + instance.requests.at(cancel->request.value).name +
+             " trial=" + std::to_string(cancel->attempt);
+    } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+      auto& request = instance.requests.at(refuse->request.value);
+      request.ended = true;
+      out += "bounce" + router_field + " txn=" + request.name;
+      if (refuse->retry_after > Duration::zero()) {
         out += " pause=";
-        put_ms(out, b->retry_after);
+        append_ms(out, refuse->retry_after);
       }
-      in.settle(b->request);
-    } else if (const auto* f = std::get_if<Fail>(&action)) {
-      auto& r = in.requests.at(f->request.value);
-      r.ended = true;
-      out += "fail" + tag + " txn=" + r.name;
-      in.settle(f->request);
-    } else if (const auto* p = std::get_if<Probe>(&action)) {
-      out += "inspect" + tag + " host=" + in.host_names.at(p->host);
-    } else if (const auto* t = std::get_if<SetTimer>(&action)) {
-      out += "notify_me" + tag + " alarm_time=";
-      put_ms(out, t->due);
-      out += " name=" + std::to_string(t->timer);
+      instance.release(refuse->request);
+    } else if (const auto* fail = std::get_if<Fail>(&action)) {
+      auto& request = instance.requests.at(fail->request.value);
+      request.ended = true;
+      out += "fail" + router_field + " txn=" + request.name;
+      instance.release(fail->request);
+    } else if (const auto* probe = std::get_if<Probe>(&action)) {
+      out += "inspect" + router_field + " host=" + instance.host_names.at(probe->host);
+    } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
+      out += "notify_me" + router_field + " alarm_time=";
+      append_ms(out, timer->due);
+      out += " name=" + std::to_string(timer->timer);
     } else if (std::holds_alternative<OpenWatch>(action)) {
-      out += "watch" + tag + " want=1";
+      out += "watch" + router_field + " want=1";
     }
     out += '\n';
   }
 }
 
-void Adapter::line(std::string_view text, std::string& out) {
+void Adapter::handle_line(std::string_view text, std::string& out) {
   if (!text.empty() && text.back() == '\r') text.remove_suffix(1);
-  batch_line(text, out);
+  handle_message(text, out);
 }
 
-void Adapter::batch_line(std::string_view text, std::string& out) {
+void Adapter::handle_message(std::string_view text, std::string& out) {
   if (text.empty()) return;
   const auto space = text.find(' ');
   const auto verb = text.substr(0, space);
   const auto rest = space == std::string_view::npos ? std::string_view{} : text.substr(space + 1);
   if (verb == "batch") {
-    const Line l(verb, rest);
-    now_ = std::max(now_, from_ms(l.need_number("sim_time")));
+    const Line line(verb, rest);
+    now_ = std::max(now_, from_ms(line.require_number("sim_time")));
     in_batch_ = true;
     return;
   }
   if (verb == "over_to_you") {
-    if (!in_batch_) throw ParseError("over_to_you without batch");
+    if (!in_batch_) throw ParseError("over_to_you: no batch is open");
     in_batch_ = false;
     out += "done\n";
     return;
   }
   if (verb == "item") {
-    if (items_due_ == 0) return;
-    const Line l(verb, rest);
+    if (remaining_items_ == 0) return;
+    const Line line(verb, rest);
     Item item;
-    item.host = l.need("host");
-    item.zone = l.text("region_part").value_or("");
-    item.entry.group = GroupId{l.text("group") ? l.need_int("group") : 0};
-    item.entry.listed_primary = l.number("primary").value_or(0) >= 0.5;
-    const auto mode = l.whole("mode").value_or(2);
-    item.entry.state = mode == 0 ? HostState::gone : mode == 1 ? HostState::draining : HostState::ready;
-    item.entry.weight = l.number("weight").value_or(1);
-    if (const auto born = l.number("born"); born && *born > 0) item.entry.started_at = from_ms(*born);
-    rosters_[filling_].push_back(std::move(item));
-    --items_due_;
+    item.host = line.require("host");
+    item.zone = line.text("region_part").value_or("");
+    item.entry.group = GroupId{line.text("group") ? line.require_int("group") : 0};
+    item.entry.listed_primary = line.number("primary").value_or(0) >= 0.5;
+    constexpr std::uint64_t gone_mode = 0;
+    constexpr std::uint64_t draining_mode = 1;
+    constexpr std::uint64_t ready_mode = 2;
+    const auto mode = line.unsigned_integer("mode").value_or(ready_mode);
+    item.entry.state = mode == gone_mode       ? HostState::gone
+                       : mode == draining_mode ? HostState::draining
+                                               : HostState::ready;
+    item.entry.weight = line.number("weight").value_or(1);
+    if (const auto started_ms = line.number("born"); started_ms && *started_ms > 0)
+      item.entry.started_at = from_ms(*started_ms);
+    rosters_[current_roster_].push_back(std::move(item));
+    --remaining_items_;
     return;
   }
   if (verb == "roster") {
-    const Line l(verb, rest);
-    filling_ = l.need_int("ref");
-    items_due_ = static_cast<std::size_t>(l.need_int("elements"));
-    rosters_[filling_].clear();
+    const Line line(verb, rest);
+    current_roster_ = line.require_int("ref");
+    remaining_items_ = static_cast<std::size_t>(line.require_int("elements"));
+    rosters_[current_roster_].clear();
     return;
   }
   if (verb == "enlist") {
-    const auto facts_at = rest.find(" facts=");
+    // The settings run from here to the end of the line.
+    constexpr std::string_view settings_mark = " facts=";
+    const auto mark_at = rest.find(settings_mark);
     std::string_view head = rest;
-    std::string_view facts = rest;
-    if (facts_at != std::string_view::npos) {
-      head = rest.substr(0, facts_at);
-      facts = rest.substr(facts_at + 7);
+    std::string_view settings_text = rest;
+    if (mark_at != std::string_view::npos) {
+      head = rest.substr(0, mark_at);
+      settings_text = rest.substr(mark_at + settings_mark.size());
     }
-    const Line l(verb, head);
-    const auto number = l.need_int("router");
-    auto in = std::make_unique<Instance>();
+    const Line line(verb, head);
+    const auto number = line.require_int("router");
+    auto instance = std::make_unique<Instance>();
     try {
-      auto settings = parse_settings(facts, l.whole("prng").value_or(0), "", in->zones, in->base);
+      auto settings = parse_settings(settings_text, line.unsigned_integer("prng").value_or(0), "",
+                                     instance->zones, instance->base_time);
       for (std::size_t i = 0; i < settings.classes.size(); ++i)
-        in->classes[settings.classes[i].name] = ClassId{static_cast<std::int32_t>(i)};
-      in->router = std::make_unique<Router>(std::move(settings));
-    } catch (const std::invalid_argument& e) {
-      out += "panic router=" + std::to_string(number) + " words=bad setting " + e.what() + "\n";
+        instance->classes[settings.classes[i].name] = ClassId{static_cast<std::int32_t>(i)};
+      instance->router = std::make_unique<Router>(std::move(settings));
+    } catch (const std::invalid_argument& error) {
+      out += "panic router=" + std::to_string(number) + " words=bad setting " + error.what() + "\n";
       instances_.erase(number);
       return;
     }
     auto& slot = instances_[number];
-    slot = std::move(in);
-    feed(number, *slot, Started{}, out);
+    slot = std::move(instance);
+    deliver(number, *slot, Started{}, out);
     return;
   }
   const bool known = verb == "power_off" || verb == "fleet" || verb == "query" || verb == "streaming" ||
                      verb == "resolved" || verb == "left" || verb == "ring" || verb == "probe_done" ||
                      verb == "note_from";
   if (!known) return;
-  const Line l(verb, rest);
-  const auto number = l.need_int("router");
+  const Line line(verb, rest);
+  const auto number = line.require_int("router");
   const auto found = instances_.find(number);
   if (verb == "power_off") {
     if (found != instances_.end()) instances_.erase(found);
@@ -296,7 +326,7 @@
   }
   if (verb == "fleet") {
     MembersListed event;
-    switch (l.need_int("kind")) {
+    switch (line.require_int("kind")) {
       case 0:
         event.kind = ListKind::delta;
         break;
@@ -314,121 +344,129 @@
     }
     std::int64_t ref = 0;
     if (event.kind != ListKind::failed) {
-      ref = l.need_int("ref");
-      if (rosters_.count(ref) == 0) throw ParseError("fleet names an unknown roster");
+      ref = line.require_int("ref");
+      if (rosters_.count(ref) == 0) throw ParseError("fleet: unknown roster " + std::to_string(ref));
     }
     if (found == instances_.end()) return;
-    auto& in = *found->second;
+    auto& instance = *found->second;
     if (event.kind != ListKind::failed) {
       for (const auto& item : rosters_[ref]) {
         auto entry = item.entry;
-        entry.host = in.host(item.host);
-        entry.zone = zone_id(item.zone, in.zones);
+        entry.host = instance.find_or_add_host(item.host);
+        entry.zone = find_or_add_zone(item.zone, instance.zones);
         event.entries.push_back(entry);
       }
     }
-    feed(number, in, event, out);
-    in.prune_hosts();
+    deliver(number, instance, event, out);
+    instance.prune_hosts();
     return;
   }
   if (verb == "query") {
-    const auto name = l.need("txn");
+    const auto name = line.require("txn");
     RequestArrived event;
-    event.time_left = from_ms(std::max(0.0, l.need_number("time_budget")));
-    event.group = GroupId{l.text("cluster_no") ? l.need_int("cluster_no") : 0};
-    if (const auto age = l.number("token_age_ms"); age && *age > 0) event.token_age = from_ms(*age);
-    if (const auto key = l.text("sess"); key && !key->empty()) event.session = session_id(*key);
-    const auto grade = l.text("grade").value_or("");
+    event.time_left = from_ms(std::max(0.0, line.require_number("time_budget")));
+    event.group = GroupId{line.text("cluster_no") ? line.require_int("cluster_no") : 0};
+    if (const auto age_ms = line.number("token_age_ms"); age_ms && *age_ms > 0)
+      event.token_age = from_ms(*age_ms);
+    if (const auto session = line.text("sess"); session && !session->empty())
+      event.session = session_id(*session);
+    const auto class_name = line.text("grade").value_or("");
     if (found == instances_.end()) return;
-    auto& in = *found->second;
-    const auto cls = in.classes.find(grade);
-    event.class_id = cls == in.classes.end() ? ClassId{-1} : cls->second;
-    if (in.known_request(name)) return;
-    event.request = RequestId{in.next_request++};
-    in.request_ids.emplace(name, event.request);
-    in.requests[event.request.value].name = name;
-    feed(number, in, event, out);
+    auto& instance = *found->second;
+    const auto class_entry = instance.classes.find(class_name);
+    event.class_id = class_entry == instance.classes.end() ? ClassId{-1} : class_entry->second;
+    if (instance.find_request(name)) return;
+    event.request = RequestId{instance.next_request++};
+    instance.request_ids.emplace(name, event.request);
+    instance.requests[event.request.value].name = name;
+    deliver(number, instance, event, out);
     return;
   }
   if (verb == "resolved") {
     AttemptEnded event;
-    const auto outcome = lookup(outcome_words, l.need("verdict"));
-    const auto name = l.need("txn");
-    const auto host_name = l.need("host");
-    const auto attempt = l.whole("trial").value_or(0);
-    event.attempt = static_cast<std::uint32_t>(std::min<std::uint64_t>(attempt, 0xffffffffU));
-    event.elapsed = from_ms(l.number("elapsed").value_or(0));
-    event.request_ended = l.flag("ended");
-    const auto mark = l.whole("mark");
+    const auto outcome = lookup(outcome_keywords, line.require("verdict"));
+    const auto name = line.require("txn");
+    const auto host_name = line.require("host");
+    const auto attempt = line.unsigned_integer("trial").value_or(0);
+    event.attempt = static_cast<std::uint32_t>(
+        std::min<std::uint64_t>(attempt, std::numeric_limits<std::uint32_t>::max()));
+    event.elapsed = from_ms(line.number("elapsed").value_or(0));
+    event.request_ended = line.flag("ended");
+    const auto mark = line.unsigned_integer("mark");
     if (found == instances_.end()) return;
-    auto& in = *found->second;
-    const auto request = in.known_request(name);
-    const auto host = in.known_host(host_name);
+    auto& instance = *found->second;
+    const auto request = instance.find_request(name);
+    const auto host = instance.find_host(host_name);
     if (!outcome || !request || !host) return;
     event.outcome = *outcome;
     event.request = *request;
     event.host = *host;
-    event.metadata = parse_note(mark, in.base);
-    event.report = parse_report(l.text("stats"), in.base);
-    auto& r = in.requests.at(request->value);
-    if (r.out > 0) --r.out;
-    if (event.request_ended) r.ended = true;
-    feed(number, in, event, out);
-    in.settle(*request);
+    event.metadata = parse_metadata(mark, instance.base_time);
+    event.report = parse_report(line.text("stats"), instance.base_time);
+    auto& state = instance.requests.at(request->value);
+    if (state.in_flight > 0) --state.in_flight;
+    if (event.request_ended) state.ended = true;
+    deliver(number, instance, event, out);
+    instance.release(*request);
     return;
   }
   if (verb == "streaming" || verb == "left") {
-    const auto name = l.need("txn");
-    const auto attempt = l.whole("trial").value_or(0);
+    const auto name = line.require("txn");
+    const auto attempt = line.unsigned_integer("trial").value_or(0);
     if (found == instances_.end()) return;
-    auto& in = *found->second;
-    const auto request = in.known_request(name);
+    auto& instance = *found->second;
+    const auto request = instance.find_request(name);
     if (!request) return;
     if (verb == "left") {
-      in.requests.at(request->value).ended = true;
-      feed(number, in, ClientLeft{*request}, out);
-      in.settle(*request);
+      instance.requests.at(request->value).ended = true;
+      deliver(number, instance, ClientLeft{*request}, out);
+      instance.release(*request);
     } else {
-      feed(number, in, AnswerStarted{*request, static_cast<std::uint32_t>(attempt)}, out);
+      deliver(number, instance, AnswerStarted{*request, static_cast<std::uint32_t>(attempt)}, out);
     }
     return;
   }
   if (verb == "probe_done") {
     ProbeEnded event;
-    const auto outcome = lookup(outcome_words, l.need("verdict"));
-    const auto name = l.need("host");
-    event.elapsed = from_ms(l.number("elapsed").value_or(0));
+    const auto outcome = lookup(outcome_keywords, line.require("verdict"));
+    const auto name = line.require("host");
+    event.elapsed = from_ms(line.number("elapsed").value_or(0));
     if (found == instances_.end()) return;
-    auto& in = *found->second;
-    const auto host = in.known_host(name);
+    auto& instance = *found->second;
+    const auto host = instance.find_host(name);
     if (!host || !outcome) return;
     event.host = *host;
     event.outcome = *outcome;
-    event.report = parse_report(l.text("stats"), in.base);
-    feed(number, in, event, out);
+    event.report = parse_report(line.text("stats"), instance.base_time);
+    deliver(number, instance, event, out);
     return;
   }
   if (verb == "ring") {
-    const auto name = static_cast<std::uint64_t>(l.need_int("name"));
-    if (found != instances_.end()) feed(number, *found->second, TimerFired{name}, out);
+    const auto timer = static_cast<std::uint64_t>(line.require_int("name"));
+    if (found != instances_.end()) deliver(number, *found->second, TimerFired{timer}, out);
   }
 }
 
-int run(std::istream& in, std::ostream& out, std::ostream& err) {
+int run(std::istream& input, std::ostream& output, std::ostream& errors) {
+  constexpr std::string_view batch_end = "done\n";
+  constexpr int malformed_input = 2;
   Adapter adapter;
-  std::string text;
+  std::string line;
   std::string reply;
-  std::uint64_t number = 0;
-  while (std::getline(in, text)) {
-    ++number;
+  std::uint64_t line_number = 0;
+  while (std::getline(input, line)) {
+    ++line_number;
     try {
-      adapter.line(text, reply);
-    } catch (const ParseError& e) {
-      err << "line " << number << ": " << e.what() << '\n';
-      return 2;
+      adapter.handle_line(line, reply);
+    } catch (const ParseError& error) {
+      errors << "line " << line_number << ": " << error.what() << '\n';
+      return malformed_input;
     }
-    if (reply.size() >= 5 && reply.compare(reply.size() - 5, 5, "done\n") == 0) {
-      out << reply << std::flush;
+    const bool batch_complete =
+        reply.size() >= batch_end.size() &&
+        reply.compare(reply.size() - batch_end.size(), batch_end.size(), batch_end) == 0;
+    if (batch_complete) {
+      output << reply << std::flush;
       reply.clear();
     }
   }
--- a/src/sim/adapter.h
+++ b/src/sim/adapter.h
@@ -1,4 +1,5 @@
-// The adapter for the simulator's wire: parse, intern ids, one Router per instance, format. Decides nothing.
+// Adapter between routers and a simulator that speaks a line protocol: parses messages into events, runs one
+// Router per simulated instance, and formats its actions. Makes no routing decisions.
 #pragma once
 
 #include <cstdint>
@@ -22,23 +23,26 @@
   ~Adapter();
   Adapter(const Adapter&) = delete;
   Adapter& operator=(const Adapter&) = delete;
-  /// Takes one line without its end; appends what is to be written. Throws ParseError.
-  void line(std::string_view text, std::string& out);
+  /// Handles one line, without its line feed, and appends the resulting lines to `out`. Throws
+  /// text::ParseError for a malformed line.
+  void handle_line(std::string_view text, std::string& out);
 
  private:
   struct Instance;
   struct Item;
-  void batch_line(std::string_view text, std::string& out);
-  void feed(std::int64_t number, Instance& in, const Event& event, std::string& out);
+  void handle_message(std::string_view text, std::string& out);
+  /// Passes an event to an instance and appends its actions to `out`.
+  void deliver(std::int64_t number, Instance& instance, const Event& event, std::string& out);
   std::map<std::int64_t, std::unique_ptr<Instance>> instances_;
-  std::map<std::int64_t, std::vector<Item>> rosters_;
+  std::map<std::int64_t, std::vector<Item>> rosters_;  // member lists by reference number
   Time now_{};
   bool in_batch_ = false;
-  std::int64_t filling_ = 0;
-  std::size_t items_due_ = 0;
+  std::int64_t current_roster_ = 0;  // to which the next items belong
+  std::size_t remaining_items_ = 0;  // of the current roster
 };
 
-/// Runs the wire until the end of input: 0, or 2 after one plain line on `err` for a line that is malformed.
-int run(std::istream& in, std::ostream& out, std::ostream& err);
+/// Runs the adapter until the end of the input. Returns 0, or 2 after a malformed line, which is reported by
+/// one line on `errors`.
+int run(std::istream& input, std::ostream& output, std::ostream& errors);
 
 }  // namespace cedarring::sim
--- a/src/sim/main.cpp
+++ b/src/sim/main.cpp
@@ -1,4 +1,4 @@
-// Runs the adapter on standard input and output.
+// Simulator adapter on standard input and output.
 #include <iostream>
 
 #include "sim/adapter.h"
--- a/src/wire/discovery.cpp
+++ b/src/wire/discovery.cpp
@@ -230,7 +230,7 @@
   if (stream_) stream_->stop(), reaper_.take(std::move(stream_));
   address_ = std::move(address);
   version_ = 0;
-  terms_.heard();
+  terms_.on_message();
   open();
 }
 
@@ -247,12 +247,12 @@
 
 void DiscoveryWatch::wait_for_word() {
   silence_.stop();
-  silence_.start(seconds(fleet::WatchTiming::silence(answered_)));
+  silence_.start(seconds(fleet::WatchTiming::silence_timeout(answered_)));
 }
 
 void DiscoveryWatch::heard() {
   answered_ = true;
-  terms_.heard();
+  terms_.on_message();
   heard_ = std::chrono::steady_clock::now();
   wait_for_word();
 }
@@ -287,7 +287,7 @@
 
 void DiscoveryWatch::failed() {
   if (kept_)
-    again_.start(seconds(terms_.after_end()));
+    again_.start(seconds(terms_.next_reopen_delay()));
   else
     events_.failed();
 }
--- a/src/wire/mysql_host.cpp
+++ b/src/wire/mysql_host.cpp
@@ -207,7 +207,7 @@
   state_ = State::idle;
   broker::AttemptResult result;
   result.metadata = note_;
-  if (!job_->attempt) result.report = parse_whole_report(health_);
+  if (!job_->attempt) result.report = parse_strict_report(health_);
   result.value = std::move(answer_);
   finish(std::move(result), true);
   return true;
--- a/src/wire/pg_host.cpp
+++ b/src/wire/pg_host.cpp
@@ -180,7 +180,7 @@
     result.metadata = note_;
     result.value = std::move(rows_);
   }
-  if (!job_->attempt) result.report = parse_whole_report(health_);
+  if (!job_->attempt) result.report = parse_strict_report(health_);
   finish(std::move(result), true);
 }
 
--- a/src/wire/upstream.cpp
+++ b/src/wire/upstream.cpp
@@ -44,13 +44,13 @@
   auto due = job_->stop_at;
   const auto most = owner_.options().connect_timeout;
   if (!welcomed_)
-    due = std::min(due, job_->started + (job_->patient ? most : owner_.patience().allowed(most)));
+    due = std::min(due, job_->started + (job_->patient ? most : owner_.patience().timeout(most)));
   timer_.start(seconds(due - owner_.now()));
 }
 
 void HostConnection::welcome() {
   welcomed_ = true;
-  if (job_) owner_.patience().took(owner_.now() - job_->started);
+  if (job_) owner_.patience().connected(owner_.now() - job_->started);
   reset();
   if (!job_) return;
   submit();
@@ -90,7 +90,7 @@
   AttemptResult result;
   result.outcome = lost(submitted_ && out_.empty(), true);
   result.connect_timed_out = true;
-  if (!welcomed_) owner_.patience().gave_up();
+  if (!welcomed_) owner_.patience().timed_out();
   finish(std::move(result), false);
 }
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -85,13 +85,13 @@
 }
 
 TEST(Statement, AReportIsReadWholeOrNotAtAll) {
-  const auto good = parse_whole_report("x0=1767225600.123,x1=1,pending=3");
+  const auto good = parse_strict_report("x0=1767225600.123,x1=1,pending=3");
   EXPECT_EQ(good.position, Time(1'767'225'600'123'000));
   EXPECT_EQ(good.role, Role::primary);
   EXPECT_EQ(good.queue_length, 3);
   for (const auto* bad : {"", "x0", "x0=1767225600.123,x1=1,pending=", "x0=1,x1=2", "x0=1,x1=1,pending=-1",
                           "x0=1,x0=2", "x0=1,x1=1,\x01\xff", "x0=1e999", "x0=1,,x1=1", "=1"}) {
-    const auto r = parse_whole_report(bad);
+    const auto r = parse_strict_report(bad);
     EXPECT_FALSE(r.position || r.role || r.queue_length || r.utilization) << bad;
   }
 }
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,20 +1,21 @@
-// A program that uses the installed package.
+// Builds against the installed package: a request for an unknown group must be refused at once.
 #include <cedarring/router.h>
 
 int main() {
   using namespace std::chrono_literals;
   cedarring::Settings settings;
-  cedarring::RequestClass c;
-  c.latency_target = 1s;
-  c.deadline = 2s;
-  settings.classes = {c};
+  cedarring::RequestClass request_class;
+  request_class.latency_target = 1s;
+  request_class.deadline = 2s;
+  settings.classes = {request_class};
   cedarring::Router router(settings);
   std::vector<cedarring::Action> actions;
   router.handle(0ms, cedarring::Started{}, actions);
   cedarring::RequestArrived request;
   request.request = {1};
   request.class_id = {0};
-  request.group = {7};  // unknown: refused at once
+  request.group = {7};  // not in any member list
   router.handle(1ms, request, actions);
-  return actions.size() == 1 && std::holds_alternative<cedarring::Refuse>(actions[0]) ? 0 : 1;
+  const bool refused = actions.size() == 1 && std::holds_alternative<cedarring::Refuse>(actions[0]);
+  return refused ? 0 : 1;
 }
--- a/tests/contracts_test.cpp
+++ b/tests/contracts_test.cpp
@@ -60,7 +60,7 @@
   gates::GateRequest ask(std::int32_t tenant, std::int32_t cls) {
     gates::GateRequest a;
     a.request = RequestId{++next};
-    a.cls = ClassId{cls}, a.group = GroupId{1}, a.tenant = tenant, a.time_left = 1s;
+    a.class_id = ClassId{cls}, a.group = GroupId{1}, a.tenant = tenant, a.time_left = 1s;
     return a;
   }
   /// Asks, and ends it at once: served after `took`, or as the gate has it.
--- a/tests/embed_example.cpp
+++ b/tests/embed_example.cpp
@@ -1,4 +1,4 @@
-// The README's example, compiled and run: a router inside another program's loop.
+// Example of a router embedded in another program: the caller passes events and carries out the actions.
 #include <gtest/gtest.h>
 
 #include "cedarring/router.h"
@@ -7,7 +7,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(Embed, ReadmeExample) {
+TEST(Embed, RequestIsSentToTheOnlyReplica) {
   cedarring::Settings settings;
   settings.seed = 42;
   cedarring::RequestClass report;
