--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -1,6 +1,6 @@
-// Two processes of one gateway while an upgrade runs: what goes from one to the other, and that no order of
-// sends, packets and deaths lets a budget pay twice, a host get more, or a session go back. No sockets, a
-// clock set by hand.
+// Tests of a gateway upgrade, in which two processes share the budgets of one gateway: no order of requests,
+// handover messages and process ends may let a budget be spent twice, send a host more than its limit, or let
+// a session read older state than it has written. No sockets; the tests set the clock.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -28,49 +28,71 @@
 using handover::to_text;
 
 constexpr Time start{1'700'000'000'000'000};
+/// Times between two steps; a step holds an index into these.
 constexpr Duration gaps[] = {Duration(1), Duration(700), Duration(40'000), Duration(900'000)};
 
-// What may happen next, drawn at random.
-enum Step { use_old, use_new, begin, yes, old_ends, new_dies, steps };
-std::vector<std::pair<int, int>> drawn_steps() {
-  // Upgrades and deaths are rarer than what happens between them.
-  const auto step = rc::gen::weightedElement<int>(
-      {{30, use_old}, {30, use_new}, {4, begin}, {6, yes}, {2, old_ends}, {2, new_dies}});
-  return *rc::gen::resize(
-      400, rc::gen::container<std::vector<std::pair<int, int>>>(rc::gen::pair(step, rc::gen::inRange(0, 4))));
+// ---- upgrades as random steps ----
+
+/// A step of a random upgrade: a use of one of the processes, or an event of the upgrade itself.
+enum StepKind { use_old, use_new, start_new, split_budgets, end_old, kill_new };
+struct Step {
+  int kind;
+  int gap;
+};
+std::vector<Step> random_steps() {
+  // Upgrades and process ends are rarer than the requests between them.
+  const auto kind = rc::gen::weightedElement<int>(
+      {{30, use_old}, {30, use_new}, {4, start_new}, {6, split_budgets}, {2, end_old}, {2, kill_new}});
+  const auto pairs = *rc::gen::resize(
+      400, rc::gen::container<std::vector<std::pair<int, int>>>(rc::gen::pair(kind, rc::gen::inRange(0, 4))));
+  std::vector<Step> steps;
+  for (const auto& [step_kind, gap] : pairs) steps.push_back({step_kind, gap});
+  return steps;
 }
 
-/// A gateway of one process or two. A process is told by the text of the other, as over the link.
+/// A gateway of one or two processes. State passes from one process to the other as in a real handover, as
+/// text where it has a text form.
 template <class Process>
-struct Upgrades {
-  std::unique_ptr<Process> old = std::make_unique<Process>(start), next;
+struct UpgradingGateway {
+  std::unique_ptr<Process> old_process = std::make_unique<Process>(start);
+  std::unique_ptr<Process> new_process;
   bool split = false;
   Time now = start;
   int upgrades = 0;
+  /// Applies a step; `use` is called with the process that a use_old or use_new step names.
   template <class Use>
-  void take(const std::pair<int, int>& s, const Use& use) {
-    now += gaps[s.second];
-    switch (s.first) {
+  void apply(const Step& step, const Use& use) {
+    now += gaps[step.gap];
+    switch (step.kind) {
       case use_old:
-        use(*old);
+        use(*old_process);
         break;
       case use_new:
-        if (next) use(*next);
+        if (new_process) use(*new_process);
         break;
-      case begin:
-        if (next) break;
-        next = std::make_unique<Process>(now), next->follow(now), split = false, ++upgrades;
+      case start_new:
+        if (new_process) break;
+        new_process = std::make_unique<Process>(now);
+        new_process->suspend_spending(now);
+        split = false;
+        ++upgrades;
         break;
-      case yes:
-        if (next && !split) next->take(old->split(now), now), split = true;
+      case split_budgets:
+        if (new_process && !split) {
+          new_process->restore(old_process->split(now), now);
+          split = true;
+        }
         break;
-      case old_ends:
-        if (next && split) old = std::move(next), old->alone(now);
+      case end_old:
+        if (new_process && split) {
+          old_process = std::move(new_process);
+          old_process->resume_full_spending(now);
+        }
         break;
-      case new_dies:
-        if (!next) break;
-        next.reset();
-        if (split) old->alone(now);
+      case kill_new:
+        if (!new_process) break;
+        new_process.reset();
+        if (split) old_process->resume_full_spending(now);
         break;
       default:
         break;
@@ -78,161 +100,189 @@
   }
 };
 
-/// The most that was used in any window, over `rate` a second: a bucket's burst, or a window's bound where
-/// that is 0.
-double most_in_a_window(const std::vector<std::pair<Time, double>>& used, double rate, Duration longest) {
-  double most = 0;
-  for (std::size_t i = 0; i < used.size(); ++i) {
+/// The largest amount spent within any window of this length, beyond what `rate` per second refills: the
+/// burst of a token bucket, or, with a rate of 0, the total of the window.
+double max_spent_in_window(const std::vector<std::pair<Time, double>>& spending, double rate,
+                           Duration window) {
+  double largest = 0;
+  for (std::size_t first = 0; first < spending.size(); ++first) {
     double sum = 0;
-    for (std::size_t j = i; j < used.size() && used[j].first - used[i].first < longest; ++j) {
-      sum += used[j].second;
-      most = std::max(most, sum - rate * static_cast<double>((used[j].first - used[i].first).count()) / 1e6);
+    for (std::size_t i = first; i < spending.size(); ++i) {
+      const Duration elapsed = spending[i].first - spending[first].first;
+      if (elapsed >= window) break;
+      sum += spending[i].second;
+      largest = std::max(largest, sum - rate * static_cast<double>(elapsed.count()) / 1e6);
     }
   }
-  return most;
+  return largest;
 }
 
-constexpr double cold_bound = 10;
-constexpr Duration cold_window = 2s;
-struct ColdProcess {
-  handover::WindowShare part;
-  fleet::SlowStartUsage spent;
-  explicit ColdProcess(Time) {}
-  struct Told {
-    double whole = 0;
-    std::deque<fleet::SlowStartUsage::Spent> spent;
+// ---- slow start ----
+
+constexpr double slow_start_limit = 10;
+constexpr Duration overload_window = 2s;
+/// The slow-start limit of a host, as a process applies it.
+struct SlowStartProcess {
+  handover::WindowShare share;
+  fleet::SlowStartUsage usage;
+  explicit SlowStartProcess(Time) {}
+  struct State {
+    double total_share = 0;
+    std::deque<fleet::SlowStartUsage::SentWork> sends;
   };
-  void follow(Time) { part.hold(0, 0); }
-  Told split(Time now) { return {part.split(now), spent.all()}; }
-  void take(Told told, Time) {
-    std::sort(told.spent.begin(), told.spent.end());
-    part.hold(told.whole, told.whole / 2), spent.told(told.spent);
+  void suspend_spending(Time) { share.set(0, 0); }
+  State split(Time now) { return {share.split(now), usage.all()}; }
+  void restore(State state, Time) {
+    std::sort(state.sends.begin(), state.sends.end());
+    share.set(state.total_share, state.total_share / 2);
+    usage.set_others(state.sends);
   }
-  void alone(Time now) { part.widen(now + cold_window, 1); }
+  void resume_full_spending(Time now) { share.schedule_increase(now + overload_window, 1); }
   bool send(double work, Time now) {
-    const auto from = now - cold_window;
-    if (part.left(now, cold_bound, spent.own(from), spent.others(from)) < work) return false;
-    spent.add(now, work);
+    const auto from = now - overload_window;
+    if (share.remaining(now, slow_start_limit, usage.own(from), usage.others(from)) < work) return false;
+    usage.add(now, work);
     return true;
   }
 };
 
-TEST(Upgrades, NoColdHostGetsMoreFromBothThanFromOne) {
+TEST(Upgrade, TwoProcessesSendAColdHostNoMoreThanOne) {
   EXPECT_TRUE(rc::check(
-      "cold",
+      "slow start",
       [] {
-        Upgrades<ColdProcess> g;
-        std::vector<std::pair<Time, double>> sent;
-        for (const auto& s : drawn_steps())
-          g.take(
-              s,
-              [&](ColdProcess& p) {
-                if (p.send(1, g.now)) sent.emplace_back(g.now, 1);
+        UpgradingGateway<SlowStartProcess> gateway;
+        std::vector<std::pair<Time, double>> sends;
+        for (const auto& step : random_steps())
+          gateway.apply(
+              step,
+              [&](SlowStartProcess& process) {
+                if (process.send(1, gateway.now)) sends.emplace_back(gateway.now, 1);
               });
-        RC_ASSERT(most_in_a_window(sent, 0, cold_window) <= cold_bound + 1e-9);
-        RC_CLASSIFY(g.upgrades > 1);
+        RC_ASSERT(max_spent_in_window(sends, 0, overload_window) <= slow_start_limit + 1e-9);
+        RC_CLASSIFY(gateway.upgrades > 1);
       }));
 }
 
-TEST(Upgrades, TheLastProcessMaySpendAllAgain) {
-  Upgrades<ColdProcess> g;
-  for (int i = 0; i < 10; ++i) EXPECT_TRUE(g.old->send(1, g.now));
-  g.take({begin, 0}, [](auto&) {});
-  EXPECT_FALSE(g.next->send(0.1, g.now)) << "not told yet";
-  g.take({yes, 0}, [](auto&) {});
-  EXPECT_FALSE(g.next->send(0.1, g.now)) << "all is spent";
-  g.now += cold_window;
-  EXPECT_TRUE(g.next->send(5, g.now)) << "its half";
-  g.take({old_ends, 0}, [](auto&) {});
-  EXPECT_FALSE(g.old->send(0.1, g.now));
-  g.now += cold_window;
-  EXPECT_TRUE(g.old->send(10, g.now));
+TEST(Upgrade, LastProcessMaySpendTheWholeLimitAgain) {
+  UpgradingGateway<SlowStartProcess> gateway;
+  for (int i = 0; i < 10; ++i) EXPECT_TRUE(gateway.old_process->send(1, gateway.now));
+  gateway.apply({start_new, 0}, [](auto&) {});
+  EXPECT_FALSE(gateway.new_process->send(0.1, gateway.now)) << "no share received yet";
+  gateway.apply({split_budgets, 0}, [](auto&) {});
+  EXPECT_FALSE(gateway.new_process->send(0.1, gateway.now)) << "the old process has spent everything";
+  gateway.now += overload_window;
+  EXPECT_TRUE(gateway.new_process->send(5, gateway.now)) << "half of the limit";
+  gateway.apply({end_old, 0}, [](auto&) {});
+  EXPECT_FALSE(gateway.old_process->send(0.1, gateway.now));
+  gateway.now += overload_window;
+  EXPECT_TRUE(gateway.old_process->send(10, gateway.now));
 }
 
+// ---- contracts ----
+
 contracts::ServiceInfo service() {
-  contracts::ServiceInfo s;
-  RequestClass c;
-  c.name = "bid", c.latency_target = 200ms, c.deadline = 1s, c.freshness = Freshness::write;
-  s.classes.push_back(c);
-  s.tenants = 1;
-  return s;
+  contracts::ServiceInfo info;
+  RequestClass bid;
+  bid.name = "bid";
+  bid.latency_target = 200ms;
+  bid.deadline = 1s;
+  bid.freshness = Freshness::write;
+  info.classes.push_back(bid);
+  info.tenants = 1;
+  return info;
 }
-contracts::Config config(double rate, double burst) {
-  contracts::Config c;
-  c.mode = contracts::Mode::enforce;
-  contracts::Terms t;
-  t.rate = rate, t.burst = burst, t.beyond = contracts::Beyond::refuse, t.wanted = 200ms;
-  c.teams.push_back({"desks", {0}, {contracts::ClassTerms{t, {}}}});
-  return c;
+contracts::Config contract_config(double rate, double burst) {
+  contracts::Config config;
+  config.mode = contracts::Mode::enforce;
+  contracts::Terms terms;
+  terms.rate = rate;
+  terms.burst = burst;
+  terms.beyond = contracts::Beyond::refuse;
+  terms.wanted = 200ms;
+  config.teams.push_back({"desks", {0}, {contracts::ClassTerms{terms, {}}}});
+  return config;
 }
-double rate_of_desks, burst_of_desks;  // of the case that is being tried
+// Contract of the test case that is running; processes are created without arguments for it.
+double contract_rate;
+double contract_burst;
+/// The contracts of a process, with one team.
 struct ContractsProcess {
-  contracts::Contracts contracts{config(rate_of_desks, burst_of_desks), service()};
-  std::uint64_t next = 0;
+  contracts::Contracts contracts{contract_config(contract_rate, contract_burst), service()};
+  std::uint64_t last_request = 0;
   explicit ContractsProcess(Time now) { step(now); }
   void step(Time now) {
     std::vector<contracts::Breach> breaches;
     contracts.step(now, {}, breaches);
   }
-  void follow(Time now) { contracts.follow(now); }
+  void suspend_spending(Time now) { contracts.follow(now); }
   std::string split(Time now) { return to_text(contracts.split(now)); }
-  void take(const std::string& told, Time now) {
-    const auto c = from_text<contracts::Snapshot>(told);
-    ASSERT_TRUE(c);
-    contracts.restore(*c, now);
+  void restore(const std::string& text, Time now) {
+    const auto snapshot = from_text<contracts::Snapshot>(text);
+    ASSERT_TRUE(snapshot);
+    contracts.restore(*snapshot, now);
   }
-  void alone(Time now) { contracts.alone(now); }
-  bool ask(Time now) {
-    gates::GateRequest a;
-    a.request = RequestId{++next}, a.cls = ClassId{0}, a.group = GroupId{1}, a.tenant = 0;
-    const auto v = contracts.admit(a, now);
-    if (v.admitted)
-      contracts.on_request_end(a, {gates::RequestEnd::served, {}, {}, true, 50ms}, now);
+  void resume_full_spending(Time now) { contracts.alone(now); }
+  /// Sends a request through the gate and ends it; returns whether it was admitted.
+  bool admit(Time now) {
+    gates::GateRequest request;
+    request.request = RequestId{++last_request};
+    request.class_id = ClassId{0};
+    request.group = GroupId{1};
+    request.tenant = 0;
+    const auto verdict = contracts.admit(request, now);
+    if (verdict.admitted)
+      contracts.on_request_end(request, {gates::RequestEnd::served, {}, {}, true, 50ms}, now);
     else
-      contracts.on_request_end(a, {gates::RequestEnd::refused, v.decided_by, v.reason, false, {}}, now);
-    return v.admitted;
+      contracts.on_request_end(
+          request, {gates::RequestEnd::refused, verdict.decided_by, verdict.reason, false, {}}, now);
+    return verdict.admitted;
   }
 };
 
-TEST(Upgrades, NoContractLetsThroughMoreAtBothThanAtOne) {
+TEST(Upgrade, TwoProcessesAdmitNoMoreOfAContractThanOne) {
   EXPECT_TRUE(rc::check(
       "contracts",
       [] {
-        rate_of_desks = *rc::gen::inRange(1, 2000) / *rc::gen::element(3.0, 600.0);
-        burst_of_desks = *rc::gen::inRange(1, 40);
-        Upgrades<ContractsProcess> g;
-        std::vector<std::pair<Time, double>> let;
-        for (const auto& s : drawn_steps())
-          g.take(
-              s,
-              [&](ContractsProcess& p) {
-                if (s.second == 3) p.step(g.now);
-                if (p.ask(g.now)) let.emplace_back(g.now, 1);
+        contract_rate = *rc::gen::inRange(1, 2000) / *rc::gen::element(3.0, 600.0);
+        contract_burst = *rc::gen::inRange(1, 40);
+        UpgradingGateway<ContractsProcess> gateway;
+        std::vector<std::pair<Time, double>> admitted;
+        for (const auto& step : random_steps())
+          gateway.apply(
+              step,
+              [&](ContractsProcess& process) {
+                if (step.gap == 3) process.step(gateway.now);
+                if (process.admit(gateway.now)) admitted.emplace_back(gateway.now, 1);
               });
-        RC_ASSERT(most_in_a_window(let, rate_of_desks, 1h) <= burst_of_desks + 1e-3);
+        RC_ASSERT(max_spent_in_window(admitted, contract_rate, 1h) <= contract_burst + 1e-3);
       }));
 }
 
-TEST(Upgrades, WhatOneHasBookedTheOtherGoesOnWithAndNothingIsBookedTwice) {
-  rate_of_desks = 100, burst_of_desks = 10;
-  ContractsProcess old(start), next(start);
-  for (int i = 0; i < 14; ++i) old.ask(start);
-  next.follow(start);
-  next.take(old.split(start), start);
-  EXPECT_EQ(next.contracts.total(0, 0).asked, 14U);
-  EXPECT_EQ(next.contracts.total(0, 0).refused_contract, 4U);
-  EXPECT_EQ(next.contracts.times(0, 0).count(), 10U);
-  EXPECT_EQ(old.contracts.total(0, 0).asked, 0U);
-  old.ask(start + 1s), next.ask(start + 1s);
-  const auto rest = from_text<contracts::Snapshot>(to_text(old.contracts.booked()));
+TEST(Upgrade, NewProcessContinuesTheOldOnesCountsWithoutCountingTwice) {
+  contract_rate = 100;
+  contract_burst = 10;
+  ContractsProcess old_process(start);
+  ContractsProcess new_process(start);
+  for (int i = 0; i < 14; ++i) old_process.admit(start);
+  new_process.suspend_spending(start);
+  new_process.restore(old_process.split(start), start);
+  EXPECT_EQ(new_process.contracts.total(0, 0).asked, 14U);
+  EXPECT_EQ(new_process.contracts.total(0, 0).refused_contract, 4U);
+  EXPECT_EQ(new_process.contracts.times(0, 0).count(), 10U);
+  EXPECT_EQ(old_process.contracts.total(0, 0).asked, 0U);
+  old_process.admit(start + 1s);
+  new_process.admit(start + 1s);
+  const auto rest = from_text<contracts::Snapshot>(to_text(old_process.contracts.booked()));
   ASSERT_TRUE(rest);
-  next.contracts.book(*rest);
-  EXPECT_EQ(next.contracts.total(0, 0).asked, 16U);
-  EXPECT_EQ(next.contracts.times(0, 0).count(), 12U);
+  new_process.contracts.book(*rest);
+  EXPECT_EQ(new_process.contracts.total(0, 0).asked, 16U);
+  EXPECT_EQ(new_process.contracts.times(0, 0).count(), 12U);
 }
 
-/// Takes attempts and never ends them.
-struct Nowhere : broker::Upstream {
+// ---- tenants ----
+
+/// An upstream that accepts attempts and never ends them.
+struct UnresponsiveUpstream : broker::Upstream {
   void start(broker::AttemptKey, HostId, const std::string&,
              const std::shared_ptr<const broker::RequestPayload>&, Time, bool) override {}
   void cancel(broker::AttemptKey) override {}
@@ -241,272 +291,338 @@
   void set_timer(Time) override {}
   void close_idle(HostId) override {}
 };
-struct NoFront : broker::FrontEnd {
+/// A front end that drops final answers.
+struct DiscardingFrontEnd : broker::FrontEnd {
   void finish(RequestId, broker::FinalAnswer) override {}
 };
-double share_of_acme;
+// Requests per second of the tenant in the test case that is running.
+double tenant_rate;
+/// The tenant budgets of a process, with one tenant.
 struct TenantProcess {
   Time now;
-  Nowhere upstream;
-  NoFront front;
+  UnresponsiveUpstream upstream;
+  DiscardingFrontEnd front_end;
   broker::Broker broker;
-  int next = 0;
+  int last_request = 0;
   static Settings settings() {
-    Settings s;
-    s.classes = service().classes;
-    return s;
+    Settings settings;
+    settings.classes = service().classes;
+    return settings;
   }
   explicit TenantProcess(Time at)
       : now(at),
         broker(
-            settings(), {{"acme", share_of_acme}}, {"a"}, [this] { return now; }, upstream) {
-    broker::Member m;
-    m.id = "p", m.zone = "a", m.group = GroupId{1};
-    broker.start({1, true, {m}});
+            settings(), {{"acme", tenant_rate}}, {"a"}, [this] { return now; }, upstream) {
+    broker::Member member;
+    member.id = "p";
+    member.zone = "a";
+    member.group = GroupId{1};
+    broker.start({1, true, {member}});
   }
-  void follow(Time at) { now = at, broker.suspend_spending(); }
-  std::string split(Time at) { return now = at, to_text(broker.split_budgets()); }
-  void take(const std::string& told, Time at) {
-    now = at, broker.take_budgets(*from_text<broker::BudgetSnapshots>(told));
+  void suspend_spending(Time at) {
+    now = at;
+    broker.suspend_spending();
+  }
+  std::string split(Time at) {
+    now = at;
+    return to_text(broker.split_budgets());
   }
-  void alone(Time at) { now = at, broker.resume_full_spending(); }
-  bool within(Time at) {
+  void restore(const std::string& text, Time at) {
     now = at;
-    broker::ClientRequest a;
-    a.name = std::to_string(++next), a.contract = "bid", a.tenant = "acme", a.group = GroupId{1},
-    a.time_left = 1s;
+    broker.take_budgets(*from_text<broker::BudgetSnapshots>(text));
+  }
+  void resume_full_spending(Time at) {
+    now = at;
+    broker.resume_full_spending();
+  }
+  /// Sends a request of the tenant; returns whether it was within the budget.
+  bool request_within_budget(Time at) {
+    now = at;
+    broker::ClientRequest request;
+    request.name = std::to_string(++last_request);
+    request.contract = "bid";
+    request.tenant = "acme";
+    request.group = GroupId{1};
+    request.time_left = 1s;
     RequestId id;
-    const auto over = broker.budgets()[0].over;
-    broker.accept(a, front, id);
-    return broker.budgets()[0].over == over;
+    const auto beyond_before = broker.budgets()[0].over;
+    broker.accept(request, front_end, id);
+    return broker.budgets()[0].over == beyond_before;
   }
 };
 
-TEST(Upgrades, NoTenantHasItsPartTwice) {
+TEST(Upgrade, TwoProcessesGrantATenantNoMoreThanOne) {
   EXPECT_TRUE(rc::check(
       "tenants",
       [] {
-        share_of_acme = *rc::gen::element(1.0, 2.0, 5.5, 30.0);
-        Upgrades<TenantProcess> g;
-        std::vector<std::pair<Time, double>> within;
-        for (const auto& s : drawn_steps())
-          g.take(
-              s,
-              [&](TenantProcess& p) {
-                if (p.within(g.now)) within.emplace_back(g.now, 1);
+        tenant_rate = *rc::gen::element(1.0, 2.0, 5.5, 30.0);
+        UpgradingGateway<TenantProcess> gateway;
+        std::vector<std::pair<Time, double>> granted;
+        for (const auto& step : random_steps())
+          gateway.apply(
+              step,
+              [&](TenantProcess& process) {
+                if (process.request_within_budget(gateway.now)) granted.emplace_back(gateway.now, 1);
               });
-        RC_ASSERT(most_in_a_window(within, share_of_acme, 1h) <= share_of_acme + 1e-6);
+        RC_ASSERT(max_spent_in_window(granted, tenant_rate, 1h) <= tenant_rate + 1e-6);
       }));
 }
 
-// ---- sessions ----
-Settings fleet_settings() {
-  Settings s;
-  RequestClass read, write;
-  read.name = "check", read.latency_target = 200ms, read.deadline = 1s, read.freshness = Freshness::session;
-  write.name = "bid", write.latency_target = 200ms, write.deadline = 1s, write.freshness = Freshness::write;
-  write.idempotency = Idempotency::keyed, write.dedup_window = 5s;
-  s.classes = {read, write};
-  s.warm_up_duration = 10s, s.cold_capacity_share = 0.2, s.overload_window = 2s;
-  s.answers_carry_position = true;
-  return s;
+// ---- sessions and hosts ----
+
+constexpr HostId primary_host{1};
+constexpr ClassId check_class{0};
+constexpr ClassId bid_class{1};
+
+Settings router_settings() {
+  RequestClass check;
+  check.name = "check";
+  check.latency_target = 200ms;
+  check.deadline = 1s;
+  check.freshness = Freshness::session;
+  RequestClass bid;
+  bid.name = "bid";
+  bid.latency_target = 200ms;
+  bid.deadline = 1s;
+  bid.freshness = Freshness::write;
+  bid.idempotency = Idempotency::keyed;
+  bid.dedup_window = 5s;
+  Settings settings;
+  settings.classes = {check, bid};
+  settings.warm_up_duration = 10s;
+  settings.cold_capacity_share = 0.2;
+  settings.overload_window = 2s;
+  settings.answers_carry_position = true;
+  return settings;
 }
 MembersListed three_hosts() {
-  MembersListed l;
+  MembersListed list;
   for (std::uint32_t i = 1; i <= 3; ++i)
-    l.entries.push_back({HostId{i}, GroupId{1}, ZoneId{0}, HostState::ready, i == 1, 1, {}});
-  return l;
+    list.entries.push_back({HostId{i}, GroupId{1}, ZoneId{0}, HostState::ready, i == 1, 1, {}});
+  return list;
 }
-/// A router whose every send is answered at once.
+/// A router with a primary and two replicas, whose sends are answered at once.
 struct RouterProcess {
-  Router router{fleet_settings()};
-  std::uint64_t next = 0;
+  Router router{router_settings()};
+  std::uint64_t last_request = 0;
   explicit RouterProcess(Time now) {
-    std::vector<Action> out;
-    router.handle(now, Started{}, out);
-    router.handle(now, three_hosts(), out);
-    hear(HostId{1}, Role::primary, {}, now);
-    for (std::uint32_t i = 2; i <= 3; ++i) hear(HostId{i}, Role::replica, start - 10s, now);
+    std::vector<Action> actions;
+    router.handle(now, Started{}, actions);
+    router.handle(now, three_hosts(), actions);
+    report(primary_host, Role::primary, {}, now);
+    for (std::uint32_t i = 2; i <= 3; ++i) report(HostId{i}, Role::replica, start - 10s, now);
   }
-  void hear(HostId host, Role role, std::optional<Time> position, Time now) {
-    std::vector<Action> out;
-    LoadReport r;
-    r.role = role, r.position = position;
-    router.handle(now, ProbeEnded{host, Outcome::ok, 1ms, r}, out);
+  /// Delivers a probe result with the host's role and position.
+  void report(HostId host, Role role, std::optional<Time> position, Time now) {
+    std::vector<Action> actions;
+    LoadReport load_report;
+    load_report.role = role;
+    load_report.position = position;
+    router.handle(now, ProbeEnded{host, Outcome::ok, 1ms, load_report}, actions);
   }
-  /// Where a request went; nothing: it was kept, or refused.
-  std::optional<HostId> ask(int cls, SessionId session, AnswerMetadata note, Time now) {
-    const RequestId id{++next};
-    std::vector<Action> out;
-    router.handle(now, RequestArrived{id, ClassId{cls}, GroupId{1}, 1s, session, {}}, out);
-    for (const auto& a : out)
-      if (const auto* s = std::get_if<Send>(&a)) {
-        const auto host = s->host;
-        AttemptEnded e;
-        e.request = id, e.host = host, e.elapsed = 1ms, e.request_ended = true;
-        e.metadata = note;
-        if (host == HostId{1}) e.metadata.role = Role::primary;
-        std::vector<Action> rest;
-        router.handle(now, e, rest);
+  /// Sends a request and returns the host that served it; nothing if it was not sent. `metadata` comes with
+  /// the answer.
+  std::optional<HostId> request(ClassId class_id, SessionId session, AnswerMetadata metadata, Time now) {
+    const RequestId id{++last_request};
+    std::vector<Action> actions;
+    router.handle(now, RequestArrived{id, class_id, GroupId{1}, 1s, session, {}}, actions);
+    for (const auto& action : actions)
+      if (const auto* send = std::get_if<Send>(&action)) {
+        const auto host = send->host;
+        AttemptEnded ended;
+        ended.request = id;
+        ended.host = host;
+        ended.elapsed = 1ms;
+        ended.request_ended = true;
+        ended.metadata = metadata;
+        if (host == primary_host) ended.metadata.role = Role::primary;
+        std::vector<Action> further_actions;
+        router.handle(now, ended, further_actions);
         return host;
       }
-    router.handle(now, ClientLeft{id}, out);
+    router.handle(now, ClientLeft{id}, actions);
     return std::nullopt;
   }
 };
 
-TEST(Upgrades, NoSessionGoesBackWhicheverProcessAnswers) {
+TEST(Upgrade, SessionNeverReadsOlderStateWhicheverProcessAnswers) {
   EXPECT_TRUE(rc::check(
       "sessions",
       [] {
-        auto old = std::make_unique<RouterProcess>(start);
-        std::unique_ptr<RouterProcess> next;
+        auto old_process = std::make_unique<RouterProcess>(start);
+        std::unique_ptr<RouterProcess> new_process;
         Time now = start;
-        std::map<std::uint64_t, Time> commits;
-        std::map<std::uint32_t, Time> position{{2, start - 10s}, {3, start - 10s}};
-        for (const auto& [what, much] : drawn_steps()) {
-          now += gaps[much] + Duration(1);
-          auto& at = what == use_new && next ? *next : *old;
-          const auto other = [&] { return &at == old.get() ? next.get() : old.get(); };
+        std::map<std::uint64_t, Time> commits;                                        // last write by session
+        std::map<std::uint32_t, Time> positions{{2, start - 10s}, {3, start - 10s}};  // by replica
+        for (const auto& step : random_steps()) {
+          now += gaps[step.gap] + Duration(1);
+          auto& process = step.kind == use_new && new_process ? *new_process : *old_process;
+          const auto other_process = [&] {
+            return &process == old_process.get() ? new_process.get() : old_process.get();
+          };
           const SessionId session{static_cast<std::uint64_t>(1 + (now.count() / 7) % 3)};
-          const auto doing = (now.count() / 3) % 4;
-          if ((what == use_old || what == use_new) && doing == 0) {
-            if (at.ask(1, session, {Role::primary, now}, now) != HostId{1}) continue;
+          const auto choice = (now.count() / 3) % 4;  // 0: write; 1: report, then read; else: read
+          if ((step.kind == use_old || step.kind == use_new) && choice == 0) {
+            if (process.request(bid_class, session, {Role::primary, now}, now) != primary_host) continue;
             commits[session.value] = now;
-            // Told before the client hears of it, and heard before the other takes anything from that client.
-            if (auto* o = other()) {
-              RouterSnapshot k;
-              k.sessions.push_back(
+            // A commit reaches the other process before the client has its answer, and so before the client's
+            // next request.
+            if (auto* other = other_process()) {
+              RouterSnapshot snapshot;
+              snapshot.sessions.push_back(
                   *from_text<SessionSnapshot>(to_text(SessionSnapshot{GroupId{1}, session, now})));
-              o->router.merge_snapshot(now, k);
+              other->router.merge_snapshot(now, snapshot);
             }
-          } else if (what == use_old || what == use_new) {
-            if (doing == 1) {
+          } else if (step.kind == use_old || step.kind == use_new) {
+            if (choice == 1) {
               const auto replica = static_cast<std::uint32_t>(2 + (now.count() / 11) % 2);
-              position[replica] = now - Duration(1 + (now.count() % 300'000));
-              at.hear(HostId{replica}, Role::replica, position[replica], now);
+              positions[replica] = now - Duration(1 + (now.count() % 300'000));
+              process.report(HostId{replica}, Role::replica, positions[replica], now);
             }
-            const auto host = at.ask(0, session, {}, now);
-            if (host && *host != HostId{1} && commits.count(session.value) > 0)
-              RC_ASSERT(position[host->value] >= commits[session.value]);
-          } else if (what == begin && !next) {
-            next = std::make_unique<RouterProcess>(now);
-            next->router.suspend_spending();
-            auto k = old->router.snapshot(now, SnapshotScope::all);
-            const auto told = from_text<handover::SessionsSection>(to_text(handover::SessionsSection{k}));
-            RC_ASSERT(told.has_value());
-            next->router.merge_snapshot(now, told->k);
-          } else if (what == old_ends && next) {
-            old = std::move(next);
-          } else if (what == new_dies) {
-            next.reset();
+            const auto host = process.request(check_class, session, {}, now);
+            if (host && *host != primary_host && commits.count(session.value) > 0)
+              RC_ASSERT(positions[host->value] >= commits[session.value]);
+          } else if (step.kind == start_new && !new_process) {
+            new_process = std::make_unique<RouterProcess>(now);
+            new_process->router.suspend_spending();
+            auto snapshot = old_process->router.snapshot(now, SnapshotScope::all);
+            const auto section =
+                from_text<handover::SessionsSection>(to_text(handover::SessionsSection{snapshot}));
+            RC_ASSERT(section.has_value());
+            new_process->router.merge_snapshot(now, section->snapshot);
+          } else if (step.kind == end_old && new_process) {
+            old_process = std::move(new_process);
+          } else if (step.kind == kill_new) {
+            new_process.reset();
           }
         }
       }));
 }
 
-TEST(Upgrades, AnEjectedHostStaysEjectedAndAColdOneCold) {
-  RouterProcess old(start);
-  const auto fail = [&](RouterProcess& p, Time now) {
-    std::vector<Action> out;
-    const RequestId id{++p.next};
-    p.router.handle(now, RequestArrived{id, ClassId{1}, GroupId{1}, 1s, {}, {}}, out);
-    for (const auto& a : out)
-      if (const auto* s = std::get_if<Send>(&a)) {
-        AttemptEnded e;
-        e.request = id, e.host = s->host, e.outcome = Outcome::reset, e.request_ended = true;
-        std::vector<Action> rest;
-        p.router.handle(now, e, rest);
+TEST(Upgrade, EjectionAndSlowStartContinueInTheNewProcess) {
+  RouterProcess old_process(start);
+  const auto fail_request = [&](RouterProcess& process, Time now) {
+    std::vector<Action> actions;
+    const RequestId id{++process.last_request};
+    process.router.handle(now, RequestArrived{id, bid_class, GroupId{1}, 1s, {}, {}}, actions);
+    for (const auto& action : actions)
+      if (const auto* send = std::get_if<Send>(&action)) {
+        AttemptEnded ended;
+        ended.request = id;
+        ended.host = send->host;
+        ended.outcome = Outcome::reset;
+        ended.request_ended = true;
+        std::vector<Action> further_actions;
+        process.router.handle(now, ended, further_actions);
       }
   };
-  for (int i = 0; i < 8; ++i) fail(old, start);
-  MembersListed cold;
-  cold.kind = ListKind::delta;
-  cold.entries.push_back({HostId{2}, GroupId{1}, ZoneId{0}, HostState::ready, false, 1, start - 1s});
-  std::vector<Action> out;
-  old.router.handle(start, cold, out);
-  auto told = old.router.snapshot(start, SnapshotScope::split);
-  for (auto& h : told.hosts) h.name = std::to_string(h.host.value);
-  auto read = from_text<handover::HostsSection>(to_text(handover::HostsSection{told}));
-  ASSERT_TRUE(read);
-  for (auto& h : read->k.hosts) h.host = HostId{static_cast<std::uint32_t>(std::stoi(h.name))};
-  // Half a year apart: neither needs the other's clock.
+  for (int i = 0; i < 8; ++i) fail_request(old_process, start);
+  MembersListed started_replica;
+  started_replica.kind = ListKind::delta;
+  started_replica.entries.push_back(
+      {HostId{2}, GroupId{1}, ZoneId{0}, HostState::ready, false, 1, start - 1s});
+  std::vector<Action> actions;
+  old_process.router.handle(start, started_replica, actions);
+  auto sent = old_process.router.snapshot(start, SnapshotScope::split);
+  for (auto& host : sent.hosts) host.name = std::to_string(host.host.value);
+  auto received = from_text<handover::HostsSection>(to_text(handover::HostsSection{sent}));
+  ASSERT_TRUE(received);
+  for (auto& host : received->snapshot.hosts)
+    host.host = HostId{static_cast<std::uint32_t>(std::stoi(host.name))};
+  // The clocks of the processes are half a year apart, because snapshots hold ages.
   const Time later = start + std::chrono::hours(24 * 180);
-  RouterProcess next(later);
-  next.router.suspend_spending();
-  next.router.merge_snapshot(later, read->k);
-  const auto knows = next.router.snapshot(later, SnapshotScope::hosts);
-  ASSERT_EQ(knows.hosts.size(), 3U);
-  EXPECT_TRUE(knows.hosts[0].ejection_remaining);
-  EXPECT_EQ(knows.hosts[0].ejection_remaining, told.hosts[0].ejection_remaining);
-  EXPECT_EQ(knows.hosts[0].backoff, told.hosts[0].backoff);
-  EXPECT_EQ(knows.hosts[1].start_age, Duration(1s));
-  EXPECT_FALSE(knows.hosts[2].ejection_remaining);
-  EXPECT_DOUBLE_EQ(told.slow_start_share, 0.5);
+  RouterProcess new_process(later);
+  new_process.router.suspend_spending();
+  new_process.router.merge_snapshot(later, received->snapshot);
+  const auto merged = new_process.router.snapshot(later, SnapshotScope::hosts);
+  ASSERT_EQ(merged.hosts.size(), 3U);
+  EXPECT_TRUE(merged.hosts[0].ejection_remaining);
+  EXPECT_EQ(merged.hosts[0].ejection_remaining, sent.hosts[0].ejection_remaining);
+  EXPECT_EQ(merged.hosts[0].backoff, sent.hosts[0].backoff);
+  EXPECT_EQ(merged.hosts[1].start_age, Duration(1s));
+  EXPECT_FALSE(merged.hosts[2].ejection_remaining);
+  EXPECT_DOUBLE_EQ(sent.slow_start_share, 0.5);
 }
 
-// ---- the text ----
-struct Inner {
+// ---- documents ----
+
+struct InnerRecord {
   std::optional<Duration> age;
-  std::map<std::string, double> by;
+  std::map<std::string, double> values;
 };
-struct Outer {
+struct OuterRecord {
   std::int32_t number = 7;
-  std::vector<Inner> inner;
+  std::vector<InnerRecord> inner;
   std::vector<std::pair<Duration, double>> pairs;
 };
 template <class Archive>
-void serialize(Archive& archive, Inner& i) {
-  archive("age", i.age), archive("by", i.by);
+void serialize(Archive& archive, InnerRecord& record) {
+  archive("age", record.age);
+  archive("by", record.values);
 }
 template <class Archive>
-void serialize(Archive& archive, Outer& o) {
-  archive("number", o.number), archive("inner", o.inner), archive("pairs", o.pairs);
+void serialize(Archive& archive, OuterRecord& record) {
+  archive("number", record.number);
+  archive("inner", record.inner);
+  archive("pairs", record.pairs);
 }
 
-TEST(HandoverText, IsReadAsItWasWrittenOrNotAtAll) {
-  Outer o;
-  o.inner.push_back({Duration(-5), {{"a \"b\"", 0.1}}}), o.inner.push_back({});
-  o.pairs.emplace_back(Duration(3), 1e300);
-  const auto text = to_text(o);
-  const auto back = from_text<Outer>(text);
-  ASSERT_TRUE(back);
-  EXPECT_EQ(to_text(*back), text);
-  EXPECT_EQ(back->inner[0].age, Duration(-5));
-  EXPECT_FALSE(back->inner[1].age);
-  for (std::size_t cut = 0; cut < text.size(); ++cut)
-    EXPECT_FALSE(from_text<Outer>(text.substr(0, cut))) << cut;
+TEST(JsonArchive, DocumentIsReadBackAsWrittenAndRejectedWhenTruncated) {
+  OuterRecord record;
+  record.inner.push_back({Duration(-5), {{"a \"b\"", 0.1}}});
+  record.inner.push_back({});
+  record.pairs.emplace_back(Duration(3), 1e300);
+  const auto text = to_text(record);
+  const auto read = from_text<OuterRecord>(text);
+  ASSERT_TRUE(read);
+  EXPECT_EQ(to_text(*read), text);
+  EXPECT_EQ(read->inner[0].age, Duration(-5));
+  EXPECT_FALSE(read->inner[1].age);
+  for (std::size_t length = 0; length < text.size(); ++length)
+    EXPECT_FALSE(from_text<OuterRecord>(text.substr(0, length))) << length;
 }
 
-TEST(HandoverText, FieldsThatAreNotKnownAreSkippedAndOthersKeepTheirValue) {
-  const auto read = from_text<Outer>(R"([1,{"new":[{"x":1}],"pairs":[[1,2]]}])");
+TEST(JsonArchive, UnknownFieldIsSkippedMissingFieldKeepsItsValueInvalidFieldIsRejected) {
+  const auto read = from_text<OuterRecord>(R"([1,{"new":[{"x":1}],"pairs":[[1,2]]}])");
   ASSERT_TRUE(read);
   EXPECT_EQ(read->number, 7);
   EXPECT_EQ(read->pairs.size(), 1U);
-  for (const char* bad : {R"([2,{}])", R"([1,{"number":"7"}])", R"([1,{"number":4000000000}])", R"([1,[]])",
-                          "[1]", "", R"([1,{"pairs":[[1]]}])", R"([1,{"pairs":[[9223372036854775807,1]]}])",
-                          R"({"number":7})", R"([1,{"inner":[{"by":{"a":"b"}}]}])"})
-    EXPECT_FALSE(from_text<Outer>(bad)) << bad;
+  for (const char* invalid :
+       {R"([2,{}])", R"([1,{"number":"7"}])", R"([1,{"number":4000000000}])", R"([1,[]])", "[1]", "",
+        R"([1,{"pairs":[[1]]}])", R"([1,{"pairs":[[9223372036854775807,1]]}])", R"({"number":7})",
+        R"([1,{"inner":[{"by":{"a":"b"}}]}])"})
+    EXPECT_FALSE(from_text<OuterRecord>(invalid)) << invalid;
 }
 
-TEST(Upgrades, GarbageInAPartHarmsNothing) {
-  // Numbers that cannot be: each is left out or bounded, and requests go on.
-  RouterProcess p(start);
-  for (const double bad : {-1e300, -1.0, 1e300}) {
-    RouterSnapshot k;
-    HostSnapshot h;
-    h.host = HostId{2}, h.failure_score = bad, h.relative_latency = bad, h.load = bad,
-    h.concurrency_limit = bad;
-    h.last_outcome_age = h.ejection_remaining = h.start_age = h.backoff =
-        Duration(bad < 0 ? INT64_MIN / 8 : INT64_MAX / 8);
-    h.lost_probes = h.refusals = bad < 0 ? INT32_MIN : 0;
-    h.slow_start_sends.emplace_back(Duration(INT64_MAX / 8), bad);
-    k.hosts.push_back(h);
-    k.classes.push_back({"check", Duration(INT64_MAX / 8), bad, bad, {bad, bad}});
-    k.age = Duration(INT64_MAX / 8),
-    k.retry_tokens = k.probe_tokens = k.slow_start_share = k.slow_start_share_total = bad;
-    p.router.merge_snapshot(start, k);
-    EXPECT_TRUE(p.ask(0, SessionId{1}, {}, start));
+/// Guards against a snapshot with impossible numbers: each is ignored or limited, and requests are still
+/// sent.
+TEST(Upgrade, SnapshotWithImpossibleNumbersDoesNotStopRequests) {
+  RouterProcess process(start);
+  for (const double invalid : {-1e300, -1.0, 1e300}) {
+    const Duration invalid_duration(invalid < 0 ? INT64_MIN / 8 : INT64_MAX / 8);
+    RouterSnapshot snapshot;
+    HostSnapshot host;
+    host.host = HostId{2};
+    host.failure_score = invalid;
+    host.relative_latency = invalid;
+    host.load = invalid;
+    host.concurrency_limit = invalid;
+    host.last_outcome_age = invalid_duration;
+    host.ejection_remaining = invalid_duration;
+    host.start_age = invalid_duration;
+    host.backoff = invalid_duration;
+    host.lost_probes = invalid < 0 ? INT32_MIN : 0;
+    host.refusals = invalid < 0 ? INT32_MIN : 0;
+    host.slow_start_sends.emplace_back(Duration(INT64_MAX / 8), invalid);
+    snapshot.hosts.push_back(host);
+    snapshot.classes.push_back({"check", Duration(INT64_MAX / 8), invalid, invalid, {invalid, invalid}});
+    snapshot.age = Duration(INT64_MAX / 8);
+    snapshot.retry_tokens = invalid;
+    snapshot.probe_tokens = invalid;
+    snapshot.slow_start_share = invalid;
+    snapshot.slow_start_share_total = invalid;
+    process.router.merge_snapshot(start, snapshot);
+    EXPECT_TRUE(process.request(check_class, SessionId{1}, {}, start));
   }
 }
 
--- a/tests/levels_test.cpp
+++ b/tests/levels_test.cpp
@@ -55,7 +55,7 @@
                          bool beyond = false) {
     gates::GateRequest a;
     a.request = RequestId{++asked};
-    a.cls = ClassId{c};
+    a.class_id = ClassId{c};
     a.group = GroupId{group};
     a.caller = caller;
     a.beyond_budget = beyond;
@@ -74,7 +74,7 @@
       for (int i = 0; i < 20; ++i) {
         gates::RequestResult e;
         e.end = i < refused * 20 ? gates::RequestEnd::refused : gates::RequestEnd::served;
-        e.by = gates::Decider::router;
+        e.decided_by = gates::Decider::router;
         e.elapsed = 50ms;
         levels.on_request_end(ask(gate, 2), e,
                               now);  // the second group: tests take the first one's primary away
@@ -188,7 +188,7 @@
   for (int i = 0; i < 400; ++i) {
     r.now += beat;
     gates::RequestResult e;
-    e.end = gates::RequestEnd::refused, e.by = gates::Decider::levels;
+    e.end = gates::RequestEnd::refused, e.decided_by = gates::Decider::levels;
     for (int k = 0; k < 20; ++k) r.levels.on_request_end(r.ask(gate), e, r.now);
     r.step();
   }
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -172,21 +172,21 @@
 
 TEST(Lists, SilenceIsSeenTwiceBeforeWhatIsMissedCountsAsTold) {
   using fleet::WatchTiming;
-  EXPECT_GT(WatchTiming::silence(true), WatchTiming::heartbeat);
-  EXPECT_LT(WatchTiming::silence(true) + WatchTiming::silence(false), Duration(6'000'000));
+  EXPECT_GT(WatchTiming::silence_timeout(true), WatchTiming::heartbeat);
+  EXPECT_LT(WatchTiming::silence_timeout(true) + WatchTiming::silence_timeout(false), Duration(6'000'000));
   for (const auto grace : {1, 250'000, 1'000'000, 5'000'000}) {
     WatchTiming terms{Duration(grace)};
-    EXPECT_EQ(terms.after_end(), Duration(0));  // at once after one that was answered
+    EXPECT_EQ(terms.next_reopen_delay(), Duration(0));  // at once after one that was answered
     Duration last{};
     for (int i = 0; i < 50; ++i) {
-      const auto wait = terms.after_end();
+      const auto wait = terms.next_reopen_delay();
       EXPECT_GE(wait, last);
       EXPECT_LE(wait, std::max(Duration(grace / 4), Duration(20'000)));
       last = wait;
     }
     EXPECT_GE(last, Duration(20'000)) << "calls are bounded";
-    terms.heard();
-    EXPECT_EQ(terms.after_end(), Duration(0));
+    terms.on_message();
+    EXPECT_EQ(terms.next_reopen_delay(), Duration(0));
   }
 }
 
