--- a/include/cedarring/router.h
+++ b/include/cedarring/router.h
@@ -51,6 +51,7 @@
 enum class TokenMode { remembered, carried };
 /// Whether member lists arrive unasked, or the router requests them with OpenWatch.
 enum class DiscoveryMode { push, poll };
+/// Replication role of a host.
 enum class Role { unknown, primary, replica };
 /// State of a host in the member list; `draining` and `gone` hosts receive no new requests.
 enum class HostState { gone, draining, ready };
@@ -286,6 +287,7 @@
 
   /// Writes the state of each group to `out`. `now` must not decrease between calls. Makes no decisions.
   void group_views(Time now, std::vector<GroupView>& out);
+  /// Sets the factors on the internal budgets; they apply from the next event on.
   void set_tuning(const Tuning& tuning);
   /// Limits the attempts in flight over all hosts to `max_in_flight`, 1 or more. Requests beyond the limit
   /// wait within their deadlines; attempts already in flight continue.
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -80,7 +80,8 @@
       spoilt.emplace_back(name);
   };
   read(
-      "sessions", handover::SessionsSection{}, [&](auto p) { broker_.merge_snapshot(std::move(p.snapshot)); });
+      "sessions", handover::SessionsSection{},
+      [&](auto p) { broker_.merge_snapshot(std::move(p.snapshot)); });
   read(
       "hosts", handover::HostsSection{}, [&](auto p) { broker_.merge_snapshot(std::move(p.snapshot)); });
   read(
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -233,7 +233,8 @@
 
 void Broker::attempt_written(AttemptKey key) {
   const auto it = requests_.find(key.request.value);
-  if (it != requests_.end()) ++contracts_[static_cast<std::size_t>(it->second.ask.class_id.value)].counts->tries;
+  if (it != requests_.end())
+    ++contracts_[static_cast<std::size_t>(it->second.ask.class_id.value)].counts->tries;
 }
 
 void Broker::collect_metrics(telemetry::Metrics& out) {
--- a/src/contracts/contracts.cpp
+++ b/src/contracts/contracts.cpp
@@ -382,7 +382,8 @@
   }
   if (!admitted) return;
   auto& resource = resources_[{ask.group.value, needs_primary(c)}];
-  if (ending.end == gates::RequestEnd::refused && ending.decided_by == gates::Decider::router) ++resource.refused;
+  if (ending.end == gates::RequestEnd::refused && ending.decided_by == gates::Decider::router)
+    ++resource.refused;
   if (ending.end == gates::RequestEnd::served) {
     // What an answer took beyond the quick ones is waiting, not work: an expectile on the low side, which a
     // queue before the hosts moves little.
--- a/src/fleet/connect_timeout.h
+++ b/src/fleet/connect_timeout.h
@@ -11,6 +11,7 @@
 
 namespace cedarring::fleet {
 
+/// Estimates the connect timeout from the mean and deviation of connect times.
 class AdaptiveConnectTimeout {
  public:
   /// Records a connection that was established after `elapsed`. Abandoned attempts are not recorded here,
--- a/src/fleet/outlier_detector.h
+++ b/src/fleet/outlier_detector.h
@@ -11,12 +11,15 @@
 
 namespace cedarring::fleet {
 
+/// Failure score and ejection of one host.
 class OutlierDetector {
  public:
+  /// Parameters of the score and the ejection.
   struct Config {
-    double gain;     // weight of one outcome among many, 0 to 1
-    double seconds;  // time constant, above 0: of an outcome's weight after a pause, and of the score's decay
-                     // after an ejection
+    double gain;  // weight of one outcome among many, 0 to 1
+    // Seconds, above 0: time constant of an outcome's weight after a pause, and of the score's decay after an
+    // ejection.
+    double time_constant_s;
     double eject_at;  // failure score from which the host is ejected, 0 to 1
   };
   /// State that another process of the same gateway may take over.
@@ -78,7 +81,7 @@
   /// host again.
   [[nodiscard]] double failure_score(Time now) const {
     if (!ejected() || now <= state_.ejected_until) return state_.failure_score;
-    return state_.failure_score * std::exp(-seconds(now - state_.ejected_until) / config_.seconds);
+    return state_.failure_score * std::exp(-seconds(now - state_.ejected_until) / config_.time_constant_s);
   }
 
  private:
@@ -88,7 +91,7 @@
   static double seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
   [[nodiscard]] double gain(Time now, Time observed_since) const {
     const Duration pause = now - std::max(state_.last_outcome_at, observed_since);
-    return std::max(config_.gain, 1 - std::exp(-seconds(pause) / config_.seconds));
+    return std::max(config_.gain, 1 - std::exp(-seconds(pause) / config_.time_constant_s));
   }
   Config config_;
   State state_;
--- a/src/fleet/probe_budget.h
+++ b/src/fleet/probe_budget.h
@@ -6,6 +6,7 @@
 
 namespace cedarring::fleet {
 
+/// A balance of probe tokens.
 class ProbeBudget {
  public:
   /// `probe_cost`: of one probe, in values of a request, 0 or more; 0 makes probes free. `share`: of the
--- a/src/fleet/slow_start_usage.h
+++ b/src/fleet/slow_start_usage.h
@@ -9,6 +9,7 @@
 
 namespace cedarring::fleet {
 
+/// Sends to one host, by this process and by another process of the same gateway.
 class SlowStartUsage {
  public:
   /// Time of a send, and its work in units of a typical request.
--- a/src/fleet/watch_timing.h
+++ b/src/fleet/watch_timing.h
@@ -10,6 +10,7 @@
 
 namespace cedarring::fleet {
 
+/// Silence timeouts and reopen delays of one watch.
 class WatchTiming {
  public:
   /// Interval between heartbeats of the server.
--- a/src/gates/gate.h
+++ b/src/gates/gate.h
@@ -113,6 +113,7 @@
   Duration elapsed{};                    // since the request was accepted
 };
 
+/// A stage of admission control.
 class Gate {
  public:
   virtual ~Gate() = default;
--- a/src/handover/router_snapshot.cpp
+++ b/src/handover/router_snapshot.cpp
@@ -121,7 +121,7 @@
   mine.retry_tokens_ = within(told.retry_tokens, 0, 1e3);
   mine.probes_.set_balance(within(told.probe_tokens, 0, 1e3));
   mine.cold_part_.set(std::min(1.0, told.slow_start_share_total),
-                       std::min({1.0, told.slow_start_share_total, told.slow_start_share}));
+                      std::min({1.0, told.slow_start_share_total, told.slow_start_share}));
 }
 
 }  // namespace cedarring::handover
--- a/src/router/fields.h
+++ b/src/router/fields.h
@@ -26,6 +26,7 @@
 inline constexpr std::size_t max_number_length = 64;  // characters of a decimal number
 inline constexpr std::size_t max_digits = 20;         // of an unsigned 64-bit integer
 
+/// A name=value pair of a line.
 struct Field {
   std::string_view name;
   std::string_view value;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -121,7 +121,9 @@
     handover::learn(*this, s_, k, now_ = std::max(now_, now));
   }
   void suspend_spending() { retry_tokens_ = 0, probes_.set_balance(0), cold_part_.set(0, 0); }
-  void set_slow_start_share(Time now, double part) { cold_part_.schedule_increase(now + s_.overload_window, part); }
+  void set_slow_start_share(Time now, double part) {
+    cold_part_.schedule_increase(now + s_.overload_window, part);
+  }
   bool tracks(HostId id) const { return hosts_.count(id) > 0; }
   std::size_t entry_count() const {
     std::size_t n = hosts_.size() + requests_.size();
--- a/src/router/settings_parser.cpp
+++ b/src/router/settings_parser.cpp
@@ -46,6 +46,12 @@
 constexpr double default_connect_timeout_ms = 250;
 constexpr double default_idle_timeout_ms = 15000;
 
+// Names of the values in a load report.
+constexpr std::string_view position_name = "x0";  // seconds after a base time
+constexpr std::string_view role_name = "x1";      // 1: primary, 0: replica
+constexpr std::string_view queue_length_name = "pending";
+constexpr std::string_view utilization_name = "cpu_share";
+
 constexpr double microseconds_per_second = 1e6;
 
 /// The settings of a text by name. Each getter returns a default for an absent setting and throws
@@ -114,14 +120,14 @@
     const auto value = to_number(part.substr(separator_at + 1));
     if (!value) continue;
     const auto name = part.substr(0, separator_at);
-    if (name == "x0" && std::fabs(*value) < max_position_s) {
+    if (name == position_name && std::fabs(*value) < max_position_s) {
       // Rounded down: an estimate above the host's real position would allow stale reads.
       report.position = base + Time(static_cast<std::int64_t>(std::floor(*value * microseconds_per_second)));
-    } else if (name == "x1") {
+    } else if (name == role_name) {
       report.role = *value >= 0.5 ? Role::primary : Role::replica;
-    } else if (name == "pending" && *value >= 0) {
+    } else if (name == queue_length_name && *value >= 0) {
       report.queue_length = *value;
-    } else if (name == "cpu_share" && *value >= 0) {
+    } else if (name == utilization_name && *value >= 0) {
       report.utilization = std::min(1.0, *value);
     }
   }
@@ -136,7 +142,7 @@
     const auto name = part.substr(0, equals);
     if (!names.insert(name).second) return {};
     const auto value = to_number(part.substr(equals + 1));
-    if (!value || *value < 0 || (name == "x1" && *value != 0 && *value != 1)) return {};
+    if (!value || *value < 0 || (name == role_name && *value != 0 && *value != 1)) return {};
   }
   return parse_report(report_text, Time::zero(), '=');
 }
--- a/src/sim/adapter.h
+++ b/src/sim/adapter.h
@@ -17,6 +17,7 @@
 
 namespace cedarring::sim {
 
+/// The routers of one simulation, driven by lines of the protocol.
 class Adapter {
  public:
   Adapter();
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -146,7 +146,7 @@
   }
 };
 
-TEST(Upgrade, TwoProcessesSendAColdHostNoMoreThanOne) {
+TEST(ProcessHandover, TwoProcessesSendAColdHostNoMoreThanOne) {
   EXPECT_TRUE(rc::check(
       "slow start",
       [] {
@@ -163,7 +163,7 @@
       }));
 }
 
-TEST(Upgrade, LastProcessMaySpendTheWholeLimitAgain) {
+TEST(ProcessHandover, LastProcessMaySpendTheWholeLimitAgain) {
   UpgradingGateway<SlowStartProcess> gateway;
   for (int i = 0; i < 10; ++i) EXPECT_TRUE(gateway.old_process->send(1, gateway.now));
   gateway.apply({start_new, 0}, [](auto&) {});
@@ -239,7 +239,7 @@
   }
 };
 
-TEST(Upgrade, TwoProcessesAdmitNoMoreOfAContractThanOne) {
+TEST(ProcessHandover, TwoProcessesAdmitNoMoreOfAContractThanOne) {
   EXPECT_TRUE(rc::check(
       "contracts",
       [] {
@@ -258,7 +258,7 @@
       }));
 }
 
-TEST(Upgrade, NewProcessContinuesTheOldOnesCountsWithoutCountingTwice) {
+TEST(ProcessHandover, NewProcessContinuesTheOldOnesCountsWithoutCountingTwice) {
   contract_rate = 100;
   contract_burst = 10;
   ContractsProcess old_process(start);
@@ -351,7 +351,7 @@
   }
 };
 
-TEST(Upgrade, TwoProcessesGrantATenantNoMoreThanOne) {
+TEST(ProcessHandover, TwoProcessesGrantATenantNoMoreThanOne) {
   EXPECT_TRUE(rc::check(
       "tenants",
       [] {
@@ -445,7 +445,7 @@
   }
 };
 
-TEST(Upgrade, SessionNeverReadsOlderStateWhicheverProcessAnswers) {
+TEST(ProcessHandover, SessionNeverReadsOlderStateWhicheverProcessAnswers) {
   EXPECT_TRUE(rc::check(
       "sessions",
       [] {
@@ -499,7 +499,7 @@
       }));
 }
 
-TEST(Upgrade, EjectionAndSlowStartContinueInTheNewProcess) {
+TEST(ProcessHandover, EjectionAndSlowStartContinueInTheNewProcess) {
   RouterProcess old_process(start);
   const auto fail_request = [&](RouterProcess& process, Time now) {
     std::vector<Action> actions;
@@ -596,7 +596,7 @@
 
 /// Guards against a snapshot with impossible numbers: each is ignored or limited, and requests are still
 /// sent.
-TEST(Upgrade, SnapshotWithImpossibleNumbersDoesNotStopRequests) {
+TEST(ProcessHandover, SnapshotWithImpossibleNumbersDoesNotStopRequests) {
   RouterProcess process(start);
   for (const double invalid : {-1e300, -1.0, 1e300}) {
     const Duration invalid_duration(invalid < 0 ? INT64_MIN / 8 : INT64_MAX / 8);
