--- a/bench/contracts_bench.cpp
+++ b/bench/contracts_bench.cpp
@@ -1,4 +1,4 @@
-// What the contracts' verdict costs, with 1,000 contracts in force, and how large their state is.
+// The cost of a contracts verdict and of a step, by number of teams.
 #include <benchmark/benchmark.h>
 
 #include "contracts/contracts.h"
@@ -8,56 +8,65 @@
 using namespace cedarring;
 using namespace std::chrono_literals;
 
-contracts::Contracts make(std::size_t teams) {
-  contracts::ServiceInfo s;
+constexpr Time start_time{1'700'000'000'000'000};
+
+contracts::Contracts make_contracts(std::size_t teams) {
+  contracts::ServiceInfo service;
   for (const auto& [name, freshness] : {std::pair{"desk-view", Freshness::bounded},
                                         {"history", Freshness::any},
                                         {"gate-check", Freshness::fresh},
                                         {"bid-submit", Freshness::write}}) {
-    RequestClass c;
-    c.name = name, c.latency_target = 300ms, c.deadline = 1s, c.freshness = freshness;
-    s.classes.push_back(c);
+    RequestClass request_class;
+    request_class.name = name;
+    request_class.latency_target = 300ms;
+    request_class.deadline = 1s;
+    request_class.freshness = freshness;
+    service.classes.push_back(request_class);
   }
-  s.tenants = teams;
-  contracts::Config c;
-  c.mode = contracts::Mode::enforce;
+  service.tenants = teams;
+  contracts::Config config;
+  config.mode = contracts::Mode::enforce;
   for (std::size_t t = 0; t < teams; ++t) {
     contracts::Team team;
     team.name = "team" + std::to_string(t);
     team.tenants = {static_cast<std::int32_t>(t)};
     contracts::Terms terms;
-    terms.rate = 1e6, terms.burst = 1000, terms.beyond = contracts::Beyond::refuse;
-    team.classes.assign(4, contracts::ClassTerms{terms, {}});
-    c.teams.push_back(team);
+    terms.rate = 1e6;
+    terms.burst = 1000;
+    terms.beyond = contracts::BeyondPolicy::refuse;
+    team.classes.assign(service.classes.size(), contracts::ClassTerms{terms, {}});
+    config.teams.push_back(team);
   }
-  return {c, s};
+  return {config, service};
 }
 
-/// A verdict and its ending: what a request costs in all.
+/// A verdict and the end of its request: the whole cost of one request.
 void admit_and_end(benchmark::State& state) {
   const auto teams = static_cast<std::size_t>(state.range(0));
-  auto c = make(teams);
-  gates::GateRequest a;
-  a.group = GroupId{1};
-  Time now{1'700'000'000'000'000};
-  std::uint64_t n = 0;
+  auto contracts = make_contracts(teams);
+  gates::GateRequest request;
+  request.group = GroupId{1};
+  Time now = start_time;
+  std::uint64_t count = 0;
   for (auto _ : state) {
-    a.request = RequestId{++n};
-    a.tenant = static_cast<std::int32_t>(n * 7 % teams);
-    a.cls = ClassId{static_cast<std::int32_t>(n & 3U)};
+    request.request = RequestId{++count};
+    request.tenant = static_cast<std::int32_t>(count * 7 % teams);
+    request.cls = ClassId{static_cast<std::int32_t>(count & 3U)};
     now += 1us;
-    benchmark::DoNotOptimize(c.admit(a, now));
-    c.on_request_end(a, {gates::RequestEnd::served, {}, {}, true, 50ms}, now);
+    benchmark::DoNotOptimize(contracts.admit(request, now));
+    contracts.on_request_end(request, {gates::RequestEnd::served, {}, {}, true, 50ms}, now);
   }
 }
 BENCHMARK(admit_and_end)->Arg(3)->Arg(250)->Arg(10000);
 
 void step(benchmark::State& state) {
-  auto c = make(static_cast<std::size_t>(state.range(0)));
-  Time now{1'700'000'000'000'000};
+  auto contracts = make_contracts(static_cast<std::size_t>(state.range(0)));
+  Time now = start_time;
   std::vector<contracts::Breach> breaches;
-  for (auto _ : state)
-    c.step(now += 100ms, {{GroupId{1}, true, false}, {GroupId{1}, false, false}}, breaches);
+  for (auto _ : state) {
+    now += 100ms;
+    contracts.step(now, {{GroupId{1}, true, false}, {GroupId{1}, false, false}}, breaches);
+  }
 }
 BENCHMARK(step)->Arg(3)->Arg(250)->Arg(10000);
 
--- a/src/app/calendar.cpp
+++ b/src/app/calendar.cpp
@@ -10,36 +10,36 @@
 namespace cedarring::app {
 namespace {
 
-/// The process's zone, set for as long as this lives.
-class Zone {
+/// Sets the time zone of the process during its lifetime.
+class ScopedTimeZone {
  public:
-  explicit Zone(const std::string& zone) {
-    if (const char* before = std::getenv("TZ")) before_ = before;
+  explicit ScopedTimeZone(const std::string& zone) {
+    if (const char* previous = std::getenv("TZ")) previous_ = previous;
     set(zone);
   }
-  ~Zone() {
-    if (before_) {
-      set(*before_);
+  ~ScopedTimeZone() {
+    if (previous_) {
+      set(*previous_);
     } else {
       ::unsetenv("TZ");
       ::tzset();
     }
   }
-  Zone(const Zone&) = delete;
-  Zone& operator=(const Zone&) = delete;
+  ScopedTimeZone(const ScopedTimeZone&) = delete;
+  ScopedTimeZone& operator=(const ScopedTimeZone&) = delete;
 
  private:
   static void set(const std::string& zone) {
     ::setenv("TZ", zone.c_str(), 1);
     ::tzset();
   }
-  std::optional<std::string> before_;
+  std::optional<std::string> previous_;
 };
 
 }  // namespace
 
-bool zone_known(const std::string& zone) {
-  // The C library takes a zone that it does not know for UTC, without a word.
+bool has_zone_data(const std::string& zone) {
+  // The C library silently treats an unknown zone as UTC.
   if (zone.empty() || zone.front() == '/' || zone.find("..") != std::string::npos) return false;
   const char* folder = std::getenv("TZDIR");
   return zone == "UTC" ||
@@ -47,29 +47,32 @@
 }
 
 std::vector<contracts::ClosureWindow> closures_around(const Calendar& calendar, Time now, int days) {
-  const Zone zone(calendar.zone);
+  const ScopedTimeZone zone(calendar.zone);
   const std::time_t seconds = std::chrono::floor<std::chrono::seconds>(now).count();
   std::tm today{};
   ::localtime_r(&seconds, &today);
-  std::vector<contracts::ClosureWindow> all;
+  std::vector<contracts::ClosureWindow> windows;
   for (int day = -1; day <= days; ++day)
-    for (const auto& c : calendar.closures) {
-      std::tm at{};
-      at.tm_year = today.tm_year, at.tm_mon = today.tm_mon, at.tm_mday = today.tm_mday + day;
-      at.tm_hour = c.hour, at.tm_min = c.minute;
-      at.tm_isdst = -1;
-      const std::time_t when = ::mktime(&at);  // also sets the day of the week
-      if (when == -1 || (c.days >> static_cast<unsigned>(at.tm_wday) & 1U) == 0) continue;
-      const Time instant = std::chrono::seconds(when);
-      all.push_back({instant - c.lead, instant + std::max(c.trail, Duration(1))});
+    for (const auto& closure : calendar.closures) {
+      std::tm local{};
+      local.tm_year = today.tm_year;
+      local.tm_mon = today.tm_mon;
+      local.tm_mday = today.tm_mday + day;
+      local.tm_hour = closure.hour;
+      local.tm_min = closure.minute;
+      local.tm_isdst = -1;                             // mktime determines whether daylight saving applies
+      const std::time_t unix_time = ::mktime(&local);  // also sets the day of the week
+      if (unix_time == -1 || (closure.days >> static_cast<unsigned>(local.tm_wday) & 1U) == 0) continue;
+      const Time instant = std::chrono::seconds(unix_time);
+      windows.push_back({instant - closure.lead, instant + std::max(closure.trail, Duration(1))});
     }
-  std::sort(all.begin(), all.end(), [](const auto& a, const auto& b) { return a.from < b.from; });
+  std::sort(windows.begin(), windows.end(), [](const auto& a, const auto& b) { return a.from < b.from; });
   std::vector<contracts::ClosureWindow> merged;
-  for (const auto& w : all)
-    if (!merged.empty() && w.from <= merged.back().to)
-      merged.back().to = std::max(merged.back().to, w.to);
+  for (const auto& window : windows)
+    if (!merged.empty() && window.from <= merged.back().to)
+      merged.back().to = std::max(merged.back().to, window.to);
     else
-      merged.push_back(w);
+      merged.push_back(window);
   return merged;
 }
 
--- a/src/app/calendar.h
+++ b/src/app/calendar.h
@@ -1,5 +1,5 @@
-// Gate closures from times of day to instants: local times of a zone by its IANA name, by the C library's
-// zone data.
+// Converts the times of day of gate closures, given in the local time of an IANA zone, to points in time.
+// Uses the zone data of the C library.
 #pragma once
 
 #include <string>
@@ -9,23 +9,25 @@
 
 namespace cedarring::app {
 
-/// A closure each day, or on some days of the week.
-struct Closure {
-  int hour = 0, minute = 0;
+/// A closure on every day, or on some days of the week.
+struct DailyClosure {
+  int hour = 0;
+  int minute = 0;
   unsigned days = 0x7f;  // bit 0: Sunday
-  Duration lead{}, trail{};
+  Duration lead{};       // how long before the closure its terms begin to apply
+  Duration trail{};      // how long after the closure its terms still apply
 };
 struct Calendar {
   std::string zone = "UTC";
-  std::vector<Closure> closures;
+  std::vector<DailyClosure> closures;
 };
 
 /// Whether the machine has data for the zone.
-bool zone_known(const std::string& zone);
+bool has_zone_data(const std::string& zone);
 
-/// The windows of the days from one before `now` to `days` after it, in order; those that touch are one. A
-/// local time that occurs twice counts once, one that is left out counts as the C library moves it on. Not
-/// thread-safe: it sets the process's zone for as long as it runs.
+/// The closure windows from the day before `now` to `days` days after it, in order; windows that touch are
+/// merged. A local time that occurs twice counts once; a local time that daylight saving skips is moved as by
+/// mktime. Not thread-safe: sets the time zone of the process while it runs.
 std::vector<contracts::ClosureWindow> closures_around(const Calendar& calendar, Time now, int days);
 
 }  // namespace cedarring::app
--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -328,7 +328,7 @@
     std::vector<std::string> tenants;
     for (const auto& b : service.budgets) tenants.push_back(b.tenant);
     service.levels = levels_of(c.file, front, service.for_levels(), tenants);
-    service.contracts = contracts_of(c.file, front, service.for_contracts(), tenants);
+    service.contracts = parse_contracts(c.file, front, service.for_contracts(), tenants);
   };
   read(c.platform, "postgresql");
   if (c.mysql) read(*c.mysql, "mysql");
--- a/src/app/contracts_config.cpp
+++ b/src/app/contracts_config.cpp
@@ -7,106 +7,116 @@
 
 using Json = rapidjson::Value;
 
-/// What is left out is as in `base`.
-contracts::Terms terms_of(const Json& v, contracts::Terms base) {
-  if (const auto* x = member(v, "rate")) base.rate = x->GetDouble();
-  if (const auto* x = member(v, "burst")) base.burst = x->GetDouble();
-  if (const auto* x = member(v, "wanted_ms")) base.wanted = std::chrono::milliseconds(x->GetInt64());
-  if (const auto* x = member(v, "share")) base.share = x->GetDouble();
-  if (const auto* x = member(v, "weight")) base.weight = x->GetDouble();
-  if (const auto* x = member(v, "beyond")) {
-    const std::string word = x->GetString();
-    base.beyond = word == "refuse"  ? contracts::Beyond::refuse
-                  : word == "count" ? contracts::Beyond::count
-                                    : contracts::Beyond::borrow;
-  }
+constexpr int max_hour = 23;
+
+contracts::BeyondPolicy beyond_policy_of(const std::string& name) {
+  return name == "refuse"  ? contracts::BeyondPolicy::refuse
+         : name == "count" ? contracts::BeyondPolicy::count
+                           : contracts::BeyondPolicy::borrow;
+}
+
+/// Members that are missing keep their value in `base`.
+contracts::Terms terms_of(const Json& json, contracts::Terms base) {
+  if (const auto* value = member(json, "rate")) base.rate = value->GetDouble();
+  if (const auto* value = member(json, "burst")) base.burst = value->GetDouble();
+  if (const auto* value = member(json, "wanted_ms"))
+    base.latency_target = std::chrono::milliseconds(value->GetInt64());
+  if (const auto* value = member(json, "share")) base.in_time_share = value->GetDouble();
+  if (const auto* value = member(json, "weight")) base.weight = value->GetDouble();
+  if (const auto* value = member(json, "beyond")) base.beyond = beyond_policy_of(value->GetString());
   return base;
 }
 
-Calendar calendar_of(const Json& v, const std::string& file) {
-  static constexpr const char* days[] = {"sun", "mon", "tue", "wed", "thu", "fri", "sat"};
-  Calendar c;
-  c.zone = v["zone"].GetString();
-  if (!zone_known(c.zone))
+Calendar calendar_of(const Json& json, const std::string& file) {
+  static constexpr const char* day_names[] = {"sun", "mon", "tue", "wed", "thu", "fri", "sat"};
+  constexpr unsigned days_per_week = 7;
+  Calendar calendar;
+  calendar.zone = json["zone"].GetString();
+  if (!has_zone_data(calendar.zone))
     throw flaw_at(file, "/contracts/calendar/zone", "a zone by its IANA name that this machine has",
-                  shown(v["zone"]));
-  for (const auto& item : v["closures"].GetArray()) {
-    Closure one;
-    const std::string at = item["at"].GetString();
-    one.hour = std::stoi(at.substr(0, 2)), one.minute = std::stoi(at.substr(3, 2));
-    if (one.hour > 23)
-      throw flaw_at(file, "/contracts/calendar/closures/" + std::to_string(c.closures.size()) + "/at",
+                  shown(json["zone"]));
+  for (const auto& item : json["closures"].GetArray()) {
+    DailyClosure closure;
+    const std::string time_of_day = item["at"].GetString();  // HH:MM, as the schema requires
+    closure.hour = std::stoi(time_of_day.substr(0, 2));
+    closure.minute = std::stoi(time_of_day.substr(3, 2));
+    if (closure.hour > max_hour)
+      throw flaw_at(file, "/contracts/calendar/closures/" + std::to_string(calendar.closures.size()) + "/at",
                     "a time of day", shown(item["at"]));
     if (const auto* list = member(item, "days")) {
-      one.days = 0;
+      closure.days = 0;
       for (const auto& day : list->GetArray())
-        for (unsigned i = 0; i < 7; ++i)
-          if (std::string(days[i]) == day.GetString()) one.days |= 1U << i;
+        for (unsigned i = 0; i < days_per_week; ++i)
+          if (std::string(day_names[i]) == day.GetString()) closure.days |= 1U << i;
     }
-    if (const auto* x = member(item, "lead_s")) one.lead = std::chrono::seconds(x->GetInt64());
-    if (const auto* x = member(item, "trail_s")) one.trail = std::chrono::seconds(x->GetInt64());
-    c.closures.push_back(one);
+    if (const auto* value = member(item, "lead_s")) closure.lead = std::chrono::seconds(value->GetInt64());
+    if (const auto* value = member(item, "trail_s")) closure.trail = std::chrono::seconds(value->GetInt64());
+    calendar.closures.push_back(closure);
   }
-  return c;
+  return calendar;
 }
 
 }  // namespace
 
-std::optional<ContractsConfig> contracts_of(const GatewayFile& file, const std::string& front,
-                                            const contracts::ServiceInfo& service,
-                                            const std::vector<std::string>& tenants) {
+std::optional<ContractsConfig> parse_contracts(const GatewayFile& file, const std::string& front_end,
+                                               const contracts::ServiceInfo& service,
+                                               const std::vector<std::string>& tenants) {
   const auto* section = file.section("contracts");
   if (!section) return std::nullopt;
   const std::string mode = (*section)["mode"].GetString();
   if (mode == "off") return std::nullopt;
-  if (const auto* fronts = member(*section, "fronts"))
-    if (std::none_of(fronts->Begin(), fronts->End(), [&](const Json& f) { return front == f.GetString(); }))
+  if (const auto* front_ends = member(*section, "fronts"))
+    if (std::none_of(front_ends->Begin(), front_ends->End(),
+                     [&](const Json& name) { return front_end == name.GetString(); }))
       return std::nullopt;
-  ContractsConfig c;
-  auto& t = c.terms;
-  t.mode = mode == "enforce" ? contracts::Mode::enforce : contracts::Mode::count;
-  if (const auto* x = member(*section, "gateways")) t.gateways = x->GetUint();
-  if (const auto* x = member(*section, "part_most")) t.part_most = x->GetDouble();
-  if (const auto* x = member(*section, "part_memory_ms"))
-    t.part_memory = std::chrono::milliseconds(x->GetInt64());
-  if (const auto* x = member(*section, "window_ms")) t.window = std::chrono::milliseconds(x->GetInt64());
-  if (const auto* x = member(*section, "retry_share")) t.retry_share = x->GetDouble();
-  if (const auto* x = member(*section, "retry_burst")) t.retry_burst = x->GetDouble();
-  if (const auto* x = member(*section, "calendar")) c.calendar = calendar_of(*x, file.name);
-  if (const auto* x = member(*section, "default")) t.fallback = terms_of(*x, {});
+  ContractsConfig result;
+  auto& config = result.contracts;
+  config.mode = mode == "enforce" ? contracts::Mode::enforce : contracts::Mode::count;
+  if (const auto* value = member(*section, "gateways")) config.gateways = value->GetUint();
+  if (const auto* value = member(*section, "part_most")) config.max_share_multiple = value->GetDouble();
+  if (const auto* value = member(*section, "part_memory_ms"))
+    config.share_time_constant = std::chrono::milliseconds(value->GetInt64());
+  if (const auto* value = member(*section, "window_ms"))
+    config.window = std::chrono::milliseconds(value->GetInt64());
+  if (const auto* value = member(*section, "retry_share")) config.retry_share = value->GetDouble();
+  if (const auto* value = member(*section, "retry_burst")) config.retry_burst = value->GetDouble();
+  if (const auto* value = member(*section, "calendar")) result.calendar = calendar_of(*value, file.name);
+  if (const auto* value = member(*section, "default")) config.default_terms = terms_of(*value, {});
   const auto& teams = (*section)["teams"];
   for (rapidjson::SizeType i = 0; i < teams.Size(); ++i) {
-    const auto at = "/contracts/teams/" + std::to_string(i);
+    const auto path = "/contracts/teams/" + std::to_string(i);
     contracts::Team team;
     team.name = teams[i]["name"].GetString();
     const auto& names = teams[i]["tenants"];
     for (rapidjson::SizeType k = 0; k < names.Size(); ++k) {
       const auto it = std::find(tenants.begin(), tenants.end(), std::string(names[k].GetString()));
       if (it == tenants.end())
-        throw flaw_at(file.name, at + "/tenants/" + std::to_string(k), "a tenant of the settings",
+        throw flaw_at(file.name, path + "/tenants/" + std::to_string(k), "a tenant of the settings",
                       shown(names[k]));
       team.tenants.push_back(static_cast<std::int32_t>(it - tenants.begin()));
     }
     team.classes.resize(service.classes.size());
     if (const auto* classes = member(teams[i], "classes"))
-      for (const auto& m : classes->GetObject()) {
-        const auto it = std::find_if(service.classes.begin(), service.classes.end(),
-                                     [&](const RequestClass& k) { return k.name == m.name.GetString(); });
+      for (const auto& entry : classes->GetObject()) {
+        const auto it = std::find_if(
+            service.classes.begin(), service.classes.end(),
+            [&](const RequestClass& request_class) { return request_class.name == entry.name.GetString(); });
         if (it == service.classes.end())
-          throw flaw_at(file.name, at + "/classes/" + m.name.GetString(), "a class of the settings",
+          throw flaw_at(file.name, path + "/classes/" + entry.name.GetString(), "a class of the settings",
                         "another name");
         contracts::ClassTerms terms;
         contracts::Terms base;
-        base.wanted = it->latency_target;
-        terms.usual = terms_of(m.value, base);
-        if (const auto* closure = member(m.value, "closure")) terms.closure = terms_of(*closure, terms.usual);
+        base.latency_target = it->latency_target;
+        terms.usual = terms_of(entry.value, base);
+        if (const auto* closure = member(entry.value, "closure"))
+          terms.closure = terms_of(*closure, terms.usual);
         team.classes[static_cast<std::size_t>(it - service.classes.begin())] = terms;
       }
-    t.teams.push_back(std::move(team));
+    config.teams.push_back(std::move(team));
   }
-  if (const auto flaw = contracts::find_config_issue(t, service))
-    throw ConfigError(file.name + ": /contracts" + flaw->where + ": " + flaw->what);
-  return c;
+  if (const auto issue = contracts::find_config_issue(config, service))
+    throw ConfigError(file.name + ": /contracts" + issue->path + ": " + issue->problem);
+  return result;
 }
 
 }  // namespace cedarring::app
--- a/src/app/contracts_config.h
+++ b/src/app/contracts_config.h
@@ -1,4 +1,4 @@
-// The section `contracts` of the gateway's file.
+// Parses the section `contracts` of the gateway's configuration file.
 #pragma once
 
 #include <optional>
@@ -12,14 +12,14 @@
 namespace cedarring::app {
 
 struct ContractsConfig {
-  contracts::Config terms;  // its closures are filled in from the calendar as time goes on
+  contracts::Config contracts;  // without closures: the runner computes them from the calendar over time
   Calendar calendar;
 };
 
-/// For the service of a front; nothing where it is off there. Throws ConfigError with the pointer of what
-/// does not fit.
-std::optional<ContractsConfig> contracts_of(const GatewayFile& file, const std::string& front,
-                                            const contracts::ServiceInfo& service,
-                                            const std::vector<std::string>& tenants);
+/// The contracts for the service of one front end; empty if they are off there. Throws ConfigError with the
+/// JSON pointer of an invalid value.
+std::optional<ContractsConfig> parse_contracts(const GatewayFile& file, const std::string& front_end,
+                                               const contracts::ServiceInfo& service,
+                                               const std::vector<std::string>& tenants);
 
 }  // namespace cedarring::app
--- a/src/app/contracts_runner.cpp
+++ b/src/app/contracts_runner.cpp
@@ -8,61 +8,74 @@
 namespace cedarring::app {
 namespace {
 
-constexpr double beat_seconds = 0.1;
-constexpr int days_ahead = 8;
-constexpr Duration refill{6LL * 3600 * 1'000'000};  // well within the days that are filled in ahead
+constexpr double tick_seconds = 0.1;
+constexpr int closure_days_ahead = 8;
+constexpr Duration closure_refresh_interval{6LL * 3600 * 1'000'000};  // well below closure_days_ahead
 
 contracts::Config with_closures(ContractsConfig config, Time now) {
-  config.terms.closures = closures_around(config.calendar, now, days_ahead);
-  return std::move(config.terms);
+  config.contracts.closures = closures_around(config.calendar, now, closure_days_ahead);
+  return std::move(config.contracts);
+}
+
+const char* mode_name(contracts::Mode mode) {
+  return mode == contracts::Mode::enforce ? "enforce" : mode == contracts::Mode::count ? "count" : "off";
 }
 
 }  // namespace
 
-telemetry::Record record_of(const contracts::Breach& b, const std::string& front,
+telemetry::Record record_of(const contracts::Breach& breach, const std::string& front_end,
                             const contracts::Config& config, const contracts::ServiceInfo& service) {
-  telemetry::Record r;
-  r.at = b.to;
-  r.kind = "breach";
-  r.subject = front + " " + config.teams[b.team].name + " " + service.classes[b.cls].name;
-  if (b.side == contracts::Side::team) {
-    r.rule = "the team asked beyond its contract";
-    r.readings = {{"promised_per_s", b.promised}, {"asked_per_s", b.got}};
+  telemetry::Record record;
+  record.at = breach.to;
+  record.kind = "breach";
+  record.subject =
+      front_end + " " + config.teams[breach.team].name + " " + service.classes[breach.class_index].name;
+  if (breach.side == contracts::Side::team) {
+    record.rule = "the team asked beyond its contract";
+    record.readings = {{"promised_per_s", breach.promised}, {"asked_per_s", breach.measured}};
   } else {
-    r.rule = "the gateway missed its promise";
-    r.readings = {{"promised_share", b.promised}, {"share", b.got}};
+    record.rule = "the gateway missed its promise";
+    record.readings = {{"promised_share", breach.promised}, {"share", breach.measured}};
   }
-  r.readings.emplace_back("requests", static_cast<double>(b.counted));
-  r.readings.emplace_back("from_ms", static_cast<double>(b.from.count() / 1000));
-  if (b.closure) r.note = "around a closure";
-  return r;
+  record.readings.emplace_back("requests", static_cast<double>(breach.request_count));
+  record.readings.emplace_back("from_ms", static_cast<double>(breach.from.count() / 1000));
+  if (breach.closure) record.note = "around a closure";
+  return record;
 }
 
-/// `cedarring report contracts` reads these: the names of readings are its columns.
-telemetry::Record record_of(const contracts::Closed& c, const std::string& front,
+telemetry::Record record_of(const contracts::ClosedWindow& window, const std::string& front_end,
                             const contracts::Config& config, const contracts::ServiceInfo& service) {
-  telemetry::Record r;
-  r.at = c.to;
-  r.kind = "ledger";
-  r.subject = front + " " + config.teams[c.team].name + " " + service.classes[c.cls].name;
-  const auto& e = c.entry;
-  const auto count = [&](const char* name, std::uint64_t n) {
-    r.readings.emplace_back(name, static_cast<double>(n));
+  telemetry::Record record;
+  record.at = window.to;
+  record.kind = "ledger";
+  record.subject =
+      front_end + " " + config.teams[window.team].name + " " + service.classes[window.class_index].name;
+  const auto& entry = window.entry;
+  const auto add_count = [&](const char* name, std::uint64_t count) {
+    record.readings.emplace_back(name, static_cast<double>(count));
   };
-  r.readings.emplace_back("from_ms", static_cast<double>(c.from.count() / 1000));
-  count("asked", e.asked), count("within", e.within), count("beyond", e.beyond);
-  count("in_time", e.in_time), count("late", e.late), count("failed", e.failed), count("left", e.left);
-  count("refused_contract", e.refused_contract), count("refused_contention", e.refused_contention);
-  count("refused_levels", e.refused_levels), count("refused_router", e.refused_router);
-  count("promised", e.within_ended), count("kept", e.within_in_time);
-  r.readings.emplace_back("cost_ms", e.cost);
-  return r;
+  record.readings.emplace_back("from_ms", static_cast<double>(window.from.count() / 1000));
+  add_count("asked", entry.asked);
+  add_count("within", entry.within);
+  add_count("beyond", entry.beyond);
+  add_count("in_time", entry.in_time);
+  add_count("late", entry.late);
+  add_count("failed", entry.failed);
+  add_count("left", entry.abandoned);
+  add_count("refused_contract", entry.refused_contract);
+  add_count("refused_contention", entry.refused_contention);
+  add_count("refused_levels", entry.refused_levels);
+  add_count("refused_router", entry.refused_router);
+  add_count("promised", entry.within_ended);
+  add_count("kept", entry.within_in_time);
+  record.readings.emplace_back("cost_ms", entry.cost);
+  return record;
 }
 
-ContractsRunner::ContractsRunner(ev::loop_ref loop, std::string front, ContractsConfig config,
+ContractsRunner::ContractsRunner(ev::loop_ref loop, std::string front_end, ContractsConfig config,
                                  contracts::ServiceInfo service, broker::Broker& broker,
                                  broker::Broker::Clock clock, telemetry::Log& log)
-    : front_(std::move(front)),
+    : front_end_(std::move(front_end)),
       service_(service),
       calendar_(config.calendar),
       contracts_(with_closures(std::move(config), clock()), std::move(service)),
@@ -70,72 +83,83 @@
       clock_(std::move(clock)),
       log_(log),
       timer_(loop),
-      filled_(clock_()) {
-  timer_.set<ContractsRunner, &ContractsRunner::beat>(this);
-  timer_.start(beat_seconds, beat_seconds);
+      closures_computed_at_(clock_()) {
+  timer_.set<ContractsRunner, &ContractsRunner::tick>(this);
+  timer_.start(tick_seconds, tick_seconds);
   broker_.add_gate(contracts_);
 }
 
-void ContractsRunner::beat(ev::timer&, int) {
+void ContractsRunner::tick(ev::timer&, int) {
   const Time now = clock_();
-  if (now - filled_ > refill) {
-    filled_ = now;
-    contracts_.set_closures(closures_around(calendar_, now, days_ahead));
+  if (now - closures_computed_at_ > closure_refresh_interval) {
+    closures_computed_at_ = now;
+    contracts_.set_closures(closures_around(calendar_, now, closure_days_ahead));
   }
   views_.clear();
   broker_.group_views(views_);
   std::vector<contracts::Breach> breaches;
-  std::vector<contracts::Closed> closed;
-  contracts_.step(now, contracts::scarcity(views_), breaches, &closed);
-  for (const auto& c : closed) log_.record(record_of(c, front_, contracts_.config(), service_));
-  for (const auto& b : breaches) log_.record(record_of(b, front_, contracts_.config(), service_));
+  std::vector<contracts::ClosedWindow> closed_windows;
+  contracts_.step(now, contracts::resource_loads(views_), breaches, &closed_windows);
+  for (const auto& window : closed_windows)
+    log_.record(record_of(window, front_end_, contracts_.config(), service_));
+  for (const auto& breach : breaches)
+    log_.record(record_of(breach, front_end_, contracts_.config(), service_));
 }
 
 void ContractsRunner::reload(ContractsConfig config) {
   calendar_ = config.calendar;
-  filled_ = clock_();
+  closures_computed_at_ = clock_();
   contracts_.reload(with_closures(std::move(config), clock_()), clock_());
 }
 
 std::string ContractsRunner::status() const {
   rapidjson::StringBuffer buffer;
-  rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
+  rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
+  const auto add_string = [&](const char* key, const char* value) {
+    writer.Key(key);
+    writer.String(value);
+  };
+  const auto add_number = [&](const char* key, double value) {
+    writer.Key(key);
+    writer.Double(value);
+  };
+  const auto add_count = [&](const char* key, std::uint64_t count) {
+    writer.Key(key);
+    writer.Uint64(count);
+  };
   const auto& config = contracts_.config();
-  w.StartObject();
-  w.Key("front"), w.String(front_.c_str());
-  w.Key("mode");
-  w.String(config.mode == contracts::Mode::enforce ? "enforce"
-           : config.mode == contracts::Mode::count ? "count"
-                                                   : "off");
-  w.Key("closure"), w.Bool(contracts_.closure(clock_()));
-  w.Key("teams");
-  w.StartArray();
+  writer.StartObject();
+  add_string("front", front_end_.c_str());
+  add_string("mode", mode_name(config.mode));
+  writer.Key("closure");
+  writer.Bool(contracts_.in_closure(clock_()));
+  writer.Key("teams");
+  writer.StartArray();
   for (std::size_t t = 0; t < config.teams.size(); ++t)
     for (std::size_t c = 0; c < service_.classes.size(); ++c) {
-      const auto e = contracts_.total(t, c);
-      if (e.asked == 0) continue;
-      const auto count = [&](const char* key, std::uint64_t n) { w.Key(key), w.Uint64(n); };
-      w.StartObject();
-      w.Key("team"), w.String(config.teams[t].name.c_str());
-      w.Key("class"), w.String(service_.classes[c].name.c_str());
-      count("asked", e.asked);
-      count("within", e.within);
-      count("beyond", e.beyond);
-      count("in_time", e.in_time);
-      count("late", e.late);
-      count("refused_contract", e.refused_contract);
-      count("refused_contention", e.refused_contention);
-      count("refused_levels", e.refused_levels);
-      count("refused_router", e.refused_router);
-      count("failed", e.failed);
-      w.Key("p50_ms"), w.Double(contracts_.times(t, c).quantile(0.5));
-      w.Key("p99_ms"), w.Double(contracts_.times(t, c).quantile(0.99));
-      w.Key("cost_ms"), w.Double(e.cost);
-      w.Key("part"), w.Double(contracts_.part(t));
-      w.EndObject();
+      const auto entry = contracts_.total(t, c);
+      if (entry.asked == 0) continue;
+      writer.StartObject();
+      add_string("team", config.teams[t].name.c_str());
+      add_string("class", service_.classes[c].name.c_str());
+      add_count("asked", entry.asked);
+      add_count("within", entry.within);
+      add_count("beyond", entry.beyond);
+      add_count("in_time", entry.in_time);
+      add_count("late", entry.late);
+      add_count("refused_contract", entry.refused_contract);
+      add_count("refused_contention", entry.refused_contention);
+      add_count("refused_levels", entry.refused_levels);
+      add_count("refused_router", entry.refused_router);
+      add_count("failed", entry.failed);
+      add_number("p50_ms", contracts_.times(t, c).quantile(0.5));
+      add_number("p99_ms", contracts_.times(t, c).quantile(0.99));
+      add_number("cost_ms", entry.cost);
+      add_number("part", contracts_.gateway_share(t));
+      writer.EndObject();
     }
-  w.EndArray();
-  w.EndObject();
+  writer.EndArray();
+  writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
--- a/src/app/contracts_runner.h
+++ b/src/app/contracts_runner.h
@@ -1,5 +1,5 @@
-// Runs the contracts of one front: their beat, the calendar's windows as time goes on, a record of each
-// breach.
+// Runs the contracts of one front end on the event loop: periodic steps, closure windows from the calendar,
+// and records of ledger windows and breaches.
 #pragma once
 
 #include <ev++.h>
@@ -13,26 +13,29 @@
 
 namespace cedarring::app {
 
-telemetry::Record record_of(const contracts::Breach& breach, const std::string& front,
+/// The log record of a breach.
+telemetry::Record record_of(const contracts::Breach& breach, const std::string& front_end,
                             const contracts::Config& config, const contracts::ServiceInfo& service);
 
-telemetry::Record record_of(const contracts::Closed& closed, const std::string& front,
+/// The log record of a closed ledger window. `cedarring report contracts` uses the names of its readings as
+/// columns.
+telemetry::Record record_of(const contracts::ClosedWindow& window, const std::string& front_end,
                             const contracts::Config& config, const contracts::ServiceInfo& service);
 
+/// Adds its contracts to the broker as a gate. The broker and the log must outlive it.
 class ContractsRunner {
  public:
-  ContractsRunner(ev::loop_ref loop, std::string front, ContractsConfig config,
+  ContractsRunner(ev::loop_ref loop, std::string front_end, ContractsConfig config,
                   contracts::ServiceInfo service, broker::Broker& broker, broker::Broker::Clock clock,
                   telemetry::Log& log);
   void reload(ContractsConfig config);
-  /// What operators see: one JSON object.
+  /// The totals for operators, as one JSON object.
   [[nodiscard]] std::string status() const;
   [[nodiscard]] contracts::Contracts& contracts() { return contracts_; }
 
  private:
-  void beat(ev::timer&, int);
-  void fill_closures();
-  std::string front_;
+  void tick(ev::timer&, int);
+  std::string front_end_;
   contracts::ServiceInfo service_;
   Calendar calendar_;
   contracts::Contracts contracts_;
@@ -40,8 +43,8 @@
   broker::Broker::Clock clock_;
   telemetry::Log& log_;
   ev::timer timer_;
-  Time filled_{};
-  std::vector<GroupView> views_;
+  Time closures_computed_at_{};
+  std::vector<GroupView> views_;  // kept between ticks to reuse its memory
 };
 
 }  // namespace cedarring::app
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -49,7 +49,7 @@
   for (const auto& h : before->heard) broker_.observe(h.host, h.role, h.position);
   if (before->parts.empty()) return;  // of a build that tells none, and would not tell what is left
   broker_.suspend_spending();
-  if (contracts_) contracts_->contracts().follow(clock_());
+  if (contracts_) contracts_->contracts().suspend_spending(clock_());
 }
 
 StateParts Service::parts(bool split) {
@@ -97,19 +97,19 @@
   for (const auto& name : spoilt) {
     if (name == "hosts") broker_.set_slow_start_share(0.5);
     if (name == "tenants") broker_.take_budgets({});
-    if (name == "contracts" && contracts_) contracts_->contracts().unheard(clock_());
+    if (name == "contracts" && contracts_) contracts_->contracts().assume_own_share(clock_());
   }
   return spoilt;
 }
 
 void Service::unheard() {
   broker_.assume_own_share();
-  if (contracts_) contracts_->contracts().unheard(clock_());
+  if (contracts_) contracts_->contracts().assume_own_share(clock_());
 }
 
 StateParts Service::booked() {
   if (!contracts_) return {};
-  return {{"contracts", handover::to_text(contracts_->contracts().booked())}};
+  return {{"contracts", handover::to_text(contracts_->contracts().recorded())}};
 }
 
 std::vector<std::string> Service::book(const StateParts& told) {
@@ -117,15 +117,15 @@
   if (it == told.end() || !contracts_) return {};
   const auto booked = handover::from_text<contracts::Snapshot>(it->second);
   if (!booked) return {"contracts"};
-  contracts_->contracts().book(*booked);
+  contracts_->contracts().merge_records(*booked);
   return {};
 }
 
 void Service::alone() {
   broker_.resume_full_spending();
   if (!contracts_) return;
-  if (handed_) contracts_->contracts().book(*handed_), handed_.reset();
-  contracts_->contracts().alone(clock_());
+  if (handed_) contracts_->contracts().merge_records(*handed_), handed_.reset();
+  contracts_->contracts().resume_full_spending(clock_());
 }
 
 /// Alone, clients and hosts have what they need of the sum; beside another process each part is fixed.
--- a/src/contracts/contracts.cpp
+++ b/src/contracts/contracts.cpp
@@ -7,552 +7,626 @@
 namespace cedarring::contracts {
 namespace {
 
-constexpr double cost_gain = 0.02;    // of one answer on the learnt cost of its class
-constexpr double flow_memory = 1;     // seconds, of what teams ask of a resource
-constexpr double headroom = 1.05;     // over what a contended resource has served
-constexpr double growth = 1.05;       // of the capacity for each step without contention
-constexpr double cut = 0.9;           // of it for each step in which the router turned work away
-constexpr double lend_growth = 1.02;  // of what is lent beyond contracts, for each step without contention
-constexpr double lent_least = 0.02;   // of what is served: less than this is as good as nothing lent
+// Learnt costs.
+constexpr double initial_cost_divisor = 4;     // before any answer a request costs latency target / 4
+constexpr double cost_gain = 0.02;             // weight of one answer that is quicker than the learnt cost
+constexpr double slow_answer_gain_ratio = 20;  // slower answers weigh this many times less
+constexpr double max_cost_ratio = 3;           // an answer counts as at most this many learnt costs
+constexpr double min_answer_ms = 0.1;
+
+// Allocation of contended resources.
+constexpr double flow_memory = 1;  // seconds: time constant of demand and served cost
+constexpr double min_capacity = 1;
+constexpr double headroom = 1.05;          // first limit of a contended resource, over the cost it served
+constexpr double capacity_growth = 1.05;   // for each step without contention
+constexpr double capacity_cut = 0.9;       // for each step in which the router refused requests
+constexpr double lend_cut = 0.5;           // for each step with contention
+constexpr double lend_growth = 1.02;       // for each step without contention
+constexpr double min_lend_share = 0.02;    // of the served cost: lending less than this counts as none
+constexpr double lend_restart_ratio = 10;  // lending grows by at least min_lend_share / this a step
 constexpr double flow_burst =
-    0.1;  // seconds of a share that may come at once: lent shares return within that
-constexpr Duration eased{2'000'000};  // without contention, after which nothing is shared out any more
-constexpr Duration flow_kept{10'000'000};
-constexpr std::size_t flows_most = 65536;
+    0.1;  // seconds of an allocation that may come at once: bounds the return of lent capacity
+constexpr Duration relief_period{2'000'000};  // without contention, after which a limit is removed
+constexpr Duration flow_retention{10'000'000};
+constexpr std::size_t max_flows = 65536;
+constexpr double full_share = 0.95;  // of a concurrency limit, from which on a resource is contended
+
+constexpr Duration min_jitter_width{100'000};
+constexpr double min_share_time_constant = 0.1;  // seconds
+constexpr double min_window_seconds = 0.001;
+
+// Upper bounds of values accepted from another process.
+constexpr double max_snapshot_cost = 1e9;
+constexpr double max_snapshot_demand = 1e9;
+constexpr double max_snapshot_flow = 1e12;
 
 double seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
 
-/// A pause behind `wait`, spread over as long again or 100 ms, so that those refused together return apart.
-Duration spread(Duration wait, Duration most, double draw) {
-  const auto width = std::max(std::min(wait, most), Duration(100'000));
-  const auto from = std::clamp(wait, Duration::zero(), std::max(Duration::zero(), most - width / 2));
-  return std::min(most,
-                  from + Duration(static_cast<std::int64_t>(static_cast<double>(width.count()) * draw)));
+/// A pause of at least `wait`, with jitter of the same length but no less than 100 ms, so that clients that
+/// were refused together do not return together. `draw` is uniform in 0 to 1; the result is at most `max`.
+Duration jittered_pause(Duration wait, Duration max, double draw) {
+  const auto width = std::max(std::min(wait, max), min_jitter_width);
+  const auto from = std::clamp(wait, Duration::zero(), std::max(Duration::zero(), max - width / 2));
+  return std::min(max, from + Duration(static_cast<std::int64_t>(static_cast<double>(width.count()) * draw)));
 }
 
 }  // namespace
 
-std::size_t Contracts::FlowHash::operator()(const FlowKey& k) const {
-  auto h = static_cast<std::uint64_t>(k.group) * 0x9e3779b97f4a7c15ULL;
-  h ^= (static_cast<std::uint64_t>(static_cast<std::uint32_t>(k.team)) << 1U | (k.primary ? 1U : 0U)) +
-       (h >> 29U);
-  return h * 0xbf58476d1ce4e5b9ULL;
+std::size_t Contracts::FlowHash::operator()(const FlowKey& key) const {
+  auto hash = static_cast<std::uint64_t>(key.group) * 0x9e3779b97f4a7c15ULL;
+  hash ^= (static_cast<std::uint64_t>(static_cast<std::uint32_t>(key.team)) << 1U | (key.primary ? 1U : 0U)) +
+          (hash >> 29U);
+  return hash * 0xbf58476d1ce4e5b9ULL;
 }
 
 Contracts::Contracts(Config config, ServiceInfo service)
     : service_(std::move(service)), random_(service_.seed) {
-  for (const auto& c : service_.classes)
-    costs_.push_back(
-        std::max(1.0, static_cast<double>(c.latency_target.count()) / 1000 / 4));  // until answers tell
+  for (const auto& request_class : service_.classes)
+    costs_.push_back(std::max(
+        1.0, static_cast<double>(request_class.latency_target.count()) / 1000 / initial_cost_divisor));
   reload(std::move(config), Time{});
 }
 
-bool Contracts::needs_primary(std::size_t cls) const {
-  const auto f = service_.classes[cls].freshness;
-  return f == Freshness::write || f == Freshness::fresh;
+bool Contracts::needs_primary(std::size_t class_index) const {
+  const auto freshness = service_.classes[class_index].freshness;
+  return freshness == Freshness::write || freshness == Freshness::fresh;
 }
 
 std::int32_t Contracts::team_of(std::int32_t tenant) const {
-  return tenant >= 0 && static_cast<std::size_t>(tenant) < team_of_.size()
-             ? team_of_[static_cast<std::size_t>(tenant)]
+  return tenant >= 0 && static_cast<std::size_t>(tenant) < team_of_tenant_.size()
+             ? team_of_tenant_[static_cast<std::size_t>(tenant)]
              : -1;
 }
 
-const Terms* Contracts::terms(std::size_t team, std::size_t cls, bool closure) const {
-  const auto& c = config_.teams[team].classes[cls];
-  if (!c) return config_.fallback ? &*config_.fallback : nullptr;
-  return closure && c->closure ? &*c->closure : &c->usual;
+const Terms* Contracts::terms_of(std::size_t team, std::size_t class_index, bool closure) const {
+  const auto& terms = config_.teams[team].classes[class_index];
+  if (!terms) return config_.default_terms ? &*config_.default_terms : nullptr;
+  return closure && terms->closure ? &*terms->closure : &terms->usual;
 }
 
-bool Contracts::closure(Time now) const {
+bool Contracts::in_closure(Time now) const {
   const auto after = std::upper_bound(config_.closures.begin(), config_.closures.end(), now,
                                       [](Time t, const ClosureWindow& w) { return t < w.from; });
   return after != config_.closures.begin() && now < std::prev(after)->to;
 }
 
-Entry Contracts::total(std::size_t team, std::size_t cls) const {
-  auto sum = booked(team, cls).before;
-  return sum += booked(team, cls).now;
+LedgerEntry Contracts::total(std::size_t team, std::size_t class_index) const {
+  auto sum = records_at(team, class_index).previous;
+  return sum += records_at(team, class_index).current;
 }
 
 void Contracts::reload(Config config, Time now) {
   const auto classes = service_.classes.size();
   std::vector<Cell> cells(config.teams.size() * classes);
   std::vector<TeamState> teams(config.teams.size());
-  std::vector<std::int32_t> team_of(service_.tenants, -1);
-  std::vector<bool> fresh(config.teams.size(), false);
-  const double even = 1.0 / std::max(1U, config.gateways);
+  std::vector<std::int32_t> team_of_tenant(service_.tenants, -1);
+  std::vector<bool> added(config.teams.size(), false);
+  const double even_share = 1.0 / std::max(1U, config.gateways);
   for (std::size_t t = 0; t < config.teams.size(); ++t) {
-    teams[t].part = even;
+    teams[t].gateway_share = even_share;
     for (const auto tenant : config.teams[t].tenants)
-      if (tenant >= 0 && static_cast<std::size_t>(tenant) < team_of.size())
-        team_of[static_cast<std::size_t>(tenant)] = static_cast<std::int32_t>(t);
-    // A team that keeps its name keeps what it has used and what was booked.
+      if (tenant >= 0 && static_cast<std::size_t>(tenant) < team_of_tenant.size())
+        team_of_tenant[static_cast<std::size_t>(tenant)] = static_cast<std::int32_t>(t);
+    // A team that keeps its name keeps its limiters and records.
     const auto old = std::find_if(config_.teams.begin(), config_.teams.end(),
-                                  [&](const Team& o) { return o.name == config.teams[t].name; });
+                                  [&](const Team& team) { return team.name == config.teams[t].name; });
     if (old == config_.teams.end()) {
-      fresh[t] = true;
+      added[t] = true;
       continue;
     }
     const auto from = static_cast<std::size_t>(old - config_.teams.begin());
     teams[t] = teams_[from];
-    for (std::size_t c = 0; c < classes; ++c) cells[t * classes + c] = std::move(at(from, c));
+    for (std::size_t c = 0; c < classes; ++c) cells[t * classes + c] = std::move(cell_at(from, c));
   }
-  // Shares of teams by their old numbers would be somebody else's now; requests that are open are charged to
-  // nobody.
+  // Flows are keyed by the old team indices, which may now belong to other teams. Open requests are charged
+  // to no team.
   flows_.clear();
   resources_.clear();
-  open_.clear();
+  open_requests_.clear();
   config_ = std::move(config);
   cells_ = std::move(cells);
   teams_ = std::move(teams);
-  team_of_ = std::move(team_of);
-  // Of what is new each of two processes has its part from the start.
+  team_of_tenant_ = std::move(team_of_tenant);
+  // During a hand-over each of the two processes spends its own share of an added team's rates.
   for (std::size_t t = 0; t < teams_.size(); ++t)
     for (std::size_t c = 0; c < classes; ++c)
-      if (fresh[t]) at(t, c).share = handover::budget_share(stage_, burst(t, c));
-  set_rates(now);
+      if (added[t]) cell_at(t, c).share = handover::budget_share(stage_, burst_of(t, c));
+  update_rates(now);
 }
 
-double Contracts::burst(std::size_t t, std::size_t c) const {
-  const auto* terms = this->terms(t, c, closure_);
-  return terms ? std::max(1.0, terms->burst * teams_[t].part) : 1;
+double Contracts::burst_of(std::size_t team, std::size_t class_index) const {
+  const auto* terms = terms_of(team, class_index, closure_);
+  return terms ? std::max(1.0, terms->burst * teams_[team].gateway_share) : 1;
 }
 
-/// As in force at this gateway now: the terms' by its part; `share`: of both processes' that are one gateway.
-Rate Contracts::rate_of(std::size_t t, std::size_t c, double share) const {
-  const auto* terms = this->terms(t, c, closure_);
-  return terms ? Rate::of(terms->rate * teams_[t].part * share, burst(t, c) * share) : Rate{};
+/// The rate in force at this gateway: the contracted rate times the gateway's share. `share` is this
+/// process's share of the gateway's rate during a hand-over.
+Rate Contracts::rate_of(std::size_t team, std::size_t class_index, double share) const {
+  const auto* terms = terms_of(team, class_index, closure_);
+  return terms
+             ? Rate::of(terms->rate * teams_[team].gateway_share * share, burst_of(team, class_index) * share)
+             : Rate{};
 }
 
-void Contracts::set_rates(Time now) {
-  closure_ = closure(now);
+void Contracts::update_rates(Time now) {
+  closure_ = in_closure(now);
   for (std::size_t t = 0; t < teams_.size(); ++t)
-    for (std::size_t c = 0; c < service_.classes.size(); ++c) at(t, c).rate = rate_of(t, c, at(t, c).share);
+    for (std::size_t c = 0; c < service_.classes.size(); ++c)
+      cell_at(t, c).rate = rate_of(t, c, cell_at(t, c).share);
 }
 
-/// As many as a share of what the team asks for here, and a few at once: never out of another team's.
-Rate Contracts::retry_rate(std::size_t t, handover::HandoverStage stage) const {
+/// A share of the team's own demand at this gateway, with a small burst. Never charged to another team.
+Rate Contracts::retry_rate(std::size_t team, handover::HandoverStage stage) const {
   double demand = 0;
-  for (std::size_t c = 0; c < service_.classes.size(); ++c) demand += at(t, c).demand;
-  const double part = handover::budget_share(stage, config_.retry_burst);
-  return Rate::of(std::max(1.0, demand * config_.retry_share) * part, config_.retry_burst * part);
+  for (std::size_t c = 0; c < service_.classes.size(); ++c) demand += cell_at(team, c).demand;
+  const double share = handover::budget_share(stage, config_.retry_burst);
+  return Rate::of(std::max(1.0, demand * config_.retry_share) * share, config_.retry_burst * share);
 }
 
-CellSnapshot Contracts::counts(std::size_t t, std::size_t c) const {
-  CellSnapshot k;
-  const auto& book = booked(t, c);
-  k.now = book.now, k.before = book.before, k.times = book.times.filled();
-  return k;
+CellSnapshot Contracts::cell_counts(std::size_t team, std::size_t class_index) const {
+  CellSnapshot snapshot;
+  const auto& records = records_at(team, class_index);
+  snapshot.current = records.current;
+  snapshot.previous = records.previous;
+  snapshot.times = records.times.filled();
+  return snapshot;
 }
 
 Snapshot Contracts::split(Time now) {
   using handover::HandoverStage;
   stage_ = HandoverStage::outgoing;
-  Snapshot all;
-  if (begun_) all.window = now - window_from_;
-  for (std::size_t c = 0; c < service_.classes.size(); ++c) all.costs[service_.classes[c].name] = costs_[c];
+  Snapshot snapshot;
+  if (started_) snapshot.window = now - window_start_;
+  for (std::size_t c = 0; c < service_.classes.size(); ++c)
+    snapshot.costs[service_.classes[c].name] = costs_[c];
   for (std::size_t t = 0; t < teams_.size(); ++t) {
-    auto& team = all.teams[config_.teams[t].name];
-    team.part = teams_[t].part;
-    team.retries_owed = teams_[t].retries.owed(now);
+    auto& team = snapshot.teams[config_.teams[t].name];
+    team.gateway_share = teams_[t].gateway_share;
+    team.retry_debt = teams_[t].retry_limiter.debt(now);
     for (std::size_t c = 0; c < service_.classes.size(); ++c) {
-      auto& cell = at(t, c);
-      auto& k = team.classes[service_.classes[c].name] = counts(t, c);
-      cell.book.reset();
-      k.owed = cell.bucket.owed(now), k.demand = cell.demand;
-      k.share = handover::budget_share(HandoverStage::incoming, burst(t, c));
-      cell.share = handover::budget_share(HandoverStage::outgoing, burst(t, c));
+      auto& cell = cell_at(t, c);
+      auto& copy = team.classes[service_.classes[c].name] = cell_counts(t, c);
+      cell.records.reset();
+      copy.debt = cell.limiter.debt(now);
+      copy.demand = cell.demand;
+      copy.share = handover::budget_share(HandoverStage::incoming, burst_of(t, c));
+      cell.share = handover::budget_share(HandoverStage::outgoing, burst_of(t, c));
     }
   }
-  for (const auto& [key, r] : resources_)
-    all.resources.push_back({GroupId{key.first}, key.second, r.served, r.capacity, r.lend});
-  for (const auto& [key, f] : flows_)
-    all.flows.push_back({GroupId{key.group}, config_.teams[static_cast<std::size_t>(key.team)].name,
-                         key.primary, f.within, f.beyond});
-  set_rates(now);
-  return all;
+  for (const auto& [key, resource] : resources_)
+    snapshot.resources.push_back(
+        {GroupId{key.first}, key.second, resource.served, resource.capacity, resource.lend});
+  for (const auto& [key, flow] : flows_)
+    snapshot.flows.push_back({GroupId{key.group}, config_.teams[static_cast<std::size_t>(key.team)].name,
+                              key.primary, flow.demand_within, flow.demand_beyond});
+  update_rates(now);
+  return snapshot;
 }
 
-void Contracts::follow(Time now) {
+void Contracts::suspend_spending(Time now) {
   stage_ = handover::HandoverStage::waiting;
   for (auto& cell : cells_) cell.share = 0;
-  set_rates(now);
+  update_rates(now);
 }
 
-void Contracts::unheard(Time now) {
+void Contracts::assume_own_share(Time now) {
   stage_ = handover::HandoverStage::incoming;
   for (std::size_t t = 0; t < teams_.size(); ++t)
     for (std::size_t c = 0; c < service_.classes.size(); ++c)
-      at(t, c).share = handover::budget_share(stage_, burst(t, c));
-  set_rates(now);
-  for (std::size_t t = 0; t < teams_.size(); ++t) teams_[t].retries.spend_all(retry_rate(t, stage_), now);
-  for (auto& cell : cells_) cell.bucket.spend_all(cell.rate, now);
+      cell_at(t, c).share = handover::budget_share(stage_, burst_of(t, c));
+  update_rates(now);
+  for (std::size_t t = 0; t < teams_.size(); ++t) teams_[t].retry_limiter.exhaust(retry_rate(t, stage_), now);
+  for (auto& cell : cells_) cell.limiter.exhaust(cell.rate, now);
 }
 
-void Contracts::restore(const Snapshot& told, Time now) {
-  unheard(now);  // of what is not told nothing is left
-  const auto sane = [](double v, double most) { return v >= 0 && v <= most ? v : 0; };
+void Contracts::restore(const Snapshot& snapshot, Time now) {
+  assume_own_share(now);  // limiters that the snapshot does not mention start without a burst
+  const auto sanitized = [](double value, double max) { return value >= 0 && value <= max ? value : 0; };
   for (std::size_t c = 0; c < service_.classes.size(); ++c)
-    if (const auto it = told.costs.find(service_.classes[c].name);
-        it != told.costs.end() && sane(it->second, 1e9) > 0)
+    if (const auto it = snapshot.costs.find(service_.classes[c].name);
+        it != snapshot.costs.end() && sanitized(it->second, max_snapshot_cost) > 0)
       costs_[c] = it->second;
   for (std::size_t t = 0; t < teams_.size(); ++t) {
-    const auto team = told.teams.find(config_.teams[t].name);
-    if (team == told.teams.end()) continue;
-    if (sane(team->second.part, 1) > 0) teams_[t].part = team->second.part;
-    teams_[t].retries.owe(team->second.retries_owed, now);
+    const auto team = snapshot.teams.find(config_.teams[t].name);
+    if (team == snapshot.teams.end()) continue;
+    if (sanitized(team->second.gateway_share, 1) > 0) teams_[t].gateway_share = team->second.gateway_share;
+    teams_[t].retry_limiter.set_debt(team->second.retry_debt, now);
     for (std::size_t c = 0; c < service_.classes.size(); ++c) {
       const auto it = team->second.classes.find(service_.classes[c].name);
       if (it == team->second.classes.end()) continue;
-      auto& cell = at(t, c);
-      cell.share = sane(it->second.share, 1), cell.demand = sane(it->second.demand, 1e9);
-      cell.bucket.owe(it->second.owed, now);
+      auto& cell = cell_at(t, c);
+      cell.share = sanitized(it->second.share, 1);
+      cell.demand = sanitized(it->second.demand, max_snapshot_demand);
+      cell.limiter.set_debt(it->second.debt, now);
     }
   }
-  for (const auto& r : told.resources) {
-    auto& mine = resources_[{r.group.value, r.primary}];
-    mine.served = sane(r.served, 1e12), mine.capacity = r.capacity, mine.lend = r.lend,
-    mine.last_contended = now;
+  for (const auto& received : snapshot.resources) {
+    auto& resource = resources_[{received.group.value, received.primary}];
+    resource.served = sanitized(received.served, max_snapshot_flow);
+    resource.capacity = received.capacity;
+    resource.lend = received.lend;
+    resource.last_contended = now;
   }
-  for (const auto& f : told.flows) {
+  for (const auto& received : snapshot.flows) {
     const auto team = std::find_if(config_.teams.begin(), config_.teams.end(),
-                                   [&](const Team& o) { return o.name == f.team; });
-    if (team == config_.teams.end() || flows_.size() >= flows_most) continue;
-    auto& mine = flows_[{f.group.value, static_cast<std::int32_t>(team - config_.teams.begin()), f.primary}];
-    mine.within = sane(f.within, 1e12), mine.beyond = sane(f.beyond, 1e12), mine.used = now;
+                                   [&](const Team& candidate) { return candidate.name == received.team; });
+    if (team == config_.teams.end() || flows_.size() >= max_flows) continue;
+    const auto team_index = static_cast<std::int32_t>(team - config_.teams.begin());
+    auto& flow = flows_[{received.group.value, team_index, received.primary}];
+    flow.demand_within = sanitized(received.within, max_snapshot_flow);
+    flow.demand_beyond = sanitized(received.beyond, max_snapshot_flow);
+    flow.last_used = now;
   }
-  if (told.window && *told.window >= Duration::zero() && *told.window < config_.window)
-    begun_ = true, stepped_ = now, window_from_ = now - *told.window;
-  book(told);
-  set_rates(now);
+  if (snapshot.window && *snapshot.window >= Duration::zero() && *snapshot.window < config_.window) {
+    started_ = true;
+    last_step_ = now;
+    window_start_ = now - *snapshot.window;
+  }
+  merge_records(snapshot);
+  update_rates(now);
 }
 
-void Contracts::book(const Snapshot& told) {
+void Contracts::merge_records(const Snapshot& snapshot) {
   for (std::size_t t = 0; t < teams_.size(); ++t) {
-    const auto team = told.teams.find(config_.teams[t].name);
-    if (team == told.teams.end()) continue;
+    const auto team = snapshot.teams.find(config_.teams[t].name);
+    if (team == snapshot.teams.end()) continue;
     for (std::size_t c = 0; c < service_.classes.size(); ++c) {
       const auto it = team->second.classes.find(service_.classes[c].name);
-      const auto& k = it == team->second.classes.end() ? CellSnapshot{} : it->second;
-      if (k.now.asked + k.now.ended() + k.before.asked + k.before.ended() == 0) continue;
-      auto& book = this->book(at(t, c));
-      book.now += k.now, book.before += k.before, book.times.add(k.times);
+      const auto& received = it == team->second.classes.end() ? CellSnapshot{} : it->second;
+      if (received.current.asked + received.current.ended() + received.previous.asked +
+              received.previous.ended() ==
+          0)
+        continue;
+      auto& records = records_of(cell_at(t, c));
+      records.current += received.current;
+      records.previous += received.previous;
+      records.times.add(received.times);
     }
   }
 }
 
-Snapshot Contracts::booked() const {
-  Snapshot all;
+Snapshot Contracts::recorded() const {
+  Snapshot snapshot;
   for (std::size_t t = 0; t < teams_.size(); ++t)
     for (std::size_t c = 0; c < service_.classes.size(); ++c)
-      if (at(t, c).book) all.teams[config_.teams[t].name].classes[service_.classes[c].name] = counts(t, c);
-  return all;
+      if (cell_at(t, c).records)
+        snapshot.teams[config_.teams[t].name].classes[service_.classes[c].name] = cell_counts(t, c);
+  return snapshot;
 }
 
-void Contracts::alone(Time now) {
+void Contracts::resume_full_spending(Time now) {
   using handover::HandoverStage;
-  const auto was = std::exchange(stage_, HandoverStage::single);
-  if (was == HandoverStage::single) return;
+  const auto previous_stage = std::exchange(stage_, HandoverStage::single);
+  if (previous_stage == HandoverStage::single) return;
   for (std::size_t t = 0; t < teams_.size(); ++t) {
-    teams_[t].retries.widen(retry_rate(t, HandoverStage::single),
-                            handover::budget_share(was, config_.retry_burst), now);
+    teams_[t].retry_limiter.grow_to(retry_rate(t, HandoverStage::single),
+                                    handover::budget_share(previous_stage, config_.retry_burst), now);
     for (std::size_t c = 0; c < service_.classes.size(); ++c) {
-      auto& cell = at(t, c);
-      cell.bucket.widen(rate_of(t, c, 1), std::exchange(cell.share, 1), now);
+      auto& cell = cell_at(t, c);
+      cell.limiter.grow_to(rate_of(t, c, 1), std::exchange(cell.share, 1), now);
     }
   }
-  set_rates(now);
+  update_rates(now);
 }
 
-gates::Verdict Contracts::refuse(gates::Reason why, Duration wait) {
-  gates::Verdict v;
-  v.admitted = false;
-  v.decided_by = gates::Decider::contracts;
-  v.reason = why;
+gates::Verdict Contracts::refuse(gates::Reason reason, Duration wait) {
+  gates::Verdict verdict;
+  verdict.admitted = false;
+  verdict.decided_by = gates::Decider::contracts;
+  verdict.reason = reason;
   if (service_.pauses)
-    v.retry_after = spread(wait, service_.max_pause, static_cast<double>(random_()) * 0x1p-32);
-  return v;
+    verdict.retry_after = jittered_pause(wait, service_.max_pause, static_cast<double>(random_()) * 0x1p-32);
+  return verdict;
 }
 
-gates::Verdict Contracts::admit(const gates::GateRequest& ask, Time now) {
-  now = std::max(now, stepped_);
-  const auto team = team_of(ask.tenant);
-  if (config_.mode == Mode::off || team < 0 || ask.cls.value < 0 ||
-      static_cast<std::size_t>(ask.cls.value) >= service_.classes.size())
+gates::Verdict Contracts::admit(const gates::GateRequest& request, Time now) {
+  now = std::max(now, last_step_);
+  const auto team = team_of(request.tenant);
+  if (config_.mode == Mode::off || team < 0 || request.cls.value < 0 ||
+      static_cast<std::size_t>(request.cls.value) >= service_.classes.size())
     return {};
-  const auto t = static_cast<std::size_t>(team), c = static_cast<std::size_t>(ask.cls.value);
-  auto& cell = at(t, c);
-  auto& book = this->book(cell);
-  ++book.now.asked;
+  const auto team_index = static_cast<std::size_t>(team);
+  const auto class_index = static_cast<std::size_t>(request.cls.value);
+  auto& cell = cell_at(team_index, class_index);
+  auto& records = records_of(cell);
+  ++records.current.asked;
   cell.demand += 1;
-  const auto* terms = this->terms(t, c, closure_);
-  const bool within = !terms || cell.bucket.conforms(cell.rate, now);
-  ++(within ? book.now.within : book.now.beyond);
-  const double cost = costs_[c];
-  const FlowKey key{ask.group.value, team, needs_primary(c)};
-  auto flow = flows_.find(key);
-  if (flow == flows_.end() && flows_.size() < flows_most) flow = flows_.emplace(key, Flow{}).first;
-  if (flow != flows_.end()) {
-    flow->second.used = now;
-    (within ? flow->second.within : flow->second.beyond) += cost;
+  const auto* terms = terms_of(team_index, class_index, closure_);
+  const bool within = !terms || cell.limiter.conforms(cell.rate, now);
+  ++(within ? records.current.within : records.current.beyond);
+  const double cost = costs_[class_index];
+  const FlowKey key{request.group.value, team, needs_primary(class_index)};
+  auto flow_it = flows_.find(key);
+  if (flow_it == flows_.end() && flows_.size() < max_flows) flow_it = flows_.emplace(key, Flow{}).first;
+  if (flow_it != flows_.end()) {
+    flow_it->second.last_used = now;
+    (within ? flow_it->second.demand_within : flow_it->second.demand_beyond) += cost;
   }
-  gates::Verdict v;
-  v.beyond_contract = !within;
+  gates::Verdict verdict;
+  verdict.beyond_contract = !within;
   if (config_.mode == Mode::enforce) {
-    if (!within && terms->beyond == Beyond::refuse)
-      return refuse(gates::Reason::over_contract, cell.bucket.wait(cell.rate, now));
-    if (flow != flows_.end()) {
-      auto& f = flow->second;
-      const double may = within ? f.may_within : f.may_beyond;
-      auto& bucket = within ? f.within_bucket : f.beyond_bucket;
-      if (may >= 0 && (within || terms->beyond == Beyond::borrow)) {
-        const auto rate = Rate::of(may, std::max(cost, may * flow_burst));
-        if (!bucket.conforms(rate, now))
+    if (!within && terms->beyond == BeyondPolicy::refuse)
+      return refuse(gates::Reason::over_contract, cell.limiter.wait(cell.rate, now));
+    if (flow_it != flows_.end()) {
+      auto& flow = flow_it->second;
+      const double limit = within ? flow.limit_within : flow.limit_beyond;
+      auto& limiter = within ? flow.limiter_within : flow.limiter_beyond;
+      if (limit >= 0 && (within || terms->beyond == BeyondPolicy::borrow)) {
+        const auto rate = Rate::of(limit, std::max(cost, limit * flow_burst));
+        if (!limiter.conforms(rate, now))
           return refuse(within ? gates::Reason::contention : gates::Reason::over_contract,
-                        bucket.wait(rate, now));
-        bucket.take(rate, cost, now);
+                        limiter.wait(rate, now));
+        limiter.charge(rate, cost, now);
       }
     }
   }
-  if (within && terms) cell.bucket.take(cell.rate, 1, now);
-  book.now.cost += cost;
-  if (!within) book.now.borrowed += cost;
-  open_[ask.request.value] = {cost, !within};
-  return v;
+  if (within && terms) cell.limiter.charge(cell.rate, 1, now);
+  records.current.cost += cost;
+  if (!within) records.current.borrowed += cost;
+  open_requests_[request.request.value] = {cost, !within};
+  return verdict;
 }
 
-bool Contracts::may_retry(const gates::GateRequest& ask, Time now) {
-  const auto team = team_of(ask.tenant);
+bool Contracts::may_retry(const gates::GateRequest& request, Time now) {
+  const auto team = team_of(request.tenant);
   if (config_.mode != Mode::enforce || team < 0) return true;
-  const auto t = static_cast<std::size_t>(team);
-  const auto rate = retry_rate(t, stage_);
-  if (!teams_[t].retries.conforms(rate, now)) return false;
-  teams_[t].retries.take(rate, 1, now);
+  const auto team_index = static_cast<std::size_t>(team);
+  const auto rate = retry_rate(team_index, stage_);
+  if (!teams_[team_index].retry_limiter.conforms(rate, now)) return false;
+  teams_[team_index].retry_limiter.charge(rate, 1, now);
   return true;
 }
 
-void Contracts::on_request_end(const gates::GateRequest& ask, const gates::RequestResult& ending,
+void Contracts::on_request_end(const gates::GateRequest& request, const gates::RequestResult& result,
                                Time /*now*/) {
-  const auto team = team_of(ask.tenant);
-  if (config_.mode == Mode::off || team < 0 || ask.cls.value < 0 ||
-      static_cast<std::size_t>(ask.cls.value) >= service_.classes.size())
+  const auto team = team_of(request.tenant);
+  if (config_.mode == Mode::off || team < 0 || request.cls.value < 0 ||
+      static_cast<std::size_t>(request.cls.value) >= service_.classes.size())
     return;
-  const auto t = static_cast<std::size_t>(team), c = static_cast<std::size_t>(ask.cls.value);
-  auto& cell = at(t, c);
-  auto& book = this->book(cell);
-  const auto* terms = this->terms(t, c, closure_);
-  const auto it = open_.find(ask.request.value);
-  const bool admitted = it != open_.end();
+  const auto team_index = static_cast<std::size_t>(team);
+  const auto class_index = static_cast<std::size_t>(request.cls.value);
+  auto& cell = cell_at(team_index, class_index);
+  auto& records = records_of(cell);
+  const auto* terms = terms_of(team_index, class_index, closure_);
+  const auto it = open_requests_.find(request.request.value);
+  const bool admitted = it != open_requests_.end();
   const bool beyond = admitted && it->second.beyond;
   const double charged = admitted ? it->second.cost : 0;
-  if (admitted) open_.erase(it);
-  const auto wanted =
-      terms && terms->wanted > Duration::zero() ? terms->wanted : service_.classes[c].latency_target;
+  if (admitted) open_requests_.erase(it);
+  const auto latency_target = terms && terms->latency_target > Duration::zero()
+                                  ? terms->latency_target
+                                  : service_.classes[class_index].latency_target;
   bool in_time = false;
-  switch (ending.end) {
+  switch (result.end) {
     case gates::RequestEnd::served:
-      in_time = ending.elapsed <= wanted;
-      ++(in_time ? book.now.in_time : book.now.late);
-      book.times.add(ending.elapsed);
+      in_time = result.elapsed <= latency_target;
+      ++(in_time ? records.current.in_time : records.current.late);
+      records.times.add(result.elapsed);
       break;
     case gates::RequestEnd::failed:
-      ++book.now.failed;
+      ++records.current.failed;
       break;
     case gates::RequestEnd::abandoned:
-      ++book.now.left;
+      ++records.current.abandoned;
       break;
     case gates::RequestEnd::refused:
-      if (ending.by == gates::Decider::levels)
-        ++book.now.refused_levels;
-      else if (ending.by != gates::Decider::contracts)
-        ++book.now.refused_router;
-      else if (ending.why == gates::Reason::contention)
-        ++book.now.refused_contention;
+      if (result.by == gates::Decider::levels)
+        ++records.current.refused_levels;
+      else if (result.by != gates::Decider::contracts)
+        ++records.current.refused_router;
+      else if (result.why == gates::Reason::contention)
+        ++records.current.refused_contention;
       else
-        ++book.now.refused_contract;
+        ++records.current.refused_contract;
       break;
   }
-  // The gateway's promise is about what was within the contract, and about what it has refused of that in
-  // contention. A client that leaves by itself has not waited for the promise.
-  if (((admitted && !beyond) || ending.why == gates::Reason::contention) &&
-      ending.end != gates::RequestEnd::abandoned) {
-    ++book.now.within_ended;
-    if (in_time) ++book.now.within_in_time;
+  // The gateway's promise covers requests within the contract, including those refused under contention. A
+  // client that leaves by itself has not waited for the promised time.
+  if (((admitted && !beyond) || result.why == gates::Reason::contention) &&
+      result.end != gates::RequestEnd::abandoned) {
+    ++records.current.within_ended;
+    if (in_time) ++records.current.within_in_time;
   }
   if (!admitted) return;
-  auto& resource = resources_[{ask.group.value, needs_primary(c)}];
-  if (ending.end == gates::RequestEnd::refused && ending.by == gates::Decider::router) ++resource.refused;
-  if (ending.end == gates::RequestEnd::served) {
-    // What an answer took beyond the quick ones is waiting, not work: an expectile on the low side, which a
-    // queue before the hosts moves little.
-    const double took = std::max(0.1, static_cast<double>(ending.elapsed.count()) / 1000);
-    costs_[c] +=
-        (took < costs_[c] ? cost_gain : cost_gain / 20) * (std::min(took, costs_[c] * 3) - costs_[c]);
+  auto& resource = resources_[{request.group.value, needs_primary(class_index)}];
+  if (result.end == gates::RequestEnd::refused && result.by == gates::Decider::router)
+    ++resource.router_refusals;
+  if (result.end == gates::RequestEnd::served) {
+    // The time of an answer above that of the quick ones is queueing, not work. The learnt cost is a low
+    // expectile of answer times, which a queue in front of the hosts moves little.
+    const double answer_ms = std::max(min_answer_ms, static_cast<double>(result.elapsed.count()) / 1000);
+    costs_[class_index] +=
+        (answer_ms < costs_[class_index] ? cost_gain : cost_gain / slow_answer_gain_ratio) *
+        (std::min(answer_ms, costs_[class_index] * max_cost_ratio) - costs_[class_index]);
     resource.served += charged;
-  } else if (!ending.ran) {
-    // What never ran is not the team's to pay.
-    if (!beyond && terms) cell.bucket.give_back(cell.rate, 1);
-    book.now.cost -= charged;
-    if (beyond) book.now.borrowed -= charged;
+  } else if (!result.ran) {
+    // A team does not pay for a request that never ran.
+    if (!beyond && terms) cell.limiter.refund(cell.rate, 1);
+    records.current.cost -= charged;
+    if (beyond) records.current.borrowed -= charged;
   }
 }
 
-std::vector<Scarcity> scarcity(const std::vector<GroupView>& views) {
-  constexpr double full = 0.95;  // of a window
-  std::vector<Scarcity> all;
-  for (const auto& v : views) {
-    const auto tight = [](int waiting, int in_flight, double window) {
-      return waiting > 0 || (window > 0 && in_flight >= full * window);
+std::vector<ResourceLoad> resource_loads(const std::vector<GroupView>& views) {
+  std::vector<ResourceLoad> loads;
+  for (const auto& view : views) {
+    const auto contended = [](int waiting, int in_flight, double concurrency_limit) {
+      return waiting > 0 || (concurrency_limit > 0 && in_flight >= full_share * concurrency_limit);
     };
-    all.push_back(
-        {v.group, true, tight(v.primary_waiting, v.primary_in_flight, v.primary_concurrency_limit)});
-    all.push_back({v.group, false,
-                   tight(v.waiting - v.primary_waiting, v.in_flight - v.primary_in_flight,
-                         v.concurrency_limit - v.primary_concurrency_limit)});
+    loads.push_back(
+        {view.group, true,
+         contended(view.primary_waiting, view.primary_in_flight, view.primary_concurrency_limit)});
+    loads.push_back({view.group, false,
+                     contended(view.waiting - view.primary_waiting, view.in_flight - view.primary_in_flight,
+                               view.concurrency_limit - view.primary_concurrency_limit)});
   }
-  return all;
+  return loads;
 }
 
-void Contracts::step(Time now, const std::vector<Scarcity>& scarce, std::vector<Breach>& out,
-                     std::vector<Closed>* closed) {
-  if (!begun_) begun_ = true, stepped_ = window_from_ = now;
-  now = std::max(now, stepped_);
-  const double passed = seconds(now - stepped_);
-  stepped_ = now;
+void Contracts::step(Time now, const std::vector<ResourceLoad>& loads, std::vector<Breach>& breaches,
+                     std::vector<ClosedWindow>* closed_windows) {
+  if (!started_) {
+    started_ = true;
+    window_start_ = now;
+    last_step_ = now;
+  }
+  now = std::max(now, last_step_);
+  const double passed = seconds(now - last_step_);
+  last_step_ = now;
   if (passed > 0) {
-    const double keep = std::exp(-passed / flow_memory);
-    // A gateway's part: even, until more than that arrives here for a while. It cannot know what arrives
-    // elsewhere, so it never holds more than `part_most` even parts: all gateways together overshoot by that
-    // factor at the worst.
-    const double even = 1.0 / std::max(1U, config_.gateways), most = std::min(1.0, even * config_.part_most);
-    const double move = 1 - std::exp(-passed / std::max(0.1, seconds(config_.part_memory)));
+    const double decay = std::exp(-passed / flow_memory);
+    // A gateway's share of a team's rates is even until more than that arrives here for a while. A gateway
+    // does not know what arrives at the others, so its share never exceeds `max_share_multiple` even shares:
+    // all gateways together exceed the contract by at most that factor.
+    const double even_share = 1.0 / std::max(1U, config_.gateways);
+    const double max_share = std::min(1.0, even_share * config_.max_share_multiple);
+    const double gain =
+        1 - std::exp(-passed / std::max(min_share_time_constant, seconds(config_.share_time_constant)));
     for (std::size_t t = 0; t < teams_.size(); ++t) {
-      double asked = 0, promised = 0;
+      double demanded_cost = 0;
+      double promised_cost = 0;
       for (std::size_t c = 0; c < service_.classes.size(); ++c) {
-        auto& cell = at(t, c);
-        cell.demand *= keep;
-        if (const auto* terms = this->terms(t, c, closure_))
-          asked += cell.demand * costs_[c], promised += terms->rate * costs_[c];
+        auto& cell = cell_at(t, c);
+        cell.demand *= decay;
+        if (const auto* terms = terms_of(t, c, closure_)) {
+          demanded_cost += cell.demand * costs_[c];
+          promised_cost += terms->rate * costs_[c];
+        }
       }
-      const double wanted = promised > 0 ? std::clamp(asked / flow_memory / promised, even, most) : even;
-      teams_[t].part += (wanted - teams_[t].part) * move;
+      const double target =
+          promised_cost > 0 ? std::clamp(demanded_cost / flow_memory / promised_cost, even_share, max_share)
+                            : even_share;
+      teams_[t].gateway_share += (target - teams_[t].gateway_share) * gain;
     }
-    share(now, scarce);
+    allocate_resources(now, loads);
     for (auto it = flows_.begin(); it != flows_.end();) {
-      it->second.within *= keep, it->second.beyond *= keep;
-      it = now - it->second.used > flow_kept ? flows_.erase(it) : std::next(it);
+      it->second.demand_within *= decay;
+      it->second.demand_beyond *= decay;
+      it = now - it->second.last_used > flow_retention ? flows_.erase(it) : std::next(it);
     }
-    for (auto& [key, r] : resources_) r.served *= keep;
+    for (auto& [key, resource] : resources_) resource.served *= decay;
   }
-  set_rates(now);
-  if (stage_ != handover::HandoverStage::outgoing && now - window_from_ >= config_.window)
-    close_window(now, out, closed);
+  update_rates(now);
+  if (stage_ != handover::HandoverStage::outgoing && now - window_start_ >= config_.window)
+    close_window(now, breaches, closed_windows);
 }
 
-/// Weighted max-min over teams: first what is within contracts, then, of what that leaves, what is beyond.
-void Contracts::share(Time now, const std::vector<Scarcity>& scarce) {
-  std::map<std::pair<std::int64_t, bool>, std::vector<std::pair<Flow*, std::int32_t>>> by_resource;
-  for (auto& [key, f] : flows_) by_resource[{key.group, key.primary}].emplace_back(&f, key.team);
-  for (const auto& s : scarce) {
-    auto& r = resources_[{s.group.value, s.primary}];
-    auto& flows = by_resource[{s.group.value, s.primary}];
+/// Weighted max-min fairness over teams: first for demand within contracts, then, out of what is lent, for
+/// demand beyond them.
+void Contracts::allocate_resources(Time now, const std::vector<ResourceLoad>& loads) {
+  std::map<std::pair<std::int64_t, bool>, std::vector<std::pair<Flow*, std::int32_t>>> flows_by_resource;
+  for (auto& [key, flow] : flows_) flows_by_resource[{key.group, key.primary}].emplace_back(&flow, key.team);
+  for (const auto& load : loads) {
+    auto& resource = resources_[{load.group.value, load.primary}];
+    auto& flows = flows_by_resource[{load.group.value, load.primary}];
     std::sort(flows.begin(), flows.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
-    const double served = r.served / flow_memory;
-    // Work that was let through and that the router turned away, or windows that are full: more is let
-    // through than there is. What is lent goes first, by half at each step, and comes back slowly; only once
-    // next to nothing is lent is what was promised shared out: a little more than comes back served, cut
-    // where the router turns work away.
-    const bool refused = std::exchange(r.refused, 0) > 0, trouble = refused || s.contended;
-    double within = 0, beyond = 0;
-    for (const auto& [f, team] : flows) within += f->within / flow_memory, beyond += f->beyond / flow_memory;
-    const bool lending = (r.lend < 0 ? beyond : std::min(r.lend, beyond)) > lent_least * served;
-    if (trouble) {
-      r.last_contended = now;
-      r.lend = (r.lend < 0 ? beyond : std::min(r.lend, beyond)) / 2;
-    } else if (r.lend >= 0) {
-      r.lend = r.lend * lend_growth + served * lent_least / 10;
-      if (now - r.last_contended > eased && beyond < r.lend) r.lend = -1;
+    const double served = resource.served / flow_memory;
+    // Admitted requests that the router refuses, or a full concurrency limit, show that more is admitted than
+    // the resource can serve. Lending is cut first, by half at each step, and recovers slowly. Only once next
+    // to nothing is lent is the capacity for demand within contracts limited: to a little more than the
+    // resource serves, and less while the router refuses requests.
+    const bool refused = std::exchange(resource.router_refusals, 0) > 0;
+    const bool overloaded = refused || load.contended;
+    double demand_within = 0;
+    double demand_beyond = 0;
+    for (const auto& [flow, team] : flows) {
+      demand_within += flow->demand_within / flow_memory;
+      demand_beyond += flow->demand_beyond / flow_memory;
+    }
+    const bool lending = (resource.lend < 0 ? demand_beyond : std::min(resource.lend, demand_beyond)) >
+                         min_lend_share * served;
+    if (overloaded) {
+      resource.last_contended = now;
+      resource.lend = (resource.lend < 0 ? demand_beyond : std::min(resource.lend, demand_beyond)) * lend_cut;
+    } else if (resource.lend >= 0) {
+      resource.lend = resource.lend * lend_growth + served * min_lend_share / lend_restart_ratio;
+      if (now - resource.last_contended > relief_period && demand_beyond < resource.lend) resource.lend = -1;
     }
-    if (trouble && !lending) {
-      if (r.capacity < 0)
-        r.capacity = std::max(1.0, served * headroom);
+    if (overloaded && !lending) {
+      if (resource.capacity < 0)
+        resource.capacity = std::max(min_capacity, served * headroom);
       else if (refused)
-        r.capacity = std::max({1.0, served, r.capacity * cut});
+        resource.capacity = std::max({min_capacity, served, resource.capacity * capacity_cut});
       else
-        r.capacity = std::max(r.capacity, served);
-    } else if (r.capacity >= 0) {
-      r.capacity *= growth;
-      if (now - r.last_contended > eased && within < r.capacity) r.capacity = -1;
+        resource.capacity = std::max(resource.capacity, served);
+    } else if (resource.capacity >= 0) {
+      resource.capacity *= capacity_growth;
+      if (now - resource.last_contended > relief_period && demand_within < resource.capacity)
+        resource.capacity = -1;
     }
     std::vector<Claim> claims;
-    for (const auto& [f, team] : flows) {
+    for (const auto& [flow, team] : flows) {
       double weight = 0;
       for (std::size_t c = 0; c < service_.classes.size(); ++c)
-        if (needs_primary(c) == s.primary)
-          if (const auto* terms = this->terms(static_cast<std::size_t>(team), c, closure_))
+        if (needs_primary(c) == load.primary)
+          if (const auto* terms = terms_of(static_cast<std::size_t>(team), c, closure_))
             weight = std::max(weight, terms->weight);
-      claims.push_back({f->within / flow_memory, weight > 0 ? weight : 1, 0});
+      claims.push_back({flow->demand_within / flow_memory, weight > 0 ? weight : 1, 0});
     }
-    const auto limit = [&](double capacity, double Flow::*may) {
-      if (capacity >= 0) share_out(claims, capacity);
+    const auto set_limits = [&](double capacity, double Flow::*limit) {
+      if (capacity >= 0) allocate_max_min(claims, capacity);
       for (std::size_t i = 0; i < flows.size(); ++i)
-        flows[i].first->*may = capacity < 0 || claims[i].share >= claims[i].demand ? -1 : claims[i].share;
+        flows[i].first->*limit = capacity < 0 || claims[i].share >= claims[i].demand ? -1 : claims[i].share;
     };
-    limit(r.capacity, &Flow::may_within);
-    for (std::size_t i = 0; i < flows.size(); ++i) claims[i].demand = flows[i].first->beyond / flow_memory;
-    limit(r.lend, &Flow::may_beyond);
+    set_limits(resource.capacity, &Flow::limit_within);
+    for (std::size_t i = 0; i < flows.size(); ++i)
+      claims[i].demand = flows[i].first->demand_beyond / flow_memory;
+    set_limits(resource.lend, &Flow::limit_beyond);
   }
 }
 
-void Contracts::close_window(Time now, std::vector<Breach>& out, std::vector<Closed>* closed) {
+void Contracts::close_window(Time now, std::vector<Breach>& breaches,
+                             std::vector<ClosedWindow>* closed_windows) {
   for (std::size_t t = 0; t < teams_.size(); ++t)
     for (std::size_t c = 0; c < service_.classes.size(); ++c) {
-      if (!at(t, c).book) continue;
-      auto& book = *at(t, c).book;
-      if (const auto* terms = this->terms(t, c, closure_)) {
-        if (book.now.beyond > 0)
-          out.push_back({t, c, Side::team, window_from_, now, book.now.beyond, terms->rate * teams_[t].part,
-                         static_cast<double>(book.now.asked) / std::max(0.001, seconds(now - window_from_)),
-                         closure_});
-        const auto ended = book.now.within_ended;
-        const double got =
-            ended > 0 ? static_cast<double>(book.now.within_in_time) / static_cast<double>(ended) : 1;
-        if (got < terms->share)
-          out.push_back({t, c, Side::gateway, window_from_, now, ended - book.now.within_in_time,
-                         terms->share, got, closure_});
+      if (!cell_at(t, c).records) continue;
+      auto& records = *cell_at(t, c).records;
+      auto& current = records.current;
+      if (const auto* terms = terms_of(t, c, closure_)) {
+        const double window_seconds = std::max(min_window_seconds, seconds(now - window_start_));
+        if (current.beyond > 0)
+          breaches.push_back({t, c, Side::team, window_start_, now, current.beyond,
+                              terms->rate * teams_[t].gateway_share,
+                              static_cast<double>(current.asked) / window_seconds, closure_});
+        const auto ended = current.within_ended;
+        const double in_time_share =
+            ended > 0 ? static_cast<double>(current.within_in_time) / static_cast<double>(ended) : 1;
+        if (in_time_share < terms->in_time_share)
+          breaches.push_back({t, c, Side::gateway, window_start_, now, ended - current.within_in_time,
+                              terms->in_time_share, in_time_share, closure_});
       }
-      if (closed && book.now.asked > 0)
-        closed->push_back(
-            {t, c, window_from_, now, book.now, book.times.quantile(0.5), book.times.quantile(0.99)});
-      book.before += book.now;
-      book.now = {};
+      if (closed_windows && current.asked > 0)
+        closed_windows->push_back(
+            {t, c, window_start_, now, current, records.times.quantile(0.5), records.times.quantile(0.99)});
+      records.previous += current;
+      current = {};
     }
-  window_from_ = now;
+  window_start_ = now;
 }
 
 std::optional<ConfigIssue> find_config_issue(const Config& config, const ServiceInfo& service) {
   std::vector<std::int32_t> owner(service.tenants, -1);
   for (std::size_t t = 0; t < config.teams.size(); ++t) {
-    const auto at = "/teams/" + std::to_string(t);
+    const auto path = "/teams/" + std::to_string(t);
     const auto& team = config.teams[t];
-    for (std::size_t o = 0; o < t; ++o)
-      if (config.teams[o].name == team.name) return ConfigIssue{at + "/name", "taken by another team"};
+    for (std::size_t other = 0; other < t; ++other)
+      if (config.teams[other].name == team.name) return ConfigIssue{path + "/name", "taken by another team"};
     for (const auto tenant : team.tenants) {
       if (tenant < 0 || static_cast<std::size_t>(tenant) >= owner.size())
-        return ConfigIssue{at + "/tenants", "no such tenant"};
+        return ConfigIssue{path + "/tenants", "no such tenant"};
       if (owner[static_cast<std::size_t>(tenant)] >= 0)
-        return ConfigIssue{at + "/tenants", "a tenant of two teams"};
+        return ConfigIssue{path + "/tenants", "a tenant of two teams"};
       owner[static_cast<std::size_t>(tenant)] = static_cast<std::int32_t>(t);
     }
     if (team.classes.size() != service.classes.size())
-      return ConfigIssue{at + "/classes", "not one entry a class"};
-    for (const auto& c : team.classes)
-      if (c)
-        for (const auto* terms : {&c->usual, c->closure ? &*c->closure : &c->usual})
+      return ConfigIssue{path + "/classes", "expected one entry for each class"};
+    for (const auto& class_terms : team.classes)
+      if (class_terms)
+        for (const auto* terms :
+             {&class_terms->usual, class_terms->closure ? &*class_terms->closure : &class_terms->usual})
           if (!(terms->rate >= 0) || !(terms->burst >= 1) || !(terms->weight > 0) ||
-              !(terms->share > 0 && terms->share <= 1))
-            return ConfigIssue{at + "/classes",
+              !(terms->in_time_share > 0 && terms->in_time_share <= 1))
+            return ConfigIssue{path + "/classes",
                                "rate from 0, burst from 1, weight above 0, share above 0 and at most 1"};
   }
   for (std::size_t i = 0; i < config.closures.size(); ++i)
--- a/src/contracts/contracts.h
+++ b/src/contracts/contracts.h
@@ -1,5 +1,6 @@
-// Contracts between teams, enforced: the gate that keeps each team to its terms, shares out what is scarce,
-// and books what became of every request. A state machine: requests and times in, verdicts out.
+// Enforcement of contracts between teams: a gate that limits each team to its contracted rates, divides
+// contended resources fairly and records how every request ended. A state machine without I/O: requests and
+// times come in, verdicts go out.
 #pragma once
 
 #include <cstdint>
@@ -22,161 +23,178 @@
 
 using gates::ServiceInfo;
 
-/// What a group's primary, or its replicas together, can bear just now.
-struct Scarcity {
+/// The load of one resource: a group's primary, or its replicas together.
+struct ResourceLoad {
   GroupId group;
   bool primary = false;
-  bool contended = false;  // its windows are full, or requests wait for it
+  bool contended = false;  // its concurrency limit is reached, or requests wait for it
 };
 
-/// What a router's view says of it.
-std::vector<Scarcity> scarcity(const std::vector<GroupView>& views);
+/// Derives the load of each resource from a router's view of its groups.
+std::vector<ResourceLoad> resource_loads(const std::vector<GroupView>& views);
 
+/// The gate of one gateway process. Not thread-safe.
 class Contracts : public gates::Gate {
  public:
   Contracts(Config config, ServiceInfo service);
 
-  gates::Verdict admit(const gates::GateRequest& ask, Time now) override;
-  void on_request_end(const gates::GateRequest& ask, const gates::RequestResult& ending, Time now) override;
-  /// Whether the team may have a further attempt made for this request; the first is free.
-  bool may_retry(const gates::GateRequest& ask, Time now) override;
+  gates::Verdict admit(const gates::GateRequest& request, Time now) override;
+  void on_request_end(const gates::GateRequest& request, const gates::RequestResult& result,
+                      Time now) override;
+  /// Whether the team's retry budget allows another attempt for this request. The first attempt is free.
+  bool may_retry(const gates::GateRequest& request, Time now) override;
 
-  /// Shares out what is scarce, moves this gateway's parts and closes windows. To be called every 100 ms.
-  /// Windows that close are appended to `closed` where that is wanted.
-  void step(Time now, const std::vector<Scarcity>& scarce, std::vector<Breach>& out,
-            std::vector<Closed>* closed = nullptr);
+  /// Allocates contended resources, adjusts this gateway's shares and closes windows. To be called every
+  /// 100 ms. Appends breaches to `breaches` and, unless null, closed windows to `closed_windows`.
+  void step(Time now, const std::vector<ResourceLoad>& loads, std::vector<Breach>& breaches,
+            std::vector<ClosedWindow>* closed_windows = nullptr);
 
-  /// Other terms from now on. Buckets and windows of teams that keep their name carry over.
+  /// Replaces the configuration. Teams that keep their name keep their limiters and windows.
   void reload(Config config, Time now);
 
-  // Two processes of one gateway, see handover/budget_share.h.
-  /// Another process begins: its part of what may be spent, and all that has been booked; what is booked here
-  /// from now on begins at nothing, and no window closes here.
+  // The hand-over between two processes of one gateway, see handover/budget_share.h.
+  /// Called in the outgoing process. Returns the successor's share of the budgets and all recorded counts;
+  /// records in this process start again at zero, and no window closes here.
   Snapshot split(Time now);
-  /// This process begins beside another that has not told yet: nothing may be spent.
-  void follow(Time now);
-  /// It does not tell: this process has its part from here on, and nothing is saved.
-  void unheard(Time now);
-  /// What that one tells at its split.
-  void restore(const Snapshot& told, Time now);
-  /// Adds what another has booked.
-  void book(const Snapshot& told);
-  /// What has been booked since the split, for the one that stays.
-  [[nodiscard]] Snapshot booked() const;
-  /// No other spends any more: rates are whole, what the other had left is not taken.
-  void alone(Time now);
-
-  /// Other closures, in order and apart.
+  /// Called in a new process that has not received a snapshot yet: nothing may be spent.
+  void suspend_spending(Time now);
+  /// Called if no snapshot arrives: this process spends its own share, with no burst saved up.
+  void assume_own_share(Time now);
+  /// Takes over the state in a snapshot returned by the other process's `split`.
+  void restore(const Snapshot& snapshot, Time now);
+  /// Adds the counts recorded by another process.
+  void merge_records(const Snapshot& snapshot);
+  /// The counts recorded since the split, for the process that continues.
+  [[nodiscard]] Snapshot recorded() const;
+  /// Called when no other process spends any more: rates apply in full; the burst that the other process had
+  /// left is not taken over.
+  void resume_full_spending(Time now);
+
+  /// Replaces the closures. They must be in order and must not overlap.
   void set_closures(std::vector<ClosureWindow> closures) { config_.closures = std::move(closures); }
 
   [[nodiscard]] const Config& config() const { return config_; }
-  [[nodiscard]] bool closure(Time now) const;
-  /// The team of a tenant; -1: none.
+  /// Whether `now` lies in a closure window.
+  [[nodiscard]] bool in_closure(Time now) const;
+  /// The index of a tenant's team; -1 if it has none.
   [[nodiscard]] std::int32_t team_of(std::int32_t tenant) const;
-  /// The present window's entry, and all windows together.
-  [[nodiscard]] const Entry& entry(std::size_t team, std::size_t cls) const { return booked(team, cls).now; }
-  [[nodiscard]] Entry total(std::size_t team, std::size_t cls) const;
-  [[nodiscard]] const AnswerTimes& times(std::size_t team, std::size_t cls) const {
-    return booked(team, cls).times;
+  /// The entry of the open window.
+  [[nodiscard]] const LedgerEntry& entry(std::size_t team, std::size_t class_index) const {
+    return records_at(team, class_index).current;
   }
-  /// This gateway's part of the team's rates, 0 to 1.
-  [[nodiscard]] double part(std::size_t team) const { return teams_[team].part; }
-  /// What a request of the class costs the hosts, in milliseconds, as learnt from answers.
-  [[nodiscard]] double cost(std::size_t cls) const { return costs_[cls]; }
-  [[nodiscard]] std::size_t held() const { return open_.size() + flows_.size(); }
+  /// The sum over all windows.
+  [[nodiscard]] LedgerEntry total(std::size_t team, std::size_t class_index) const;
+  [[nodiscard]] const AnswerTimes& times(std::size_t team, std::size_t class_index) const {
+    return records_at(team, class_index).times;
+  }
+  /// This gateway's share of the team's rates, 0 to 1.
+  [[nodiscard]] double gateway_share(std::size_t team) const { return teams_[team].gateway_share; }
+  /// The cost of a request of the class in milliseconds of host work, learnt from answers.
+  [[nodiscard]] double cost(std::size_t class_index) const { return costs_[class_index]; }
+  /// The number of open requests and flows in memory.
+  [[nodiscard]] std::size_t entry_count() const { return open_requests_.size() + flows_.size(); }
 
  private:
-  struct Book {
-    Entry now, before;  // the window that is open; those that are closed, added up
+  struct Records {
+    LedgerEntry current;   // of the open window
+    LedgerEntry previous;  // sum of the closed windows
     AnswerTimes times;
   };
+  /// The state of one team and class.
   struct Cell {
-    Gcra bucket;
+    Gcra limiter;
     Rate rate;
-    double share = 1;            // of both, that this process may spend
-    double demand = 0;           // requests a second that arrive here, smoothed
-    std::unique_ptr<Book> book;  // from its first request on: of many teams most are idle
+    double share = 1;                  // of the rate and its burst that this process may spend
+    double demand = 0;                 // requests a second that arrive here, decaying
+    std::unique_ptr<Records> records;  // created by the first request: most of many teams are idle
   };
-  [[nodiscard]] static Book& book(Cell& cell) {
-    if (!cell.book) cell.book = std::make_unique<Book>();
-    return *cell.book;
+  [[nodiscard]] static Records& records_of(Cell& cell) {
+    if (!cell.records) cell.records = std::make_unique<Records>();
+    return *cell.records;
   }
-  /// What is booked; an empty one where nothing is.
-  [[nodiscard]] const Book& booked(std::size_t team, std::size_t cls) const {
-    static const Book none;
-    const auto& cell = at(team, cls);
-    return cell.book ? *cell.book : none;
+  /// The records of a team and class; empty ones if there are none.
+  [[nodiscard]] const Records& records_at(std::size_t team, std::size_t class_index) const {
+    static const Records none;
+    const auto& cell = cell_at(team, class_index);
+    return cell.records ? *cell.records : none;
   }
   struct TeamState {
-    double part = 1;
-    Gcra retries;
+    double gateway_share = 1;
+    Gcra retry_limiter;
   };
-  /// One team's use of one scarce resource; kept while it is used.
+  /// One team's use of one resource. Removed after a period without use.
   struct Flow {
-    double within = 0, beyond = 0;            // cost asked for, fading
-    double may_within = -1, may_beyond = -1;  // cost a second; below zero: no limit
-    Gcra within_bucket, beyond_bucket;
-    Time used{};
+    double demand_within = 0;  // cost requested within the contract, decaying
+    double demand_beyond = 0;  // cost requested beyond the contract, decaying
+    double limit_within = -1;  // cost a second; below zero: no limit
+    double limit_beyond = -1;  // cost a second; below zero: no limit
+    Gcra limiter_within;
+    Gcra limiter_beyond;
+    Time last_used{};
   };
   struct FlowKey {
     std::int64_t group;
     std::int32_t team;
     bool primary;
-    bool operator==(const FlowKey& o) const {
-      return group == o.group && team == o.team && primary == o.primary;
+    bool operator==(const FlowKey& other) const {
+      return group == other.group && team == other.team && primary == other.primary;
     }
   };
   struct FlowHash {
-    std::size_t operator()(const FlowKey& k) const;
+    std::size_t operator()(const FlowKey& key) const;
   };
   struct Resource {
-    double served = 0;     // cost a second that came back served, smoothed
-    double capacity = -1;  // cost a second shared out within contracts; below zero: no limit
-    double lend = -1;      // cost a second shared out beyond them; below zero: no limit
+    double served = 0;     // cost of served requests, decaying
+    double capacity = -1;  // cost a second allocated within contracts; below zero: no limit
+    double lend = -1;      // cost a second allocated beyond contracts; below zero: no limit
     Time last_contended{};
-    int refused = 0;  // by the router, since the last step
+    int router_refusals = 0;  // since the last step
   };
-  struct Open {
-    double cost;
+  struct OpenRequest {
+    double cost;  // charged on admission
     bool beyond;
   };
-  [[nodiscard]] Cell& at(std::size_t team, std::size_t cls) {
-    return cells_[team * service_.classes.size() + cls];
+  [[nodiscard]] Cell& cell_at(std::size_t team, std::size_t class_index) {
+    return cells_[team * service_.classes.size() + class_index];
   }
-  [[nodiscard]] const Cell& at(std::size_t team, std::size_t cls) const {
-    return cells_[team * service_.classes.size() + cls];
+  [[nodiscard]] const Cell& cell_at(std::size_t team, std::size_t class_index) const {
+    return cells_[team * service_.classes.size() + class_index];
   }
-  [[nodiscard]] const Terms* terms(std::size_t team, std::size_t cls, bool closure) const;
-  [[nodiscard]] bool needs_primary(std::size_t cls) const;
-  void set_rates(Time now);
-  [[nodiscard]] Rate rate_of(std::size_t team, std::size_t cls, double share) const;
+  /// The terms in force; null if the team and class have none.
+  [[nodiscard]] const Terms* terms_of(std::size_t team, std::size_t class_index, bool closure) const;
+  [[nodiscard]] bool needs_primary(std::size_t class_index) const;
+  void update_rates(Time now);
+  [[nodiscard]] Rate rate_of(std::size_t team, std::size_t class_index, double share) const;
   [[nodiscard]] Rate retry_rate(std::size_t team, handover::HandoverStage stage) const;
-  [[nodiscard]] double burst(std::size_t team, std::size_t cls) const;
-  [[nodiscard]] CellSnapshot counts(std::size_t team, std::size_t cls) const;
-  void share(Time now, const std::vector<Scarcity>& scarce);
-  void close_window(Time now, std::vector<Breach>& out, std::vector<Closed>* closed);
-  gates::Verdict refuse(gates::Reason why, Duration wait);
+  [[nodiscard]] double burst_of(std::size_t team, std::size_t class_index) const;
+  [[nodiscard]] CellSnapshot cell_counts(std::size_t team, std::size_t class_index) const;
+  void allocate_resources(Time now, const std::vector<ResourceLoad>& loads);
+  void close_window(Time now, std::vector<Breach>& breaches, std::vector<ClosedWindow>* closed_windows);
+  gates::Verdict refuse(gates::Reason reason, Duration wait);
 
   Config config_;
   ServiceInfo service_;
-  std::vector<std::int32_t> team_of_;
+  std::vector<std::int32_t> team_of_tenant_;
   std::vector<TeamState> teams_;
   std::vector<Cell> cells_;
-  std::vector<double> costs_;
+  std::vector<double> costs_;  // by class, milliseconds
   std::unordered_map<FlowKey, Flow, FlowHash> flows_;
-  std::map<std::pair<std::int64_t, bool>, Resource> resources_;
-  std::unordered_map<std::uint64_t, Open> open_;  // by request: what it was charged
+  std::map<std::pair<std::int64_t, bool>, Resource> resources_;   // by group and whether it is the primary
+  std::unordered_map<std::uint64_t, OpenRequest> open_requests_;  // by request id
   handover::HandoverStage stage_ = handover::HandoverStage::single;
   bool closure_ = false;
-  Time stepped_{}, window_from_{};
-  bool begun_ = false;
+  Time last_step_{};
+  Time window_start_{};
+  bool started_ = false;
   pcg32 random_;
 };
 
-/// What cannot be meant: where (a path below the section) and what.
+/// An invalid configuration value.
 struct ConfigIssue {
-  std::string where, what;
+  std::string path;     // JSON pointer below the section
+  std::string problem;  // message for operators
 };
+/// The first issue of a configuration, if any.
 std::optional<ConfigIssue> find_config_issue(const Config& config, const ServiceInfo& service);
 
 }  // namespace cedarring::contracts
--- a/src/contracts/fair_share.h
+++ b/src/contracts/fair_share.h
@@ -1,5 +1,5 @@
-// Weighted max-min fairness (Bertsekas and Gallager, Data Networks, 6.5.2): nobody gets more than it asks
-// for, and what one leaves is shared among the others by weight.
+// Weighted max-min fairness (Bertsekas and Gallager, Data Networks, 6.5.2): no claim receives more than its
+// demand, and capacity that one claim leaves unused is divided among the others by weight.
 #pragma once
 
 #include <algorithm>
@@ -9,28 +9,30 @@
 
 namespace cedarring::contracts {
 
+/// One participant in a division of capacity. Demand, share and capacity use the same unit.
 struct Claim {
-  double demand = 0;
+  double demand = 0;  // zero or more
   double weight = 1;  // above zero
-  double share = 0;   // what it gets
+  double share = 0;   // result: the capacity allocated to this claim
 };
 
-/// Fills in the shares of `capacity`; returns what is left. Demands and capacity of zero or more, in one
-/// unit.
-inline double share_out(std::vector<Claim>& claims, double capacity) {
+/// Sets the share of each claim to its weighted max-min fair part of `capacity` (zero or more). Returns the
+/// capacity that no claim demands.
+inline double allocate_max_min(std::vector<Claim>& claims, double capacity) {
   std::vector<std::size_t> order(claims.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
-  // By demand over weight: whoever is satisfied first frees its rest for those behind.
+  // In order of demand over weight: each satisfied claim frees its surplus for the claims after it.
   std::sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
     return claims[a].demand * claims[b].weight < claims[b].demand * claims[a].weight;
   });
-  double weights = 0;
-  for (const auto& c : claims) weights += c.weight;
-  for (const auto i : order) {
-    auto& c = claims[i];
-    c.share = weights > 0 ? std::min(c.demand, capacity * c.weight / weights) : 0;
-    capacity = std::max(0.0, capacity - c.share);
-    weights -= c.weight;
+  double remaining_weight = 0;
+  for (const auto& claim : claims) remaining_weight += claim.weight;
+  for (const auto index : order) {
+    auto& claim = claims[index];
+    claim.share =
+        remaining_weight > 0 ? std::min(claim.demand, capacity * claim.weight / remaining_weight) : 0;
+    capacity = std::max(0.0, capacity - claim.share);
+    remaining_weight -= claim.weight;
   }
   return capacity;
 }
--- a/src/contracts/gcra.h
+++ b/src/contracts/gcra.h
@@ -1,5 +1,5 @@
-// The generic cell rate algorithm (ITU-T I.371): a rate with a burst, kept as one integer. No drift: what has
-// been let through in any window never exceeds rate x window + burst, however long it runs.
+// The generic cell rate algorithm (ITU-T I.371): a rate limit with a burst whose whole state is one integer.
+// Integer arithmetic avoids drift: the units admitted in any window never exceed rate x window + burst.
 #pragma once
 
 #include <algorithm>
@@ -10,78 +10,90 @@
 
 namespace cedarring::contracts {
 
-/// A rate in units a second and how many units may come at once. Time in nanoseconds since the clock's zero.
+/// A rate limit in the units of the algorithm. All values are nanoseconds.
 struct Rate {
-  std::int64_t interval = 0;   // of one unit, rounded up: never more than the rate; 0: no limit
-  std::int64_t tolerance = 0;  // by which a unit may come early
-  static constexpr std::int64_t none = INT64_MAX / 4;  // an interval that never ends: a rate of nothing
-  static constexpr double longest = 1e17;              // nanoseconds, three years: sums stay within 63 bits
+  std::int64_t interval = 0;   // per unit, rounded up so that the rate is never exceeded; 0: no limit
+  std::int64_t tolerance = 0;  // how early a unit may arrive
+  static constexpr std::int64_t never = INT64_MAX / 4;  // interval of a rate that admits nothing
+  static constexpr double max_nanoseconds = 1e17;       // three years: sums stay within 63 bits
+  static constexpr double min_per_second = 1e-6;  // a lower rate, one unit in eleven days, counts as none
+  static constexpr double nanoseconds_per_second = 1e9;
+
+  /// A rate in units per second with a burst in units.
   static Rate of(double per_second, double burst) {
-    Rate r;
-    if (!(per_second > 1e-6)) {  // less than one in eleven days is nothing
-      r.interval = none;
-      return r;
+    Rate rate;
+    if (!(per_second > min_per_second)) {
+      rate.interval = never;
+      return rate;
     }
-    r.interval = std::max<std::int64_t>(1, static_cast<std::int64_t>(std::ceil(1e9 / per_second)));
-    // A burst of one unit is what the rate itself lets through.
-    r.tolerance = static_cast<std::int64_t>(
-        std::min(longest, std::max(0.0, burst - 1) * static_cast<double>(r.interval)));
-    return r;
+    rate.interval =
+        std::max<std::int64_t>(1, static_cast<std::int64_t>(std::ceil(nanoseconds_per_second / per_second)));
+    // The rate itself admits one unit at a time, so a burst of one needs no tolerance.
+    rate.tolerance = static_cast<std::int64_t>(
+        std::min(max_nanoseconds, std::max(0.0, burst - 1) * static_cast<double>(rate.interval)));
+    return rate;
   }
 };
 
+/// The state of one limiter. The rate is passed to each call because it changes over time.
 class Gcra {
  public:
-  /// Whether `units` may come now; nothing is taken.
+  /// Whether a unit conforms now. Charges nothing.
   [[nodiscard]] bool conforms(const Rate& rate, Time now) const {
     if (rate.interval == 0) return true;
-    if (rate.interval >= Rate::none) return false;
-    return due_ - ns(now) <= rate.tolerance;
+    if (rate.interval >= Rate::never) return false;
+    return due_ - to_nanoseconds(now) <= rate.tolerance;
   }
-  /// Takes units; also where they do not conform: those after them wait the longer. The debt is bounded.
-  void take(const Rate& rate, double units, Time now) {
-    if (rate.interval == 0 || rate.interval >= Rate::none) return;
+  /// Charges `units` even if they do not conform; later units then wait longer, up to a maximum debt.
+  void charge(const Rate& rate, double units, Time now) {
+    if (rate.interval == 0 || rate.interval >= Rate::never) return;
     const auto cost = static_cast<std::int64_t>(
-        std::min(Rate::longest, std::ceil(static_cast<double>(rate.interval) * units)));
-    due_ = std::min(std::max(due_, ns(now)) + cost, ns(now) + rate.tolerance + std::max(cost, debt_most));
+        std::min(Rate::max_nanoseconds, std::ceil(static_cast<double>(rate.interval) * units)));
+    due_ = std::min(std::max(due_, to_nanoseconds(now)) + cost,
+                    to_nanoseconds(now) + rate.tolerance + std::max(cost, max_debt));
   }
-  /// Gives units back that were never used; what was saved up never exceeds the burst.
-  void give_back(const Rate& rate, double units) {
-    if (rate.interval == 0 || rate.interval >= Rate::none) return;
-    due_ -= static_cast<std::int64_t>(std::min(Rate::longest, static_cast<double>(rate.interval) * units));
+  /// Returns units that were charged and not used. The saved credit never exceeds the burst.
+  void refund(const Rate& rate, double units) {
+    if (rate.interval == 0 || rate.interval >= Rate::never) return;
+    due_ -= static_cast<std::int64_t>(
+        std::min(Rate::max_nanoseconds, static_cast<double>(rate.interval) * units));
   }
-  /// How long until a unit conforms; zero if it does now.
+  /// Time until a unit conforms; zero if one conforms now.
   [[nodiscard]] Duration wait(const Rate& rate, Time now) const {
     if (rate.interval == 0) return Duration::zero();
-    if (rate.interval >= Rate::none) return Duration::max();
-    const auto left = due_ - ns(now) - rate.tolerance;
-    return left <= 0 ? Duration::zero() : Duration((left + 999) / 1000);
+    if (rate.interval >= Rate::never) return Duration::max();
+    const auto left = due_ - to_nanoseconds(now) - rate.tolerance;
+    return left <= 0 ? Duration::zero() : Duration((left + 999) / 1000);  // microseconds, rounded up
+  }
+  /// Whether no debt is left, so that a limiter in its initial state behaves the same.
+  [[nodiscard]] bool idle(Time now) const { return due_ <= to_nanoseconds(now); }
+  /// The part of the rate that is used up, in nanoseconds. Handed to another process of this gateway.
+  [[nodiscard]] std::int64_t debt(Time now) const {
+    return std::max<std::int64_t>(0, due_ - to_nanoseconds(now));
   }
-  /// Whether nothing is owed: an entry that says so need not be kept.
-  [[nodiscard]] bool idle(Time now) const { return due_ <= ns(now); }
-  /// How much of its rate is used up, in nanoseconds: what another process of this gateway is told.
-  [[nodiscard]] std::int64_t owed(Time now) const { return std::max<std::int64_t>(0, due_ - ns(now)); }
-  void owe(std::int64_t nanoseconds, Time now) {
-    due_ = ns(now) + std::clamp<std::int64_t>(nanoseconds, 0, static_cast<std::int64_t>(Rate::longest));
+  /// Sets the debt, in nanoseconds.
+  void set_debt(std::int64_t nanoseconds, Time now) {
+    due_ = to_nanoseconds(now) +
+           std::clamp<std::int64_t>(nanoseconds, 0, static_cast<std::int64_t>(Rate::max_nanoseconds));
   }
-  /// Nothing may come before the rate has let it.
-  void spend_all(const Rate& rate, Time now) {
-    if (rate.interval == 0 || rate.interval >= Rate::none) return;
-    due_ = ns(now) + rate.tolerance + rate.interval;
+  /// Uses up the whole burst: the next unit conforms one interval from now.
+  void exhaust(const Rate& rate, Time now) {
+    if (rate.interval == 0 || rate.interval >= Rate::never) return;
+    due_ = to_nanoseconds(now) + rate.tolerance + rate.interval;
   }
-  /// From a part (0 to 1) of `whole` to the whole: the rate is whole at once, but what might have come at
-  /// once from the other part is another's and may be spent.
-  void widen(const Rate& whole, double part, Time now) {
-    if (whole.interval == 0 || whole.interval >= Rate::none) return;
-    const double burst = static_cast<double>(whole.tolerance) + static_cast<double>(whole.interval);
-    owe(static_cast<std::int64_t>((1 - part) * burst + part * static_cast<double>(owed(now))), now);
+  /// Grows from a share (0 to 1) of `full_rate` to all of it. The rate applies at once; the burst of the
+  /// other share counts as used, because another process may have spent it.
+  void grow_to(const Rate& full_rate, double share, Time now) {
+    if (full_rate.interval == 0 || full_rate.interval >= Rate::never) return;
+    const double burst = static_cast<double>(full_rate.tolerance) + static_cast<double>(full_rate.interval);
+    set_debt(static_cast<std::int64_t>((1 - share) * burst + share * static_cast<double>(debt(now))), now);
   }
 
  private:
-  static constexpr std::int64_t debt_most =
-      10'000'000'000;  // 10 s, or one unit: no correction bars anyone for longer
-  static std::int64_t ns(Time t) { return t.count() * 1000; }
-  std::int64_t due_ = 0;  // the theoretical arrival time of the next unit
+  // Nanoseconds: a correction delays later units by at most 10 s, or by one unit if that is longer.
+  static constexpr std::int64_t max_debt = 10'000'000'000;
+  static std::int64_t to_nanoseconds(Time t) { return t.count() * 1000; }
+  std::int64_t due_ = 0;  // theoretical arrival time of the next unit
 };
 
 }  // namespace cedarring::contracts
--- a/src/contracts/ledger.cpp
+++ b/src/contracts/ledger.cpp
@@ -5,60 +5,71 @@
 namespace cedarring::contracts {
 namespace {
 
-constexpr int bins = 120;
-constexpr double least_ms = 1, most_ms = 100'000;
+constexpr int bin_count = 120;
+constexpr double min_ms = 1;
+constexpr double max_ms = 100'000;
+constexpr double largest_on_axis = 0.999;  // of max_ms: the upper end itself lies outside the axis
 
 }  // namespace
 
-AnswerTimes::AnswerTimes() : bins_(std::make_tuple(Axis(bins, least_ms, most_ms))) {}
+AnswerTimes::AnswerTimes() : bins_(std::make_tuple(Axis(bin_count, min_ms, max_ms))) {}
 
 void AnswerTimes::add(Duration elapsed, std::uint64_t count) {
-  const double ms = std::clamp(static_cast<double>(elapsed.count()) / 1000, least_ms, most_ms * 0.999);
+  const double ms = std::clamp(static_cast<double>(elapsed.count()) / 1000, min_ms, max_ms * largest_on_axis);
   bins_.at(bins_.axis().index(ms)) += static_cast<std::uint32_t>(count);
 }
 
-AnswerTimes& AnswerTimes::operator+=(const AnswerTimes& o) {
-  bins_ += o.bins_;
+AnswerTimes& AnswerTimes::operator+=(const AnswerTimes& other) {
+  bins_ += other.bins_;
   return *this;
 }
 
 std::vector<std::pair<std::int32_t, std::uint32_t>> AnswerTimes::filled() const {
   std::vector<std::pair<std::int32_t, std::uint32_t>> all;
-  for (int i = 0; i < bins; ++i)
-    if (const auto n = static_cast<std::uint32_t>(bins_.at(i)); n > 0) all.emplace_back(i, n);
+  for (int i = 0; i < bin_count; ++i)
+    if (const auto count = static_cast<std::uint32_t>(bins_.at(i)); count > 0) all.emplace_back(i, count);
   return all;
 }
 
 void AnswerTimes::add(const std::vector<std::pair<std::int32_t, std::uint32_t>>& filled) {
-  for (const auto& [i, n] : filled)
-    if (i >= 0 && i < bins) bins_.at(i) += n;
+  for (const auto& [index, count] : filled)
+    if (index >= 0 && index < bin_count) bins_.at(index) += count;
 }
 
 std::uint64_t AnswerTimes::count() const {
   std::uint64_t sum = 0;
-  for (int i = 0; i < bins; ++i) sum += bins_.at(i);
+  for (int i = 0; i < bin_count; ++i) sum += bins_.at(i);
   return sum;
 }
 
 double AnswerTimes::quantile(double q) const {
-  const auto all = count();
-  if (all == 0) return 0;
-  const auto rank = static_cast<double>(all) * std::clamp(q, 0.0, 1.0);
-  std::uint64_t seen = 0;
-  for (int i = 0; i < bins; ++i) {
-    seen += bins_.at(i);
-    if (static_cast<double>(seen) >= rank && seen > 0) return bins_.axis().bin(i).upper();
+  const auto total = count();
+  if (total == 0) return 0;
+  const auto rank = static_cast<double>(total) * std::clamp(q, 0.0, 1.0);
+  std::uint64_t cumulative = 0;
+  for (int i = 0; i < bin_count; ++i) {
+    cumulative += bins_.at(i);
+    if (static_cast<double>(cumulative) >= rank && cumulative > 0) return bins_.axis().bin(i).upper();
   }
-  return most_ms;
+  return max_ms;
 }
 
-Entry& Entry::operator+=(const Entry& o) {
-  asked += o.asked, within += o.within, beyond += o.beyond;
-  in_time += o.in_time, late += o.late, failed += o.failed, left += o.left;
-  refused_contract += o.refused_contract, refused_contention += o.refused_contention;
-  refused_levels += o.refused_levels, refused_router += o.refused_router;
-  within_in_time += o.within_in_time, within_ended += o.within_ended;
-  cost += o.cost, borrowed += o.borrowed;
+LedgerEntry& LedgerEntry::operator+=(const LedgerEntry& other) {
+  asked += other.asked;
+  within += other.within;
+  beyond += other.beyond;
+  in_time += other.in_time;
+  late += other.late;
+  failed += other.failed;
+  abandoned += other.abandoned;
+  refused_contract += other.refused_contract;
+  refused_contention += other.refused_contention;
+  refused_levels += other.refused_levels;
+  refused_router += other.refused_router;
+  within_in_time += other.within_in_time;
+  within_ended += other.within_ended;
+  cost += other.cost;
+  borrowed += other.borrowed;
   return *this;
 }
 
--- a/src/contracts/ledger.h
+++ b/src/contracts/ledger.h
@@ -1,5 +1,5 @@
-// The ledger of promises: what each team has asked for in each class and what became of it, by window; and
-// who broke which promise where one was broken.
+// The ledger of contracts: per window, how many requests each team sent in each class and how they ended, and
+// which side, team or gateway, breached the contract.
 #pragma once
 
 #include <array>
@@ -14,17 +14,19 @@
 
 namespace cedarring::contracts {
 
-/// Answer times from 1 ms to 100 s on a logarithmic axis of 120 bins: a quantile read from it is off by 10%
-/// at the most (one bin is a factor of 1.10). Mergeable by adding.
+/// A histogram of answer times from 1 ms to 100 s on a logarithmic axis of 120 bins. One bin is a factor of
+/// 1.10, so a quantile is off by at most 10%. Histograms merge by addition.
 class AnswerTimes {
  public:
   AnswerTimes();
+  /// Adds `count` answers. Times outside the axis count in the first or the last bin.
   void add(Duration elapsed, std::uint64_t count = 1);
-  AnswerTimes& operator+=(const AnswerTimes& o);
-  /// The bins that hold any, and back; a bin that there is not is left out.
+  AnswerTimes& operator+=(const AnswerTimes& other);
+  /// The bins that are not empty, as pairs of index and count.
   [[nodiscard]] std::vector<std::pair<std::int32_t, std::uint32_t>> filled() const;
+  /// Adds bins as returned by `filled`. An index outside the axis is ignored.
   void add(const std::vector<std::pair<std::int32_t, std::uint32_t>>& bins);
-  /// The upper edge of the bin that holds the quantile, in milliseconds; 0 without any.
+  /// The upper edge of the bin that holds the quantile (0 to 1), in milliseconds; 0 for an empty histogram.
   [[nodiscard]] double quantile(double q) const;
   [[nodiscard]] std::uint64_t count() const;
 
@@ -35,40 +37,60 @@
   Histogram bins_;
 };
 
-/// One window of one team and class. Conservation: asked = in_time + late + refused (of all) + failed + left
-/// + open.
-struct Entry {
-  std::uint64_t asked = 0, within = 0, beyond = 0;  // asked = within + beyond
-  std::uint64_t in_time = 0, late = 0, failed = 0, left = 0;
-  std::uint64_t refused_contract = 0, refused_contention = 0, refused_levels = 0, refused_router = 0;
-  std::uint64_t within_in_time = 0,
-                within_ended = 0;  // of what was within the contract: the promise is about these
-  double cost = 0, borrowed = 0;   // in milliseconds of a host's work
+/// Counts of one team and class in one window. Invariants: asked = within + beyond, and asked = in_time +
+/// late
+/// + failed + abandoned + the four refusal counts + requests still open.
+struct LedgerEntry {
+  std::uint64_t asked = 0;   // requests that arrived
+  std::uint64_t within = 0;  // within the contract
+  std::uint64_t beyond = 0;  // beyond the contract
+  std::uint64_t in_time = 0;
+  std::uint64_t late = 0;
+  std::uint64_t failed = 0;
+  std::uint64_t abandoned = 0;  // the client left
+  std::uint64_t refused_contract = 0;
+  std::uint64_t refused_contention = 0;
+  std::uint64_t refused_levels = 0;
+  std::uint64_t refused_router = 0;
+  // The gateway's promise is judged by these two counts of requests within the contract.
+  std::uint64_t within_in_time = 0;
+  std::uint64_t within_ended = 0;
+  double cost = 0;      // milliseconds of host work
+  double borrowed = 0;  // the part of the cost that was beyond the contract
+  /// The number of requests that have ended in any way.
   [[nodiscard]] std::uint64_t ended() const {
-    return in_time + late + failed + left + refused_contract + refused_contention + refused_levels +
+    return in_time + late + failed + abandoned + refused_contract + refused_contention + refused_levels +
            refused_router;
   }
-  Entry& operator+=(const Entry& o);
+  LedgerEntry& operator+=(const LedgerEntry& other);
 };
 
-/// Whose promise was broken in a window. Never both for the same request: the team's side counts what it
-/// asked beyond its contract, the gateway's only what was within.
+/// The side that breached a contract in a window. No request counts for both: the team's side counts requests
+/// beyond the contract, the gateway's side only requests within it.
 enum class Side : std::uint8_t { team, gateway };
+
+/// A contract that was breached in one window.
 struct Breach {
-  std::size_t team = 0, cls = 0;
+  std::size_t team = 0;         // index in Config::teams
+  std::size_t class_index = 0;  // index in ServiceInfo::classes
   Side side = Side::team;
-  Time from{}, to{};
-  std::uint64_t counted = 0;     // requests that broke it
-  double promised = 0, got = 0;  // the team: units a second; the gateway: share in time
-  bool closure = false;
+  Time from{};
+  Time to{};
+  std::uint64_t request_count = 0;  // requests that caused the breach
+  double promised = 0;              // for the team: requests a second; for the gateway: share in time
+  double measured = 0;              // in the unit of `promised`
+  bool closure = false;             // the terms around a gate closure applied
 };
 
-/// A window that has closed, with what was booked in it.
-struct Closed {
-  std::size_t team = 0, cls = 0;
-  Time from{}, to{};
-  Entry entry;
-  double p50_ms = 0, p99_ms = 0;  // of all answers so far
+/// A window that has closed, with its counts.
+struct ClosedWindow {
+  std::size_t team = 0;         // index in Config::teams
+  std::size_t class_index = 0;  // index in ServiceInfo::classes
+  Time from{};
+  Time to{};
+  LedgerEntry entry;
+  double p50_ms = 0;  // of all answers since the start, not only of this window
+  double p99_ms = 0;
 };
 
 }  // namespace cedarring::contracts
--- a/src/contracts/snapshot.h
+++ b/src/contracts/snapshot.h
@@ -1,5 +1,6 @@
-// What the contracts of one process have counted and may spend, for the process that follows it. Plain
-// records; ages in place of times. See handover/json_archive.h for how they become text.
+// The counts and remaining budgets of the contracts of one process, handed to its successor. Plain data with
+// ages in place of points in time. handover/json_archive.h converts it to and from JSON; the keys below are
+// read by other versions of the program and must not change.
 #pragma once
 
 #include <cstdint>
@@ -13,70 +14,100 @@
 
 namespace cedarring::contracts {
 
+/// The state of one team and class.
 struct CellSnapshot {
-  double share = 0;       // of the bucket, for the one that is told; 0 to 1
-  std::int64_t owed = 0;  // nanoseconds of its rate that are used up
+  double share = 0;       // of the rate limit that the receiver may spend, 0 to 1
+  std::int64_t debt = 0;  // used part of the rate, nanoseconds
   double demand = 0;      // requests a second
-  Entry now, before;      // of the open window; of those that are closed
-  std::vector<std::pair<std::int32_t, std::uint32_t>> times;  // answer times, by bin
+  LedgerEntry current;    // of the open window
+  LedgerEntry previous;   // sum of the closed windows
+  std::vector<std::pair<std::int32_t, std::uint32_t>> times;  // answer times by bin
 };
 struct TeamSnapshot {
-  double part = 0;
-  std::int64_t retries_owed = 0;
+  double gateway_share = 0;     // of the team's rates, 0 to 1
+  std::int64_t retry_debt = 0;  // nanoseconds
   std::map<std::string, CellSnapshot> classes;
 };
+/// Rates of cost, in milliseconds of host work a second; capacity and lend below zero mean no limit.
 struct ResourceSnapshot {
   GroupId group;
   bool primary = false;
-  double served = 0, capacity = -1, lend = -1;
+  double served = 0;
+  double capacity = -1;
+  double lend = -1;
 };
+/// A team's decayed demand for one resource, in milliseconds of host work.
 struct FlowSnapshot {
   GroupId group;
   std::string team;
   bool primary = false;
-  double within = 0, beyond = 0;
+  double within = 0;
+  double beyond = 0;
 };
 struct Snapshot {
   std::map<std::string, TeamSnapshot> teams;  // by name
-  std::map<std::string, double> costs;        // by class
-  std::optional<Duration> window;             // how long the window has been open
+  std::map<std::string, double> costs;        // milliseconds, by class name
+  std::optional<Duration> window;             // age of the open window
   std::vector<ResourceSnapshot> resources;
   std::vector<FlowSnapshot> flows;
 };
 
 template <class Archive>
-void serialize(Archive& archive, Entry& e) {
-  archive("asked", e.asked), archive("within", e.within), archive("beyond", e.beyond);
-  archive("in_time", e.in_time), archive("late", e.late), archive("failed", e.failed),
-      archive("left", e.left);
-  archive("refused_contract", e.refused_contract), archive("refused_contention", e.refused_contention);
-  archive("refused_levels", e.refused_levels), archive("refused_router", e.refused_router);
-  archive("within_in_time", e.within_in_time), archive("within_ended", e.within_ended);
-  archive("cost", e.cost), archive("borrowed", e.borrowed);
+void serialize(Archive& archive, LedgerEntry& entry) {
+  archive("asked", entry.asked);
+  archive("within", entry.within);
+  archive("beyond", entry.beyond);
+  archive("in_time", entry.in_time);
+  archive("late", entry.late);
+  archive("failed", entry.failed);
+  archive("left", entry.abandoned);
+  archive("refused_contract", entry.refused_contract);
+  archive("refused_contention", entry.refused_contention);
+  archive("refused_levels", entry.refused_levels);
+  archive("refused_router", entry.refused_router);
+  archive("within_in_time", entry.within_in_time);
+  archive("within_ended", entry.within_ended);
+  archive("cost", entry.cost);
+  archive("borrowed", entry.borrowed);
 }
 template <class Archive>
-void serialize(Archive& archive, CellSnapshot& c) {
-  archive("share", c.share), archive("owed_ns", c.owed), archive("demand", c.demand);
-  archive("now", c.now), archive("before", c.before), archive("times", c.times);
+void serialize(Archive& archive, CellSnapshot& cell) {
+  archive("share", cell.share);
+  archive("owed_ns", cell.debt);
+  archive("demand", cell.demand);
+  archive("now", cell.current);
+  archive("before", cell.previous);
+  archive("times", cell.times);
 }
 template <class Archive>
-void serialize(Archive& archive, TeamSnapshot& t) {
-  archive("part", t.part), archive("retries_owed_ns", t.retries_owed), archive("classes", t.classes);
+void serialize(Archive& archive, TeamSnapshot& team) {
+  archive("part", team.gateway_share);
+  archive("retries_owed_ns", team.retry_debt);
+  archive("classes", team.classes);
 }
 template <class Archive>
-void serialize(Archive& archive, ResourceSnapshot& r) {
-  archive("group", r.group), archive("primary", r.primary), archive("served", r.served),
-      archive("capacity", r.capacity), archive("lend", r.lend);
+void serialize(Archive& archive, ResourceSnapshot& resource) {
+  archive("group", resource.group);
+  archive("primary", resource.primary);
+  archive("served", resource.served);
+  archive("capacity", resource.capacity);
+  archive("lend", resource.lend);
 }
 template <class Archive>
-void serialize(Archive& archive, FlowSnapshot& f) {
-  archive("group", f.group), archive("team", f.team), archive("primary", f.primary),
-      archive("within", f.within), archive("beyond", f.beyond);
+void serialize(Archive& archive, FlowSnapshot& flow) {
+  archive("group", flow.group);
+  archive("team", flow.team);
+  archive("primary", flow.primary);
+  archive("within", flow.within);
+  archive("beyond", flow.beyond);
 }
 template <class Archive>
-void serialize(Archive& archive, Snapshot& c) {
-  archive("teams", c.teams), archive("costs", c.costs), archive("window_us", c.window);
-  archive("resources", c.resources), archive("flows", c.flows);
+void serialize(Archive& archive, Snapshot& snapshot) {
+  archive("teams", snapshot.teams);
+  archive("costs", snapshot.costs);
+  archive("window_us", snapshot.window);
+  archive("resources", snapshot.resources);
+  archive("flows", snapshot.flows);
 }
 
 }  // namespace cedarring::contracts
--- a/src/contracts/terms.h
+++ b/src/contracts/terms.h
@@ -1,5 +1,5 @@
-// What is written in contracts: teams, their tenants, and for each class a rate, a burst, a wanted time and
-// what happens beyond. Plain data, read from the configuration.
+// The configuration of contracts: teams, their tenants, and for each class a rate, a burst, a latency target
+// and the policy for requests beyond the rate. Plain data, read from the configuration file.
 #pragma once
 
 #include <cstdint>
@@ -11,33 +11,35 @@
 
 namespace cedarring::contracts {
 
-enum class Beyond : std::uint8_t {
-  refuse,  // turned away at once
-  borrow,  // served from what others leave unused
+/// The policy for requests beyond the contract's rate.
+enum class BeyondPolicy : std::uint8_t {
+  refuse,  // refused at once
+  borrow,  // served from capacity that other teams leave unused
   count    // served and counted
 };
 
-/// The promise of one class to one team.
+/// The terms of one class for one team.
 struct Terms {
-  double rate = 0;      // requests a second, over all gateways
-  double burst = 1;     // requests at once
-  Duration wanted{};    // an answer within this keeps the promise
-  double share = 0.99;  // of the answers, over a window
-  double weight = 1;    // in contention; above zero
-  Beyond beyond = Beyond::borrow;
+  double rate = 0;              // requests a second, over all gateways
+  double burst = 1;             // requests at once
+  Duration latency_target{};    // an answer within this time is in time; zero: the target of the class
+  double in_time_share = 0.99;  // of the answers in a window that the gateway promises in time
+  double weight = 1;            // under contention; above zero
+  BeyondPolicy beyond = BeyondPolicy::borrow;
 };
 struct ClassTerms {
   Terms usual;
-  std::optional<Terms> closure;  // in force around a gate closure
+  std::optional<Terms> closure;  // in force around a gate closure; otherwise the usual terms apply
 };
 struct Team {
   std::string name;
-  std::vector<std::int32_t> tenants;               // indices among the service's
-  std::vector<std::optional<ClassTerms>> classes;  // by class; none: the default
+  std::vector<std::int32_t> tenants;               // indices of the service's tenants
+  std::vector<std::optional<ClassTerms>> classes;  // by class; empty: Config::default_terms
 };
-/// A time around a gate closure, lead and trail included. Unix time, from <= t < to.
+/// A period around a gate closure, lead and trail included. Unix time, from <= t < to.
 struct ClosureWindow {
-  Time from{}, to{};
+  Time from{};
+  Time to{};
 };
 
 enum class Mode : std::uint8_t { off, count, enforce };
@@ -45,13 +47,13 @@
 struct Config {
   Mode mode = Mode::off;
   std::vector<Team> teams;
-  std::optional<Terms> fallback;        // of teams and classes without a contract; none: they pass uncounted
-  std::vector<ClosureWindow> closures;  // in order, apart
+  std::optional<Terms> default_terms;   // for teams and classes without a contract; empty: no limit
+  std::vector<ClosureWindow> closures;  // in order, not overlapping
   std::uint32_t gateways = 1;
-  double part_most = 2;              // times an even part that one gateway may come to hold
-  Duration part_memory{10'000'000};  // over which its part follows what arrives
-  Duration window{300'000'000};      // of the ledger
-  double retry_share = 0.2;          // further attempts for each request, by team
+  double max_share_multiple = 2;             // largest gateway share, as a multiple of an even share
+  Duration share_time_constant{10'000'000};  // over which a gateway's share follows its arrivals
+  Duration window{300'000'000};              // length of a ledger window
+  double retry_share = 0.2;                  // retries for each request, by team
   double retry_burst = 10;
 };
 
--- a/src/tools/lab/ledger.cpp
+++ b/src/tools/lab/ledger.cpp
@@ -3,203 +3,223 @@
 #include <algorithm>
 
 namespace cedarring::lab {
+namespace {
 
-HostModel::HostModel(Timeline& timeline, Ledger& group, HostId id, const HostSpec& spec, std::string zone)
+// Numbers of jobs that never finish stay in the list of cancelled jobs: the oldest are dropped in bulk.
+constexpr std::size_t max_cancelled = 4096;
+constexpr std::ptrdiff_t cancelled_batch = 2048;
+
+}  // namespace
+
+HostModel::HostModel(Timeline& timeline, ReplicaGroup& group, HostId id, const HostSpec& spec,
+                     std::string zone)
     : timeline_(timeline),
       group_(group),
       id_(id),
       spec_(spec),
       zone_(std::move(zone)),
-      apply_free_(timeline.now()) {}
+      applier_free_at_(timeline.now()) {}
 
-/// The share of its capacity that a host has now: from the cold share evenly up to all of it.
+/// The share of its capacity that the host has now: grows linearly during the warm-up.
 double HostModel::capacity() const {
-  if (timeline_.now() >= cold_until_ || cold_for_ <= Duration::zero()) return 1;
-  const double up = 1 - static_cast<double>((cold_until_ - timeline_.now()).count()) /
-                            static_cast<double>(cold_for_.count());
-  return cold_from_ + (1 - cold_from_) * up;
+  if (timeline_.now() >= warm_at_ || warm_up_ <= Duration::zero()) return 1;
+  const double progress =
+      1 - static_cast<double>((warm_at_ - timeline_.now()).count()) / static_cast<double>(warm_up_.count());
+  return initial_capacity_ + (1 - initial_capacity_) * progress;
 }
 
-/// A primary stands at the present. A replica has the log up to what was shipped, less what it has not
-/// applied; while the group has no primary nothing is added.
+/// The primary is at the present time. A replica has the log up to what has arrived, less the writes that it
+/// has not applied. Nothing is added to the log while the group has no primary.
 Time HostModel::position() const {
   const auto now = timeline_.now();
   if (group_.primary() == this) return now;
-  const auto shipped = (group_.primary() ? now : std::min(now, group_.lost_at())) - spec_.ship;
-  for (const auto& [commit, applied] : log_)
-    if (applied > now) return std::min(shipped, commit - Duration(1));
-  return shipped;
+  const auto log_end = group_.primary() ? now : std::min(now, group_.primary_failed_at());
+  const auto received = log_end - spec_.replication_delay;
+  for (const auto& [commit, applied_at] : log_)
+    if (applied_at > now) return std::min(received, commit - Duration(1));
+  return received;
 }
 
-void HostModel::ship(Time commit) {
+void HostModel::replicate(Time commit) {
   const auto now = timeline_.now();
   while (!log_.empty() && log_.front().second <= now) log_.pop_front();
-  const auto apply =
-      Duration(static_cast<std::int64_t>(static_cast<double>(spec_.apply_write.count()) * slow_apply_));
-  apply_free_ = std::max(apply_free_, now + spec_.ship) + apply;
-  log_.emplace_back(commit, apply_free_);
+  const auto apply_time =
+      Duration(static_cast<std::int64_t>(static_cast<double>(spec_.apply_time.count()) * apply_slowdown_));
+  applier_free_at_ = std::max(applier_free_at_, now + spec_.replication_delay) + apply_time;
+  log_.emplace_back(commit, applier_free_at_);
 }
 
-AnswerMetadata HostModel::note() const {
-  AnswerMetadata n;
-  n.role = group_.primary() == this ? Role::primary : Role::replica;
-  n.position = std::chrono::floor<std::chrono::milliseconds>(position());
-  return n;
+AnswerMetadata HostModel::metadata() const {
+  AnswerMetadata result;
+  result.role = group_.primary() == this ? Role::primary : Role::replica;
+  result.position = std::chrono::floor<std::chrono::milliseconds>(position());
+  return result;
 }
 
-LoadReport HostModel::report() const {
-  LoadReport r;
-  r.role = group_.primary() == this ? Role::primary : Role::replica;
-  r.position = std::chrono::floor<std::chrono::milliseconds>(position());
-  r.queue_length = static_cast<double>(waiting_.size());
-  return r;
+LoadReport HostModel::load_report() const {
+  LoadReport report;
+  report.role = group_.primary() == this ? Role::primary : Role::replica;
+  report.position = std::chrono::floor<std::chrono::milliseconds>(position());
+  report.queue_length = static_cast<double>(queue_.size());
+  return report;
 }
 
-bool HostModel::connect(std::function<void()> up) {
-  if (spec_.connections > 0 && connections_ >= spec_.connections) return false;
+bool HostModel::connect(std::function<void()> on_connected) {
+  if (spec_.max_connections > 0 && connections_ >= spec_.max_connections) return false;
   ++connections_;
-  if (spec_.handshake <= Duration::zero()) {
-    up();
+  if (spec_.handshake_work <= Duration::zero()) {
+    on_connected();
     return true;
   }
-  // Work like any other, yet not of those that the room is for.
+  // A handshake uses a core like a request, but max_requests does not apply to it.
   Job job;
-  job.work = spec_.handshake;
-  job.done = [up = std::move(up)](Outcome outcome, const AnswerMetadata&) {
-    if (outcome == Outcome::ok) up();
+  job.work = spec_.handshake_work;
+  job.on_done = [on_connected = std::move(on_connected)](Outcome outcome, const AnswerMetadata&) {
+    if (outcome == Outcome::ok) on_connected();
   };
-  waiting_.push_back({next_++, std::move(job)});
-  next();
+  queue_.push_back({next_number_++, std::move(job)});
+  run_queued();
   return true;
 }
 
-std::uint64_t HostModel::offer(Job job) {
-  const auto answer = [&](Outcome outcome) {
-    job.done(outcome, note());
+std::uint64_t HostModel::submit(Job job) {
+  const auto refuse = [&](Outcome outcome) {
+    job.on_done(outcome, metadata());
     return std::uint64_t{0};
   };
   if (!alive_) {
-    job.done(Outcome::connect_failed, {});
+    job.on_done(Outcome::connect_failed, {});
     return 0;
   }
-  const auto number = next_++;
-  if (silent_) {
-    gone_.push_back(number);  // it may run, or not: nobody will hear of it
+  const auto number = next_number_++;
+  if (unresponsive_) {
+    cancelled_.push_back(number);  // whether it runs makes no difference: no answer is sent
     return number;
   }
-  if (draining_ || static_cast<int>(waiting_.size()) + running_ >= spec_.room) return answer(Outcome::full);
+  if (draining_ || static_cast<int>(queue_.size()) + running_ >= spec_.max_requests)
+    return refuse(Outcome::full);
   const bool primary = group_.primary() == this;
-  if (job.write && !primary) return answer(Outcome::too_stale);
+  if (job.write && !primary) return refuse(Outcome::too_stale);
   if (!primary) {
-    if (job.freshness == Freshness::fresh) return answer(Outcome::too_stale);
-    if (job.freshness == Freshness::bounded && spec_.checks && timeline_.now() - position() > job.bound)
-      return answer(Outcome::too_stale);
-    if (job.needs && spec_.checks && position() < *job.needs) return answer(Outcome::too_stale);
+    if (job.freshness == Freshness::fresh) return refuse(Outcome::too_stale);
+    if (job.freshness == Freshness::bounded && spec_.checks_staleness &&
+        timeline_.now() - position() > job.staleness_bound)
+      return refuse(Outcome::too_stale);
+    if (job.min_position && spec_.checks_staleness && position() < *job.min_position)
+      return refuse(Outcome::too_stale);
   }
-  waiting_.push_back({number, std::move(job)});
-  next();
+  queue_.push_back({number, std::move(job)});
+  run_queued();
   return number;
 }
 
-void HostModel::next() {
-  while (alive_ && !silent_ && running_ < spec_.cores && !waiting_.empty()) {
-    auto entry = std::move(waiting_.front());
-    waiting_.pop_front();
+void HostModel::run_queued() {
+  while (alive_ && !unresponsive_ && running_ < spec_.cores && !queue_.empty()) {
+    auto next = std::move(queue_.front());
+    queue_.pop_front();
     ++running_;
-    const auto took = Duration(
-        static_cast<std::int64_t>(static_cast<double>(entry.job.work.count()) / (spec_.speed * capacity())));
-    busy_ += took;
-    timeline_.after(took, [this, life = life_, number = entry.number, job = std::move(entry.job)] {
-      finished(life, number, job);
-    });
+    const auto run_time = Duration(
+        static_cast<std::int64_t>(static_cast<double>(next.job.work.count()) / (spec_.speed * capacity())));
+    busy_time_ += run_time;
+    timeline_.after(run_time, [this, process_number = process_number_, number = next.number,
+                               job = std::move(next.job)] { finish(process_number, number, job); });
   }
 }
 
-void HostModel::finished(std::uint64_t life, std::uint64_t number, const Job& job) {
-  if (life != life_) return;
+void HostModel::finish(std::uint64_t process_number, std::uint64_t number, const Job& job) {
+  if (process_number != process_number_) return;
   --running_;
-  auto n = note();
+  auto answer_metadata = metadata();
   Outcome outcome = Outcome::ok;
   if (job.write) {
     if (group_.primary() == this) {
-      n.position = std::chrono::ceil<std::chrono::milliseconds>(timeline_.now());  // a commit, rounded up
-      group_.committed(timeline_.now());
+      // The position of a commit is rounded up, so that it includes the write.
+      answer_metadata.position = std::chrono::ceil<std::chrono::milliseconds>(timeline_.now());
+      group_.replicate(timeline_.now());
     } else {
-      outcome = Outcome::error;  // it was primary when it began
+      outcome = Outcome::error;  // the host was the primary when the job began
     }
   }
-  const auto it = std::find(gone_.begin(), gone_.end(), number);
-  if (it != gone_.end())
-    gone_.erase(it);
-  else if (silent_)
-    unsaid_.emplace_back([done = job.done, n, outcome] { done(outcome, n); });
+  const auto it = std::find(cancelled_.begin(), cancelled_.end(), number);
+  if (it != cancelled_.end())
+    cancelled_.erase(it);
+  else if (unresponsive_)
+    held_answers_.emplace_back(
+        [on_done = job.on_done, answer_metadata, outcome] { on_done(outcome, answer_metadata); });
   else
-    job.done(outcome, n);
-  next();
+    job.on_done(outcome, answer_metadata);
+  run_queued();
 }
 
 void HostModel::cancel(std::uint64_t number) {
   const auto it =
-      std::find_if(waiting_.begin(), waiting_.end(), [&](const Entry& e) { return e.number == number; });
-  if (it != waiting_.end())
-    waiting_.erase(it);
+      std::find_if(queue_.begin(), queue_.end(), [&](const QueuedJob& q) { return q.number == number; });
+  if (it != queue_.end())
+    queue_.erase(it);
   else
-    gone_.push_back(number);
-  if (gone_.size() > 4096) gone_.erase(gone_.begin(), gone_.begin() + 2048);
+    cancelled_.push_back(number);
+  if (cancelled_.size() > max_cancelled)
+    cancelled_.erase(cancelled_.begin(), cancelled_.begin() + cancelled_batch);
 }
 
-void HostModel::die() {
-  ++life_;
+void HostModel::crash() {
+  ++process_number_;
   alive_ = false;
-  running_ = connections_ = 0;
-  auto lost = std::move(waiting_);
-  waiting_.clear();
-  gone_.clear();
-  for (auto& e : lost) e.job.done(Outcome::reset, {});
+  running_ = 0;
+  connections_ = 0;
+  auto lost = std::move(queue_);
+  queue_.clear();
+  cancelled_.clear();
+  for (auto& entry : lost) entry.job.on_done(Outcome::reset, {});
 }
 
-void HostModel::start(Duration cold, double share) {
-  alive_ = true, silent_ = false, draining_ = false;
-  started_ = timeline_.now();
-  cold_for_ = cold, cold_from_ = share;
-  cold_until_ = timeline_.now() + cold;
+void HostModel::start(Duration warm_up, double initial_capacity) {
+  alive_ = true;
+  unresponsive_ = false;
+  draining_ = false;
+  started_at_ = timeline_.now();
+  warm_up_ = warm_up;
+  initial_capacity_ = initial_capacity;
+  warm_at_ = timeline_.now() + warm_up;
 }
 
-void HostModel::set_silent(bool silent) {
-  silent_ = silent;
-  if (silent) return;
-  for (auto& say : std::exchange(unsaid_, {})) say();
-  next();
+void HostModel::set_unresponsive(bool unresponsive) {
+  unresponsive_ = unresponsive;
+  if (unresponsive) return;
+  for (auto& send_answer : std::exchange(held_answers_, {})) send_answer();
+  run_queued();
 }
 
-HostModel& Ledger::add(HostId id, const HostSpec& spec, std::string zone) {
+HostModel& ReplicaGroup::add(HostId id, const HostSpec& spec, std::string zone) {
   hosts_.push_back(std::make_unique<HostModel>(timeline_, *this, id, spec, std::move(zone)));
   if (!primary_) primary_ = hosts_.back().get();
   return *hosts_.back();
 }
 
-HostModel* Ledger::find(HostId id) const {
-  for (const auto& h : hosts_)
-    if (h->id() == id) return h.get();
+HostModel* ReplicaGroup::find(HostId id) const {
+  for (const auto& host : hosts_)
+    if (host->id() == id) return host.get();
   return nullptr;
 }
 
-void Ledger::committed(Time commit) {
-  for (const auto& h : hosts_)
-    if (h.get() != primary_ && h->alive()) h->ship(commit);
+void ReplicaGroup::replicate(Time commit) {
+  for (const auto& host : hosts_)
+    if (host.get() != primary_ && host->alive()) host->replicate(commit);
 }
 
-void Ledger::lose_primary(Duration takeover, const std::function<void(HostModel& next)>& told) {
-  auto* old = std::exchange(primary_, nullptr);
-  lost_at_ = timeline_.now();
-  if (old) old->die();
-  timeline_.after(takeover, [this, old, told] {
+void ReplicaGroup::fail_primary(Duration takeover,
+                                const std::function<void(HostModel& promoted)>& on_promoted) {
+  auto* failed = std::exchange(primary_, nullptr);
+  primary_failed_at_ = timeline_.now();
+  if (failed) failed->crash();
+  timeline_.after(takeover, [this, failed, on_promoted] {
     HostModel* best = nullptr;
-    for (const auto& h : hosts_)
-      if (h->alive() && h.get() != old && (!best || h->position() > best->position())) best = h.get();
+    for (const auto& host : hosts_)
+      if (host->alive() && host.get() != failed && (!best || host->position() > best->position()))
+        best = host.get();
     if (!best) return;
     primary_ = best;
-    told(*best);
+    on_promoted(*best);
   });
 }
 
--- a/src/tools/lab/ledger.h
+++ b/src/tools/lab/ledger.h
@@ -1,6 +1,6 @@
-// A model of ledger hosts: cores, a waiting room, service times, the log shipped from a primary to its
-// replicas, and what a host says of itself. Simulated time only; all randomness comes from the generator
-// handed in.
+// A model of database hosts: cores, a request queue, service times, log replication from the primary to its
+// replicas, and the metadata and load reports that a host sends. Uses simulated time only and draws no random
+// numbers.
 #pragma once
 
 #include <algorithm>
@@ -21,101 +21,117 @@
 
 struct HostSpec {
   int cores = 3;
-  int room = 24;                // requests in work and waiting; more are turned away
-  double speed = 1;             // of a core
-  Duration ship{5'000};         // until the log has come
-  Duration apply_write{4'000};  // of one write, on the one thread that applies
-  bool checks = true;    // turns away a read that it holds too little for; else answers it all the same
-  int connections = 0;   // that it holds at most; 0: any number
-  Duration handshake{};  // a core's work for each new connection
+  int max_requests = 24;              // running and queued; further requests are refused
+  double speed = 1;                   // of a core
+  Duration replication_delay{5'000};  // until the log arrives at a replica
+  Duration apply_time{4'000};         // of one write on a replica, which applies writes one by one
+  bool checks_staleness = true;       // refuses a read that it is too stale for; else answers it all the same
+  int max_connections = 0;            // 0: no limit
+  Duration handshake_work{};          // of a core for each new connection
 };
 
-/// What a host is asked to do.
+/// A request to a host.
 struct Job {
-  Duration work{};  // on a standard core
+  Duration work{};  // on a core of speed 1
   bool write = false;
   Freshness freshness = Freshness::any;
-  Duration bound{};           // of a bounded read
-  std::optional<Time> needs;  // of a session read
-  std::function<void(Outcome, AnswerMetadata)> done;
+  Duration staleness_bound{};        // of a bounded read
+  std::optional<Time> min_position;  // of a session read
+  std::function<void(Outcome, AnswerMetadata)> on_done;
 };
 
-class Ledger;
+class ReplicaGroup;
 
+/// One host. Owned by its group.
 class HostModel {
  public:
-  HostModel(Timeline& timeline, Ledger& group, HostId id, const HostSpec& spec, std::string zone);
-  /// Takes the job, or answers at once. Returns a number for `cancel`, 0 where it is over already.
-  std::uint64_t offer(Job job);
-  /// A new connection: `up` is called once its handshake is done, at once where that costs nothing. False: it
-  /// holds as many as it can.
-  bool connect(std::function<void()> up);
+  HostModel(Timeline& timeline, ReplicaGroup& group, HostId id, const HostSpec& spec, std::string zone);
+  /// Queues the job, or ends it before returning. Returns a number for `cancel`, 0 for a job that has ended.
+  std::uint64_t submit(Job job);
+  /// Opens a connection. Calls `on_connected` after the handshake, before returning if it needs no work.
+  /// Returns false if the host holds its maximum of connections.
+  bool connect(std::function<void()> on_connected);
   void disconnect() { connections_ = std::max(0, connections_ - 1); }
-  /// Drops the job if it still waits; what runs goes on, and its answer goes nowhere.
+  /// Drops a queued job. A running job continues, but its result is discarded.
   void cancel(std::uint64_t number);
-  /// The process ends: nothing answers any more, and nothing is accepted.
-  void die();
-  /// A new process, cold for `cold` from `share` of its capacity on.
-  void start(Duration cold, double share);
+  /// The process ends: queued jobs end with a reset, running jobs never answer, and new ones are refused.
+  void crash();
+  /// Starts a new process with `initial_capacity` (0 to 1), which grows evenly to 1 over `warm_up`.
+  void start(Duration warm_up, double initial_capacity);
   void set_draining(bool draining) { draining_ = draining; }
-  void set_slow_apply(double factor) { slow_apply_ = factor; }
-  void set_silent(bool silent);
+  /// Multiplies the time that a replica takes to apply a write.
+  void set_apply_slowdown(double factor) { apply_slowdown_ = factor; }
+  /// An unresponsive host accepts requests and sends no answers. The missing answers are sent when it
+  /// responds again.
+  void set_unresponsive(bool unresponsive);
   [[nodiscard]] bool alive() const { return alive_; }
-  [[nodiscard]] bool silent() const { return silent_; }
-  [[nodiscard]] AnswerMetadata note() const;
-  [[nodiscard]] LoadReport report() const;
+  [[nodiscard]] bool unresponsive() const { return unresponsive_; }
+  [[nodiscard]] AnswerMetadata metadata() const;
+  [[nodiscard]] LoadReport load_report() const;
+  /// The replication position, as the commit time up to which the host has the log applied.
   [[nodiscard]] Time position() const;
-  /// A write of the primary that its log brings here.
-  void ship(Time commit);
+  /// Receives a write of the primary by replication.
+  void replicate(Time commit);
   [[nodiscard]] HostId id() const { return id_; }
   [[nodiscard]] const std::string& zone() const { return zone_; }
   [[nodiscard]] const HostSpec& spec() const { return spec_; }
-  [[nodiscard]] Time started() const { return started_; }
-  [[nodiscard]] std::size_t waiting() const { return waiting_.size(); }
+  [[nodiscard]] Time started_at() const { return started_at_; }
+  [[nodiscard]] std::size_t queue_length() const { return queue_.size(); }
   [[nodiscard]] int running() const { return running_; }
-  [[nodiscard]] Duration busy() const { return busy_; }
+  /// The time that cores have been assigned to jobs, summed over cores.
+  [[nodiscard]] Duration busy_time() const { return busy_time_; }
 
  private:
-  struct Entry {
+  struct QueuedJob {
     std::uint64_t number;
     Job job;
   };
-  void next();
-  void finished(std::uint64_t life, std::uint64_t number, const Job& job);
+  void run_queued();
+  void finish(std::uint64_t process_number, std::uint64_t number, const Job& job);
   [[nodiscard]] double capacity() const;
   Timeline& timeline_;
-  Ledger& group_;
+  ReplicaGroup& group_;
   HostId id_;
   HostSpec spec_;
   std::string zone_;
-  std::deque<Entry> waiting_;
-  std::vector<std::uint64_t> gone_;           // running, cancelled: nobody takes their answer
-  std::deque<std::function<void()>> unsaid_;  // answers that a silent host owes
-  std::uint64_t next_ = 1, life_ = 0;
-  int running_ = 0, connections_ = 0;
-  bool alive_ = true, draining_ = false, silent_ = false;
-  double slow_apply_ = 1;
-  Time started_{}, cold_until_{};
-  Duration cold_for_{};
-  double cold_from_ = 1;
-  Duration busy_{};
-  std::deque<std::pair<Time, Time>> log_;  // commit of a write, when it will be applied
-  Time apply_free_{};
+  std::deque<QueuedJob> queue_;
+  std::vector<std::uint64_t> cancelled_;            // running jobs whose result is discarded
+  std::deque<std::function<void()>> held_answers_;  // of an unresponsive host
+  std::uint64_t next_number_ = 1;
+  std::uint64_t process_number_ = 0;  // counts crashes: results of an earlier process are dropped
+  int running_ = 0;
+  int connections_ = 0;
+  bool alive_ = true;
+  bool draining_ = false;
+  bool unresponsive_ = false;
+  double apply_slowdown_ = 1;
+  Time started_at_{};
+  Time warm_at_{};
+  Duration warm_up_{};
+  double initial_capacity_ = 1;
+  Duration busy_time_{};
+  std::deque<std::pair<Time, Time>> log_;  // by write: commit time, time at which it is applied here
+  Time applier_free_at_{};
 };
 
-/// A group: one primary and its replicas.
-class Ledger {
+/// One primary and its replicas.
+class ReplicaGroup {
  public:
-  Ledger(Timeline& timeline, GroupId id) : timeline_(timeline), id_(id) {}
+  ReplicaGroup(Timeline& timeline, GroupId id) : timeline_(timeline), id_(id) {}
+  /// Adds a host. The first one is the primary.
   HostModel& add(HostId id, const HostSpec& spec, std::string zone);
   [[nodiscard]] GroupId id() const { return id_; }
+  /// Null while the group has no primary.
   [[nodiscard]] HostModel* primary() const { return primary_; }
-  /// When the last primary was lost.
-  [[nodiscard]] Time lost_at() const { return lost_at_; }
-  /// The primary dies; after `takeover` the replica with most of the log takes over, and `told` is called.
-  void lose_primary(Duration takeover, const std::function<void(HostModel& next)>& told);
-  void committed(Time commit);
+  /// The time at which the last primary failed.
+  [[nodiscard]] Time primary_failed_at() const { return primary_failed_at_; }
+  /// Crashes the primary. After `takeover` the replica with the most advanced position is promoted and passed
+  /// to `on_promoted`.
+  void fail_primary(Duration takeover, const std::function<void(HostModel& promoted)>& on_promoted);
+  /// Replicates a write of the primary.
+  void replicate(Time commit);
   [[nodiscard]] const std::vector<std::unique_ptr<HostModel>>& hosts() const { return hosts_; }
+  /// Null if the group has no such host.
   [[nodiscard]] HostModel* find(HostId id) const;
 
  private:
@@ -123,7 +139,7 @@
   GroupId id_;
   std::vector<std::unique_ptr<HostModel>> hosts_;
   HostModel* primary_ = nullptr;
-  Time lost_at_{};
+  Time primary_failed_at_{};
 };
 
 }  // namespace cedarring::lab
--- a/src/tools/lab/main.cpp
+++ b/src/tools/lab/main.cpp
@@ -15,215 +15,260 @@
 using namespace cedarring;
 using namespace cedarring::lab;
 
-/// A mean over seeds, with half the width of its 95% confidence interval.
+constexpr double upper_quantile = 0.975;  // of a two-sided confidence interval of 95%
+
+/// A mean over seeds and half the width of its 95% confidence interval.
 struct Estimate {
-  double mean = 0, half = 0;
+  double mean = 0;
+  double half_width = 0;
 };
-Estimate estimate(const std::vector<double>& x) {
-  Estimate e;
-  for (const double v : x) e.mean += v / static_cast<double>(x.size());
-  if (x.size() < 2) return e;
+Estimate estimate(const std::vector<double>& samples) {
+  Estimate result;
+  for (const double sample : samples) result.mean += sample / static_cast<double>(samples.size());
+  if (samples.size() < 2) return result;
   double squares = 0;
-  for (const double v : x) squares += (v - e.mean) * (v - e.mean);
-  const auto n = static_cast<double>(x.size());
-  const boost::math::students_t t(n - 1);
-  e.half = boost::math::quantile(t, 0.975) * std::sqrt(squares / (n - 1) / n);
-  return e;
+  for (const double sample : samples) squares += (sample - result.mean) * (sample - result.mean);
+  const auto n = static_cast<double>(samples.size());
+  const boost::math::students_t distribution(n - 1);
+  result.half_width = boost::math::quantile(distribution, upper_quantile) * std::sqrt(squares / (n - 1) / n);
+  return result;
 }
 
-/// The runs of a scenario over seeds, on all cores; by seed, so that the order of threads changes nothing.
-std::vector<WorldResult> over_seeds(const WorldConfig& config, int seeds) {
-  std::vector<WorldResult> all(static_cast<std::size_t>(seeds));
+/// Runs a configuration with seeds 1 to `seeds` on all cores. The results are ordered by seed, so that the
+/// order in which threads finish makes no difference.
+std::vector<SimulationResult> run_seeds(const SimulationConfig& config, int seeds) {
+  std::vector<SimulationResult> results(static_cast<std::size_t>(seeds));
   std::vector<std::thread> threads;
   std::atomic<int> next{0};
   for (unsigned t = 0; t < std::max(1U, std::thread::hardware_concurrency()); ++t)
     threads.emplace_back([&] {
       for (int i = next++; i < seeds; i = next++) {
-        auto c = config;
-        c.seed = static_cast<std::uint64_t>(i) + 1;
-        all[static_cast<std::size_t>(i)] = run(c);
+        auto seeded = config;
+        seeded.seed = static_cast<std::uint64_t>(i) + 1;
+        results[static_cast<std::size_t>(i)] = simulate(seeded);
       }
     });
-  for (auto& t : threads) t.join();
-  return all;
+  for (auto& thread : threads) thread.join();
+  return results;
+}
+
+/// The number of violations of the broker's and the router's rules.
+std::uint64_t violations(const SimulationResult& result) {
+  return result.overlapping_attempts + result.excess_attempts + result.unanswered + result.late_answers;
 }
 
+/// Value and in-time shares by class, with levels off and on, for several loads and a failure of a primary.
 int levels_experiment(int seeds, int length) {
   struct Run {
     std::string name;
     double load = 1;
-    std::vector<double> factors;
-    std::vector<WorldConfig::Loss> losses;
+    std::vector<double> load_factors;
+    std::vector<SimulationConfig::PrimaryFailure> primary_failures;
   };
   std::vector<Run> runs;
   for (const double load : {0.8, 1.0, 1.3, 2.0, 3.0}) runs.push_back({"all classes", load, {}, {}});
-  for (const double f : {1.3, 2.0, 3.0})
-    runs.push_back({"reads x" + std::to_string(f).substr(0, 3), 0.8, {f, f, 1, 1}, {}});
+  for (const double factor : {1.3, 2.0, 3.0})
+    runs.push_back({"reads x" + std::to_string(factor).substr(0, 3), 0.8, {factor, factor, 1, 1}, {}});
   runs.push_back(
       {"primary lost 4 s", 0.8, {}, {{std::chrono::seconds(length / 2), 0, std::chrono::seconds(4)}}});
   std::printf("%-18s %5s  %-7s  %-16s  %-8s %-8s %-8s %-8s  %s\n", "load", "", "levels", "worth", "desk",
               "history", "gate", "bid", "rules broken, changes");
-  for (const auto& r : runs) {
-    std::vector<WorldResult> kept[2];
+  for (const auto& run : runs) {
+    std::vector<SimulationResult> results_by_mode[2];  // levels off, levels on
     for (const bool on : {false, true}) {
-      auto c = sapporo();
-      c.load = r.load;
-      c.factors = r.factors;
-      c.losses = r.losses;
-      c.length = std::chrono::seconds(length);
+      auto config = reference_deployment();
+      config.load = run.load;
+      config.load_factors = run.load_factors;
+      config.primary_failures = run.primary_failures;
+      config.duration = std::chrono::seconds(length);
       if (on) {
-        levels::ServiceInfo s;
-        for (const auto& k : c.classes) s.classes.push_back(k.contract);
-        s.tenants = c.tenants.size();
-        c.levels = levels::default_config(s);
-        c.levels->mode = levels::Mode::on;
+        levels::ServiceInfo service;
+        for (const auto& spec : config.classes) service.classes.push_back(spec.request_class);
+        service.tenants = config.tenants.size();
+        config.levels = levels::default_config(service);
+        config.levels->mode = levels::Mode::on;
       }
-      const auto all = over_seeds(c, seeds);
-      std::vector<double> worth;
-      std::vector<std::vector<double>> in_time(c.classes.size());
-      std::uint64_t broken = 0, changes = 0;
-      for (const auto& x : all) {
-        worth.push_back(x.worth_share());
-        for (std::size_t i = 0; i < in_time.size(); ++i) in_time[i].push_back(x.in_time_share(i));
-        broken += x.overlapping + x.too_many + x.unanswered + x.late_answers;
-        for (const auto& e : x.changes) changes += e.change.from != e.change.to ? 1 : 0;
+      const auto results = run_seeds(config, seeds);
+      std::vector<double> value_shares;
+      std::vector<std::vector<double>> in_time(config.classes.size());
+      std::uint64_t violation_count = 0;
+      std::uint64_t level_changes = 0;
+      for (const auto& result : results) {
+        value_shares.push_back(result.value_share());
+        for (std::size_t i = 0; i < in_time.size(); ++i) in_time[i].push_back(result.in_time_share(i));
+        violation_count += violations(result);
+        for (const auto& event : result.level_changes)
+          level_changes += event.change.from != event.change.to ? 1 : 0;
       }
-      const auto w = estimate(worth);
-      std::printf("%-18s %5.2f  %-7s  %.4f +- %.4f ", r.name.c_str(), r.load, on ? "on" : "off", w.mean,
-                  w.half);
-      for (const auto& x : in_time) std::printf(" %.4f  ", estimate(x).mean);
-      std::printf(" %llu, %.1f\n", static_cast<unsigned long long>(broken),
-                  static_cast<double>(changes) / static_cast<double>(seeds));
+      const auto value_share = estimate(value_shares);
+      std::printf("%-18s %5.2f  %-7s  %.4f +- %.4f ", run.name.c_str(), run.load, on ? "on" : "off",
+                  value_share.mean, value_share.half_width);
+      for (const auto& samples : in_time) std::printf(" %.4f  ", estimate(samples).mean);
+      std::printf(" %llu, %.1f\n", static_cast<unsigned long long>(violation_count),
+                  static_cast<double>(level_changes) / static_cast<double>(seeds));
       std::fflush(stdout);
-      kept[on ? 1 : 0] = all;
+      results_by_mode[on ? 1 : 0] = results;
     }
-    std::vector<double> difference;
-    for (std::size_t i = 0; i < kept[0].size(); ++i)
-      difference.push_back(kept[1][i].worth_share() - kept[0][i].worth_share());
-    const auto d = estimate(difference);
-    std::printf("%-18s        %-7s  %+.4f +- %.4f\n", "", "by pair", d.mean, d.half);
+    std::vector<double> differences;  // by pairs of equal seeds
+    for (std::size_t i = 0; i < results_by_mode[0].size(); ++i)
+      differences.push_back(results_by_mode[1][i].value_share() - results_by_mode[0][i].value_share());
+    const auto difference = estimate(differences);
+    std::printf("%-18s        %-7s  %+.4f +- %.4f\n", "", "by pair", difference.mean, difference.half_width);
   }
   return 0;
 }
 
-/// Three teams over a closure in the middle of the run: desks, a partner, and a settlement batch that runs
-/// away then.
+/// Three teams, desks, a partner and a settlement batch. In two of three runs the batch sends far beyond its
+/// contract in the middle third; in one of them contracts are enforced.
 int contracts_experiment(int seeds, int length) {
-  auto c = sapporo();
-  c.tenants = {{"desks", 0.70}, {"partner", 0.18}, {"batch", 0.12}};
-  c.load = 0.7;
-  c.length = std::chrono::seconds(length);
-  const double usual = 0.7 * 0.92 * c.groups * c.members * c.host.cores / 0.0622;  // requests a second
-  const auto terms = [&](bool enforce) {
-    contracts::Config k;
-    k.mode = enforce ? contracts::Mode::enforce : contracts::Mode::count;
-    k.gateways = static_cast<std::uint32_t>(c.gateways);
-    for (std::size_t t = 0; t < c.tenants.size(); ++t) {
+  constexpr double load = 0.7;
+  constexpr double full_load_utilization = 0.92;
+  constexpr double mean_work_seconds = 0.0622;
+  constexpr double contract_margin = 1.3;  // contracted rate over the usual one
+  constexpr double min_burst = 15;
+  auto config = reference_deployment();
+  config.tenants = {{"desks", 0.70}, {"partner", 0.18}, {"batch", 0.12}};
+  config.load = load;
+  config.duration = std::chrono::seconds(length);
+  const double usual_rate = load * full_load_utilization * config.groups * config.hosts_per_group *
+                            config.host.cores / mean_work_seconds;  // requests a second
+  const auto contracts_config = [&](bool enforce) {
+    contracts::Config result;
+    result.mode = enforce ? contracts::Mode::enforce : contracts::Mode::count;
+    result.gateways = static_cast<std::uint32_t>(config.gateways);
+    for (std::size_t t = 0; t < config.tenants.size(); ++t) {
       contracts::Team team;
-      team.name = c.tenants[t].name;
+      team.name = config.tenants[t].name;
       team.tenants = {static_cast<std::int32_t>(t)};
-      for (const auto& cls : c.classes) {
-        contracts::Terms one;
-        one.rate = 1.3 * usual * cls.share * c.tenants[t].share;
-        one.burst = std::max(15.0, one.rate);
-        one.wanted = cls.contract.latency_target;
-        one.weight = t == 0 ? 4 : t == 1 ? 2 : 1;
-        one.beyond = contracts::Beyond::borrow;
-        team.classes.push_back(contracts::ClassTerms{one, {}});
+      for (const auto& spec : config.classes) {
+        contracts::Terms terms;
+        terms.rate = contract_margin * usual_rate * spec.share * config.tenants[t].share;
+        terms.burst = std::max(min_burst, terms.rate);
+        terms.latency_target = spec.request_class.latency_target;
+        terms.weight = t == 0 ? 4 : t == 1 ? 2 : 1;
+        terms.beyond = contracts::BeyondPolicy::borrow;
+        team.classes.push_back(contracts::ClassTerms{terms, {}});
       }
-      k.teams.push_back(team);
+      result.teams.push_back(team);
     }
-    return k;
+    return result;
   };
   std::printf("%-22s %-9s %-10s %8s %8s %8s %8s %8s %8s\n", "run", "team", "class", "asked", "within",
               "beyond", "in time", "refused", "share");
-  for (const int what : {0, 1, 2}) {
-    auto run_of = c;
-    // On top of its usual share the batch asks for as much again as everybody together.
-    if (what > 0)
-      run_of.surges.push_back(
-          {2, 1, usual, std::chrono::seconds(length / 3), std::chrono::seconds(2 * length / 3)});
-    run_of.contracts = terms(what == 2);
-    const auto all = over_seeds(run_of, seeds);
-    const char* name = what == 0 ? "usual, counting" : what == 1 ? "runaway, counting" : "runaway, enforcing";
-    std::uint64_t broken = 0;
-    for (const auto& r : all) broken += r.overlapping + r.too_many + r.unanswered + r.late_answers;
-    for (std::size_t t = 0; t < c.tenants.size(); ++t)
-      for (std::size_t k = 0; k < c.classes.size(); ++k) {
-        contracts::Entry e;
-        std::vector<double> shares;
-        for (const auto& r : all) {
-          e += r.ledger[t * c.classes.size() + k];
-          const auto& own = r.by_tenant_class[t * c.classes.size() + k];
-          if (own.asked > 0)
-            shares.push_back(static_cast<double>(own.in_time) / static_cast<double>(own.asked));
+  struct Run {
+    const char* name;
+    bool surge;
+    bool enforce;
+  };
+  for (const auto& run : {Run{"usual, counting", false, false}, Run{"runaway, counting", true, false},
+                          Run{"runaway, enforcing", true, true}}) {
+    auto run_config = config;
+    // On top of its share the batch sends as many requests as all teams together usually do.
+    if (run.surge)
+      run_config.surges.push_back(
+          {2, 1, usual_rate, std::chrono::seconds(length / 3), std::chrono::seconds(2 * length / 3)});
+    run_config.contracts = contracts_config(run.enforce);
+    const auto results = run_seeds(run_config, seeds);
+    std::uint64_t violation_count = 0;
+    for (const auto& result : results) violation_count += violations(result);
+    for (std::size_t t = 0; t < config.tenants.size(); ++t)
+      for (std::size_t c = 0; c < config.classes.size(); ++c) {
+        contracts::LedgerEntry entry;
+        std::vector<double> in_time_shares;
+        for (const auto& result : results) {
+          entry += result.ledger[t * config.classes.size() + c];
+          const auto& tally = result.by_tenant_class[t * config.classes.size() + c];
+          if (tally.requests > 0)
+            in_time_shares.push_back(static_cast<double>(tally.in_time) /
+                                     static_cast<double>(tally.requests));
         }
-        const auto n = static_cast<double>(seeds);
-        const auto each = [&](std::uint64_t x) { return static_cast<double>(x) / n; };
-        const auto s = estimate(shares);
-        std::printf("%-22s %-9s %-10s %8.0f %8.0f %8.0f %8.0f %8.0f %.4f +- %.4f\n", name,
-                    c.tenants[t].name.c_str(), c.classes[k].contract.name.c_str(), each(e.asked),
-                    each(e.within), each(e.beyond), each(e.in_time),
-                    each(e.refused_contract + e.refused_contention + e.refused_router + e.refused_levels),
-                    s.mean, s.half);
+        const auto mean = [&](std::uint64_t sum) {
+          return static_cast<double>(sum) / static_cast<double>(seeds);
+        };
+        const auto in_time_share = estimate(in_time_shares);
+        std::printf("%-22s %-9s %-10s %8.0f %8.0f %8.0f %8.0f %8.0f %.4f +- %.4f\n", run.name,
+                    config.tenants[t].name.c_str(), config.classes[c].request_class.name.c_str(),
+                    mean(entry.asked), mean(entry.within), mean(entry.beyond), mean(entry.in_time),
+                    mean(entry.refused_contract + entry.refused_contention + entry.refused_router +
+                         entry.refused_levels),
+                    in_time_share.mean, in_time_share.half_width);
       }
-    std::printf("%-22s rules broken %llu\n", name, static_cast<unsigned long long>(broken));
+    std::printf("%-22s rules broken %llu\n", run.name, static_cast<unsigned long long>(violation_count));
   }
   return 0;
 }
 
-/// How evenly reads come to replicas, by number of gateways and load; beside a draw that knows nothing and
-/// one that sees all.
-int spread_experiment(int seeds, int length, const std::vector<int>& gateways,
-                      const std::vector<double>& loads, int groups, int members, double uneven, bool swings) {
+const char* placement_name(ReadPlacement placement) {
+  return placement == ReadPlacement::router   ? "module"
+         : placement == ReadPlacement::random ? "blind"
+                                              : "oracle";
+}
+
+/// How evenly reads are distributed over replicas, by number of gateways and load, for the router's
+/// placement, a uniform draw and an oracle.
+int spread_experiment(int seeds, int length, const std::vector<int>& gateway_counts,
+                      const std::vector<double>& loads, int groups, int hosts_per_group, double traffic_skew,
+                      bool print_autocorrelation) {
+  constexpr double probe_cost = 0.05;
   std::printf(
       "%d groups of %d, %d s, %d seeds%s; reads at a replica: variance over mean in 0.1, 1 and 10 s\n",
-      groups, members, length, seeds, uneven > 1 ? ", traffic uneven over gateways" : "");
+      groups, hosts_per_group, length, seeds, traffic_skew > 1 ? ", traffic uneven over gateways" : "");
   std::printf("%8s %5s %-7s %7s %7s %7s %7s %7s  %-8s %-8s %-8s %-8s %s\n", "gateways", "load", "by", "0.1 s",
               "1 s", "10 s", "least", "idle", "desk", "history", "gate", "bid",
               "probes a request, rules broken");
-  for (const int g : gateways)
+  for (const int gateways : gateway_counts)
     for (const double load : loads)
-      for (const auto by :
-           {WorldConfig::Spread::module, WorldConfig::Spread::blind, WorldConfig::Spread::oracle}) {
-        auto c = sapporo();
-        c.gateways = g, c.load = load, c.groups = groups, c.members = members, c.uneven = uneven,
-        c.spread = by;
-        c.probe_price = 0.05;
-        c.length = std::chrono::seconds(length);
-        const auto all = over_seeds(c, seeds);
-        const auto of = [&](auto what) {
-          std::vector<double> x;
-          for (const auto& r : all) x.push_back(what(r));
-          return estimate(x);
+      for (const auto placement : {ReadPlacement::router, ReadPlacement::random, ReadPlacement::oracle}) {
+        auto config = reference_deployment();
+        config.gateways = gateways;
+        config.load = load;
+        config.groups = groups;
+        config.hosts_per_group = hosts_per_group;
+        config.traffic_skew = traffic_skew;
+        config.read_placement = placement;
+        config.probe_cost = probe_cost;
+        config.duration = std::chrono::seconds(length);
+        const auto results = run_seeds(config, seeds);
+        const auto estimate_of = [&](auto measure) {
+          std::vector<double> samples;
+          for (const auto& result : results) samples.push_back(measure(result));
+          return estimate(samples);
         };
-        const auto in_time = [&](std::size_t k) {
-          return of([k](const WorldResult& r) {
-            const auto &a = r.within[k], &b = r.beyond[k];
-            return static_cast<double>(a.in_time + b.in_time) /
-                   std::max<double>(1, static_cast<double>(a.asked + b.asked));
+        const auto in_time_share = [&](std::size_t class_index) {
+          return estimate_of([class_index](const SimulationResult& result) {
+            const auto& within = result.within[class_index];
+            const auto& beyond = result.beyond[class_index];
+            return static_cast<double>(within.in_time + beyond.in_time) /
+                   std::max<double>(1, static_cast<double>(within.requests + beyond.requests));
           });
         };
-        std::uint64_t broken = 0, probes = 0, requests = 0;
-        for (const auto& r : all)
-          broken += r.overlapping + r.too_many + r.unanswered + r.late_answers, probes += r.probes,
-              requests += r.requests;
-        std::printf("%8d %5.2f %-7s", g, load,
-                    by == WorldConfig::Spread::module  ? "module"
-                    : by == WorldConfig::Spread::blind ? "blind"
-                                                       : "oracle");
+        std::uint64_t violation_count = 0;
+        std::uint64_t probes = 0;
+        std::uint64_t requests = 0;
+        for (const auto& result : results) {
+          violation_count += violations(result);
+          probes += result.probes;
+          requests += result.requests;
+        }
+        std::printf("%8d %5.2f %-7s", gateways, load, placement_name(placement));
         for (const std::size_t w : {0, 1, 2})
-          std::printf(" %7.2f", of([w](const auto& r) { return r.spread.dispersion[w]; }).mean);
-        std::printf(" %7.3f %7.4f ", of([](const auto& r) { return r.spread.least; }).mean,
-                    of([](const auto& r) { return r.spread.idle_beside_queue; }).mean);
-        for (std::size_t k = 0; k < 4; ++k) std::printf(" %.4f  ", in_time(k).mean);
+          std::printf(" %7.2f", estimate_of([w](const auto& result) {
+                                  return result.read_distribution.dispersion[w];
+                                }).mean);
+        std::printf(
+            " %7.3f %7.4f ",
+            estimate_of([](const auto& result) { return result.read_distribution.min_share; }).mean,
+            estimate_of([](const auto& result) { return result.read_distribution.idle_beside_queue; }).mean);
+        for (std::size_t c = 0; c < 4; ++c) std::printf(" %.4f  ", in_time_share(c).mean);
         std::printf(" %.3f, %llu\n",
                     static_cast<double>(probes) / std::max<double>(1, static_cast<double>(requests)),
-                    static_cast<unsigned long long>(broken));
-        if (swings) {
+                    static_cast<unsigned long long>(violation_count));
+        if (print_autocorrelation) {
           std::printf("%23s", "after 0.1 to 2 s:");
           for (std::size_t lag = 0; lag < 20; ++lag)
-            std::printf(" %+.2f", of([lag](const auto& r) { return r.spread.correlation[lag]; }).mean);
+            std::printf(" %+.2f", estimate_of([lag](const auto& result) {
+                                    return result.read_distribution.autocorrelation[lag];
+                                  }).mean);
           std::printf("\n");
         }
         std::fflush(stdout);
@@ -236,36 +281,40 @@
 int main(int argc, char** argv) {
   CLI::App app("Experiments in simulated time", "cedarring lab");
   app.require_subcommand(1);
-  int seeds = 8, length = 60;
-  auto* levels = app.add_subcommand("levels", "Worth by class with and without levels of reduced service");
-  levels->add_option("--seeds", seeds, "Runs of each")->check(CLI::Range(1, 1000));
+  int seeds = 8;
+  int length = 60;
+  auto* levels = app.add_subcommand("levels", "Value by class with and without levels of reduced service");
+  levels->add_option("--seeds", seeds, "Runs of each configuration")->check(CLI::Range(1, 1000));
   levels->add_option("--seconds", length, "Simulated seconds of each run")->check(CLI::Range(10, 3600));
-  auto* contracts = app.add_subcommand("contracts", "Three teams, one of which runs away around a closure");
-  contracts->add_option("--seeds", seeds, "Runs of each")->check(CLI::Range(1, 1000));
+  auto* contracts = app.add_subcommand(
+      "contracts", "Three teams, one of which sends far beyond its contract around a closure");
+  contracts->add_option("--seeds", seeds, "Runs of each configuration")->check(CLI::Range(1, 1000));
   contracts->add_option("--seconds", length, "Simulated seconds of each run")->check(CLI::Range(10, 3600));
-  auto* spread =
-      app.add_subcommand("spread", "How evenly reads come to replicas, by number of gateways and load");
-  std::vector<int> gateways{3, 30, 300};
+  auto* spread = app.add_subcommand(
+      "spread", "How evenly reads are distributed over replicas, by number of gateways and load");
+  std::vector<int> gateway_counts{3, 30, 300};
   std::vector<double> loads{0.3, 0.6, 0.8};
-  int groups = 19, members = 5;
-  double uneven = 1;
-  bool swings = false;
-  spread->add_option("--seeds", seeds, "Runs of each")->check(CLI::Range(1, 1000));
+  int groups = 19;
+  int hosts_per_group = 5;
+  double traffic_skew = 1;
+  bool print_autocorrelation = false;
+  spread->add_option("--seeds", seeds, "Runs of each configuration")->check(CLI::Range(1, 1000));
   spread->add_option("--seconds", length, "Simulated seconds of each run")->check(CLI::Range(10, 3600));
-  spread->add_option("--gateways", gateways, "Numbers of gateways")
+  spread->add_option("--gateways", gateway_counts, "Numbers of gateways")
       ->delimiter(',')
       ->check(CLI::Range(1, 1000));
-  spread->add_option("--loads", loads, "Of what the hosts can do")
+  spread->add_option("--loads", loads, "Shares of what the hosts can serve")
       ->delimiter(',')
       ->check(CLI::Range(0.01, 3.0));
   spread->add_option("--groups", groups, "Groups of hosts")->check(CLI::Range(1, 1000));
-  spread->add_option("--members", members, "Hosts in a group, one of them its primary")
+  spread->add_option("--members", hosts_per_group, "Hosts in a group, one of them its primary")
       ->check(CLI::Range(2, 20));
-  spread->add_option("--uneven", uneven, "The largest gateway's traffic over the middle one's")
+  spread->add_option("--uneven", traffic_skew, "Ratio of the largest gateway's traffic to the middle one's")
       ->check(CLI::Range(1.0, 100.0));
-  spread->add_flag("--swings", swings, "Autocorrelation of the reads at a replica, too");
+  spread->add_flag("--swings", print_autocorrelation, "Print the autocorrelation of the reads at a replica");
   CLI11_PARSE(app, argc, argv);
   if (spread->parsed())
-    return spread_experiment(seeds, length, gateways, loads, groups, members, uneven, swings);
+    return spread_experiment(seeds, length, gateway_counts, loads, groups, hosts_per_group, traffic_skew,
+                             print_autocorrelation);
   return levels->parsed() ? levels_experiment(seeds, length) : contracts_experiment(seeds, length);
 }
--- a/src/tools/lab/timeline.h
+++ b/src/tools/lab/timeline.h
@@ -1,4 +1,5 @@
-// Simulated time: events in the order of their times, those of one time in the order in which they were set.
+// The event queue of a discrete-event simulation. Events run in order of time; events of the same time run in
+// the order in which they were scheduled.
 #pragma once
 
 #include <cstdint>
@@ -16,39 +17,44 @@
  public:
   explicit Timeline(Time start) : now_(start) {}
   [[nodiscard]] Time now() const { return now_; }
-  /// A time that is past counts as now.
-  void at(Time due, std::function<void()> what) {
-    queue_.push({due < now_ ? now_ : due, next_++, std::move(what)});
+  /// Schedules an action. A time in the past counts as now.
+  void at(Time due, std::function<void()> action) {
+    queue_.push({due < now_ ? now_ : due, next_order_++, std::move(action)});
   }
-  void after(Duration wait, std::function<void()> what) { at(now_ + wait, std::move(what)); }
+  void after(Duration delay, std::function<void()> action) { at(now_ + delay, std::move(action)); }
+  /// Runs all events due by `end`, including those that they schedule, and moves the clock to `end`.
   void run_until(Time end) {
     while (!queue_.empty() && queue_.top().due <= end) {
-      auto what =
-          std::move(const_cast<Entry&>(queue_.top()).what);  // popped at once: its order no longer matters
+      // The move does not change the order of the queue, and the entry is popped before anything else.
+      auto action = std::move(const_cast<Event&>(queue_.top()).action);
       now_ = queue_.top().due;
       queue_.pop();
-      ++done_;
-      what();
+      ++events_run_;
+      action();
     }
     now_ = end > now_ ? end : now_;
   }
-  /// When the next event is due; none: the queue is empty.
-  [[nodiscard]] std::optional<Time> due() const {
+  /// The time of the next event; empty if none is scheduled.
+  [[nodiscard]] std::optional<Time> next_due() const {
     if (queue_.empty()) return std::nullopt;
     return queue_.top().due;
   }
-  [[nodiscard]] std::uint64_t done() const { return done_; }
+  /// The number of events run so far.
+  [[nodiscard]] std::uint64_t events_run() const { return events_run_; }
 
  private:
-  struct Entry {
+  struct Event {
     Time due;
     std::uint64_t order;
-    std::function<void()> what;
-    bool operator<(const Entry& o) const { return due != o.due ? due > o.due : order > o.order; }
+    std::function<void()> action;
+    bool operator<(const Event& other) const {
+      return due != other.due ? due > other.due : order > other.order;
+    }
   };
-  std::priority_queue<Entry> queue_;
+  std::priority_queue<Event> queue_;
   Time now_;
-  std::uint64_t next_ = 0, done_ = 0;
+  std::uint64_t next_order_ = 0;
+  std::uint64_t events_run_ = 0;
 };
 
 }  // namespace cedarring::lab
