--- a/bench/contracts_bench.cpp
+++ b/bench/contracts_bench.cpp
@@ -6,8 +6,10 @@
 namespace {
 
 using namespace cedarring;
-using namespace std::chrono_literals;
 
+constexpr Duration answer_time{50'000};
+constexpr Duration request_interval{1};
+constexpr Duration step_interval{100'000};
 constexpr Time start_time{1'700'000'000'000'000};
 
 contracts::Contracts make_contracts(std::size_t teams) {
@@ -18,8 +20,8 @@
                                         {"bid-submit", Freshness::write}}) {
     RequestClass request_class;
     request_class.name = name;
-    request_class.latency_target = 300ms;
-    request_class.deadline = 1s;
+    request_class.latency_target = std::chrono::milliseconds(300);
+    request_class.deadline = std::chrono::seconds(1);
     request_class.freshness = freshness;
     service.classes.push_back(request_class);
   }
@@ -52,9 +54,9 @@
     request.request = RequestId{++count};
     request.tenant = static_cast<std::int32_t>(count * 7 % teams);
     request.cls = ClassId{static_cast<std::int32_t>(count & 3U)};
-    now += 1us;
+    now += request_interval;
     benchmark::DoNotOptimize(contracts.admit(request, now));
-    contracts.on_request_end(request, {gates::RequestEnd::served, {}, {}, true, 50ms}, now);
+    contracts.on_request_end(request, {gates::RequestEnd::served, {}, {}, true, answer_time}, now);
   }
 }
 BENCHMARK(admit_and_end)->Arg(3)->Arg(250)->Arg(10000);
@@ -64,7 +66,7 @@
   Time now = start_time;
   std::vector<contracts::Breach> breaches;
   for (auto _ : state) {
-    now += 100ms;
+    now += step_interval;
     contracts.step(now, {{GroupId{1}, true, false}, {GroupId{1}, false, false}}, breaches);
   }
 }
