--- a/src/app/calendar.h
+++ b/src/app/calendar.h
@@ -17,6 +17,7 @@
   Duration lead{};       // how long before the closure its terms begin to apply
   Duration trail{};      // how long after the closure its terms still apply
 };
+/// The closures of one time zone.
 struct Calendar {
   std::string zone = "UTC";
   std::vector<DailyClosure> closures;
--- a/src/app/contracts_config.h
+++ b/src/app/contracts_config.h
@@ -11,6 +11,7 @@
 
 namespace cedarring::app {
 
+/// The parsed section.
 struct ContractsConfig {
   contracts::Config contracts;  // without closures: the runner computes them from the calendar over time
   Calendar calendar;
--- a/src/app/contracts_runner.h
+++ b/src/app/contracts_runner.h
@@ -28,6 +28,7 @@
   ContractsRunner(ev::loop_ref loop, std::string front_end, ContractsConfig config,
                   contracts::ServiceInfo service, broker::Broker& broker, broker::Broker::Clock clock,
                   telemetry::Log& log);
+  /// Applies a new configuration. Teams that keep their name keep their state.
   void reload(ContractsConfig config);
   /// The totals for operators, as one JSON object.
   [[nodiscard]] std::string status() const;
--- a/src/contracts/contracts.cpp
+++ b/src/contracts/contracts.cpp
@@ -12,7 +12,7 @@
 constexpr double cost_gain = 0.02;             // weight of one answer that is quicker than the learnt cost
 constexpr double slow_answer_gain_ratio = 20;  // slower answers weigh this many times less
 constexpr double max_cost_ratio = 3;           // an answer counts as at most this many learnt costs
-constexpr double min_answer_ms = 0.1;
+constexpr double min_answer_ms = 0.1;          // quicker answers count as this, so that a cost stays above 0
 
 // Allocation of contended resources.
 constexpr double flow_memory = 1;  // seconds: time constant of demand and served cost
@@ -24,8 +24,8 @@
 constexpr double lend_growth = 1.02;       // for each step without contention
 constexpr double min_lend_share = 0.02;    // of the served cost: lending less than this counts as none
 constexpr double lend_restart_ratio = 10;  // lending grows by at least min_lend_share / this a step
-constexpr double flow_burst =
-    0.1;  // seconds of an allocation that may come at once: bounds the return of lent capacity
+// Seconds of an allocation that may come at once: lent capacity returns to its owner within this time.
+constexpr double flow_burst = 0.1;
 constexpr Duration relief_period{2'000'000};  // without contention, after which a limit is removed
 constexpr Duration flow_retention{10'000'000};
 constexpr std::size_t max_flows = 65536;
--- a/src/contracts/snapshot.h
+++ b/src/contracts/snapshot.h
@@ -23,12 +23,14 @@
   LedgerEntry previous;   // sum of the closed windows
   std::vector<std::pair<std::int32_t, std::uint32_t>> times;  // answer times by bin
 };
+/// The state of one team.
 struct TeamSnapshot {
   double gateway_share = 0;     // of the team's rates, 0 to 1
   std::int64_t retry_debt = 0;  // nanoseconds
   std::map<std::string, CellSnapshot> classes;
 };
-/// Rates of cost, in milliseconds of host work a second; capacity and lend below zero mean no limit.
+/// The state of one resource. Rates of cost, in milliseconds of host work a second; capacity and lend below
+/// zero mean no limit.
 struct ResourceSnapshot {
   GroupId group;
   bool primary = false;
@@ -44,6 +46,7 @@
   double within = 0;
   double beyond = 0;
 };
+/// The whole state that a process hands over.
 struct Snapshot {
   std::map<std::string, TeamSnapshot> teams;  // by name
   std::map<std::string, double> costs;        // milliseconds, by class name
@@ -52,6 +55,7 @@
   std::vector<FlowSnapshot> flows;
 };
 
+// Each function passes the members of a record to a reader or a writer, see handover/json_archive.h.
 template <class Archive>
 void serialize(Archive& archive, LedgerEntry& entry) {
   archive("asked", entry.asked);
--- a/src/contracts/terms.h
+++ b/src/contracts/terms.h
@@ -27,10 +27,12 @@
   double weight = 1;            // under contention; above zero
   BeyondPolicy beyond = BeyondPolicy::borrow;
 };
+/// The terms of one class, with others around gate closures where the contract has them.
 struct ClassTerms {
   Terms usual;
   std::optional<Terms> closure;  // in force around a gate closure; otherwise the usual terms apply
 };
+/// A contract: the tenants of one team and its terms by class.
 struct Team {
   std::string name;
   std::vector<std::int32_t> tenants;               // indices of the service's tenants
@@ -42,8 +44,10 @@
   Time to{};
 };
 
+/// Whether contracts are ignored, only counted, or counted and enforced.
 enum class Mode : std::uint8_t { off, count, enforce };
 
+/// The contracts of one front end.
 struct Config {
   Mode mode = Mode::off;
   std::vector<Team> teams;
@@ -51,7 +55,7 @@
   std::vector<ClosureWindow> closures;  // in order, not overlapping
   std::uint32_t gateways = 1;
   double max_share_multiple = 2;             // largest gateway share, as a multiple of an even share
-  Duration share_time_constant{10'000'000};  // over which a gateway's share follows its arrivals
+  Duration share_time_constant{10'000'000};  // time in which a gateway's share adapts to its arrivals
   Duration window{300'000'000};              // length of a ledger window
   double retry_share = 0.2;                  // retries for each request, by team
   double retry_burst = 10;
--- a/src/tools/lab/ledger.h
+++ b/src/tools/lab/ledger.h
@@ -19,6 +19,7 @@
 
 using Random = pcg64;
 
+/// The capacity and behaviour of a host.
 struct HostSpec {
   int cores = 3;
   int max_requests = 24;              // running and queued; further requests are refused
--- a/src/tools/lab/timeline.h
+++ b/src/tools/lab/timeline.h
@@ -13,6 +13,7 @@
 
 namespace cedarring::lab {
 
+/// The simulated clock and its event queue. Not thread-safe.
 class Timeline {
  public:
   explicit Timeline(Time start) : now_(start) {}
--- a/src/tools/lab/world.h
+++ b/src/tools/lab/world.h
@@ -18,6 +18,7 @@
 
 namespace cedarring::lab {
 
+/// A request class and the traffic of its requests.
 struct ClassSpec {
   RequestClass request_class;
   double share = 0;  // of the requests
@@ -25,6 +26,7 @@
   Duration min_work{};
   Duration max_work{};
 };
+/// A tenant and its traffic.
 struct TenantSpec {
   std::string name;
   double share = 0;  // of the requests
@@ -37,6 +39,7 @@
   oracle   // the least loaded replica by the true state of all hosts
 };
 
+/// The parameters of a run.
 struct SimulationConfig {
   std::uint64_t seed = 1;
   int gateways = 3;
@@ -62,6 +65,7 @@
     Duration to{};
   };
   std::vector<Surge> surges;
+  /// The crash of a group's primary.
   struct PrimaryFailure {
     Duration at{};
     int group = 0;
@@ -101,6 +105,7 @@
   std::vector<double> autocorrelation;
 };
 
+/// The counts of a run.
 struct SimulationResult {
   ReadDistribution read_distribution;
   std::vector<Tally> within;                      // by class, within the tenant's budget
@@ -129,6 +134,7 @@
 /// The request classes and tenants of the reference deployment.
 SimulationConfig reference_deployment();
 
+/// Runs a simulation. Deterministic: the result depends only on the configuration.
 SimulationResult simulate(const SimulationConfig& config);
 
 }  // namespace cedarring::lab
--- a/src/tools/plan/main.cpp
+++ b/src/tools/plan/main.cpp
@@ -131,7 +131,10 @@
       ->envname("ROUTER_CONFIG")
       ->required();
   app.add_option("--fleet", fleet_file, "Groups, hosts and costs, as JSON")->required();
-  app.footer("Exits with 0 if all contracts fit, 3 if they do not, 1 if a file is invalid");
+  app.footer(
+      "Exits with 0 if all contracts fit, 3 if they do not, 4 if the solution cannot be verified, 1 if a "
+      "file "
+      "is invalid");
   CLI11_PARSE(app, argc, argv);
   try {
     return print_plan(gateway_file, platform_file, fleet_file);
--- a/src/tools/plan/plan.h
+++ b/src/tools/plan/plan.h
@@ -19,12 +19,14 @@
   bool primary = false;  // only a primary can serve it
   double value = 1;      // cost of reducing the rate by one request a second; above zero
 };
+/// A primary and its replicas.
 struct Group {
   std::string name;
   double share = 1;                // of the traffic, 0 to 1
   std::vector<double> cores;       // by host; the first host is the primary
   std::vector<std::string> rooms;  // by host
 };
+/// The hosts, and the failures that the plan must allow for.
 struct Fleet {
   std::vector<Group> groups;
   double max_utilization = 0.8;    // share of the cores' time that may be planned for
@@ -38,6 +40,7 @@
   std::vector<double> coefficients;  // by contracted rate: cores for each request a second
   double cores = 0;
 };
+/// The outcome of the linear program.
 struct Solution {
   bool fits = false;
   double cost = 0;                    // of the cheapest reductions
--- a/tests/gateway_file_test.cpp
+++ b/tests/gateway_file_test.cpp
@@ -118,7 +118,7 @@
   s.tenants = 2;
   try {
     parse_contracts(parse_gateway_file("{\"contracts\":" + section + "}", "g.json"), "postgresql", s,
-                 {"acme", "batch"});
+                    {"acme", "batch"});
     return "";
   } catch (const ConfigError& e) {
     return e.what();
