--- a/src/tools/lab/world.cpp
+++ b/src/tools/lab/world.cpp
@@ -352,7 +352,7 @@
     client_request.time_left = request->deadline - timeline.now();
     client_request.session = SessionId{std::hash<std::string>()(request->session_key)};
     client_request.retry = request->tries > 0;
-    client_request.work = std::move(payload);
+    client_request.payload = std::move(payload);
     ++request->tries;
     RequestId id;
     pending = &id;  // set by accept() before any answer
@@ -484,7 +484,7 @@
     return std::move(result);
   }
   void publish_members() {
-    for (auto& gateway : gateways) gateway->broker->listed(member_list());
+    for (auto& gateway : gateways) gateway->broker->on_member_list(member_list());
   }
 
   const SimulationConfig& config;
@@ -634,7 +634,7 @@
 void SimulatedUpstream::open_watch() {
   simulation_.timeline.after(
       std::chrono::milliseconds(1),
-      [this] { simulation_.gateways[gateway_]->broker->listed(simulation_.member_list()); });
+      [this] { simulation_.gateways[gateway_]->broker->on_member_list(simulation_.member_list()); });
 }
 
 void SimulatedUpstream::set_timer(Time due) {
