--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -24,27 +24,27 @@
 
 /// A large fleet, scaled down: 100 gateways, 14 groups of 4 hosts, about three requests per second at each
 /// gateway.
-WorldConfig large_fleet() {
-  auto config = sapporo();
+SimulationConfig large_fleet() {
+  auto config = reference_deployment();
   config.gateways = 100;
   config.groups = 14;
-  config.members = 4;
+  config.hosts_per_group = 4;
   config.load = 0.25;
-  config.length = 8s;
+  config.duration = 8s;
   config.warm_up = 2s;
   return config;
 }
 
 /// Violations of the guarantees that must hold in every run.
-std::uint64_t violations(const WorldResult& result) {
-  return result.overlapping + result.too_many + result.unanswered + result.late_answers;
+std::uint64_t violations(const SimulationResult& result) {
+  return result.overlapping_attempts + result.excess_attempts + result.unanswered + result.late_answers;
 }
 
 TEST(Fleet, ProbesCostAtMostTheirShareOfTheRequestsValue) {
   auto config = large_fleet();
   for (const double probe_cost : {0.08, 0.32}) {
-    config.probe_price = probe_cost;
-    const auto result = run(config);
+    config.probe_cost = probe_cost;
+    const auto result = simulate(config);
     ASSERT_GT(result.requests, 1000U);
     EXPECT_EQ(violations(result), 0U);
     // One percent of the requests' value, and the initial balance of each gateway.
@@ -95,7 +95,7 @@
 TEST(MaxInFlight, LimitOfOneServesAllGroupsInTurn) {
   Settings settings;
   settings.probes_allowed = false;
-  settings.classes = {sapporo().classes[1].contract};  // history, which any host can serve
+  settings.classes = {reference_deployment().classes[1].request_class};  // history, which any host can serve
   Router router(settings);
   router.set_max_in_flight(1);
   std::vector<Action> actions;
@@ -198,10 +198,10 @@
 }
 
 TEST(Fleet, ReadsStayOnReplicasThoughEachGatewaySeldomLearnsTheirPosition) {
-  const auto result = run(large_fleet());
+  const auto result = simulate(large_fleet());
   const auto& desk_view = result.within[0];
   EXPECT_EQ(violations(result), 0U);
-  EXPECT_GT(desk_view.asked, 1000U);
+  EXPECT_GT(desk_view.requests, 1000U);
   // At a quarter of full load the primaries could serve every read; reads must go to the replicas all the
   // same.
   EXPECT_GT(result.replica_reads, 0.8 * static_cast<double>(result.replica_reads + result.primary_reads));
