--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -19,20 +19,32 @@
 namespace cedarring::app {
 namespace {
 
-constexpr double handover_wait = 1;  // seconds for all of what the process before has to say
-constexpr double leave_after = 10;   // seconds that one which is followed stays without being told to end
-constexpr double serving_every = 0.01;
-constexpr double first_list_within = 3;   // seconds, from the start, that a pushed list is waited for
-constexpr double yes_within = 0.5;        // seconds that the old one has to tell what is left to spend
-constexpr double step_every = 0.05;       // between two looks at what the other process has to be told
-constexpr double serve_after_term = 0.5;  // seconds: the front goes on sending for 0.2 to 0.4 s
-// Seconds from SIGTERM to SIGKILL beyond the longest deadline, which counts as 3 s where it is longer
-// (PROTOCOL). The last call comes a little before.
-constexpr double kill_after = 0.7, kill_deadline_most = 3, last_call_before = 0.1;
-constexpr std::size_t spare_descriptors = 48;  // listeners, discovery, the loop's own, a burst of accepts
+/// For receiving the complete handover from the predecessor.
+constexpr double handover_timeout_s = 1;
+/// After which a predecessor exits by itself once its successor serves.
+constexpr double leave_after_s = 10;
+constexpr double serving_check_interval_s = 0.01;
+/// From the start, for a pushed list to arrive.
+constexpr double first_list_timeout_s = 3;
+/// For the predecessor to send the share of the budgets.
+constexpr double budgets_timeout_s = 0.5;
+constexpr double ejections_interval_s = 0.05;
+/// After SIGTERM new connections keep arriving for 0.2 to 0.4 s.
+constexpr double serve_after_term_s = 0.5;
+/// SIGKILL follows SIGTERM after the longest deadline, counted as at most 3 s, and this.
+constexpr double kill_after_s = 0.7;
+constexpr double max_kill_deadline_s = 3;
+/// Before the SIGKILL, for the remaining requests to be answered.
+constexpr double shutdown_lead_s = 0.1;
+/// For listeners, discovery, the event loop and a burst of accepts.
+constexpr std::size_t reserved_descriptors = 48;
+/// Ejections whose ends differ by less are the same: the processes read their clocks at different times.
+constexpr Duration ejection_tolerance{100'000};
+constexpr std::size_t default_record_count = 50;
+constexpr std::int64_t max_pin_seconds = 86'400;
 
 template <class Host, class Client>
-Service::Parts parts(ev::loop_ref loop) {
+Service::ConnectionFactories connection_factories(ev::loop_ref loop) {
   return {[loop](wire::Fd fd, HostId host, wire::SocketUpstream& owner) {
             return std::make_unique<Host>(loop, std::move(fd), host, owner);
           },
@@ -41,9 +53,10 @@
           }};
 }
 
-/// The same for each process of a gateway, another for each gateway that shares the folder.
-std::string handover_name(const Config& c) {
-  const auto text = c.name + '\n' + c.platform.listen;
+/// The name of the handover socket: the same for all processes of a gateway, different for each gateway that
+/// shares the folder.
+std::string handover_name(const Config& config) {
+  const auto text = config.name + '\n' + config.platform.listen;
   char hex[17];
   std::snprintf(hex, sizeof hex, "%016llx",
                 static_cast<unsigned long long>(XXH64(text.data(), text.size(), 0)));
@@ -52,101 +65,109 @@
 
 }  // namespace
 
-Gateway::Gateway(ev::loop_ref loop, const Config& c, std::string file)
+Gateway::Gateway(ev::loop_ref loop, const Config& config, std::string file)
     : loop_(loop),
       file_(std::move(file)),
-      in_force_(c.text),
-      log_(c.name, c.file.log, [this] { return clock_.now(); }),
+      config_in_force_(config.text),
+      log_(config.name, config.file.log, [this] { return clock_.now(); }),
       reaper_(loop),
-      memory_((c.memory_mb << 20U) / 2),
-      since_(loop.now()),
-      serving_(loop),
-      leave_(loop),
-      yes_(loop),
-      step_(loop),
-      term_(loop),
-      int_(loop),
-      usr1_(loop),
-      hup_(loop),
-      drain_(loop),
-      last_(loop),
-      check_(loop) {
-  term_.set<Gateway, &Gateway::stop>(this);
-  int_.set<Gateway, &Gateway::stop>(this);
-  term_.start(SIGTERM);
-  int_.start(SIGINT);
-  usr1_.set<Gateway, &Gateway::told>(this);
-  usr1_.start(SIGUSR1);
-  hup_.set<Gateway, &Gateway::reload>(this);
-  hup_.start(SIGHUP);
-  drain_.set<Gateway, &Gateway::drain>(this);
-  last_.set<Gateway, &Gateway::last_call>(this);
-  check_.set<Gateway, &Gateway::check_empty>(this);
-  serving_.set<Gateway, &Gateway::try_serving>(this);
-  leave_.set<Gateway, &Gateway::drain>(this);
-  yes_.set<Gateway, &Gateway::no_yes>(this);
-  step_.set<Gateway, &Gateway::keep_in_step>(this);
-  wire::RingBuffer::set_bound(memory_);
+      max_buffer_bytes_((config.memory_mb << 20U) / 2),
+      started_at_(loop.now()),
+      serving_timer_(loop),
+      leave_timer_(loop),
+      budgets_timer_(loop),
+      ejections_timer_(loop),
+      term_signal_(loop),
+      int_signal_(loop),
+      usr1_signal_(loop),
+      hup_signal_(loop),
+      drain_timer_(loop),
+      shutdown_timer_(loop),
+      empty_check_(loop) {
+  term_signal_.set<Gateway, &Gateway::on_stop_signal>(this);
+  int_signal_.set<Gateway, &Gateway::on_stop_signal>(this);
+  term_signal_.start(SIGTERM);
+  int_signal_.start(SIGINT);
+  usr1_signal_.set<Gateway, &Gateway::on_report_signal>(this);
+  usr1_signal_.start(SIGUSR1);
+  hup_signal_.set<Gateway, &Gateway::reload>(this);
+  hup_signal_.start(SIGHUP);
+  drain_timer_.set<Gateway, &Gateway::drain>(this);
+  shutdown_timer_.set<Gateway, &Gateway::begin_shutdown>(this);
+  empty_check_.set<Gateway, &Gateway::check_empty>(this);
+  serving_timer_.set<Gateway, &Gateway::try_serving>(this);
+  leave_timer_.set<Gateway, &Gateway::drain>(this);
+  budgets_timer_.set<Gateway, &Gateway::on_budgets_timeout>(this);
+  ejections_timer_.set<Gateway, &Gateway::send_ejections>(this);
+  wire::RingBuffer::set_total_limit(max_buffer_bytes_);
   const auto clock = [this] { return clock_.now(); };
-  const auto spare = spare_descriptors + (c.control.empty() ? 0 : wire::ControlDoor::descriptors);
-  const auto descriptors =
-      std::max(c.sockets - std::min(spare, c.sockets), c.sockets / 4) / (c.mysql ? 2 : 1);
-  // Another process of this gateway may be serving. What it does not hand over whole is not used.
-  std::optional<wire::Inheritance> before;
+  const auto reserved =
+      reserved_descriptors + (config.control.empty() ? 0 : wire::ControlServer::descriptors);
+  const auto descriptors = std::max(config.sockets - std::min(reserved, config.sockets), config.sockets / 4) /
+                           (config.mysql ? 2 : 1);
+  // Another process of this gateway may be serving. An incomplete handover is ignored.
+  std::optional<wire::ReceivedHandover> predecessor;
   std::optional<std::vector<ServiceState>> state;
-  if (const char* dir = std::getenv("TMPDIR"); dir && *dir && !c.control.empty()) {
+  if (const char* dir = std::getenv("TMPDIR"); dir && *dir && !config.control.empty()) {
     handover_dir_ = dir;
-    handover_name_ = handover_name(c);
-    before = wire::inherit(handover_dir_, handover_name_, handover_wait);
-    if (before) state = services_of(before->state);
-    if (!state) before.reset();
+    handover_name_ = handover_name(config);
+    predecessor = wire::receive_handover(handover_dir_, handover_name_, handover_timeout_s);
+    if (predecessor) state = parse_services(predecessor->state);
+    if (!state) predecessor.reset();
   }
   const auto listener = [&](const std::string& front) {
-    if (before)
-      for (auto& [name, fd] : before->listeners)
+    if (predecessor)
+      for (auto& [name, fd] : predecessor->listeners)
         if (name == front) return std::move(fd);
     return wire::Fd();
   };
-  const auto known = [&](const std::string& front) -> const ServiceState* {
+  const auto state_of_front = [&](const std::string& front) -> const ServiceState* {
     if (state)
       for (const auto& s : *state)
         if (s.front == front) return &s;
     return nullptr;
   };
   services_.push_back(std::make_unique<Service>(
-      loop, reaper_, clock, c.platform, parts<wire::PgHost, wire::PgClient>(loop), descriptors, "postgresql",
-      log_, listener("postgresql"), known("postgresql")));
-  if (c.mysql)
+      loop, reaper_, clock, config.platform, connection_factories<wire::PgHost, wire::PgClient>(loop),
+      descriptors, "postgresql", log_, listener("postgresql"), state_of_front("postgresql")));
+  if (config.mysql)
     services_.push_back(std::make_unique<Service>(
-        loop, reaper_, clock, *c.mysql, parts<wire::MysqlHost, wire::MysqlClient>(loop), descriptors, "mysql",
-        log_, listener("mysql"), known("mysql"), listener("mysql updates")));
-  admin_path_ = c.file.admin_socket;
+        loop, reaper_, clock, *config.mysql, connection_factories<wire::MysqlHost, wire::MysqlClient>(loop),
+        descriptors, "mysql", log_, listener("mysql"), state_of_front("mysql"), listener("mysql updates")));
+  admin_path_ = config.file.admin_socket;
   for (auto& service : services_) {
     service->broker().on_role([this](const std::string& host, Role role) {
-      if (link_) link_->send("role", std::string(word_of(role)) + ' ' + host);
+      if (link_) link_->send("role", std::string(role_name(role)) + ' ' + host);
     });
-    // Before the client hears of it: what it asks the other process next finds it known there.
+    // Sent before the client gets its answer, so that its next request finds the commit known in the other
+    // process.
     service->broker().on_commit([this, front = service->front()](const SessionSnapshot& s) {
       if (link_) link_->send("commit", front + ' ' + handover::to_text(s));
     });
-    if (const auto* s = known(service->front()); s && !s->parts.empty())
-      waits_for_yes_ = true, spoilt(service->front(), service->take(s->parts));
+    if (const auto* s = state_of_front(service->front()); s && !s->sections.empty()) {
+      awaits_budgets_ = true;
+      log_unreadable(service->front(), service->restore(s->sections));
+    }
+  }
+  for (auto& s : services_) s->set_resources(total_resources_of(*s));
+  update_request_traces();
+  if (predecessor) {
+    start_as_successor(std::move(predecessor->link));
+  } else {
+    open_admin_socket();
+    listen_for_successor();
+    serving_timer_.start(0, serving_check_interval_s);
   }
-  for (auto& s : services_) s->limit(whole_of(*s));
-  log_courses();
-  if (before)
-    follow(std::move(before->link));
-  else
-    make_admin(), wait_for_next(), serving_.start(0, serving_every);
-  if (!c.control.empty())
-    door_ = std::make_unique<wire::ControlDoor>(
-        loop, reaper_, c.control, [this](const wire::DoorCall& call) { return this->call(call); });
-  for (const auto& note : c.notes) log_.write(telemetry::Level::warning, "configuration", note);
+  if (!config.control.empty())
+    control_ = std::make_unique<wire::ControlServer>(
+        loop, reaper_, config.control,
+        [this](const wire::ControlRequest& request) { return answer_control(request); });
+  for (const auto& note : config.notes) log_.write(telemetry::Level::warning, "configuration", note);
 }
 
 void Gateway::run() {
   static constexpr const char* fronts[] = {"postgresql", "mysql"};
-  if (door_) std::cout << "listening control " << door_->address() << std::endl;
+  if (control_) std::cout << "listening control " << control_->address() << std::endl;
   for (std::size_t i = 0; i < services_.size(); ++i) {
     if (const auto zone = services_[i]->zone_address(); !zone.empty())
       std::cout << "listening dns " << zone << std::endl;
@@ -154,96 +175,103 @@
   }
   loop_.run(0);
   report();
-  if (!link_ || !handing_) return;
-  std::map<std::string, StateParts> all;
-  for (auto& s : services_) all[s->front()] = s->booked();
-  send_parts("booked", all);
+  if (!link_ || !handing_over_) return;
+  std::map<std::string, StateSections> sections;
+  for (auto& s : services_) sections[s->front()] = s->bookings();
+  send_sections("booked", sections);
 }
 
-/// One line a tenant: what it asked for at this gateway, how much of that beyond its share, and how it ended.
+/// Prints one line per tenant: its requests at this gateway, how many of them exceeded its share, and the
+/// results.
 void Gateway::report() const {
   for (const auto& s : services_)
-    for (const auto& b : s->budgets())
-      std::cout << "tenant " << b.tenant << " asked " << b.asked << " over " << b.over << " served "
-                << b.served << " refused " << b.refused << " failed " << b.failed << std::endl;
+    for (const auto& budget : s->budgets())
+      std::cout << "tenant " << budget.tenant << " asked " << budget.asked << " over " << budget.over
+                << " served " << budget.served << " refused " << budget.refused << " failed " << budget.failed
+                << std::endl;
 }
 
-/// Moves the watches to where the configuration now says, and puts the levels and the log's bounds of the
-/// gateway's file in force. Lists, requests and connections stay; whatever else has changed takes a restart.
-/// All is read before anything is changed: one that cannot be used changes nothing.
+/// Applies settings, discovery addresses, contracts, levels and log limits of the configuration as it is now.
+/// Host lists, requests and connections stay; any other change needs a restart. Everything is read first, so
+/// that an invalid configuration changes nothing.
 void Gateway::reload(ev::sig&, int) {
   try {
-    const auto c = load_config(true, file_, in_force_);
-    log_.reload(c.file.log);  // the only step that can still fail
-    log_courses();
-    in_force_ = c.text;
-    services_[0]->retune(c.platform);
-    if (c.mysql && services_.size() > 1) services_[1]->retune(*c.mysql);
-    const auto gates = [this](Service& s, const ServiceConfig& config) {
-      // Gates know classes by the numbers of the start.
-      if (s.same_classes(config)) return s.reload_contracts(config.contracts), s.reload_levels(config.levels);
-      if (config.contracts || config.levels)
+    const auto config = load_config(true, file_, config_in_force_);
+    log_.reload(config.file.log);  // the only later step that can fail
+    update_request_traces();
+    config_in_force_ = config.text;
+    services_[0]->update_settings(config.platform);
+    if (config.mysql && services_.size() > 1) services_[1]->update_settings(*config.mysql);
+    const auto reload_gates = [this](Service& service, const ServiceConfig& service_config) {
+      // Gates identify classes by their index at the start.
+      if (service.same_classes(service_config)) {
+        service.reload_contracts(service_config.contracts);
+        service.reload_levels(service_config.levels);
+        return;
+      }
+      if (service_config.contracts || service_config.levels)
         log_.write(telemetry::Level::warning, "configuration",
-                   "other classes: contracts and levels take a restart");
+                   "the classes have changed: contracts and levels need a restart");
     };
-    gates(*services_[0], c.platform);
-    if (c.mysql && services_.size() > 1) gates(*services_[1], *c.mysql);
-    if (c.file.admin_socket != (admin_ ? admin_->path() : std::string()))
-      log_.write(telemetry::Level::warning, "configuration", "another admin socket takes a restart");
-    if (c.mysql.has_value() != (services_.size() > 1))
-      log_.write(telemetry::Level::warning, "configuration", "the MySQL front goes on or off at a restart");
-    services_[0]->move_watch(c.platform.discovery);
-    if (c.mysql && services_.size() > 1) services_[1]->move_watch(c.mysql->discovery);
-    ++applied_;
-    std::cout << "reloaded, discovery " << c.platform.discovery << std::endl;
+    reload_gates(*services_[0], config.platform);
+    if (config.mysql && services_.size() > 1) reload_gates(*services_[1], *config.mysql);
+    if (config.file.admin_socket != (admin_ ? admin_->path() : std::string()))
+      log_.write(telemetry::Level::warning, "configuration", "a change of admin.socket needs a restart");
+    if (config.mysql.has_value() != (services_.size() > 1))
+      log_.write(telemetry::Level::warning, "configuration",
+                 "switching the MySQL front on or off needs a restart");
+    services_[0]->change_discovery_address(config.platform.discovery);
+    if (config.mysql && services_.size() > 1) services_[1]->change_discovery_address(config.mysql->discovery);
+    ++configs_applied_;
+    std::cout << "reloaded, discovery " << config.platform.discovery << std::endl;
   } catch (const std::exception& e) {
-    ++rejected_;
+    ++configs_rejected_;
     std::cout << "not reloaded: " << e.what() << std::endl;
   }
 }
 
-/// At the level `debug` each request that is over is a line: how it ended, and each attempt with its host.
-void Gateway::log_courses() {
+/// At log level `debug` each finished request is logged with its result and its attempts.
+void Gateway::update_request_traces() {
   const bool on = log_.config().least == telemetry::Level::debug;
   for (auto& s : services_) {
     if (!on) {
       s->broker().on_request_trace(nullptr);
       continue;
     }
-    s->broker().on_request_trace([this](const broker::RequestTrace& c) {
-      const auto ms = [](Duration d) {
+    s->broker().on_request_trace([this](const broker::RequestTrace& trace) {
+      const auto milliseconds = [](Duration duration) {
         char text[32];
-        std::snprintf(text, sizeof text, "%.1f", static_cast<double>(d.count()) / 1000);
+        std::snprintf(text, sizeof text, "%.1f", static_cast<double>(duration.count()) / 1000);
         return std::string(text);
       };
-      std::string course;
-      for (const auto& leg : c.legs)
-        course += (course.empty() ? "" : " ") + leg.host + '@' + ms(leg.sent) + '+' + ms(leg.took) + '=' +
-                  name_of(leg.outcome);
+      std::string attempts;
+      for (const auto& attempt : trace.legs)
+        attempts += (attempts.empty() ? "" : " ") + attempt.host + '@' + milliseconds(attempt.sent) + '+' +
+                    milliseconds(attempt.took) + '=' + name_of(attempt.outcome);
       log_.write(telemetry::Level::debug, "request", "is over",
-                 {{"id", c.name},
-                  {"class", c.contract},
-                  {"group", std::to_string(c.group.value)},
-                  {"retry", c.retry ? "1" : "0"},
-                  {"end", gates::name_of(c.end)},
-                  {"ms", ms(c.elapsed)},
-                  {"course", course}});
+                 {{"id", trace.name},
+                  {"class", trace.contract},
+                  {"group", std::to_string(trace.group.value)},
+                  {"retry", trace.retry ? "1" : "0"},
+                  {"end", gates::name_of(trace.end)},
+                  {"ms", milliseconds(trace.elapsed)},
+                  {"course", attempts}});
     });
   }
 }
 
 std::string error_json(const std::string& text) {
   rapidjson::StringBuffer buffer;
-  rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
-  w.StartObject();
-  w.Key("error");
-  w.String(text.c_str());
-  w.EndObject();
+  rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
+  writer.StartObject();
+  writer.Key("error");
+  writer.String(text.c_str());
+  writer.EndObject();
   return buffer.GetString();
 }
 
-/// The operators' commands. None of them waits for anything.
-std::string Gateway::answer(const std::vector<std::string>& words) {
+/// Answers a command on the admin socket. Never blocks.
+std::string Gateway::answer_admin(const std::vector<std::string>& words) {
   const std::string verb = words.empty() ? "" : words[0];
   if (verb == "levels") return answer_levels();
   if (verb == "contracts") {
@@ -254,7 +282,8 @@
   }
   if (verb == "hosts") return answer_hosts();
   if (verb == "records")
-    return answer_records(words.size() > 1 ? std::strtoul(words[1].c_str(), nullptr, 10) : 50);
+    return answer_records(words.size() > 1 ? std::strtoul(words[1].c_str(), nullptr, 10)
+                                           : default_record_count);
   if (verb == "set-level" || verb == "unset-level") return set_level(words);
   if (verb == "help" || verb.empty())
     return "{\"commands\":[\"levels\",\"contracts\",\"hosts\",\"records [N]\",\"set-level FRONT "
@@ -272,39 +301,49 @@
 
 std::string Gateway::answer_hosts() {
   rapidjson::StringBuffer buffer;
-  rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
-  w.StartArray();
+  rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
+  writer.StartArray();
   for (const auto& s : services_) {
     std::vector<GroupView> views;
     s->broker().group_views(views);
-    for (const auto& v : views) {
-      w.StartObject();
-      w.Key("front"), w.String(s->front().c_str());
-      w.Key("group"), w.Int64(v.group.value);
-      w.Key("primary"), w.Bool(v.has_primary);
-      w.Key("hosts"), w.Int(v.hosts);
-      w.Key("out"), w.Int(v.unavailable);
-      w.Key("replicas"), w.Int(v.replicas);
-      w.Key("lagging"), w.Int(v.lagging);
-      w.Key("in_flight"), w.Int(v.in_flight);
-      w.Key("waiting"), w.Int(v.waiting);
-      w.Key("window"), w.Double(v.concurrency_limit);
-      w.EndObject();
+    for (const auto& view : views) {
+      writer.StartObject();
+      writer.Key("front");
+      writer.String(s->front().c_str());
+      writer.Key("group");
+      writer.Int64(view.group.value);
+      writer.Key("primary");
+      writer.Bool(view.has_primary);
+      writer.Key("hosts");
+      writer.Int(view.hosts);
+      writer.Key("out");
+      writer.Int(view.unavailable);
+      writer.Key("replicas");
+      writer.Int(view.replicas);
+      writer.Key("lagging");
+      writer.Int(view.lagging);
+      writer.Key("in_flight");
+      writer.Int(view.in_flight);
+      writer.Key("waiting");
+      writer.Int(view.waiting);
+      writer.Key("window");
+      writer.Double(view.concurrency_limit);
+      writer.EndObject();
     }
   }
-  w.EndArray();
+  writer.EndArray();
   return buffer.GetString();
 }
 
-std::string Gateway::answer_records(std::size_t most) const {
+std::string Gateway::answer_records(std::size_t max_records) const {
   const auto& all = log_.records();
   std::string out = "[";
-  for (std::size_t i = all.size() > most ? all.size() - most : 0; i < all.size(); ++i)
+  for (std::size_t i = all.size() > max_records ? all.size() - max_records : 0; i < all.size(); ++i)
     out += (out.size() > 1 ? "," : "") + telemetry::to_json(all[i], log_.instance());
   return out + "]";
 }
 
-/// set-level FRONT pressure|GROUP LEVEL SECONDS, or unset-level FRONT pressure|GROUP
+/// Handles `set-level FRONT pressure|GROUP LEVEL SECONDS` and `unset-level FRONT pressure|GROUP`.
 std::string Gateway::set_level(const std::vector<std::string>& words) {
   const bool set = words[0] == "set-level";
   if (words.size() != (set ? 5U : 3U)) return error_json("set-level FRONT pressure|GROUP LEVEL SECONDS");
@@ -321,15 +360,15 @@
     bool done = false;
     if (set) {
       const auto length = wire::to_int(words[4]);
-      done =
-          length && *length <= 86'400 && levels->pin(group, words[3], std::chrono::seconds(*length), error);
-      if (!length || *length > 86'400) error = "seconds: a whole number up to 86400";
+      done = length && *length <= max_pin_seconds &&
+             levels->pin(group, words[3], std::chrono::seconds(*length), error);
+      if (!length || *length > max_pin_seconds) error = "seconds: a whole number up to 86400";
     } else {
       done = levels->unpin(group);
       if (!done) error = "no such group";
     }
     if (!done) return error_json(error);
-    log_.write(telemetry::Level::warning, "operator", set ? "a level is pinned" : "a pin is taken away",
+    log_.write(telemetry::Level::warning, "operator", set ? "level pinned" : "level unpinned",
                {{"front", words[1]}, {"axis", words[2]}, {"level", set ? words[3] : ""}});
     return "{\"done\":true}";
   }
@@ -337,271 +376,290 @@
 }
 
 bool Gateway::ready() const {
-  return !drain_.is_active() && !check_.is_active() && !handing_ && !serving_.is_active() &&
+  return !drain_timer_.is_active() && !empty_check_.is_active() && !handing_over_ &&
+         !serving_timer_.is_active() &&
          std::all_of(
              services_.begin(), services_.end(), [](const auto& s) { return s->ready(); });
 }
 
 std::string Gateway::metrics() {
-  telemetry::Metrics f;
-  for (auto& s : services_) s->broker().collect_metrics(f);
-  f.config_applied = applied_;
-  f.config_rejected = rejected_;
-  return telemetry::to_prometheus(f);
-}
-
-/// The operators' calls. None of them waits for anything.
-wire::DoorAnswer Gateway::call(const wire::DoorCall& call) {
-  const auto parts = wire::path_parts(call.path);
-  if (!parts) return {400, "the path cannot be read\n", {}};
-  const auto only = [&](const char* method) { return call.method == method; };
-  const auto& p = *parts;
-  if (p.size() == 2 && p[0] == "-" && p[1] == "ready") {
-    if (!only("GET")) return {405, "GET asks whether this process can serve\n", "GET"};
-    return ready() ? wire::DoorAnswer{200, "ready\n", {}} : wire::DoorAnswer{503, "not ready\n", {}};
+  telemetry::Metrics metrics;
+  for (auto& s : services_) s->broker().collect_metrics(metrics);
+  metrics.config_applied = configs_applied_;
+  metrics.config_rejected = configs_rejected_;
+  return telemetry::to_prometheus(metrics);
+}
+
+/// Answers a request at the control endpoint. Never blocks.
+wire::ControlResponse Gateway::answer_control(const wire::ControlRequest& request) {
+  const auto path = wire::split_path(request.path);
+  if (!path) return {400, "the path cannot be read\n", {}};
+  const auto has_method = [&](const char* method) { return request.method == method; };
+  const auto& segments = *path;
+  if (segments.size() == 2 && segments[0] == "-" && segments[1] == "ready") {
+    if (!has_method("GET")) return {405, "GET asks whether this process can serve\n", "GET"};
+    return ready() ? wire::ControlResponse{200, "ready\n", {}}
+                   : wire::ControlResponse{503, "not ready\n", {}};
   }
-  if (p.size() == 2 && p[0] == "-" && p[1] == "metrics") {
-    if (!only("GET")) return {405, "GET asks for the figures\n", "GET"};
+  if (segments.size() == 2 && segments[0] == "-" && segments[1] == "metrics") {
+    if (!has_method("GET")) return {405, "GET asks for the figures\n", "GET"};
     return {200, metrics(), {}};
   }
-  if (p.size() == 4 && p[0] == "-" && p[1] == "database-hosts" && (p[3] == "disable" || p[3] == "enable")) {
-    if (!only("POST")) return {405, "POST leaves a database host out, or takes it back\n", "POST"};
-    const bool out = p[3] == "disable";
-    if (!set_out(p[2], out)) return {404, "nobody has this id\n", {}};
-    return {200, p[2] + (out ? " is left out\n" : " is used again\n"), {}};
+  if (segments.size() == 4 && segments[0] == "-" && segments[1] == "database-hosts" &&
+      (segments[3] == "disable" || segments[3] == "enable")) {
+    if (!has_method("POST")) return {405, "POST leaves a database host out, or takes it back\n", "POST"};
+    const bool disabled = segments[3] == "disable";
+    if (!set_disabled(segments[2], disabled)) return {404, "nobody has this id\n", {}};
+    return {200, segments[2] + (disabled ? " is left out\n" : " is used again\n"), {}};
   }
   return {404, "there is no such call\n", {}};
 }
 
-bool Gateway::set_out(const std::string& host, bool out) {
+bool Gateway::set_disabled(const std::string& host, bool disabled) {
   bool any = false;
-  for (auto& s : services_) any = s->broker().set_disabled(host, out) || any;
+  for (auto& s : services_) any = s->broker().set_disabled(host, disabled) || any;
   if (!any) return false;
-  if (link_) link_->send(out ? "out" : "back", host);
-  log_.write(telemetry::Level::warning, "operator",
-             out ? "a host is left out by hand" : "a host is taken back by hand", {{"host", host}});
+  if (link_) link_->send(disabled ? "out" : "back", host);
+  log_.write(telemetry::Level::warning, "operator", disabled ? "host disabled" : "host enabled",
+             {{"host", host}});
   return true;
 }
 
-void Gateway::make_admin() {
+void Gateway::open_admin_socket() {
   if (admin_ || admin_path_.empty()) return;
   admin_ = std::make_unique<wire::AdminSocket>(
-      loop_, reaper_, admin_path_, [this](const std::vector<std::string>& words) { return answer(words); });
+      loop_, reaper_, admin_path_,
+      [this](const std::vector<std::string>& words) { return answer_admin(words); });
 }
 
-/// This process comes after one that serves.
-void Gateway::follow(wire::Fd link) {
-  follows_ = true;
-  link_ = std::make_unique<wire::Link>(
+/// Another process serves; this one will take over.
+void Gateway::start_as_successor(wire::Fd link) {
+  is_successor_ = true;
+  link_ = std::make_unique<wire::HandoverLink>(
       loop_, std::move(link),
-      wire::Link::Events{[this](wire::Packet p) { peer_said(std::move(p)); }, [this] { peer_ended(); }});
-  share(false, 0);
-  serving_.start(0, serving_every);
+      wire::HandoverLink::Events{[this](wire::Packet packet) { on_packet(std::move(packet)); },
+                                 [this] { on_peer_end(); }});
+  share_resources(false, 0);
+  serving_timer_.start(0, serving_check_interval_s);
 }
 
-/// From here on this process has the clients: it can serve, and says so. A list is not waited for without
-/// end: its agent may be down.
+/// Starts serving once the services are ready. A pushed list is waited for only for a limited time, since
+/// discovery may be down.
 void Gateway::try_serving(ev::timer&, int) {
   for (auto& s : services_)
-    if ((follows_ && !s->broker().ready()) || (!s->informed() && loop_.now() - since_ < first_list_within))
+    if ((is_successor_ && !s->broker().ready()) ||
+        (!s->has_binding_list() && loop_.now() - started_at_ < first_list_timeout_s))
       return;
-  serving_.stop();
-  if (!link_ || !waits_for_yes_) return serve();
+  serving_timer_.stop();
+  if (!link_ || !awaits_budgets_) return serve();
   link_->send("ready");
-  yes_.start(yes_within);
+  budgets_timer_.start(budgets_timeout_s);
 }
 
-/// The old one does not answer: it may be hung, and what it has spent is not known.
-void Gateway::no_yes(ev::timer&, int) {
-  for (auto& s : services_) s->unheard();
+/// The predecessor does not answer: it may be hung, and its spending is unknown.
+void Gateway::on_budgets_timeout(ev::timer&, int) {
+  for (auto& s : services_) s->assume_own_share();
   serve();
 }
 
 void Gateway::serve() {
-  waits_for_yes_ = false;
-  yes_.stop();
-  for (auto& s : services_) s->begin();
-  if (link_) link_->send("serving"), step_.start(step_every, step_every);
-  if (!handover_) wait_for_next();
-}
-
-/// The new one begins: what may be spent is from here on in two parts.
-void Gateway::split() {
-  if (std::exchange(split_, true)) return;
-  std::map<std::string, StateParts> all;
-  for (auto& s : services_) all[s->front()] = s->parts(true);
-  send_parts("yes", all);
-  step_.start(step_every, step_every);
-}
-
-void Gateway::send_parts(const char* kind, const std::map<std::string, StateParts>& all) {
-  const auto text = handover::to_text(all);
-  for (std::size_t at = 0; at < text.size(); at += wire::packet_most)
-    link_->send("parts", std::string_view(text).substr(at, wire::packet_most));
+  awaits_budgets_ = false;
+  budgets_timer_.stop();
+  for (auto& s : services_) s->start_accepting();
+  if (link_) {
+    link_->send("serving");
+    ejections_timer_.start(ejections_interval_s, ejections_interval_s);
+  }
+  if (!handover_) listen_for_successor();
+}
+
+/// The successor starts serving: from now on the budgets are divided between the processes.
+void Gateway::split_budgets() {
+  if (std::exchange(budgets_split_, true)) return;
+  std::map<std::string, StateSections> sections;
+  for (auto& s : services_) sections[s->front()] = s->snapshot(true);
+  send_sections("yes", sections);
+  ejections_timer_.start(ejections_interval_s, ejections_interval_s);
+}
+
+void Gateway::send_sections(const char* kind, const std::map<std::string, StateSections>& sections) {
+  const auto text = handover::to_text(sections);
+  for (std::size_t at = 0; at < text.size(); at += wire::max_packet_text)
+    link_->send("parts", std::string_view(text).substr(at, wire::max_packet_text));
   link_->send(kind);
 }
 
-void Gateway::spoilt(const std::string& front, const std::vector<std::string>& parts) {
-  for (const auto& p : parts)
+void Gateway::log_unreadable(const std::string& front, const std::vector<std::string>& sections) {
+  for (const auto& section : sections)
     log_.write(telemetry::Level::warning, "upgrade", "a part of what the other process knows cannot be read",
-               {{"front", front}, {"part", p}});
+               {{"front", front}, {"part", section}});
 }
 
-/// Ejections of hosts, as they happen: both processes send to the same hosts.
-void Gateway::keep_in_step(ev::timer&, int) {
-  if (!link_) return step_.stop();
+/// Sends new ejections of hosts to the other process, which sends requests to the same hosts.
+void Gateway::send_ejections(ev::timer&, int) {
+  if (!link_) return ejections_timer_.stop();
   for (auto& s : services_) {
-    handover::HostsSection news;
+    handover::HostsSection ejected;
     for (auto& h : s->broker().snapshot(SnapshotScope::hosts).hosts) {
-      auto& told = told_[s->front() + ' ' + h.name];
+      auto& known_until = known_ejections_[s->front() + ' ' + h.name];
       const auto until = h.ejection_remaining ? clock_.now() + *h.ejection_remaining : Time{};
-      // The other's clock was read at another moment: what is later by less than a beat is the same ejection.
-      if (!h.ejection_remaining || until <= told + Duration(100'000)) continue;
-      told = until;
-      h.relative_latency = h.concurrency_limit = 0, h.load = -1;  // estimates are each process's own
-      h.start_age.reset(), h.slow_start_sends.clear();
-      news.k.hosts.push_back(std::move(h));
+      if (!h.ejection_remaining || until <= known_until + ejection_tolerance) continue;
+      known_until = until;
+      // Estimates are specific to each process.
+      h.relative_latency = h.concurrency_limit = 0;
+      h.load = -1;
+      h.start_age.reset();
+      h.slow_start_sends.clear();
+      ejected.k.hosts.push_back(std::move(h));
     }
-    if (!news.k.hosts.empty()) link_->send("hosts", s->front() + ' ' + handover::to_text(news));
+    if (!ejected.k.hosts.empty()) link_->send("hosts", s->front() + ' ' + handover::to_text(ejected));
   }
 }
 
-void Gateway::wait_for_next() {
+void Gateway::listen_for_successor() {
   if (!handover_name_.empty())
-    handover_ = wire::HandoverDoor::open(
-        loop_, handover_dir_, handover_name_, [this](wire::Fd fd) { next_came(std::move(fd)); });
-}
-
-/// A process that is to follow asks. The newest wins: one that asked before and has not served yet may be
-/// hung.
-void Gateway::next_came(wire::Fd fd) {
-  if (handing_ || follows_) return;
-  forget_.clear();
-  if (std::exchange(split_, false))
-    for (auto& s : services_) s->alone();
-  told_.clear();
-  link_ = std::make_unique<wire::Link>(
+    handover_ = wire::HandoverListener::open(
+        loop_, handover_dir_, handover_name_, [this](wire::Fd fd) { on_successor_connected(std::move(fd)); });
+}
+
+/// A successor requests the handover. It replaces one that has requested it before but does not serve yet,
+/// which may be hung.
+void Gateway::on_successor_connected(wire::Fd fd) {
+  if (handing_over_ || is_successor_) return;
+  ended_links_.clear();
+  if (std::exchange(budgets_split_, false))
+    for (auto& s : services_) s->resume_full_spending();
+  known_ejections_.clear();
+  link_ = std::make_unique<wire::HandoverLink>(
       loop_, std::move(fd),
-      wire::Link::Events{[this](wire::Packet p) { peer_said(std::move(p)); }, [this] { peer_ended(); }});
+      wire::HandoverLink::Events{[this](wire::Packet packet) { on_packet(std::move(packet)); },
+                                 [this] { on_peer_end(); }});
   std::vector<ServiceState> states;
   for (const auto& s : services_) {
     link_->send("listener", s->front(), s->listener().get());
-    if (const auto* fd = s->updates()) link_->send("listener", s->front() + " updates", fd->get());
-    states.push_back(state_of(s->front(), s->broker().hosts()));
-    states.back().parts = s->parts(false);
+    if (const auto* fd = s->update_socket()) link_->send("listener", s->front() + " updates", fd->get());
+    states.push_back(capture_state(s->front(), s->broker().hosts()));
+    states.back().sections = s->snapshot(false);
   }
-  const auto text = to_text(states);
-  for (std::size_t at = 0; at < text.size(); at += wire::packet_most)
-    link_->send("state", std::string_view(text).substr(at, wire::packet_most));
+  const auto text = to_json(states);
+  for (std::size_t at = 0; at < text.size(); at += wire::max_packet_text)
+    link_->send("state", std::string_view(text).substr(at, wire::max_packet_text));
   link_->send("whole");
-  share(true, 0);
+  share_resources(true, 0);
 }
 
-handover::ResourceShares Gateway::whole_of(const Service& s) const {
-  auto whole = s.whole();
-  whole.memory = memory_;
-  return whole;
+handover::ResourceShares Gateway::total_resources_of(const Service& service) const {
+  auto total = service.total_resources();
+  total.memory = max_buffer_bytes_;
+  return total;
 }
 
-void Gateway::share(bool ends, std::size_t theirs) {
+void Gateway::share_resources(bool outgoing, std::size_t peer_clients) {
   for (auto& s : services_) {
-    const auto whole = whole_of(*s);
-    const auto part = handover::split_resources(whole, ends, ends ? whole.clients : theirs);
-    wire::RingBuffer::set_bound(part.memory);
-    s->limit(part);
+    const auto total = total_resources_of(*s);
+    const auto share = handover::split_resources(total, outgoing, outgoing ? total.clients : peer_clients);
+    wire::RingBuffer::set_total_limit(share.memory);
+    s->set_resources(share);
   }
 }
 
-void Gateway::peer_said(wire::Packet p) {
-  const auto service = [&](const std::string& front) -> Service* {
+void Gateway::on_packet(wire::Packet packet) {
+  const auto find_service = [&](const std::string& front) -> Service* {
     for (auto& s : services_)
       if (s->front() == front) return s.get();
     return nullptr;
   };
-  // Most packets are a word and what it is about.
-  const auto space = p.text.find(' ');
-  const bool two = space != std::string::npos;
-  const auto word = p.text.substr(0, space), rest = two ? p.text.substr(space + 1) : std::string();
-  if (p.kind == "ready" && !follows_ && !handing_) {
-    split();
-  } else if (p.kind == "parts" && follows_) {
-    if (parts_.size() + p.text.size() <= wire::link_most) parts_ += p.text;
-  } else if ((p.kind == "yes" || p.kind == "booked") && follows_) {
-    const auto all = handover::from_text<std::map<std::string, StateParts>>(std::exchange(parts_, {}));
-    if (!all) {
-      spoilt("all", {p.kind});
-      for (auto& s : services_) s->unheard();
+  // Most packets consist of a word and what it refers to.
+  const auto space = packet.text.find(' ');
+  const bool has_rest = space != std::string::npos;
+  const auto word = packet.text.substr(0, space);
+  const auto rest = has_rest ? packet.text.substr(space + 1) : std::string();
+  if (packet.kind == "ready" && !is_successor_ && !handing_over_) {
+    split_budgets();
+  } else if (packet.kind == "parts" && is_successor_) {
+    if (received_sections_.size() + packet.text.size() <= wire::max_link_bytes)
+      received_sections_ += packet.text;
+  } else if ((packet.kind == "yes" || packet.kind == "booked") && is_successor_) {
+    const auto received =
+        handover::from_text<std::map<std::string, StateSections>>(std::exchange(received_sections_, {}));
+    if (!received) {
+      log_unreadable("all", {packet.kind});
+      for (auto& s : services_) s->assume_own_share();
     } else {
-      for (const auto& [front, parts] : *all)
-        if (auto* s = service(front)) spoilt(front, p.kind == "yes" ? s->take(parts) : s->book(parts));
+      for (const auto& [front, sections] : *received)
+        if (auto* s = find_service(front))
+          log_unreadable(front, packet.kind == "yes" ? s->restore(sections) : s->add_bookings(sections));
     }
-    if (waits_for_yes_) serve();
-  } else if (p.kind == "commit") {
+    if (awaits_budgets_) serve();
+  } else if (packet.kind == "commit") {
     const auto commit = handover::from_text<SessionSnapshot>(rest);
-    if (auto* s = service(word); s && commit) {
-      RouterSnapshot k;
-      k.sessions.push_back(*commit);
-      s->broker().merge_snapshot(std::move(k));
+    if (auto* s = find_service(word); s && commit) {
+      RouterSnapshot snapshot;
+      snapshot.sessions.push_back(*commit);
+      s->broker().merge_snapshot(std::move(snapshot));
     }
-  } else if (p.kind == "hosts") {
-    auto news = handover::from_text<handover::HostsSection>(rest);
-    if (auto* s = service(word); s && news) {
-      for (const auto& h : news->k.hosts)
-        if (h.ejection_remaining) told_[s->front() + ' ' + h.name] = clock_.now() + *h.ejection_remaining;
-      s->broker().merge_snapshot(std::move(news->k));
+  } else if (packet.kind == "hosts") {
+    auto ejected = handover::from_text<handover::HostsSection>(rest);
+    if (auto* s = find_service(word); s && ejected) {
+      for (const auto& h : ejected->k.hosts)
+        if (h.ejection_remaining)
+          known_ejections_[s->front() + ' ' + h.name] = clock_.now() + *h.ejection_remaining;
+      s->broker().merge_snapshot(std::move(ejected->k));
     }
-  } else if (p.kind == "serving" && !follows_ && !handing_) {
-    split();  // one of a build that does not ask for it
-    handing_ = true;
-    serving_.stop();
-    handover_.reset();  // the name in the folder is the new one's now
+  } else if (packet.kind == "serving" && !is_successor_ && !handing_over_) {
+    split_budgets();  // successors of older builds do not send "ready"
+    handing_over_ = true;
+    serving_timer_.stop();
+    handover_.reset();  // the socket's name belongs to the successor now
     admin_.reset();
     for (auto& s : services_)
-      s->hand_over([this, front = s->front()](int fd, const std::string& known) {
-        return link_ && link_->send_now("client", front + ' ' + known, fd);
+      s->start_handover([this, front = s->front()](int fd, const std::string& state) {
+        return link_ && link_->send_now("client", front + ' ' + state, fd);
       });
     std::size_t left = 0;
-    for (const auto& s : services_) left += s->clients();
+    for (const auto& s : services_) left += s->client_count();
     link_->send("stopped", std::to_string(left));
-    leave_.start(leave_after);
+    leave_timer_.start(leave_after_s);
     std::cout << "followed by another process" << std::endl;
-  } else if (p.kind == "client" && p.fds.size() == 1) {
-    if (auto* s = service(word); s && two) s->adopt(std::move(p.fds[0]), rest);
-    if (theirs_ > 0) share(false, --theirs_);
-  } else if (p.kind == "stopped") {
-    theirs_ = static_cast<std::size_t>(wire::to_int(p.text).value_or(0));
-    share(false, theirs_);
-    make_admin();
-  } else if (p.kind == "out" || p.kind == "back") {
-    for (auto& s : services_) s->broker().set_disabled(p.text, p.kind == "out", true);
-  } else if (p.kind == "role") {
-    if (!two) return;
-    for (auto& s : services_) s->broker().observe(rest, role_of(word), std::nullopt);
+  } else if (packet.kind == "client" && packet.fds.size() == 1) {
+    if (auto* s = find_service(word); s && has_rest) s->adopt(std::move(packet.fds[0]), rest);
+    if (predecessor_clients_ > 0) share_resources(false, --predecessor_clients_);
+  } else if (packet.kind == "stopped") {
+    predecessor_clients_ = static_cast<std::size_t>(wire::to_int(packet.text).value_or(0));
+    share_resources(false, predecessor_clients_);
+    open_admin_socket();
+  } else if (packet.kind == "out" || packet.kind == "back") {
+    for (auto& s : services_) s->broker().set_disabled(packet.text, packet.kind == "out", true);
+  } else if (packet.kind == "role") {
+    if (!has_rest) return;
+    for (auto& s : services_) s->broker().observe(rest, parse_role(word), std::nullopt);
   }
 }
 
-/// Alone again: the old process has ended, or the new one has before it was done.
-void Gateway::peer_ended() {
-  // Not freed here: its callback is still running.
-  auto link = std::shared_ptr<wire::Link>(std::move(link_));
-  forget_.push_back(std::move(link));
-  if (handing_ && !check_.is_active()) {
-    handing_ = false;
-    leave_.stop();
-    for (auto& s : services_) s->take_back();
-    make_admin();
-    wait_for_next();
+/// The other process has ended: the predecessor, or a successor before it had taken over.
+void Gateway::on_peer_end() {
+  // Not freed here, since its callback is still running.
+  auto link = std::shared_ptr<wire::HandoverLink>(std::move(link_));
+  ended_links_.push_back(std::move(link));
+  if (handing_over_ && !empty_check_.is_active()) {
+    handing_over_ = false;
+    leave_timer_.stop();
+    for (auto& s : services_) s->cancel_handover();
+    open_admin_socket();
+    listen_for_successor();
     std::cout << "the other process has ended, this one serves on" << std::endl;
   }
-  if (follows_) make_admin();
-  if (follows_ || split_)
-    for (auto& s : services_) s->alone();
-  follows_ = split_ = false;
-  step_.stop();
-  told_.clear(), parts_.clear();
-  if (waits_for_yes_ && yes_.is_active()) serve();
-  wire::RingBuffer::set_bound(memory_);
-  for (auto& s : services_) s->limit(whole_of(*s));
+  if (is_successor_) open_admin_socket();
+  if (is_successor_ || budgets_split_)
+    for (auto& s : services_) s->resume_full_spending();
+  is_successor_ = false;
+  budgets_split_ = false;
+  ejections_timer_.stop();
+  known_ejections_.clear();
+  received_sections_.clear();
+  if (awaits_budgets_ && budgets_timer_.is_active()) serve();
+  wire::RingBuffer::set_total_limit(max_buffer_bytes_);
+  for (auto& s : services_) s->set_resources(total_resources_of(*s));
 }
 
 bool Gateway::empty() const {
@@ -609,30 +667,31 @@
       services_.begin(), services_.end(), [](const auto& s) { return s->empty(); });
 }
 
-/// New clients are still taken for a while: those who send them here have not heard yet.
-void Gateway::stop(ev::sig&, int) {
-  if (!last_.is_active()) {
+/// New clients are accepted for a while longer, since load balancers have not noticed yet.
+void Gateway::on_stop_signal(ev::sig&, int) {
+  if (!shutdown_timer_.is_active()) {
     Duration longest{};
     for (const auto& s : services_) longest = std::max(longest, s->longest_deadline());
-    const auto deadline = std::min(static_cast<double>(longest.count()) / 1e6, kill_deadline_most);
-    last_.start(deadline + kill_after - last_call_before);
+    const auto deadline = std::min(static_cast<double>(longest.count()) / 1e6, max_kill_deadline_s);
+    shutdown_timer_.start(deadline + kill_after_s - shutdown_lead_s);
   }
-  if (!drain_.is_active() && !check_.is_active()) drain_.start(handing_ ? 0 : serve_after_term);
+  if (!drain_timer_.is_active() && !empty_check_.is_active())
+    drain_timer_.start(handing_over_ ? 0 : serve_after_term_s);
 }
 
-void Gateway::last_call(ev::timer&, int) {
+void Gateway::begin_shutdown(ev::timer&, int) {
   for (auto& s : services_) s->broker().begin_shutdown();
 }
 
 void Gateway::drain(ev::timer&, int) {
-  if (check_.is_active()) return;
-  serving_.stop();
+  if (empty_check_.is_active()) return;
+  serving_timer_.stop();
   for (auto& s : services_) s->drain();
-  check_.start();
+  empty_check_.start();
   if (empty()) loop_.break_loop(ev::ALL);
 }
 
-/// Once draining, ends as soon as the last client has its answer and has left.
+/// While draining, ends the loop as soon as the last client has been answered and has left.
 void Gateway::check_empty(ev::prepare&, int) {
   if (empty()) loop_.break_loop(ev::ALL);
 }
--- a/src/app/gateway.h
+++ b/src/app/gateway.h
@@ -1,4 +1,4 @@
-// Wiring, start and stop of one gateway.
+// Wiring, start, reload, upgrade and shutdown of a gateway process.
 #pragma once
 
 #include <ev++.h>
@@ -13,81 +13,91 @@
 #include "app/service.h"
 #include "telemetry/log.h"
 #include "wire/admin.h"
-#include "wire/door.h"
+#include "wire/control_endpoint.h"
 #include "wire/handover.h"
 
 namespace cedarring::app {
 
+/// One gateway process. During an upgrade two processes of a gateway run: the predecessor, which serves, and
+/// the successor, which takes over its listeners, clients and state through a HandoverLink.
 class Gateway {
  public:
-  /// `file`: the gateway's own file as named on the command line, for reloads; empty: the usual one.
+  /// `file`: the gateway file named on the command line, for reloads; empty: the default one. Throws
+  /// ConfigError or std::system_error.
   Gateway(ev::loop_ref loop, const Config& config, std::string file = "");
-  /// Serves until a SIGTERM or SIGINT has been seen through.
+  /// Serves until the shutdown after SIGTERM or SIGINT is complete.
   void run();
 
  private:
-  void stop(ev::sig&, int);
+  // Signals and shutdown.
+  void on_stop_signal(ev::sig&, int);
   void drain(ev::timer&, int);
-  void last_call(ev::timer&, int);
+  void begin_shutdown(ev::timer&, int);
   void reload(ev::sig&, int);
-  void told(ev::sig&, int) { report(); }
+  void on_report_signal(ev::sig&, int) { report(); }
   void report() const;
-  void log_courses();
+  void update_request_traces();
   void check_empty(ev::prepare&, int);
   [[nodiscard]] bool empty() const;
-  std::string answer(const std::vector<std::string>& words);
+
+  // Commands of operators.
+  std::string answer_admin(const std::vector<std::string>& words);
   std::string answer_levels() const;
   std::string answer_hosts();
-  std::string answer_records(std::size_t most) const;
+  std::string answer_records(std::size_t max_records) const;
   std::string set_level(const std::vector<std::string>& words);
-  wire::DoorAnswer call(const wire::DoorCall& call);
+  wire::ControlResponse answer_control(const wire::ControlRequest& request);
   [[nodiscard]] bool ready() const;
-  bool set_out(const std::string& host, bool out);
-  // Upgrades: the process before this one, then the one that follows.
-  void follow(wire::Fd link);
+  /// False if no service has the host.
+  bool set_disabled(const std::string& host, bool disabled);
+  void open_admin_socket();
+  std::string metrics();
+
+  // Upgrades.
+  void start_as_successor(wire::Fd link);
   void try_serving(ev::timer&, int);
   void serve();
-  void no_yes(ev::timer&, int);
-  void split();
-  void keep_in_step(ev::timer&, int);
-  void send_parts(const char* kind, const std::map<std::string, StateParts>& all);
-  void spoilt(const std::string& front, const std::vector<std::string>& parts);
-  void wait_for_next();
-  void next_came(wire::Fd link);
-  void peer_said(wire::Packet packet);
-  void peer_ended();
-  void share(bool ends, std::size_t theirs);
-  [[nodiscard]] handover::ResourceShares whole_of(const Service& s) const;
-  void make_admin();
-  std::string metrics();
+  void on_budgets_timeout(ev::timer&, int);
+  void split_budgets();
+  void send_ejections(ev::timer&, int);
+  void send_sections(const char* kind, const std::map<std::string, StateSections>& sections);
+  void log_unreadable(const std::string& front, const std::vector<std::string>& sections);
+  void listen_for_successor();
+  void on_successor_connected(wire::Fd link);
+  void on_packet(wire::Packet packet);
+  void on_peer_end();
+  void share_resources(bool outgoing, std::size_t peer_clients);
+  [[nodiscard]] handover::ResourceShares total_resources_of(const Service& service) const;
 
   ev::loop_ref loop_;
   std::string file_;
-  std::string in_force_;  // the configuration's text
+  std::string config_in_force_;  // the configuration's text
   UnixClock clock_;
   telemetry::Log log_;
   wire::Reaper reaper_;
   std::vector<std::unique_ptr<Service>> services_;
   std::unique_ptr<wire::AdminSocket> admin_;
-  std::unique_ptr<wire::ControlDoor> door_;
-  std::uint64_t applied_ = 0, rejected_ = 0;  // files at SIGHUP
+  std::unique_ptr<wire::ControlServer> control_;
+  std::uint64_t configs_applied_ = 0, configs_rejected_ = 0;  // at SIGHUP
   std::string handover_dir_, handover_name_, admin_path_;
-  std::size_t memory_;
-  ev::tstamp since_;  // its start
-  std::unique_ptr<wire::HandoverDoor> handover_;
-  std::unique_ptr<wire::Link> link_;      // to the other process, while there are two
-  bool follows_ = false;                  // this is the new one, and the old one has not ended
-  bool handing_ = false;                  // this is the old one, and the new one serves
-  bool split_ = false;                    // this is the old one, and what may be spent is in two parts
-  bool waits_for_yes_ = false;            // this is the new one, and the old one will tell its part
-  std::string parts_;                     // that are coming
-  std::map<std::string, Duration> told_;  // ejections: front and host, until when, as both know it
-  std::size_t theirs_ = 0;                // clients that the old one still has
-  std::vector<std::shared_ptr<wire::Link>> forget_;  // ended; freed when the loop next blocks
-  ev::timer serving_, leave_, yes_, step_;
-  ev::sig term_, int_, usr1_, hup_;
-  ev::timer drain_, last_;
-  ev::prepare check_;
+  std::size_t max_buffer_bytes_;
+  ev::tstamp started_at_;
+  std::unique_ptr<wire::HandoverListener> handover_;
+  std::unique_ptr<wire::HandoverLink> link_;  // to the other process, while there is one
+  bool is_successor_ = false;                 // this is the successor, and the predecessor has not ended
+  bool handing_over_ = false;                 // this is the predecessor, and the successor serves
+  bool budgets_split_ = false;                // this is the predecessor, and budgets are divided
+  bool awaits_budgets_ = false;    // this is the successor, and the predecessor will send its share
+  std::string received_sections_;  // so far
+  /// Ends of ejections that both processes know, by front and host.
+  std::map<std::string, Duration> known_ejections_;
+  std::size_t predecessor_clients_ = 0;  // clients still to be transferred
+  /// Links that have ended; freed when no callback of theirs can be running.
+  std::vector<std::shared_ptr<wire::HandoverLink>> ended_links_;
+  ev::timer serving_timer_, leave_timer_, budgets_timer_, ejections_timer_;
+  ev::sig term_signal_, int_signal_, usr1_signal_, hup_signal_;
+  ev::timer drain_timer_, shutdown_timer_;
+  ev::prepare empty_check_;
 };
 
 }  // namespace cedarring::app
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -9,172 +9,197 @@
 #include "levels/snapshot.h"
 
 namespace cedarring::app {
+namespace {
 
-Service::Service(ev::loop_ref loop, wire::Reaper& reaper, broker::Broker::Clock clock, const ServiceConfig& c,
-                 const Parts& parts, std::size_t descriptors, std::string front, telemetry::Log& log,
-                 wire::Fd listener, const ServiceState* before, wire::Fd updates)
+/// Of the descriptors clients have three quarters, host connections one quarter.
+std::size_t client_share(std::size_t descriptors) { return descriptors * 3 / 4; }
+std::size_t host_share(std::size_t descriptors) { return descriptors / 4; }
+
+/// Of the slow-start budget, while the other process may be spending the rest.
+constexpr double own_share = 0.5;
+
+}  // namespace
+
+Service::Service(ev::loop_ref loop, wire::Reaper& reaper, broker::Broker::Clock clock,
+                 const ServiceConfig& config, const ConnectionFactories& factories, std::size_t descriptors,
+                 std::string front, telemetry::Log& log, wire::Fd listener, const ServiceState* predecessor,
+                 wire::Fd update_socket)
     : loop_(loop),
       front_(std::move(front)),
       clock_(clock),
       log_(log),
-      whole_{0, descriptors * 3 / 4, descriptors / 4},
-      shares_(whole_),
-      own_(c.settings),
-      for_levels_(c.for_levels()),
-      for_contracts_(c.for_contracts()),
-      known_(before ? before->list : c.known),
-      upstream_(loop, reaper, clock, {c.settings.connect_timeout, c.settings.idle_timeout, descriptors / 4},
-                parts.host, [this] { watch(); }),
-      broker_(c.settings, c.budgets, c.zones, clock, upstream_),
-      clients_(loop, reaper, broker_, c.listen, descriptors * 3 / 4, parts.client, std::move(listener)) {
+      total_resources_{0, client_share(descriptors), host_share(descriptors)},
+      resources_(total_resources_),
+      initial_settings_(config.settings),
+      levels_service_info_(config.for_levels()),
+      contracts_service_info_(config.for_contracts()),
+      known_list_(predecessor ? predecessor->list : config.known),
+      upstream_(loop, reaper, clock,
+                {config.settings.connect_timeout, config.settings.idle_timeout, host_share(descriptors)},
+                factories.host, [this] { open_watch(); }),
+      broker_(config.settings, config.budgets, config.zones, clock, upstream_),
+      clients_(loop, reaper, broker_, config.listen, client_share(descriptors), factories.client,
+               std::move(listener)) {
   upstream_.attach(broker_);
-  clients_.on_change([this] { share_places(); });
-  upstream_.on_full([this] { share_places(); });
-  if (!c.discovery.empty())
+  clients_.on_new_client([this] { divide_connections(); });
+  upstream_.on_limit_reached([this] { divide_connections(); });
+  if (!config.discovery.empty())
     discovery_.emplace(
-        loop, reaper, c.discovery, known_.version, fleet::WatchTiming(c.settings.drain_grace),
+        loop, reaper, config.discovery, known_list_.version, fleet::WatchTiming(config.settings.drain_grace),
         wire::DiscoveryWatch::Events{[this](const broker::MemberList& list) { broker_.listed(list); },
                                      [this] { broker_.list_failed(); }});
-  if (!c.zone_updates.empty())
+  if (!config.zone_updates.empty())
     zone_.emplace(
-        loop, c.zone_updates, c.zone, [this](const broker::MemberList& list) { broker_.listed(list); },
-        std::move(updates));
-  if (c.contracts) contracts_.emplace(loop_, front_, *c.contracts, for_contracts_, broker_, clock_, log_);
-  if (c.levels) start_levels(*c.levels);
-  broker_.start(known_);
-  // Nobody asks for what is pushed, yet it comes on a watch.
-  if (discovery_ && own_.discovery_mode == DiscoveryMode::push) discovery_->keep();
-  if (!before) return;
-  for (const auto& id : before->out) broker_.set_disabled(id, true, true);
-  for (const auto& h : before->heard) broker_.observe(h.host, h.role, h.position);
-  if (before->parts.empty()) return;  // of a build that tells none, and would not tell what is left
+        loop, config.zone_updates, config.zone,
+        [this](const broker::MemberList& list) { broker_.listed(list); }, std::move(update_socket));
+  if (config.contracts)
+    contracts_.emplace(loop_, front_, *config.contracts, contracts_service_info_, broker_, clock_, log_);
+  if (config.levels) start_levels(*config.levels);
+  broker_.start(known_list_);
+  // Pushed lists are not requested by the router, but they come on a watch, too.
+  if (discovery_ && initial_settings_.discovery_mode == DiscoveryMode::push) discovery_->keep_open();
+  if (!predecessor) return;
+  for (const auto& id : predecessor->disabled_hosts) broker_.set_disabled(id, true, true);
+  for (const auto& observed : predecessor->observed_hosts)
+    broker_.observe(observed.host, observed.role, observed.position);
+  if (predecessor->sections.empty())
+    return;  // an older build that sends no sections, and will not report its spending
   broker_.suspend_spending();
   if (contracts_) contracts_->contracts().follow(clock_());
 }
 
-StateParts Service::parts(bool split) {
-  StateParts all;
-  auto k = broker_.snapshot(split ? SnapshotScope::split : SnapshotScope::all);
-  // Commits that come after the first telling are told one by one.
-  if (!split) all["sessions"] = handover::to_text(handover::SessionsSection{k});
-  k.sessions.clear();
-  all["hosts"] = handover::to_text(handover::HostsSection{std::move(k)});
-  if (!split) return all;
-  all["tenants"] = handover::to_text(broker_.split_budgets());
+StateSections Service::snapshot(bool split) {
+  StateSections sections;
+  auto router_snapshot = broker_.snapshot(split ? SnapshotScope::split : SnapshotScope::all);
+  // Commits after the first snapshot are sent one by one.
+  if (!split) sections["sessions"] = handover::to_text(handover::SessionsSection{router_snapshot});
+  router_snapshot.sessions.clear();
+  sections["hosts"] = handover::to_text(handover::HostsSection{std::move(router_snapshot)});
+  if (!split) return sections;
+  sections["tenants"] = handover::to_text(broker_.split_budgets());
   if (contracts_) {
-    handed_ = contracts_->contracts().split(clock_());
-    all["contracts"] = handover::to_text(*handed_);
+    handed_over_contracts_ = contracts_->contracts().split(clock_());
+    sections["contracts"] = handover::to_text(*handed_over_contracts_);
   }
-  if (levels_) all["levels"] = handover::to_text(levels_->levels().snapshot(clock_()));
-  return all;
+  if (levels_) sections["levels"] = handover::to_text(levels_->levels().snapshot(clock_()));
+  return sections;
 }
 
-std::vector<std::string> Service::take(const StateParts& told) {
-  std::vector<std::string> spoilt;
-  const auto read = [&](const char* name, auto record, const auto& use) {
-    const auto it = told.find(name);
-    if (it == told.end()) return;
-    if (auto r = handover::from_text<decltype(record)>(it->second))
-      use(std::move(*r));
+std::vector<std::string> Service::restore(const StateSections& sections) {
+  std::vector<std::string> unreadable;
+  const auto restore_if_present = [&](const char* name, auto record, const auto& restore_section) {
+    const auto it = sections.find(name);
+    if (it == sections.end()) return;
+    if (auto parsed = handover::from_text<decltype(record)>(it->second))
+      restore_section(std::move(*parsed));
     else
-      spoilt.emplace_back(name);
+      unreadable.emplace_back(name);
   };
-  read(
-      "sessions", handover::SessionsSection{}, [&](auto p) { broker_.merge_snapshot(std::move(p.k)); });
-  read(
-      "hosts", handover::HostsSection{}, [&](auto p) { broker_.merge_snapshot(std::move(p.k)); });
-  read(
-      "tenants", broker::BudgetSnapshots{}, [&](auto p) { broker_.take_budgets(p); });
-  read(
+  restore_if_present(
+      "sessions", handover::SessionsSection{},
+      [&](auto section) { broker_.merge_snapshot(std::move(section.k)); });
+  restore_if_present(
+      "hosts", handover::HostsSection{}, [&](auto section) { broker_.merge_snapshot(std::move(section.k)); });
+  restore_if_present(
+      "tenants", broker::BudgetSnapshots{}, [&](auto section) { broker_.take_budgets(section); });
+  restore_if_present(
       "contracts", contracts::Snapshot{},
-      [&](auto p) {
-        if (contracts_) contracts_->contracts().restore(p, clock_());
+      [&](auto section) {
+        if (contracts_) contracts_->contracts().restore(section, clock_());
       });
-  read("levels", levels::Snapshot{}, [&](auto p) {
-    if (levels_) levels_->take(p);
+  restore_if_present("levels", levels::Snapshot{}, [&](auto section) {
+    if (levels_) levels_->take(section);
   });
-  // What cannot be read counts as spent.
-  for (const auto& name : spoilt) {
-    if (name == "hosts") broker_.set_slow_start_share(0.5);
+  // Budgets that cannot be read count as spent.
+  for (const auto& name : unreadable) {
+    if (name == "hosts") broker_.set_slow_start_share(own_share);
     if (name == "tenants") broker_.take_budgets({});
     if (name == "contracts" && contracts_) contracts_->contracts().unheard(clock_());
   }
-  return spoilt;
+  return unreadable;
 }
 
-void Service::unheard() {
+void Service::assume_own_share() {
   broker_.assume_own_share();
   if (contracts_) contracts_->contracts().unheard(clock_());
 }
 
-StateParts Service::booked() {
+StateSections Service::bookings() {
   if (!contracts_) return {};
   return {{"contracts", handover::to_text(contracts_->contracts().booked())}};
 }
 
-std::vector<std::string> Service::book(const StateParts& told) {
-  const auto it = told.find("contracts");
-  if (it == told.end() || !contracts_) return {};
+std::vector<std::string> Service::add_bookings(const StateSections& sections) {
+  const auto it = sections.find("contracts");
+  if (it == sections.end() || !contracts_) return {};
   const auto booked = handover::from_text<contracts::Snapshot>(it->second);
   if (!booked) return {"contracts"};
   contracts_->contracts().book(*booked);
   return {};
 }
 
-void Service::alone() {
+void Service::resume_full_spending() {
   broker_.resume_full_spending();
   if (!contracts_) return;
-  if (handed_) contracts_->contracts().book(*handed_), handed_.reset();
+  if (handed_over_contracts_) {
+    contracts_->contracts().book(*handed_over_contracts_);
+    handed_over_contracts_.reset();
+  }
   contracts_->contracts().alone(clock_());
 }
 
-/// Alone, clients and hosts have what they need of the sum; beside another process each part is fixed.
-void Service::share_places() {
-  if (shares_.hosts < whole_.hosts || shares_.clients < whole_.clients) {
-    clients_.set_most(shares_.clients);
-    return upstream_.set_most(shares_.hosts), upstream_.trim(whole_.hosts);
+/// While one process serves, clients and host connections share all descriptors by demand; beside another
+/// process each has a fixed share.
+void Service::divide_connections() {
+  if (resources_.hosts < total_resources_.hosts || resources_.clients < total_resources_.clients) {
+    clients_.set_max_clients(resources_.clients);
+    upstream_.set_max_connections(resources_.hosts);
+    upstream_.trim(total_resources_.hosts);
+    return;
   }
-  const auto all = whole_.clients + whole_.hosts;
-  auto split = broker::split_connections(all, clients_.taken(), upstream_.connections());
-  upstream_.set_most(split.hosts);
+  const auto total_connections = total_resources_.clients + total_resources_.hosts;
+  auto split = broker::split_connections(total_connections, clients_.active_count(), upstream_.connections());
+  upstream_.set_max_connections(split.hosts);
   upstream_.trim(split.hosts);
-  clients_.set_most(broker::split_connections(all, clients_.taken(), upstream_.connections()).clients,
-                    whole_.clients);
+  clients_.set_max_clients(
+      broker::split_connections(total_connections, clients_.active_count(), upstream_.connections()).clients,
+      total_resources_.clients);
 }
 
 void Service::start_levels(const levels::Config& config) {
   LevelsRunner::Hooks hooks;
   hooks.inputs = [this] {
-    LevelsRunner::Inputs in;
-    in.descriptors = clients_.fullness();
-    in.memory = static_cast<double>(wire::RingBuffer::total()) /
-                static_cast<double>(std::max<std::size_t>(wire::RingBuffer::bound(), 1));
-    if (discovery_) in.discovery_silence = discovery_->silence();
-    return in;
+    LevelsRunner::Inputs inputs;
+    inputs.descriptors = clients_.utilization();
+    inputs.memory = static_cast<double>(wire::RingBuffer::total_capacity()) /
+                    static_cast<double>(std::max<std::size_t>(wire::RingBuffer::total_limit(), 1));
+    if (discovery_) inputs.discovery_silence = discovery_->silence();
+    return inputs;
   };
-  hooks.pool_size = [this](double factor) { upstream_.scale_most(factor); };
-  levels_.emplace(loop_, front_, config, for_levels_, broker_, clock_, std::move(hooks), log_);
+  hooks.pool_size = [this](double factor) { upstream_.scale_limit(factor); };
+  levels_.emplace(loop_, front_, config, levels_service_info_, broker_, clock_, std::move(hooks), log_);
 }
 
-/// What is this gateway's own, its place among the others and its seed, stays as it was at the start.
-void Service::retune(const ServiceConfig& c) {
-  auto settings = c.settings;
-  settings.seed = own_.seed;
-  settings.zone = own_.zone;
-  upstream_.set_times(settings.connect_timeout, settings.idle_timeout);
-  if (discovery_ && settings.discovery_mode == DiscoveryMode::push) discovery_->keep();
-  broker_.update_settings(std::move(settings), c.budgets);
+/// The seed and the zone, which are specific to this instance, stay as they were at the start.
+void Service::update_settings(const ServiceConfig& config) {
+  auto settings = config.settings;
+  settings.seed = initial_settings_.seed;
+  settings.zone = initial_settings_.zone;
+  upstream_.set_timeouts(settings.connect_timeout, settings.idle_timeout);
+  if (discovery_ && settings.discovery_mode == DiscoveryMode::push) discovery_->keep_open();
+  broker_.update_settings(std::move(settings), config.budgets);
 }
 
 Duration Service::longest_deadline() const {
   Duration longest{};
-  for (const auto& c : own_.classes) longest = std::max(longest, c.deadline);
+  for (const auto& request_class : initial_settings_.classes)
+    longest = std::max(longest, request_class.deadline);
   return longest;
 }
 
 void Service::reload_contracts(const std::optional<ContractsConfig>& config) {
   if (contracts_) return contracts_->reload(config.value_or(ContractsConfig{}));
-  if (config) contracts_.emplace(loop_, front_, *config, for_contracts_, broker_, clock_, log_);
+  if (config) contracts_.emplace(loop_, front_, *config, contracts_service_info_, broker_, clock_, log_);
 }
 
 void Service::reload_levels(const std::optional<levels::Config>& config) {
@@ -187,9 +212,9 @@
   if (config) start_levels(*config);
 }
 
-void Service::watch() {
+void Service::open_watch() {
   if (discovery_) return discovery_->start();
-  auto list = zone_ ? zone_->list() : known_;
+  auto list = zone_ ? zone_->list() : known_list_;
   list.full = true;
   broker_.listed(list);
 }
--- a/src/app/service.h
+++ b/src/app/service.h
@@ -1,4 +1,5 @@
-// One front with its hosts: listener, broker, host connections and the source of its list.
+// One front with its hosts: the client listener, the broker, host connections and the source of the host
+// list.
 #pragma once
 
 #include <optional>
@@ -16,78 +17,89 @@
 
 namespace cedarring::app {
 
+/// The wiring of one front. During an upgrade two processes run a service each for the same front and share
+/// its budgets and resources.
 class Service {
  public:
-  struct Parts {
-    wire::SocketUpstream::Make host;
-    wire::ClientSet::Make client;
+  /// Create the connections of the front's protocol.
+  struct ConnectionFactories {
+    wire::SocketUpstream::Factory host;
+    wire::ClientSet::Factory client;
   };
+  /// `descriptors`: for clients and host connections together. The remaining parameters are set if another
+  /// process serves already: its listener, its state (may be null) and its socket for zone updates.
   Service(ev::loop_ref loop, wire::Reaper& reaper, broker::Broker::Clock clock, const ServiceConfig& config,
-          const Parts& parts, std::size_t descriptors, std::string front, telemetry::Log& log,
-          wire::Fd listener = wire::Fd(), const ServiceState* before = nullptr,
-          wire::Fd updates = wire::Fd());
-  /// Whether what it would choose from is known: where lists are pushed, what they say counts from the first
-  /// moment, so one has to have come.
-  [[nodiscard]] bool informed() const {
-    return !discovery_ || own_.discovery_mode != DiscoveryMode::push || discovery_->told();
+          const ConnectionFactories& factories, std::size_t descriptors, std::string front,
+          telemetry::Log& log, wire::Fd listener = wire::Fd(), const ServiceState* predecessor = nullptr,
+          wire::Fd update_socket = wire::Fd());
+  /// Whether a host list has been received, where lists are pushed: a pushed list is binding from its first
+  /// moment, so serving must not start without one.
+  [[nodiscard]] bool has_binding_list() const {
+    return !discovery_ || initial_settings_.discovery_mode != DiscoveryMode::push || discovery_->has_list();
   }
-  /// Takes clients from here on.
-  void begin() { clients_.begin(); }
-  /// Another process follows: `give` hands it a client.
-  void hand_over(std::function<bool(int fd, const std::string& known)> give) {
-    upstream_.wind_down(true);
+  void start_accepting() { clients_.start_accepting(); }
+  /// A successor serves: `transfer` passes it a client.
+  void start_handover(wire::ClientSet::Transfer transfer) {
+    upstream_.set_draining(true);
     if (zone_) zone_->pause(true);
-    clients_.hand_over(std::move(give));
+    clients_.start_handover(std::move(transfer));
   }
-  void take_back() {
-    upstream_.wind_down(false);
+  /// The successor is gone: serves again.
+  void cancel_handover() {
+    upstream_.set_draining(false);
     if (zone_) zone_->pause(false);
-    clients_.take_back();
+    clients_.cancel_handover();
   }
-  /// What is known, for the process that follows; `split`: it begins now, and what may be spent is from here
-  /// on in two parts, of which its own is told.
-  [[nodiscard]] StateParts parts(bool split);
-  /// Takes over what the process before knows; the names of the parts that cannot be read.
-  std::vector<std::string> take(const StateParts& told);
-  /// The process before has not told what it has spent, or it could not be read.
-  void unheard();
-  /// What was booked here since the split, and what another has.
-  [[nodiscard]] StateParts booked();
-  std::vector<std::string> book(const StateParts& told);
+  /// The state for the successor. With `split` the successor starts serving now: budgets are divided between
+  /// the two processes, and the result holds the successor's share.
+  [[nodiscard]] StateSections snapshot(bool split);
+  /// Restores the predecessor's state; returns the names of the sections that cannot be read.
+  std::vector<std::string> restore(const StateSections& sections);
+  /// The predecessor has not reported its spending, or the report cannot be read: spends no more than this
+  /// process's own share.
+  void assume_own_share();
+  /// What was booked here since the split.
+  [[nodiscard]] StateSections bookings();
+  /// Adds what the other process booked since the split; returns the names of the sections that cannot be
+  /// read.
+  std::vector<std::string> add_bookings(const StateSections& sections);
   /// The other process has ended.
-  void alone();
-  void adopt(wire::Fd fd, const std::string& known) { clients_.adopt(std::move(fd), known); }
-  /// The socket for updates of its zone; null without one.
-  [[nodiscard]] const wire::Fd* updates() const { return zone_ ? &zone_->socket() : nullptr; }
+  void resume_full_spending();
+  void adopt(wire::Fd fd, const std::string& state) { clients_.adopt(std::move(fd), state); }
+  /// The socket for zone updates; null without a zone.
+  [[nodiscard]] const wire::Fd* update_socket() const { return zone_ ? &zone_->socket() : nullptr; }
   [[nodiscard]] const wire::Fd& listener() const { return clients_.listener(); }
-  [[nodiscard]] std::size_t clients() const { return clients_.size(); }
-  [[nodiscard]] const handover::ResourceShares& whole() const { return whole_; }
-  void limit(const handover::ResourceShares& shares) {
-    shares_ = shares;
-    clients_.set_room(shares.memory / 2);  // a quarter of the memory: buffers may have half
-    share_places();
+  [[nodiscard]] std::size_t client_count() const { return clients_.size(); }
+  /// The resources of this service while one process serves; memory is not included.
+  [[nodiscard]] const handover::ResourceShares& total_resources() const { return total_resources_; }
+  /// Sets the resources that this process may use now.
+  void set_resources(const handover::ResourceShares& resources) {
+    resources_ = resources;
+    clients_.set_memory_budget(resources.memory / 2);  // a quarter of all memory; buffers may use half of it
+    divide_connections();
   }
   void drain() { clients_.drain(); }
-  /// The longest that a client waits for an answer, as the settings have it.
+  /// The longest deadline of a class in the settings.
   [[nodiscard]] Duration longest_deadline() const;
-  /// Watches the list at another address; the list stays what it is until that tells otherwise.
-  void move_watch(const std::string& address) {
-    if (discovery_ && !address.empty()) discovery_->move(address);
+  /// Watches discovery at another address; the list stays in force until that sends one.
+  void change_discovery_address(const std::string& address) {
+    if (discovery_ && !address.empty()) discovery_->change_address(address);
   }
-  /// Where updates of the zone are taken; empty without one.
+  /// Where zone updates are received; empty without a zone.
   [[nodiscard]] std::string zone_address() const { return zone_ ? zone_->address() : std::string(); }
   [[nodiscard]] std::string address() const { return clients_.address(); }
   [[nodiscard]] const std::deque<broker::TenantBudget>& budgets() const { return broker_.budgets(); }
+  /// Whether no client is connected.
   [[nodiscard]] bool empty() const { return clients_.empty(); }
-  /// Clients are taken, and there is a host to choose.
+  /// Whether clients are accepted and a host is available.
   [[nodiscard]] bool ready() const { return clients_.listening() && broker_.ready(); }
   [[nodiscard]] const std::string& front() const { return front_; }
-  /// Other levels from now on; none: those there were go out of force.
+  /// Applies another configuration of levels; without one, present levels are switched off.
   void reload_levels(const std::optional<levels::Config>& config);
-  void retune(const ServiceConfig& config);
-  /// Whether its classes are those of the start.
+  void update_settings(const ServiceConfig& config);
+  /// Whether the classes are the same as at the start.
   [[nodiscard]] bool same_classes(const ServiceConfig& config) const {
-    return config.settings.classes == own_.classes;
+    return config.settings.classes == initial_settings_.classes;
   }
   void reload_contracts(const std::optional<ContractsConfig>& config);
   [[nodiscard]] const ContractsRunner* contracts() const { return contracts_ ? &*contracts_ : nullptr; }
@@ -95,28 +107,29 @@
   [[nodiscard]] broker::Broker& broker() { return broker_; }
 
  private:
-  void watch();
-  void share_places();
+  void open_watch();
+  void divide_connections();
   void start_levels(const levels::Config& config);
   ev::loop_ref loop_;
   std::string front_;
   broker::Broker::Clock clock_;
   telemetry::Log& log_;
-  handover::ResourceShares whole_, shares_;  // alone; now
-  Settings own_;                             // of the start
-  levels::ServiceInfo for_levels_;
-  contracts::ServiceInfo for_contracts_;
-  broker::MemberList known_;
+  handover::ResourceShares total_resources_, resources_;  // while one process serves; now
+  Settings initial_settings_;
+  levels::ServiceInfo levels_service_info_;
+  contracts::ServiceInfo contracts_service_info_;
+  broker::MemberList known_list_;  // at the start
   wire::SocketUpstream upstream_;
   broker::Broker broker_;
-  // Without either of these the known list is all there is.
+  // Without either of these the known list is the only one.
   std::optional<wire::DiscoveryWatch> discovery_;
   std::optional<wire::ZoneSource> zone_;
   wire::ClientSet clients_;
-  std::optional<ContractsRunner>
-      contracts_;  // the first gate: what is beyond a contract is what levels shed first
+  // Contracts are the first gate: levels shed first what is beyond a contract.
+  std::optional<ContractsRunner> contracts_;
   std::optional<LevelsRunner> levels_;
-  std::optional<contracts::Snapshot> handed_;  // booked before the split: taken back where the other dies
+  /// Booked before the split and passed to the successor; added again here if the successor ends.
+  std::optional<contracts::Snapshot> handed_over_contracts_;
 };
 
 }  // namespace cedarring::app
--- a/src/app/successor.cpp
+++ b/src/app/successor.cpp
@@ -11,101 +11,114 @@
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-void put(Writer& w, const char* key, const std::string& text) {
-  w.Key(key), w.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
+void write_text(Writer& writer, const char* key, const std::string& text) {
+  writer.Key(key);
+  writer.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
 }
 
-std::optional<std::string> text_in(const rapidjson::Value& v, const char* key) {
-  const auto it = v.IsObject() ? v.FindMember(key) : rapidjson::Value::ConstMemberIterator();
-  if (!v.IsObject() || it == v.MemberEnd() || !it->value.IsString()) return std::nullopt;
+std::optional<std::string> string_member(const rapidjson::Value& value, const char* key) {
+  const auto it = value.IsObject() ? value.FindMember(key) : rapidjson::Value::ConstMemberIterator();
+  if (!value.IsObject() || it == value.MemberEnd() || !it->value.IsString()) return std::nullopt;
   return std::string(it->value.GetString(), it->value.GetStringLength());
 }
 
 }  // namespace
 
-Role role_of(const std::string& word) {
+Role parse_role(const std::string& word) {
   return word == "primary" ? Role::primary : word == "replica" ? Role::replica : Role::unknown;
 }
 
-const char* word_of(Role role) {
+const char* role_name(Role role) {
   return role == Role::primary ? "primary" : role == Role::replica ? "replica" : "unknown";
 }
 
-ServiceState state_of(const std::string& front, const broker::HostTable& hosts) {
-  ServiceState s;
-  s.front = front;
-  s.list = hosts.list();
-  s.out.assign(hosts.disabled().begin(), hosts.disabled().end());
-  for (const auto& m : s.list.members)
-    if (const auto* h = hosts.observed(m.id); h && (h->position || h->role != Role::unknown))
-      s.heard.push_back({m.id, h->role, h->position});
-  return s;
+ServiceState capture_state(const std::string& front, const broker::HostTable& hosts) {
+  ServiceState service;
+  service.front = front;
+  service.list = hosts.list();
+  service.disabled_hosts.assign(hosts.disabled().begin(), hosts.disabled().end());
+  for (const auto& member : service.list.members)
+    if (const auto* observed = hosts.observed(member.id);
+        observed && (observed->position || observed->role != Role::unknown))
+      service.observed_hosts.push_back({member.id, observed->role, observed->position});
+  return service;
 }
 
-std::string to_text(const std::vector<ServiceState>& services) {
+std::string to_json(const std::vector<ServiceState>& services) {
   rapidjson::StringBuffer buffer;
-  Writer w(buffer);
-  w.StartArray();
-  for (const auto& s : services) {
-    w.StartObject();
-    put(w, "front", s.front);
-    put(w, "list", wire::members_json(s.list));
-    w.Key("out"), w.StartArray();
-    for (const auto& id : s.out) w.String(id.data(), static_cast<rapidjson::SizeType>(id.size()));
-    w.EndArray();
-    w.Key("heard"), w.StartArray();
-    for (const auto& h : s.heard) {
-      w.StartObject();
-      put(w, "host", h.host);
-      put(w, "role", word_of(h.role));
-      if (h.position) w.Key("position_us"), w.Int64(h.position->count());
-      w.EndObject();
+  Writer writer(buffer);
+  writer.StartArray();
+  for (const auto& service : services) {
+    writer.StartObject();
+    write_text(writer, "front", service.front);
+    write_text(writer, "list", wire::members_json(service.list));
+    writer.Key("out");
+    writer.StartArray();
+    for (const auto& id : service.disabled_hosts)
+      writer.String(id.data(), static_cast<rapidjson::SizeType>(id.size()));
+    writer.EndArray();
+    writer.Key("heard");
+    writer.StartArray();
+    for (const auto& observed : service.observed_hosts) {
+      writer.StartObject();
+      write_text(writer, "host", observed.host);
+      write_text(writer, "role", role_name(observed.role));
+      if (observed.position) {
+        writer.Key("position_us");
+        writer.Int64(observed.position->count());
+      }
+      writer.EndObject();
     }
-    w.EndArray();
-    w.Key("parts"), w.StartObject();
-    for (const auto& [name, text] : s.parts) put(w, name.c_str(), text);
-    w.EndObject();
-    w.EndObject();
+    writer.EndArray();
+    writer.Key("parts");
+    writer.StartObject();
+    for (const auto& [name, text] : service.sections) write_text(writer, name.c_str(), text);
+    writer.EndObject();
+    writer.EndObject();
   }
-  w.EndArray();
+  writer.EndArray();
   return buffer.GetString();
 }
 
-std::optional<std::vector<ServiceState>> services_of(const std::string& text) {
-  rapidjson::Document d;
-  d.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
-  if (d.HasParseError() || !d.IsArray()) return std::nullopt;
-  std::vector<ServiceState> all;
-  for (const auto& v : d.GetArray()) {
-    const auto front = text_in(v, "front"), members = text_in(v, "list");
+std::optional<std::vector<ServiceState>> parse_services(const std::string& text) {
+  rapidjson::Document document;
+  document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
+  if (document.HasParseError() || !document.IsArray()) return std::nullopt;
+  std::vector<ServiceState> services;
+  for (const auto& value : document.GetArray()) {
+    const auto front = string_member(value, "front");
+    const auto members = string_member(value, "list");
     const auto list = members ? wire::parse_members(*members) : std::nullopt;
-    if (!front || !list || !v.HasMember("out") || !v["out"].IsArray() || !v.HasMember("heard") ||
-        !v["heard"].IsArray())
+    if (!front || !list || !value.HasMember("out") || !value["out"].IsArray() || !value.HasMember("heard") ||
+        !value["heard"].IsArray())
       return std::nullopt;
-    ServiceState s;
-    s.front = *front;
-    s.list = *list;
-    for (const auto& id : v["out"].GetArray()) {
+    ServiceState service;
+    service.front = *front;
+    service.list = *list;
+    for (const auto& id : value["out"].GetArray()) {
       if (!id.IsString()) return std::nullopt;
-      s.out.emplace_back(id.GetString(), id.GetStringLength());
+      service.disabled_hosts.emplace_back(id.GetString(), id.GetStringLength());
     }
-    for (const auto& h : v["heard"].GetArray()) {
-      const auto host = text_in(h, "host"), role = text_in(h, "role");
+    for (const auto& entry : value["heard"].GetArray()) {
+      const auto host = string_member(entry, "host");
+      const auto role = string_member(entry, "role");
       if (!host || !role) return std::nullopt;
-      ServiceState::Heard heard{*host, role_of(*role), std::nullopt};
-      if (const auto it = h.FindMember("position_us"); it != h.MemberEnd()) {
+      ServiceState::ObservedHost observed{*host, parse_role(*role), std::nullopt};
+      if (const auto it = entry.FindMember("position_us"); it != entry.MemberEnd()) {
         if (!it->value.IsInt64()) return std::nullopt;
-        heard.position = Time(it->value.GetInt64());
+        observed.position = Time(it->value.GetInt64());
       }
-      s.heard.push_back(std::move(heard));
+      service.observed_hosts.push_back(std::move(observed));
     }
-    if (const auto parts = v.FindMember("parts"); parts != v.MemberEnd() && parts->value.IsObject())
-      for (const auto& p : parts->value.GetObject())
-        if (p.value.IsString())
-          s.parts[p.name.GetString()] = {p.value.GetString(), p.value.GetStringLength()};
-    all.push_back(std::move(s));
+    if (const auto sections = value.FindMember("parts");
+        sections != value.MemberEnd() && sections->value.IsObject())
+      for (const auto& section : sections->value.GetObject())
+        if (section.value.IsString())
+          service.sections[section.name.GetString()] = {section.value.GetString(),
+                                                        section.value.GetStringLength()};
+    services.push_back(std::move(service));
   }
-  return all;
+  return services;
 }
 
 }  // namespace cedarring::app
--- a/src/app/successor.h
+++ b/src/app/successor.h
@@ -1,5 +1,6 @@
-// What one process of a gateway tells the next of its services, as text. Lists, hosts out and roles are read
-// whole or not used at all; the parts beside them stand each for itself.
+// The state of its services that a serving process passes to its successor, as JSON. Host lists, disabled
+// hosts and observed roles are read completely or not at all; the other sections are independent of each
+// other.
 #pragma once
 
 #include <map>
@@ -11,26 +12,31 @@
 
 namespace cedarring::app {
 
-/// StateParts of the state by name, each a text of its own form: one that cannot be read is left out alone.
-using StateParts = std::map<std::string, std::string>;
+/// Sections of the state by name, each a text with its own format version: one that cannot be read is skipped
+/// alone.
+using StateSections = std::map<std::string, std::string>;
 
+/// The state of one service.
 struct ServiceState {
   std::string front;
   broker::MemberList list;
-  std::vector<std::string> out;  // hosts left out by hand
-  struct Heard {
+  std::vector<std::string> disabled_hosts;  // by operators
+  struct ObservedHost {
     std::string host;
     Role role = Role::unknown;
     std::optional<Time> position;
   };
-  std::vector<Heard> heard;
-  StateParts parts;
+  std::vector<ObservedHost> observed_hosts;
+  StateSections sections;
 };
 
-std::string to_text(const std::vector<ServiceState>& services);
-std::optional<std::vector<ServiceState>> services_of(const std::string& text);
-ServiceState state_of(const std::string& front, const broker::HostTable& hosts);
-Role role_of(const std::string& word);
-const char* word_of(Role role);
+std::string to_json(const std::vector<ServiceState>& services);
+/// Parses the output of to_json(); nothing if it is malformed.
+std::optional<std::vector<ServiceState>> parse_services(const std::string& text);
+/// The state of a service without its sections.
+ServiceState capture_state(const std::string& front, const broker::HostTable& hosts);
+/// Role::unknown for any other word than those of role_name().
+Role parse_role(const std::string& word);
+const char* role_name(Role role);
 
 }  // namespace cedarring::app
--- a/src/tools/ctl/main.cpp
+++ b/src/tools/ctl/main.cpp
@@ -40,7 +40,7 @@
   CLI11_PARSE(app, argc, argv);
 
   std::string answer, error;
-  if (!cedarring::wire::ask_admin(socket, line, answer, error)) {
+  if (!cedarring::wire::send_admin_command(socket, line, answer, error)) {
     std::cerr << "cedarring ctl: " << error << '\n';
     return 1;
   }
--- a/src/tools/rig/links.cpp
+++ b/src/tools/rig/links.cpp
@@ -73,7 +73,7 @@
       number_(number),
       gateway_(gateway),
       host_(host) {
-  if (stopped()) hold(true);
+  if (stopped()) pause_reading(true);
 }
 
 bool HostLink::stopped() const {
@@ -83,7 +83,7 @@
 
 void HostLink::troubled() {
   if (closed()) return;
-  hold(stopped());
+  pause_reading(stopped());
   if (!rig_.trouble_of(gateway_, host_).back && !unsaid_.empty()) write(std::exchange(unsaid_, {}));
   if (!stopped() && !in_.empty()) on_input();
 }
@@ -168,7 +168,7 @@
 }
 
 void HostLink::on_input() {
-  while (!closed() && !held()) {
+  while (!closed() && !reading_paused()) {
     const auto in = in_.view();
     if (started_ && !welcomed_) return;
     if (!welcomed_) {
@@ -329,25 +329,25 @@
   if (job_ != 0) model.cancel(job_);
   if (counts_) model.disconnect();
   over(Over::closed, {});
-  rig_.reaper_.take(std::unique_ptr<wire::Connection>(this));
+  rig_.reaper_.add(std::unique_ptr<wire::Connection>(this));
 }
 
 // ---- discovery ----
 DiscoveryLink::DiscoveryLink(Rig& rig, wire::Fd fd, int gateway)
     : Link(rig.loop_, std::move(fd), false, 8192, out_most), rig_(rig), gateway_(gateway) {
-  if (rig.trouble_of(gateway, -1).there) hold(true);
+  if (rig.trouble_of(gateway, -1).there) pause_reading(true);
 }
 
 void DiscoveryLink::troubled() {
   if (closed()) return;
   const auto& t = rig_.trouble_of(gateway_, -1);
-  hold(t.there);
+  pause_reading(t.there);
   if (!t.there && !in_.empty()) on_input();
   if (!t.back && watching_) rig_.tell(gateway_);
 }
 
 void DiscoveryLink::on_input() {
-  if (held() || watching_) return;
+  if (reading_paused() || watching_) return;
   const auto in = in_.view();
   const auto end = in.find("\r\n\r\n");
   if (end == std::string_view::npos) return;
@@ -403,7 +403,7 @@
   const auto it = std::find(all.begin(), all.end(), this);
   if (it == all.end()) return;
   all.erase(it);
-  rig_.reaper_.take(std::unique_ptr<wire::Connection>(this));
+  rig_.reaper_.add(std::unique_ptr<wire::Connection>(this));
 }
 
 // ---- clients ----
@@ -492,7 +492,7 @@
   auto& all = rig_.clients_;
   const auto it = std::find_if(all.begin(), all.end(), [&](const auto& c) { return c.get() == this; });
   if (it == all.end()) return;
-  rig_.reaper_.take(std::move(*it));
+  rig_.reaper_.add(std::move(*it));
   *it = std::move(all.back());
   all.pop_back();
   if (!try_) return;
--- a/src/tools/rig/relay.cpp
+++ b/src/tools/rig/relay.cpp
@@ -68,18 +68,18 @@
 void Relay::End::look() {
   if (closed()) return;
   const int to = peer_ == stream_.from ? stream_.to : stream_.from;
-  hold(relay_.way_(peer_, to).cut);
+  pause_reading(relay_.way_(peer_, to).cut);
   on_input();
 }
 
 void Relay::End::on_input() {
   auto& other = stream_.other(*this);
-  if (held() || in_.empty() || other.closed()) return;
+  if (reading_paused() || in_.empty() || other.closed()) return;
   const auto bytes = in_.view();
   if (!other.put(bytes)) return;  // it goes on once the other has taken what it has
   relay_.counts_.bytes += bytes.size();
   in_.consume(bytes.size());
-  input_taken();
+  input_consumed();
 }
 
 void Relay::End::on_open() { stream_.other(*this).look(); }
@@ -219,7 +219,7 @@
   if (it == streams_.end()) return;
   for (auto* end : {stream->near.get(), stream->far.get()})
     if (!end->closed()) with_reset ? end->reset() : end->end();
-  reaper_.take(std::move(stream->near)), reaper_.take(std::move(stream->far));
+  reaper_.add(std::move(stream->near)), reaper_.add(std::move(stream->far));
   // Their callbacks may still be running: they refer to it until the loop next blocks.
   timeline_.after(Duration(1000), [gone = std::shared_ptr<Stream>(std::move(*it))] {});
   streams_.erase(it);
--- a/src/tools/rig/rig.cpp
+++ b/src/tools/rig/rig.cpp
@@ -844,7 +844,7 @@
                     std::to_string(files.rlim_max);
     return std::move(result_);
   }
-  wire::RingBuffer::set_bound(std::size_t{1} << 30U);
+  wire::RingBuffer::set_total_limit(std::size_t{1} << 30U);
   rules_.emplace(
       [&] {
         Limits l;
--- a/src/wire/admin.cpp
+++ b/src/wire/admin.cpp
@@ -14,7 +14,11 @@
 namespace cedarring::wire {
 namespace {
 
-bool address_of(const std::string& path, sockaddr_un& at) {
+constexpr mode_t owner_only_mask = 0177;
+constexpr int listen_backlog = 8;
+constexpr time_t receive_timeout_s = 10;
+
+bool make_address(const std::string& path, sockaddr_un& at) {
   at = {};
   at.sun_family = AF_UNIX;
   if (path.empty() || path.size() >= sizeof at.sun_path) {
@@ -27,7 +31,7 @@
 
 Fd connect_local(const std::string& path) {
   sockaddr_un at;
-  if (!address_of(path, at)) return Fd();
+  if (!make_address(path, at)) return Fd();
   Fd fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
   if (fd.get() >= 0 && ::connect(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) != 0) {
     const int error = errno;
@@ -39,11 +43,11 @@
 
 Fd listen_local(const std::string& path) {
   sockaddr_un at;
-  if (!address_of(path, at)) return Fd();
-  // Only a socket is taken away, and only one that nobody listens on: never a file of somebody else's.
-  struct stat there {};
-  if (::lstat(path.c_str(), &there) == 0) {
-    if (!S_ISSOCK(there.st_mode)) {
+  if (!make_address(path, at)) return Fd();
+  // Replace only a socket that nobody listens on, never any other file.
+  struct stat existing {};
+  if (::lstat(path.c_str(), &existing) == 0) {
+    if (!S_ISSOCK(existing.st_mode)) {
       errno = EEXIST;
       return Fd();
     }
@@ -55,10 +59,10 @@
   }
   Fd fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (fd.get() < 0) return fd;
-  const auto mask = ::umask(0177);  // the owner's alone
+  const auto mask = ::umask(owner_only_mask);
   const bool bound = ::bind(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0;
   ::umask(mask);
-  if (!bound || ::listen(fd.get(), 8) != 0) {
+  if (!bound || ::listen(fd.get(), listen_backlog) != 0) {
     const int error = errno;
     fd.reset();
     errno = error;
@@ -71,9 +75,9 @@
 class AdminSocket::Peer : public Connection {
  public:
   Peer(ev::loop_ref loop, Fd fd, AdminSocket& owner)
-      : Connection(loop, std::move(fd), false, line_most, answer_most), owner_(owner), timer_(loop) {
-    timer_.set<Peer, &Peer::expired>(this);
-    timer_.start(time_most);
+      : Connection(loop, std::move(fd), false, max_line_size, max_answer_size), owner_(owner), timer_(loop) {
+    timer_.set<Peer, &Peer::on_timeout>(this);
+    timer_.start(timeout_s);
   }
 
  private:
@@ -82,18 +86,18 @@
     const auto end = in.find('\n');
     if (answered_) return in_.clear();
     if (end == std::string_view::npos) {
-      if (in.size() >= line_most) say("{\"error\":\"the line is too long\"}");
+      if (in.size() >= max_line_size) send_answer("{\"error\":\"the line is too long\"}");
       return;
     }
     std::istringstream line{std::string(in.substr(0, end))};
     std::vector<std::string> words;
     for (std::string word; line >> word;) words.push_back(word);
     in_.clear();
-    say(owner_.answer_(words));
+    send_answer(owner_.handler_(words));
   }
-  void say(std::string answer) {
+  void send_answer(std::string answer) {
     answered_ = true;
-    if (answer.size() >= answer_most) answer = "{\"error\":\"the answer is too long\"}";
+    if (answer.size() >= max_answer_size) answer = "{\"error\":\"the answer is too long\"}";
     answer += '\n';
     write(answer);
     if (out_.empty()) shut_down_writing();
@@ -101,66 +105,67 @@
   void on_sent() override { shut_down_writing(); }
   void on_end(int) override {
     timer_.stop();
-    owner_.gone(this);
+    owner_.remove(this);
   }
-  void expired(ev::timer&, int) {
+  void on_timeout(ev::timer&, int) {
     close();
-    owner_.gone(this);
+    owner_.remove(this);
   }
   AdminSocket& owner_;
   ev::timer timer_;
   bool answered_ = false;
 };
 
-AdminSocket::AdminSocket(ev::loop_ref loop, Reaper& reaper, std::string path, Answer answer)
+AdminSocket::AdminSocket(ev::loop_ref loop, Reaper& reaper, std::string path, Handler handler)
     : loop_(loop),
       reaper_(reaper),
       path_(std::move(path)),
-      answer_(std::move(answer)),
+      handler_(std::move(handler)),
       listener_(listen_local(path_)),
       io_(loop) {
   if (listener_.get() < 0) throw std::system_error(errno, std::generic_category(), "admin.socket: " + path_);
-  io_.set<AdminSocket, &AdminSocket::incoming>(this);
+  io_.set<AdminSocket, &AdminSocket::on_connection>(this);
   io_.start(listener_.get(), ev::READ);
 }
 
 AdminSocket::~AdminSocket() { ::unlink(path_.c_str()); }
 
-void AdminSocket::incoming(ev::io&, int) {
+void AdminSocket::on_connection(ev::io&, int) {
   Fd fd = accept_from(listener_.get());
-  // Beyond the bound a client is closed unheard: it can come again, and nothing is kept for it.
-  if (fd.get() < 0 || peers_.size() >= clients_most) return;
+  // Clients beyond the limit are closed without an answer; they may reconnect.
+  if (fd.get() < 0 || peers_.size() >= max_clients) return;
   auto peer = std::make_unique<Peer>(loop_, std::move(fd), *this);
   auto* raw = peer.get();
   peers_.emplace(raw, std::move(peer));
 }
 
-void AdminSocket::gone(Peer* peer) {
+void AdminSocket::remove(Peer* peer) {
   const auto it = peers_.find(peer);
   if (it == peers_.end()) return;
-  reaper_.take(std::move(it->second));
+  reaper_.add(std::move(it->second));
   peers_.erase(it);
 }
 
-bool ask_admin(const std::string& path, const std::string& line, std::string& answer, std::string& error) {
+bool send_admin_command(const std::string& path, const std::string& line, std::string& answer,
+                        std::string& error) {
   const Fd fd = connect_local(path);
   const auto failed = [&] {
     error = path + ": " + std::strerror(errno);
     return false;
   };
   if (fd.get() < 0) return failed();
-  const timeval wait{10, 0};
-  setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof wait);
-  const auto said = line + "\n";
-  if (::send(fd.get(), said.data(), said.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(said.size()))
+  const timeval receive_timeout{receive_timeout_s, 0};
+  setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &receive_timeout, sizeof receive_timeout);
+  const auto command = line + "\n";
+  if (::send(fd.get(), command.data(), command.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(command.size()))
     return failed();
   char bytes[4096];
   for (;;) {
-    const auto n = ::recv(fd.get(), bytes, sizeof bytes, 0);
-    if (n == 0) break;
-    if (n < 0) return failed();
-    answer.append(bytes, static_cast<std::size_t>(n));
-    if (answer.size() > AdminSocket::answer_most) break;
+    const auto received = ::recv(fd.get(), bytes, sizeof bytes, 0);
+    if (received == 0) break;
+    if (received < 0) return failed();
+    answer.append(bytes, static_cast<std::size_t>(received));
+    if (answer.size() > AdminSocket::max_answer_size) break;
   }
   while (!answer.empty() && answer.back() == '\n') answer.pop_back();
   if (answer.empty()) {
--- a/src/wire/admin.h
+++ b/src/wire/admin.h
@@ -1,5 +1,6 @@
-// The operators' socket: a Unix domain stream socket on which a client says one line of words and gets one
-// answer. Bounded in clients, bytes and time; no decision waits for it.
+// The admin socket: a Unix domain stream socket on which a client sends one command line and receives one
+// answer. The number of clients, bytes and time are limited; the processing of requests does not depend on
+// it.
 #pragma once
 
 #include <ev++.h>
@@ -14,35 +15,40 @@
 
 namespace cedarring::wire {
 
+/// Listens on the admin socket and answers commands through a handler.
 class AdminSocket {
  public:
-  /// Answers the words of one line; what it returns is written with a line end behind it.
-  using Answer = std::function<std::string(const std::vector<std::string>& words)>;
-  /// Listens at `path`, in place of a socket that nobody listens on any more. Throws std::system_error.
-  AdminSocket(ev::loop_ref loop, Reaper& reaper, std::string path, Answer answer);
+  /// Returns the answer to a command line, given as words, without a line end.
+  using Handler = std::function<std::string(const std::vector<std::string>& words)>;
+  /// Listens at `path`, replacing a socket that nobody listens on any more. Throws std::system_error.
+  AdminSocket(ev::loop_ref loop, Reaper& reaper, std::string path, Handler handler);
   ~AdminSocket();
   AdminSocket(const AdminSocket&) = delete;
   AdminSocket& operator=(const AdminSocket&) = delete;
   [[nodiscard]] const std::string& path() const { return path_; }
 
-  static constexpr std::size_t clients_most = 8, line_most = 1024, answer_most = std::size_t{256} * 1024;
-  static constexpr double time_most = 5;  // seconds from connect to close
+  static constexpr std::size_t max_clients = 8;
+  static constexpr std::size_t max_line_size = 1024;                       // bytes
+  static constexpr std::size_t max_answer_size = std::size_t{256} * 1024;  // bytes
+  static constexpr double timeout_s = 5;                                   // from connect to close
 
  private:
   class Peer;
   friend class Peer;
-  void incoming(ev::io&, int);
-  void gone(Peer* peer);
+  void on_connection(ev::io&, int);
+  void remove(Peer* peer);
   ev::loop_ref loop_;
   Reaper& reaper_;
   std::string path_;
-  Answer answer_;
+  Handler handler_;
   Fd listener_;
   ev::io io_;
   std::unordered_map<Peer*, std::unique_ptr<Peer>> peers_;
 };
 
-/// What a client of such a socket does: says the line, reads the answer to its end. False with `error` set.
-bool ask_admin(const std::string& path, const std::string& line, std::string& answer, std::string& error);
+/// The client side: sends a command line and reads the answer to its end. Blocks; on failure returns false
+/// and sets `error`.
+bool send_admin_command(const std::string& path, const std::string& line, std::string& answer,
+                        std::string& error);
 
 }  // namespace cedarring::wire
--- a/src/wire/client.cpp
+++ b/src/wire/client.cpp
@@ -7,17 +7,34 @@
 namespace cedarring::wire {
 namespace {
 
-// Seconds. Clients are owed a close within 3 s of connecting where they say nothing whole.
-constexpr double command_most = 2.5, unread_most = 10, linger_most = 1;
-// A usual client's startup comes with its connection, its first command soon after.
-constexpr double mute_least = 0.05, slow_least = 1;
-constexpr double first_word_most = 0.25;  // for one that came just before the listener closed
-constexpr double give_every = 0.005;      // of clients to the process that follows: not felt beside a request
-constexpr double sweep_every = 0.05;      // well under the shortest time that an idle client may stay
-constexpr std::size_t room_least = std::size_t{8} << 20U;  // until the memory's limit is told
-constexpr std::size_t window = 64 * 1024;  // of a long answer that its client has not taken yet
-constexpr std::size_t answered_most = 256, marks_most = 64;
-constexpr std::size_t discard_most = 256 * 1024, lingering_most = 24;
+// Time limits in seconds.
+// A connection that sends nothing complete has to be closed within 3 s of connecting.
+constexpr double command_timeout_s = 2.5;
+constexpr double unread_answer_timeout_s = 10;
+constexpr double linger_timeout_s = 1;
+// Usual clients send their startup message right after connecting and the first command soon after. A new
+// client that has stayed longer than this without doing so may be evicted.
+constexpr double min_silent_stay_s = 0.05;
+constexpr double min_first_command_stay_s = 1;
+/// For the first command of a client that connected just before the listener was closed.
+constexpr double drain_first_command_s = 0.25;
+/// Period of transferring idle clients to the succeeding process: not noticeable next to a request's latency.
+constexpr double transfer_interval_s = 0.005;
+/// Well under the shortest time that an idle client may stay.
+constexpr double sweep_interval_s = 0.05;
+constexpr double accept_pause_s = 0.05;  // while out of descriptors or memory
+
+/// Bytes for long commands until set_memory_budget() is called.
+constexpr std::size_t initial_memory_budget = std::size_t{8} << 20U;
+/// Bytes of a long answer that may be buffered for a client that has not read them yet.
+constexpr std::size_t answer_window = 64 * 1024;
+constexpr std::size_t max_queued_answers = 256;
+constexpr std::size_t max_arrivals = 64;
+constexpr std::size_t max_discarded_bytes = 256 * 1024;
+constexpr std::size_t max_lingering = 24;
+constexpr std::size_t message_overhead = 16;  // bytes that a command may have beside its message
+constexpr int accepts_per_event = 64;
+constexpr int accept_rounds_at_drain = 16;
 
 }  // namespace
 
@@ -27,139 +44,140 @@
          gates::name_of(verdict.reason) + "), nothing has run: try again later";
 }
 
-Client::Client(ev::loop_ref loop, Fd fd, ClientSet& owner, std::size_t message_most)
-    : Connection(loop, std::move(fd), false, message_most + 16, 2 * message_most),
+Client::Client(ev::loop_ref loop, Fd fd, ClientSet& owner, std::size_t max_message)
+    : Connection(loop, std::move(fd), false, max_message + message_overhead, 2 * max_message),
       owner_(owner),
-      since_(loop.now()) {}
+      waiting_since_(loop.now()) {}
 
 void Client::reply(std::string bytes) {
-  held_ += bytes.size();
+  queued_answer_bytes_ += bytes.size();
   slots_.push_back({{}, false, std::move(bytes)});
   flush_answers();
 }
 
-/// Writes the answers that no earlier command keeps waiting. One that finds no room waits until the client
-/// has taken what is before it.
+/// Writes the answers that no earlier command delays. An answer that does not fit the output buffer waits
+/// until the client has read what precedes it.
 void Client::flush_answers() {
-  while (!slots_.empty() && !slots_.front().open) {
-    auto& out = slots_.front().out;
-    if (!out.empty() && !write(out)) {
+  while (!slots_.empty() && !slots_.front().pending) {
+    auto& output = slots_.front().output;
+    if (!output.empty() && !write(output)) {
       if (out_.empty()) leave();
       return;
     }
-    held_ -= out.size();
+    queued_answer_bytes_ -= output.size();
     slots_.pop_front();
   }
-  if (last_ && slots_.empty() && !closing_) linger();
-  // A long answer whose turn has come: what had come of it, then the rest as there is room.
-  if (slots_.empty() || !slots_.front().streaming || slots_.front().out.empty()) return;
-  auto& out = slots_.front().out;
-  if (!write(out)) {
+  if (final_reply_ && slots_.empty() && !lingering_) start_lingering();
+  // A streamed answer is first in the queue now: send what has been received of it, then request the rest.
+  if (slots_.empty() || !slots_.front().streaming || slots_.front().output.empty()) return;
+  auto& output = slots_.front().output;
+  if (!write(output)) {
     if (out_.empty()) leave();
     return;
   }
-  held_ -= out.size();
-  out.clear();
+  queued_answer_bytes_ -= output.size();
+  output.clear();
   if (out_.empty()) owner_.broker().more(slots_.front().request);
 }
 
 bool Client::part(RequestId request, std::string_view bytes) {
-  const auto slot = slot_of(request);
+  const auto slot = find_slot(request);
   if (slot == slots_.end()) return true;
-  if (!std::exchange(slot->streaming, true)) since_ = loop_.now();
-  if (slot != slots_.begin() || !slot->out.empty()) {
-    slot->out += bytes;
-    held_ += bytes.size();
+  if (!std::exchange(slot->streaming, true)) waiting_since_ = loop_.now();
+  if (slot != slots_.begin() || !slot->output.empty()) {
+    slot->output += bytes;
+    queued_answer_bytes_ += bytes.size();
     return false;
   }
-  // Full at worst by one part beyond the window: the host connection waits for more().
+  // At most one part exceeds the window: the host connection then waits to be resumed.
   if (!write(bytes)) {
-    slot->out += bytes;
-    held_ += bytes.size();
+    slot->output += bytes;
+    queued_answer_bytes_ += bytes.size();
     return false;
   }
-  return out_.size() < window;
+  return out_.size() < answer_window;
 }
 
-void Client::say_last(std::string bytes) {
-  last_ = true;
+void Client::reply_and_close(std::string bytes) {
+  final_reply_ = true;
   reply(std::move(bytes));
 }
 
-void Client::linger() {
-  closing_ = true;
-  since_ = loop_.now();
+void Client::start_lingering() {
+  lingering_ = true;
+  waiting_since_ = loop_.now();
   in_.clear();
   if (out_.empty()) shut_down_writing();
-  owner_.lingers(this);
+  owner_.on_lingering(this);
 }
 
 void Client::on_input() {
-  if (!closing_) {
-    stamp();
-    return take();
+  if (!lingering_) {
+    record_arrival();
+    return process_commands();
   }
-  discarded_ += in_.size();
+  discarded_bytes_ += in_.size();
   in_.clear();
-  if (discarded_ > discard_most) leave();
+  if (discarded_bytes_ > max_discarded_bytes) leave();
 }
 
 bool Client::overdue(ev::tstamp now) {
-  const auto waited = now - since_;
-  if (closing_) return waited > linger_most;
-  if (draining_ && !spoke_) return waited > first_word_most;
-  // Of long answers it may take its time, as long as it takes anything.
-  if (!slots_.empty() && (slots_.front().streaming || !slots_.front().open) && !out_.empty()) {
-    if (std::exchange(taken_, sent()) != sent()) since_ = now;
-    return now - since_ > unread_most;
+  const auto waited = now - waiting_since_;
+  if (lingering_) return waited > linger_timeout_s;
+  if (draining_ && !command_received_) return waited > drain_first_command_s;
+  // A long answer may be read slowly, as long as any of it is read.
+  if (!slots_.empty() && (slots_.front().streaming || !slots_.front().pending) && !out_.empty()) {
+    if (std::exchange(last_bytes_sent_, bytes_sent()) != bytes_sent()) waiting_since_ = now;
+    return now - waiting_since_ > unread_answer_timeout_s;
   }
-  if (!slots_.empty() || held()) return false;
-  if (!out_.empty()) return waited > unread_most;
-  return (!spoke_ || half_) && waited > command_most;
+  if (!slots_.empty() || reading_paused()) return false;
+  if (!out_.empty()) return waited > unread_answer_timeout_s;
+  return (!command_received_ || partial_command_) && waited > command_timeout_s;
 }
 
 bool Client::evictable(ev::tstamp now) const {
-  if (spoke_) return idle();
-  return at_rest() && now - since_ > (silent() ? mute_least : slow_least);
+  if (command_received_) return idle();
+  return nothing_pending() &&
+         now - waiting_since_ > (silent() ? min_silent_stay_s : min_first_command_stay_s);
 }
 
-bool Client::reserve(std::size_t bytes, broker::MemoryBudget::Reservation& out) {
-  if (owner_.room().take(this, bytes, out)) return true;
-  hold(true);
+bool Client::reserve_memory(std::size_t bytes, broker::MemoryBudget::Reservation& out) {
+  if (owner_.memory_budget().take(this, bytes, out)) return true;
+  pause_reading(true);
   return false;
 }
 
-/// While it gives something, its time for the rest begins anew; a wait for room is not its doing either.
-void Client::took_part() {
-  since_ = loop_.now();
-  (void)arrival();  // forgets when bytes came that are taken
+/// While a client makes progress its time limit restarts; waiting for memory is not its fault either.
+void Client::on_command_progress() {
+  waiting_since_ = loop_.now();
+  (void)arrival_time();  // drops entries for input that has been taken
 }
 
-void Client::room_made() {
-  since_ = loop_.now();
-  hold(false);
-  take();
+void Client::on_memory_available() {
+  waiting_since_ = loop_.now();
+  pause_reading(false);
+  process_commands();
 }
 
 void Client::leave() {
-  owner_.room().leave(this);
+  owner_.memory_budget().leave(this);
   if (!closed()) close();
   for (const auto& slot : std::exchange(slots_, {}))
-    if (slot.open) owner_.broker().client_left(slot.request);
-  owner_.gone(this);
+    if (slot.pending) owner_.broker().client_left(slot.request);
+  owner_.remove(this);
 }
 
 void Client::on_end(int) { leave(); }
 
 void Client::on_sent() {
-  if (closing_) return shut_down_writing();
-  if (!slots_.empty() && (!slots_.front().open || !slots_.front().out.empty())) {
+  if (lingering_) return shut_down_writing();
+  if (!slots_.empty() && (!slots_.front().pending || !slots_.front().output.empty())) {
     flush_answers();
-    if (!closed()) take();
+    if (!closed()) process_commands();
     return;
   }
-  if (!slots_.empty() && slots_.front().streaming && slots_.front().open) {
-    since_ = loop_.now();
+  if (!slots_.empty() && slots_.front().streaming && slots_.front().pending) {
+    waiting_since_ = loop_.now();
     return owner_.broker().more(slots_.front().request);
   }
   if (drained()) leave();
@@ -170,263 +188,276 @@
   if (drained()) leave();
 }
 
-/// Nothing is owed, nothing waits to be read, and one that has just come has had the time for its first word.
-/// What still waits in the socket is read first: closing over it would reset the connection.
+/// Whether a draining client can be closed: nothing is pending or unread, and a client that has just
+/// connected has had time for its first command. Input waiting in the socket is read first, since closing
+/// would reset the connection.
 bool Client::drained() const {
-  if (!draining_ || !at_rest() || !in_.empty()) return false;
-  return (spoke_ || loop_.now() - since_ > first_word_most) && !pending();
+  if (!draining_ || !nothing_pending() || !in_.empty()) return false;
+  return (command_received_ || loop_.now() - waiting_since_ > drain_first_command_s) && !has_pending_input();
 }
 
-/// Notes when what has just been read came. Full, the last mark takes it in: its older time only makes a
-/// deadline earlier.
-void Client::stamp() {
-  received_ += in_.size() - left_;
-  left_ = in_.size();
-  if (marks_.size() < marks_most)
-    marks_.emplace_back(received_, owner_.broker().now());
+/// Records when the input just read was received. If the list is full the last entry is extended: its older
+/// time only makes a deadline earlier.
+void Client::record_arrival() {
+  bytes_received_ += in_.size() - seen_input_;
+  seen_input_ = in_.size();
+  if (arrivals_.size() < max_arrivals)
+    arrivals_.emplace_back(bytes_received_, owner_.broker().now());
   else
-    marks_.back().first = received_;
+    arrivals_.back().first = bytes_received_;
 }
 
-/// When the last byte of the command just taken off the buffer came.
-Time Client::arrival() {
-  const auto end = received_ - in_.size();
-  while (!marks_.empty() && marks_.front().first < end) marks_.pop_front();
-  return marks_.empty() ? owner_.broker().now() : marks_.front().second;
+/// When the last byte of the command just taken from the buffer was received.
+Time Client::arrival_time() {
+  const auto end = bytes_received_ - in_.size();
+  while (!arrivals_.empty() && arrivals_.front().first < end) arrivals_.pop_front();
+  return arrivals_.empty() ? owner_.broker().now() : arrivals_.front().second;
 }
 
-/// One silent host must not hold up the commands behind: of those only what is out at hosts counts as in
-/// work.
-bool Client::room_for_one() const {
-  return open_ < depth() && (depth() == 1 || (slots_.size() < answered_most && held_ < in_most()));
+/// With pipelining a host that does not respond must not block the commands behind it, so only requests
+/// pending at hosts count towards the depth; queued answers have their own limits.
+bool Client::can_process_command() const {
+  return pending_requests_ < pipeline_depth() &&
+         (pipeline_depth() == 1 ||
+          (slots_.size() < max_queued_answers && queued_answer_bytes_ < max_input()));
 }
 
-/// A command that waits for the one before it would have its time run out behind it. The guard keeps an
-/// answer that comes at once from taking the next command inside this one.
-void Client::take() {
-  if (taking_) return;
-  taking_ = true;
-  while (!closed() && !last_ && room_for_one() && take_one()) {
+/// Processes as many commands as may be pending at once: a command that waited for the one before it would
+/// miss its deadline. The guard prevents an immediate answer from processing the next command recursively.
+void Client::process_commands() {
+  if (processing_) return;
+  processing_ = true;
+  while (!closed() && !final_reply_ && can_process_command() && process_command()) {
   }
-  taking_ = false;
-  left_ = in_.size();
-  if (in_.empty()) marks_.clear();
-  if (closed() || closing_) return;
+  processing_ = false;
+  seen_input_ = in_.size();
+  if (in_.empty()) arrivals_.clear();
+  if (closed() || lingering_) return;
   if (drained()) return leave();
-  const bool half = slots_.empty() && (!in_.empty() || reading_long());
-  if (half && !std::exchange(half_, half) && spoke_) since_ = loop_.now();
-  half_ = half;
-  input_taken();
-}
-
-broker::Rejection Client::ask(const StatementInfo& info, std::shared_ptr<const broker::RequestPayload> work) {
-  broker::ClientRequest ask;
-  ask.name = info.id;
-  ask.contract = info.contract;
-  ask.tenant = info.tenant;
-  ask.group = GroupId{*info.cluster};
-  ask.time_left = std::chrono::milliseconds(*info.deadline_ms);
-  ask.arrived = arrival();
-  if (!info.session.empty()) ask.session = session_of(info.session);
-  ask.retry = info.retry;
-  if (info.after_ms) ask.after = std::chrono::milliseconds(*info.after_ms);
-  ask.work = std::move(work);
+  const bool partial = slots_.empty() && (!in_.empty() || reading_long_command());
+  if (partial && !std::exchange(partial_command_, partial) && command_received_) waiting_since_ = loop_.now();
+  partial_command_ = partial;
+  input_consumed();
+}
+
+broker::Rejection Client::submit_request(const StatementInfo& info,
+                                         std::shared_ptr<const broker::RequestPayload> payload) {
+  broker::ClientRequest request;
+  request.name = info.id;
+  request.contract = info.contract;
+  request.tenant = info.tenant;
+  request.group = GroupId{*info.cluster};
+  request.time_left = std::chrono::milliseconds(*info.deadline_ms);
+  request.arrived = arrival_time();
+  if (!info.session.empty()) request.session = session_of(info.session);
+  request.retry = info.retry;
+  if (info.after_ms) request.after = std::chrono::milliseconds(*info.after_ms);
+  request.work = std::move(payload);
   slots_.push_back({{}, true, {}});
-  ++open_;
-  const auto rejection = owner_.broker().accept(ask, *this, slots_.back().request);
-  if (rejection != broker::Rejection::none) slots_.pop_back(), --open_;
+  ++pending_requests_;
+  const auto rejection = owner_.broker().accept(request, *this, slots_.back().request);
+  if (rejection != broker::Rejection::none) {
+    slots_.pop_back();
+    --pending_requests_;
+  }
   return rejection;
 }
 
-std::deque<Client::Slot>::iterator Client::slot_of(RequestId request) {
+std::deque<Client::Slot>::iterator Client::find_slot(RequestId request) {
   return std::find_if(
-      slots_.begin(), slots_.end(), [&](const Slot& s) { return s.open && s.request == request; });
+      slots_.begin(), slots_.end(), [&](const Slot& s) { return s.pending && s.request == request; });
 }
 
 void Client::finish(RequestId request, broker::FinalAnswer answer) {
-  const auto slot = slot_of(request);
+  const auto slot = find_slot(request);
   if (slot == slots_.end()) return;
-  slot->open = false;
-  --open_;
-  since_ = loop_.now();
-  // It has to see that the value is not whole: the connection ends inside the message.
+  slot->pending = false;
+  --pending_requests_;
+  waiting_since_ = loop_.now();
+  // The connection is closed inside the message, so that the client notices that the value is incomplete.
   if (answer.truncated) return leave();
   std::string rest;
   put_answer(std::move(answer), rest);
-  held_ += rest.size();
-  slot->out += rest;
+  queued_answer_bytes_ += rest.size();
+  slot->output += rest;
   flush_answers();
-  if (!closed()) take();
+  if (!closed()) process_commands();
 }
 
 ClientSet::ClientSet(ev::loop_ref loop, Reaper& reaper, broker::Broker& broker, const std::string& address,
-                     std::size_t most, Make make, Fd listener)
+                     std::size_t max_clients, Factory factory, Fd listener)
     : loop_(loop),
       reaper_(reaper),
       broker_(broker),
-      most_(most),
-      idle_of_(most),
-      make_(std::move(make)),
+      max_clients_(max_clients),
+      idle_limit_(max_clients),
+      factory_(std::move(factory)),
       listener_(listener.get() >= 0 ? std::move(listener) : listen_on(address, true)),
       io_(loop),
-      rest_(loop),
+      accept_pause_(loop),
       sweep_(loop),
-      room_(std::make_shared<broker::MemoryBudget>(room_least,
-                                                   [this] {
-                                                     if (!wake_.is_active()) wake_.start(0);
-                                                   })),
-      wake_(loop) {
-  wake_.set<ClientSet, &ClientSet::room_freed>(this);
+      memory_budget_(std::make_shared<broker::MemoryBudget>(initial_memory_budget,
+                                                            [this] {
+                                                              if (!memory_freed_.is_active())
+                                                                memory_freed_.start(0);
+                                                            })),
+      memory_freed_(loop) {
+  memory_freed_.set<ClientSet, &ClientSet::on_memory_freed>(this);
   if (listener_.get() < 0) throw std::system_error(errno, std::generic_category(), "listen: " + address);
-  io_.set<ClientSet, &ClientSet::incoming>(this);
-  rest_.set<ClientSet, &ClientSet::rested>(this);
+  io_.set<ClientSet, &ClientSet::on_connection>(this);
+  accept_pause_.set<ClientSet, &ClientSet::resume_accepting>(this);
   sweep_.set<ClientSet, &ClientSet::sweep>(this);
-  sweep_.start(sweep_every, sweep_every);
+  sweep_.start(sweep_interval_s, sweep_interval_s);
 }
 
 void ClientSet::drain() {
   io_.stop();
-  // Whoever waits in the listener's queue believes to be connected: closing it would reset them.
-  for (int i = 0; i < 16 && listening() && !give_ && take_waiting(); ++i) {
+  // Clients in the listener's queue consider themselves connected: closing the listener would reset them.
+  for (int i = 0; i < accept_rounds_at_drain && listening() && !transfer_ && accept_pending(); ++i) {
   }
-  rest_.stop();
+  accept_pause_.stop();
   listener_.reset();
-  if (give_) return;  // those there are go over as they fall idle
+  if (transfer_) return;  // present clients are transferred as they become idle
   std::vector<Client*> all;
   for (const auto& [key, client] : clients_) all.push_back(client.get());
   for (auto* client : all) client->drain();
 }
 
-ClientSet::~ClientSet() { room_->close(); }
+ClientSet::~ClientSet() { memory_budget_->close(); }
 
-/// Those in line in turn, until one finds none.
-void ClientSet::room_freed(ev::timer&, int) {
-  for (const void* last = nullptr; room_->next() && room_->next() != last;) {
-    last = room_->next();
-    const auto it =
-        std::find_if(clients_.begin(), clients_.end(), [&](const auto& c) { return c.first == last; });
+/// Wakes the clients that wait for memory in their order, until one still finds none.
+void ClientSet::on_memory_freed(ev::timer&, int) {
+  for (const void* last = nullptr; memory_budget_->next() && memory_budget_->next() != last;) {
+    last = memory_budget_->next();
+    const auto it = std::find_if(clients_.begin(), clients_.end(),
+                                 [&](const auto& entry) { return entry.first == last; });
     if (it == clients_.end())
-      room_->leave(last);
+      memory_budget_->leave(last);
     else
-      it->second->room_made();
+      it->second->on_memory_available();
   }
 }
 
-void ClientSet::hand_over(std::function<bool(int, const std::string&)> give) {
+void ClientSet::start_handover(Transfer transfer) {
   io_.stop();
-  rest_.stop();
-  give_ = std::move(give);
+  accept_pause_.stop();
+  transfer_ = std::move(transfer);
   sweep_.stop();
-  sweep_.start(0, give_every);
-  give_idle();
+  sweep_.start(0, transfer_interval_s);
+  transfer_idle();
 }
 
-void ClientSet::take_back() {
-  if (!give_) return;
-  give_ = nullptr;
+void ClientSet::cancel_handover() {
+  if (!transfer_) return;
+  transfer_ = nullptr;
   sweep_.stop();
-  sweep_.start(sweep_every, sweep_every);
+  sweep_.start(sweep_interval_s, sweep_interval_s);
   io_.start(listener_.get(), ev::READ);
 }
 
-void ClientSet::give_idle() {
-  std::vector<Client*> all;
-  for (const auto& [key, c] : clients_)
-    if (c->quiet() && (c->movable() || c->has_spoken())) all.push_back(key);
-  for (auto* c : all) {
-    // What waits in the socket of one that cannot move is read first: closing over it would reset it.
-    if (!c->movable() && c->pending()) continue;
-    if (c->movable() && !give_(c->descriptor(), c->known())) return;
-    c->leave();  // closes our descriptor alone where the other process has one
+void ClientSet::transfer_idle() {
+  std::vector<Client*> idle;
+  for (const auto& [key, client] : clients_)
+    if (client->between_commands() && (client->transferable() || client->has_sent_command()))
+      idle.push_back(key);
+  for (auto* client : idle) {
+    // Input waiting in the socket of a client that cannot be transferred is read first: closing would reset
+    // the connection.
+    if (!client->transferable() && client->has_pending_input()) continue;
+    if (client->transferable() && !transfer_(client->descriptor(), client->transfer_state())) return;
+    client->leave();  // closes only this process's descriptor of a transferred connection
   }
 }
 
-void ClientSet::adopt(Fd fd, const std::string& known) {
-  auto client = make_(std::move(fd), *this);
+void ClientSet::adopt(Fd fd, const std::string& state) {
+  auto client = factory_(std::move(fd), *this);
   auto* raw = client.get();
   clients_.emplace(raw, std::move(client));
-  raw->resume(known);
+  raw->resume(state);
 }
 
-void ClientSet::gone(Client* client) {
+void ClientSet::remove(Client* client) {
   const auto it = clients_.find(client);
   if (it == clients_.end()) return;
-  if (client->closing()) --lingering_;
-  reaper_.take(std::move(it->second));
+  if (client->lingering()) --lingering_;
+  reaper_.add(std::move(it->second));
   clients_.erase(it);
 }
 
-void ClientSet::lingers(Client*) {
-  if (++lingering_ <= lingering_most) return;
+void ClientSet::on_lingering(Client*) {
+  if (++lingering_ <= max_lingering) return;
   Client* longest = nullptr;
-  for (const auto& [key, c] : clients_)
-    if (c->closing() && (!longest || c->since() < longest->since())) longest = key;
+  for (const auto& [key, client] : clients_)
+    if (client->lingering() && (!longest || client->waiting_since() < longest->waiting_since()))
+      longest = key;
   longest->leave();
 }
 
+/// Closes clients that have exceeded a time limit or disconnected, then transfers or retires idle ones.
 void ClientSet::sweep(ev::timer&, int) {
-  std::vector<Client*> late;
-  for (const auto& [key, c] : clients_)
-    if (c->overdue(loop_.now()) || c->left_unseen()) late.push_back(key);
-  for (auto* client : late) client->leave();
-  Connection::read_on();
-  if (give_) return give_idle();
+  std::vector<Client*> expired;
+  for (const auto& [key, client] : clients_)
+    if (client->overdue(loop_.now()) || client->closed_unnoticed()) expired.push_back(key);
+  for (auto* client : expired) client->leave();
+  Connection::resume_starved();
+  if (transfer_) return transfer_idle();
   retire_idle();
 }
 
-/// Closes idle clients, the longest idle first, for as long as their places are wanted: each one closed gives
-/// the others more time.
+/// Closes idle clients, the longest idle first, while the number of connections calls for it. The permitted
+/// idle time grows with each client closed.
 void ClientSet::retire_idle() {
-  if (!places_.gives_way(Duration::max(), taken(), idle_of_)) return;
+  if (!idle_limits_.gives_way(Duration::max(), active_count(), idle_limit_)) return;
   std::vector<Client*> idle;
-  for (const auto& [key, c] : clients_)
-    if (c->idle()) idle.push_back(key);
+  for (const auto& [key, client] : clients_)
+    if (client->idle()) idle.push_back(key);
   std::sort(idle.begin(), idle.end(),
-            [](const Client* a, const Client* b) { return a->since() < b->since(); });
+            [](const Client* a, const Client* b) { return a->waiting_since() < b->waiting_since(); });
   for (auto* client : idle) {
-    if (!places_.gives_way(idle_time(*client), taken(), idle_of_)) return;
-    if (!client->pending()) client->leave();  // its next request may be there already
+    if (!idle_limits_.gives_way(idle_time(*client), active_count(), idle_limit_)) return;
+    if (!client->has_pending_input()) client->leave();  // its next request may have arrived already
   }
 }
 
 Duration ClientSet::idle_time(const Client& client) const {
-  return Duration(static_cast<std::int64_t>((loop_.now() - client.since()) * 1e6));
+  return Duration(static_cast<std::int64_t>((loop_.now() - client.waiting_since()) * 1e6));
 }
 
-/// Whether there is a place for one more.
-bool ClientSet::make_room() { return taken() < most_ || evict(); }
+/// Whether another client can be accepted, if need be in place of an evicted one.
+bool ClientSet::make_room() { return active_count() < max_clients_ || evict(); }
 
-/// Closes the client that has waited longest without a use for its place, those first that have never said a
-/// command.
+/// Closes the evictable client that has waited longest, preferring clients that have never sent a command.
 bool ClientSet::evict() {
   Client* first = nullptr;
   const auto before = [](const Client* a, const Client* b) {
-    return a->has_spoken() != b->has_spoken() ? !a->has_spoken() : a->since() < b->since();
+    return a->has_sent_command() != b->has_sent_command() ? !a->has_sent_command()
+                                                          : a->waiting_since() < b->waiting_since();
   };
-  for (const auto& [key, c] : clients_)
-    if (c->evictable(loop_.now()) && (!c->idle() || places_.gives_way(idle_time(*c), taken(), idle_of_)) &&
-        (!first || before(key, first)) && !c->pending())
+  for (const auto& [key, client] : clients_)
+    if (client->evictable(loop_.now()) &&
+        (!client->idle() || idle_limits_.gives_way(idle_time(*client), active_count(), idle_limit_)) &&
+        (!first || before(key, first)) && !client->has_pending_input())
       first = key;
   if (first) first->leave();
   return first != nullptr;
 }
 
-/// Takes some of those that wait; false once none does.
-bool ClientSet::take_waiting() {
-  for (int i = 0; i < 64; ++i) {
+/// Accepts a limited number of connections; false once none is pending.
+bool ClientSet::accept_pending() {
+  for (int i = 0; i < accepts_per_event; ++i) {
     Fd fd = accept_from(listener_.get());
     if (fd.get() < 0) {
-      // Out of descriptors or memory: the loop must not spin on a listener that stays readable.
+      // Out of descriptors or memory: pause, as the listener stays readable and the loop would spin.
       if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
         io_.stop();
-        rest_.start(0.05);
+        accept_pause_.start(accept_pause_s);
       }
       if (errno != EINTR && errno != ECONNABORTED) return false;
       continue;
     }
-    if (changed_) changed_();
+    if (new_client_) new_client_();
     const bool full = !make_room();
-    auto client = make_(std::move(fd), *this);
+    auto client = factory_(std::move(fd), *this);
     auto* raw = client.get();
     clients_.emplace(raw, std::move(client));
     if (full)
--- a/src/wire/client.h
+++ b/src/wire/client.h
@@ -1,4 +1,5 @@
-// A client of any front: commands are carried out beside one another, answers come in their order.
+// Client connections of any protocol, and the listener that accepts them. The commands of a client may be
+// executed concurrently; their answers are sent in the order of the commands.
 #pragma once
 
 #include <algorithm>
@@ -17,167 +18,189 @@
 
 class ClientSet;
 
-/// What a client is told of a refusal: who has decided it and why, in the words of records and reports.
+/// The error message of a refusal: which component refused the request and why, named as in records and
+/// reports.
 std::string refusal_text(const gates::Verdict& verdict);
 
+/// One client connection. Subclasses parse the commands of a protocol and encode its answers.
 class Client : public Connection, public broker::FrontEnd {
  public:
-  Client(ev::loop_ref loop, Fd fd, ClientSet& owner, std::size_t message_most);
+  /// `max_message`: bytes of the longest command that fits the input buffer.
+  Client(ev::loop_ref loop, Fd fd, ClientSet& owner, std::size_t max_message);
   bool part(RequestId request, std::string_view bytes) final;
   void finish(RequestId request, broker::FinalAnswer answer) final;
-  [[nodiscard]] bool gone() const final { return closed() || peer_gone(); }
-  /// Has left while what it asked for waits, where its end is not read.
-  [[nodiscard]] bool left_unseen() const { return open_ > 0 && !reading() && peer_gone(); }
-  /// Closes now if idle, else once idle.
+  [[nodiscard]] bool gone() const final { return closed() || peer_closed(); }
+  /// Whether the client has closed while its requests are pending and the close cannot be noticed, because
+  /// its input is not being read.
+  [[nodiscard]] bool closed_unnoticed() const { return pending_requests_ > 0 && !reading() && peer_closed(); }
+  /// Closes the connection now if it is idle, otherwise as soon as it is.
   void drain();
-  /// Goes on reading: there may be room for its long command.
-  void room_made();
-  /// Closes at once; a request in work is given up.
+  /// Memory for the long command being read may have become available: reads on.
+  void on_memory_available();
+  /// Closes at once and cancels pending requests.
   void leave();
-  /// Whether it has kept us waiting for longer than anyone may: without a command, with half of one, with an
-  /// answer that it does not read, or for the end after our last word.
+  /// Whether the client has exceeded a time limit: without a command, in the middle of a command, with an
+  /// answer that it does not read, or after the final reply.
   [[nodiscard]] bool overdue(ev::tstamp now);
-  /// Has spoken, and has neither a request nor half a command with us.
-  [[nodiscard]] bool idle() const { return spoke_ && !half_ && at_rest(); }
-  /// Owes and is owed nothing, and not a byte of a command has been read.
-  [[nodiscard]] bool quiet() const { return at_rest() && in_.empty() && !half_; }
-  /// Whether it may make room for another when there is none; an idle one, once it has stayed long enough.
+  /// Has sent a command before and has neither a pending request nor part of a command.
+  [[nodiscard]] bool idle() const { return command_received_ && !partial_command_ && nothing_pending(); }
+  /// Nothing is pending and not one byte of a next command has been read.
+  [[nodiscard]] bool between_commands() const {
+    return nothing_pending() && in_.empty() && !partial_command_;
+  }
+  /// Whether it may be closed in favour of a new client when the connection limit is reached.
   [[nodiscard]] bool evictable(ev::tstamp now) const;
-  [[nodiscard]] bool closing() const { return closing_; }
-  [[nodiscard]] bool has_spoken() const { return spoke_; }
-  [[nodiscard]] ev::tstamp since() const { return since_; }
-  /// Turns the client away: there are too many.
+  /// Whether the final reply has been written and the connection only waits for the client's close.
+  [[nodiscard]] bool lingering() const { return lingering_; }
+  [[nodiscard]] bool has_sent_command() const { return command_received_; }
+  /// When its current wait began, in loop time.
+  [[nodiscard]] ev::tstamp waiting_since() const { return waiting_since_; }
+  /// Answers that there are too many clients, and closes.
   virtual void turn_away() = 0;
-  /// Whether all that is known of it is that it has been welcomed: another process can go on with its
-  /// connection.
-  [[nodiscard]] virtual bool movable() const { return false; }
-  /// It comes from another process, which has welcomed it.
-  virtual void resume(const std::string& /*known*/) {}
-  /// What that process has to know of it beside its connection.
-  [[nodiscard]] virtual std::string known() const { return {}; }
-  /// The first thing said, where the server speaks first.
+  /// Whether the connection can be passed to another process: it has no state beyond transfer_state().
+  [[nodiscard]] virtual bool transferable() const { return false; }
+  /// Continues a connection that another process has set up; `state` is its transfer_state().
+  virtual void resume(const std::string& /*state*/) {}
+  /// The protocol state that another process needs to continue the connection.
+  [[nodiscard]] virtual std::string transfer_state() const { return {}; }
+  /// Sends the greeting, in protocols where the server speaks first.
   virtual void greet() {}
 
  protected:
-  /// Takes one command off in_; false if there is none whole or the connection is done with.
-  virtual bool take_one() = 0;
+  /// Processes one command from in_; false if there is no complete one or the connection is to be closed.
+  virtual bool process_command() = 0;
   virtual void put_answer(broker::FinalAnswer answer, std::string& out) = 0;
-  /// How many commands may be in work at once, where the protocol lets clients send on. Answers that wait
-  /// behind an earlier one are no longer in work: they are bounded apart, by number and by bytes.
-  [[nodiscard]] virtual std::size_t depth() const { return 1; }
-  /// No command is in work.
-  [[nodiscard]] bool at_rest() const { return slots_.empty() && !closing_ && !last_ && out_.empty(); }
+  /// How many requests may be pending at once, in protocols with pipelining. Finished answers that wait for
+  /// an earlier one do not count; they are limited separately, by number and by bytes.
+  [[nodiscard]] virtual std::size_t pipeline_depth() const { return 1; }
+  /// No command is being executed and nothing remains to be sent.
+  [[nodiscard]] bool nothing_pending() const {
+    return slots_.empty() && !lingering_ && !final_reply_ && out_.empty();
+  }
 
-  /// Whether a command too long for the buffer is being read apart from it.
-  [[nodiscard]] virtual bool reading_long() const { return false; }
-  /// Room for such a command of `bytes`; without it nothing is read until there is, and then take_one() comes
-  /// again.
-  bool reserve(std::size_t bytes, broker::MemoryBudget::Reservation& out);
-  /// A part of it has been taken off the buffer.
-  void took_part();
+  /// Whether a command that exceeds the input buffer is being read into separate memory.
+  [[nodiscard]] virtual bool reading_long_command() const { return false; }
+  /// Reserves memory for such a command of `bytes`. On failure reading pauses until memory is available, then
+  /// process_command() is called again.
+  bool reserve_memory(std::size_t bytes, broker::MemoryBudget::Reservation& out);
+  /// To be called when a part of a long command has been taken from in_: its time limit restarts.
+  void on_command_progress();
 
-  /// Answers the command just taken.
+  /// Answers the command just processed.
   void reply(std::string bytes);
-  /// Says `bytes` and the end, then discards what the client still sends before it closes: closing with
-  /// input unread would reset the connection and destroy our last word on its way.
-  void say_last(std::string bytes);
-  /// Whether not a byte has come from it yet.
+  /// Sends `bytes`, closes the sending direction and discards further input for a while before closing:
+  /// closing with unread input would reset the connection and lose the reply in transit.
+  void reply_and_close(std::string bytes);
+  /// Whether no byte has been received yet.
   [[nodiscard]] virtual bool silent() const = 0;
-  /// A whole command has come.
-  void spoke() { spoke_ = true, since_ = loop_.now(); }
-  /// Hands a request in; what is wrong with it is told by the broker's word.
-  broker::Rejection ask(const StatementInfo& info, std::shared_ptr<const broker::RequestPayload> work);
+  /// To be called when a complete command has been received.
+  void on_command_received() {
+    command_received_ = true;
+    waiting_since_ = loop_.now();
+  }
+  /// Submits a request to the broker; the result says why it was rejected, if so.
+  broker::Rejection submit_request(const StatementInfo& info,
+                                   std::shared_ptr<const broker::RequestPayload> payload);
 
  private:
   void on_input() final;
-  [[nodiscard]] bool owes() const final { return !slots_.empty() || !out_.empty(); }
-  [[nodiscard]] bool can_wait() const final { return true; }
+  [[nodiscard]] bool has_pending_work() const final { return !slots_.empty() || !out_.empty(); }
+  [[nodiscard]] bool can_pause_reading() const final { return true; }
   [[nodiscard]] bool drained() const;
   void flush_answers();
-  void linger();
+  void start_lingering();
   void on_end(int error) final;
   void on_sent() final;
-  void take();
-  void stamp();
-  [[nodiscard]] bool room_for_one() const;
-  [[nodiscard]] Time arrival();
+  void process_commands();
+  void record_arrival();
+  [[nodiscard]] bool can_process_command() const;
+  [[nodiscard]] Time arrival_time();
   ClientSet& owner_;
-  /// A command's answer, once it is there.
+  /// The answer to one command.
   struct Slot {
     RequestId request{};
-    bool open = false;
-    std::string out;
-    bool streaming = false;  // parts have come; those of the first slot are written at once
+    bool pending = false;  // the answer is not complete
+    std::string output;
+    bool streaming = false;  // part of the answer has been received; in the first slot it is sent at once
   };
-  [[nodiscard]] std::deque<Slot>::iterator slot_of(RequestId request);
-  std::deque<Slot> slots_;  // in the order of commands; the first is open
-  std::size_t open_ = 0;    // of them, those that wait for their answer
-  std::size_t held_ = 0;    // bytes of the answers that wait behind an earlier one
-  /// When the bytes of the input came, up to which offset: a command's time counts from its last byte, not
-  /// from when it is taken off the buffer. Bounded; past that later bytes count as come with the last mark.
-  std::deque<std::pair<std::uint64_t, Time>> marks_;
-  std::uint64_t received_ = 0;  // bytes ever
-  std::size_t left_ = 0;        // in the buffer when it was last looked at
-  bool last_ = false;           // the last slot holds our last word
-  bool closing_ = false, draining_ = false, taking_ = false;
-  bool spoke_ = false, half_ = false;  // half: a part of a command has come
-  ev::tstamp since_;                   // when it began to wait for what it waits for now
-  std::size_t discarded_ = 0;
-  std::uint64_t taken_ = 0;  // bytes that it had taken when a long answer was last looked at
+  [[nodiscard]] std::deque<Slot>::iterator find_slot(RequestId request);
+  std::deque<Slot> slots_;               // in the order of commands
+  std::size_t pending_requests_ = 0;     // pending slots
+  std::size_t queued_answer_bytes_ = 0;  // of answers that wait for an earlier one
+  /// When input was received, up to which offset: a command's deadline counts from its last byte, not from
+  /// when it is processed. Bounded; beyond the bound later bytes count as received with the last entry.
+  std::deque<std::pair<std::uint64_t, Time>> arrivals_;
+  std::uint64_t bytes_received_ = 0;  // since the connection was opened
+  std::size_t seen_input_ = 0;        // bytes in in_ when it was last processed
+  bool final_reply_ = false;          // the last slot holds the final reply
+  bool lingering_ = false;
+  bool draining_ = false;
+  bool processing_ = false;
+  bool command_received_ = false;
+  bool partial_command_ = false;
+  ev::tstamp waiting_since_;
+  std::size_t discarded_bytes_ = 0;
+  std::uint64_t last_bytes_sent_ = 0;  // bytes_sent() when a long answer was last checked for progress
 };
 
-/// A listener and the clients it has accepted.
+/// A listener and the clients that it has accepted.
 class ClientSet {
  public:
-  using Make = std::function<std::unique_ptr<Client>(Fd fd, ClientSet& owner)>;
-  /// Listens at `address`, or on `listener` if that is one. Clients are taken from begin() on; those that
-  /// come before wait in the listener's queue.
+  using Factory = std::function<std::unique_ptr<Client>(Fd fd, ClientSet& owner)>;
+  /// Passes a client's descriptor and transfer state to another process; whether that has received them.
+  using Transfer = std::function<bool(int fd, const std::string& state)>;
+  /// Uses `listener` if it is valid, otherwise listens at `address`. Clients are accepted from
+  /// start_accepting() on; until then they wait in the listener's queue. Throws std::system_error.
   ClientSet(ev::loop_ref loop, Reaper& reaper, broker::Broker& broker, const std::string& address,
-            std::size_t most, Make make, Fd listener = Fd());
+            std::size_t max_clients, Factory factory, Fd listener = Fd());
   ~ClientSet();
-  /// No new clients; those there are leave as they fall idle.
+  /// Stops listening; clients are closed as they become idle.
   void drain();
   [[nodiscard]] bool empty() const { return clients_.empty(); }
   [[nodiscard]] bool listening() const { return listener_.get() >= 0; }
-  /// The share of the places for clients that are taken.
-  [[nodiscard]] double fullness() const {
-    return static_cast<double>(taken()) / static_cast<double>(std::max<std::size_t>(most_, 1));
+  /// Clients as a share of the connection limit.
+  [[nodiscard]] double utilization() const {
+    return static_cast<double>(active_count()) / static_cast<double>(std::max<std::size_t>(max_clients_, 1));
   }
   [[nodiscard]] std::string address() const { return bound_address(listener_); }
   [[nodiscard]] const Fd& listener() const { return listener_; }
-  void begin() {
+  void start_accepting() {
     if (listening()) io_.start(listener_.get(), ev::READ);
   }
-  /// Stops taking clients, whose listener stays, and hands on each one there is as it falls idle: `give` says
-  /// whether the other process has got the descriptor. Those that cannot move are closed once idle.
-  void hand_over(std::function<bool(int fd, const std::string& known)> give);
-  /// There is nobody to hand over to any more: goes on as before.
-  void take_back();
-  /// A client that the other process has handed on.
-  void adopt(Fd fd, const std::string& known);
-  /// `idle_of`: the places that idle clients' time is reckoned by, if more than `most`.
-  void set_most(std::size_t most, std::size_t idle_of = 0) {
-    most_ = most, idle_of_ = std::max(most, idle_of);
+  /// Stops accepting, keeps the listener open, and transfers each client as it becomes idle. Clients that are
+  /// not transferable are closed once idle.
+  void start_handover(Transfer transfer);
+  /// The other process is gone: accepts and serves clients again.
+  void cancel_handover();
+  /// Continues a client that another process has transferred.
+  void adopt(Fd fd, const std::string& state);
+  /// `idle_limit`: the limit that the idle time-out is computed from, if greater than `max_clients`.
+  void set_max_clients(std::size_t max_clients, std::size_t idle_limit = 0) {
+    max_clients_ = max_clients;
+    idle_limit_ = std::max(max_clients, idle_limit);
   }
-  /// Called when a client has come, before it takes its place: may change the most.
-  void on_change(std::function<void()> call) { changed_ = std::move(call); }
-  /// Places that are taken.
-  [[nodiscard]] std::size_t taken() const { return clients_.size() - lingering_; }
-  [[nodiscard]] std::size_t most() const { return most_; }
+  /// The callback runs when a client has connected, before it is counted; it may change the limit.
+  void on_new_client(std::function<void()> callback) { new_client_ = std::move(callback); }
+  /// Clients that count towards the limit: all but lingering ones.
+  [[nodiscard]] std::size_t active_count() const { return clients_.size() - lingering_; }
+  [[nodiscard]] std::size_t max_clients() const { return max_clients_; }
   [[nodiscard]] std::size_t size() const { return clients_.size(); }
-  void gone(Client* client);
-  /// Has said its last word; too many that linger cost the longest of them its place.
-  void lingers(Client* client);
-  broker::MemoryBudget& room() { return *room_; }
-  void set_room(std::size_t bytes) { room_->set_total(bytes); }
+  /// To be called by a client that has closed.
+  void remove(Client* client);
+  /// To be called by a client that starts lingering. If too many linger, the one that has done so longest is
+  /// closed.
+  void on_lingering(Client* client);
+  /// The memory for long commands.
+  broker::MemoryBudget& memory_budget() { return *memory_budget_; }
+  void set_memory_budget(std::size_t bytes) { memory_budget_->set_total(bytes); }
   broker::Broker& broker() { return broker_; }
 
  private:
-  void incoming(ev::io&, int) { (void)take_waiting(); }
-  bool take_waiting();
-  void give_idle();
-  void room_freed(ev::timer&, int);
-  void rested(ev::timer&, int) { io_.start(); }
+  void on_connection(ev::io&, int) { (void)accept_pending(); }
+  bool accept_pending();
+  void transfer_idle();
+  void on_memory_freed(ev::timer&, int);
+  void resume_accepting(ev::timer&, int) { io_.start(); }
   void sweep(ev::timer&, int);
   bool make_room();
   bool evict();
@@ -186,17 +209,17 @@
   ev::loop_ref loop_;
   Reaper& reaper_;
   broker::Broker& broker_;
-  std::size_t most_, idle_of_;
-  std::function<void()> changed_;
-  Make make_;
+  std::size_t max_clients_, idle_limit_;
+  std::function<void()> new_client_;
+  Factory factory_;
   Fd listener_;
   ev::io io_;
-  ev::timer rest_, sweep_;
-  broker::IdleConnectionLimits places_;
-  std::shared_ptr<broker::MemoryBudget> room_;  // for long commands; what holds it may outlive this
-  ev::timer wake_;                              // of who waits for it
+  ev::timer accept_pause_, sweep_;
+  broker::IdleConnectionLimits idle_limits_;
+  std::shared_ptr<broker::MemoryBudget> memory_budget_;  // reservations may outlive this object
+  ev::timer memory_freed_;
   std::size_t lingering_ = 0;
-  std::function<bool(int, const std::string&)> give_;  // set while there is somebody to hand clients to
+  Transfer transfer_;  // set during a handover
   std::unordered_map<Client*, std::unique_ptr<Client>> clients_;
 };
 
--- a/src/wire/connection.cpp
+++ b/src/wire/connection.cpp
@@ -15,7 +15,8 @@
 namespace cedarring::wire {
 namespace {
 
-constexpr std::size_t read_size = 16384;
+constexpr std::size_t read_size = 16384;  // bytes per read
+constexpr int listen_backlog = 511;
 
 bool parse_address(const std::string& address, sockaddr_in& out) {
   const auto colon = address.rfind(':');
@@ -28,7 +29,7 @@
   return inet_pton(AF_INET, address.substr(0, colon).c_str(), &out.sin_addr) == 1;
 }
 
-void no_delay(int fd) {
+void disable_nagle(int fd) {
   const int one = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
 }
@@ -55,15 +56,15 @@
 }
 
 Fd connect_to(const std::string& address) {
-  sockaddr_in to;
-  if (!parse_address(address, to)) {
+  sockaddr_in target;
+  if (!parse_address(address, target)) {
     errno = EINVAL;
     return Fd();
   }
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (fd.get() < 0) return fd;
-  no_delay(fd.get());
-  if (::connect(fd.get(), reinterpret_cast<sockaddr*>(&to), sizeof to) != 0 && errno != EINPROGRESS) {
+  disable_nagle(fd.get());
+  if (::connect(fd.get(), reinterpret_cast<sockaddr*>(&target), sizeof target) != 0 && errno != EINPROGRESS) {
     const int error = errno;
     fd.reset();
     errno = error;
@@ -82,7 +83,8 @@
   const int one = 1;
   setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
   if (shared) setsockopt(fd.get(), SOL_SOCKET, SO_REUSEPORT, &one, sizeof one);
-  if (::bind(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) != 0 || ::listen(fd.get(), 511) != 0) {
+  if (::bind(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) != 0 ||
+      ::listen(fd.get(), listen_backlog) != 0) {
     const int error = errno;
     fd.reset();
     errno = error;
@@ -122,26 +124,30 @@
 Fd accept_from(int listener) {
   Fd fd(::accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (fd.get() < 0) return fd;
-  no_delay(fd.get());
-  // A client whose machine vanished says nothing: its place must not be lost for good.
-  const int on = 1, idle = 60, interval = 10, count = 3;
+  disable_nagle(fd.get());
+  // Keep-alive detects clients whose machine has vanished; they would occupy a connection slot for ever.
+  const int on = 1;
+  const int idle_s = 60;
+  const int interval_s = 10;
+  const int count = 3;
   setsockopt(fd.get(), SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
-  setsockopt(fd.get(), IPPROTO_TCP, TCP_KEEPIDLE, &idle, sizeof idle);
-  setsockopt(fd.get(), IPPROTO_TCP, TCP_KEEPINTVL, &interval, sizeof interval);
+  setsockopt(fd.get(), IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof idle_s);
+  setsockopt(fd.get(), IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof interval_s);
   setsockopt(fd.get(), IPPROTO_TCP, TCP_KEEPCNT, &count, sizeof count);
   return fd;
 }
 
-Connection::Connection(ev::loop_ref loop, Fd fd, bool connecting, std::size_t in_most, std::size_t out_most)
-    : loop_(loop), in_(in_most), out_(out_most), fd_(std::move(fd)), io_(loop), connecting_(connecting) {
-  io_.set<Connection, &Connection::ready>(this);
+Connection::Connection(ev::loop_ref loop, Fd fd, bool connecting, std::size_t max_input,
+                       std::size_t max_output)
+    : loop_(loop), in_(max_input), out_(max_output), fd_(std::move(fd)), io_(loop), connecting_(connecting) {
+  io_.set<Connection, &Connection::on_ready>(this);
   io_.set(fd_.get(), connecting_ ? ev::WRITE : ev::READ);
   io_.start();
   next_ = std::exchange(first_, this);
   if (next_) next_->previous_ = this;
 }
 
-void Connection::hurry() {
+void Connection::raise_priority() {
   io_.stop();
   io_.priority = EV_MAXPRI;
   io_.start();
@@ -152,36 +158,43 @@
   if (next_) next_->previous_ = previous_;
 }
 
-/// Ends it for want of memory. Its owner judges by what is left in the buffers, so they go last.
-void Connection::cut() {
-  broken(ENOMEM);
-  in_.clear(), out_.clear();
+/// Closes the connection with ENOMEM. The buffers are cleared last, since on_end() inspects them.
+void Connection::close_for_memory() {
+  disconnect(ENOMEM);
+  in_.clear();
+  out_.clear();
 }
 
-/// Whether there is memory to read on. Over the bound the largest that owes nothing goes, not whoever happens
-/// to read next; where all are owed something, clients that have sent much wait for those that are being
-/// answered; and only past a quarter more is somebody cut who is owed an answer.
-bool Connection::make_memory() {
-  if (RingBuffer::total() <= RingBuffer::bound()) return true;
-  Connection *idle = nullptr, *most = nullptr;
-  for (auto* c = first_; c; c = c->next_) {
-    if (c->closed()) continue;
-    if (!most || c->memory() > most->memory()) most = c;
-    if (!c->owes() && c->memory() > read_size && (!idle || c->memory() > idle->memory())) idle = c;
+/// Whether there is memory to read on. Over the limit the largest connection without pending work is closed,
+/// not the one that happens to read next. If all have pending work, clients that have sent much are paused
+/// until others have been answered. Only over 5/4 of the limit is a connection with pending work closed.
+bool Connection::ensure_memory() {
+  if (RingBuffer::total_capacity() <= RingBuffer::total_limit()) return true;
+  Connection* idle = nullptr;
+  Connection* largest = nullptr;
+  for (auto* connection = first_; connection; connection = connection->next_) {
+    if (connection->closed()) continue;
+    if (!largest || connection->memory() > largest->memory()) largest = connection;
+    if (!connection->has_pending_work() && connection->memory() > read_size &&
+        (!idle || connection->memory() > idle->memory()))
+      idle = connection;
   }
-  if (idle) return idle->cut(), !closed();
-  if (can_wait() && in_.size() >= read_size) {
+  if (idle) {
+    idle->close_for_memory();
+    return !closed();
+  }
+  if (can_pause_reading() && in_.size() >= read_size) {
     starved_ = true;
     return false;
   }
-  if (RingBuffer::total() > RingBuffer::bound() / 4 * 5) most->cut();
+  if (RingBuffer::total_capacity() > RingBuffer::total_limit() / 4 * 5) largest->close_for_memory();
   return !closed();
 }
 
-void Connection::read_on() {
-  if (RingBuffer::total() > RingBuffer::bound()) return;
-  for (auto* c = first_; c; c = c->next_)
-    if (std::exchange(c->starved_, false)) c->interest();
+void Connection::resume_starved() {
+  if (RingBuffer::total_capacity() > RingBuffer::total_limit()) return;
+  for (auto* connection = first_; connection; connection = connection->next_)
+    if (std::exchange(connection->starved_, false)) connection->update_events();
 }
 
 void Connection::shut_down_writing() { ::shutdown(fd_.get(), SHUT_WR); }
@@ -191,23 +204,23 @@
   fd_.reset();
 }
 
-bool Connection::pending() const {
+bool Connection::has_pending_input() const {
   if (!in_.empty()) return true;
   char byte = 0;
   const auto n = ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return n >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
-bool Connection::peer_gone() const {
+bool Connection::peer_closed() const {
   char byte = 0;
   const auto n = ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (n == 0) return true;
   if (n < 0) return errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR;
-  pollfd p{fd_.get(), POLLRDHUP, 0};
-  return ::poll(&p, 1, 0) > 0 && (p.revents & (POLLRDHUP | POLLERR | POLLHUP)) != 0;
+  pollfd descriptor{fd_.get(), POLLRDHUP, 0};
+  return ::poll(&descriptor, 1, 0) > 0 && (descriptor.revents & (POLLRDHUP | POLLERR | POLLHUP)) != 0;
 }
 
-void Connection::broken(int error) {
+void Connection::disconnect(int error) {
   close();
   on_end(error);
 }
@@ -215,59 +228,62 @@
 bool Connection::write(std::string_view bytes) {
   if (closed() || !out_.append(bytes)) return false;
   if (!connecting_) flush();
-  interest();
+  update_events();
   return true;
 }
 
-/// A failed write is told by the loop, never from inside write(): its caller may be anywhere.
+/// A write error is reported from the event loop, never from inside write(): its caller may not expect
+/// callbacks.
 void Connection::flush() {
   while (!out_.empty() && write_error_ == 0) {
-    iovec parts[2];
+    iovec regions[2];
     msghdr message{};
-    message.msg_iov = parts;
-    message.msg_iovlen = static_cast<std::size_t>(out_.filled(parts));
-    const auto n = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
-    if (n >= 0)
-      out_.consume(static_cast<std::size_t>(n)), sent_ += static_cast<std::uint64_t>(n);
-    else if (errno == EAGAIN || errno == EWOULDBLOCK)
+    message.msg_iov = regions;
+    message.msg_iovlen = static_cast<std::size_t>(out_.readable_regions(regions));
+    const auto sent = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
+    if (sent >= 0) {
+      out_.consume(static_cast<std::size_t>(sent));
+      bytes_sent_ += static_cast<std::uint64_t>(sent);
+    } else if (errno == EAGAIN || errno == EWOULDBLOCK) {
       return;
-    else if (errno != EINTR)
+    } else if (errno != EINTR) {
       write_error_ = errno;
+    }
   }
 }
 
-void Connection::interest() {
+void Connection::update_events() {
   if (closed()) return;
   int events = 0;
   if (connecting_ || !out_.empty()) events |= ev::WRITE;
-  reads_ = !connecting_ && !held_ && !starved_ && in_.reserve(1);
+  reads_ = !connecting_ && !paused_ && !starved_ && in_.reserve(1);
   if (reads_) events |= ev::READ;
   io_.set(events);
 }
 
 void Connection::read_some() {
   if (!in_.reserve(read_size)) in_.reserve(1);
-  iovec parts[2];
-  const int n = in_.free_space(parts);
-  if (n == 0) return;
-  if (!make_memory()) return;
-  const auto got = ::readv(fd_.get(), parts, n);
+  iovec regions[2];
+  const int region_count = in_.writable_regions(regions);
+  if (region_count == 0) return;
+  if (!ensure_memory()) return;
+  const auto got = ::readv(fd_.get(), regions, region_count);
   if (got > 0) {
-    in_.grow(static_cast<std::size_t>(got));
+    in_.commit(static_cast<std::size_t>(got));
     on_input();
   } else if (got == 0) {
-    broken(0);
+    disconnect(0);
   } else if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) {
-    broken(errno);
+    disconnect(errno);
   }
 }
 
-void Connection::ready(ev::io&, int events) {
+void Connection::on_ready(ev::io&, int events) {
   if (connecting_) {
     int error = 0;
     socklen_t size = sizeof error;
     getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) return broken(error);
+    if (error != 0) return disconnect(error);
     connecting_ = false;
     on_open();
     if (closed()) return;
@@ -277,11 +293,11 @@
     if (write_error_ == 0 && out_.empty()) on_sent();
     if (closed()) return;
   }
-  // What the peer still said before it broke the connection is read first.
-  if ((events & ev::READ) != 0 && !held_) read_some();
+  // Input that the peer sent before the connection failed is read first.
+  if ((events & ev::READ) != 0 && !paused_) read_some();
   if (closed()) return;
-  if (write_error_ != 0) return broken(write_error_);
-  interest();
+  if (write_error_ != 0) return disconnect(write_error_);
+  update_events();
 }
 
 }  // namespace cedarring::wire
--- a/src/wire/connection.h
+++ b/src/wire/connection.h
@@ -1,4 +1,5 @@
-// A non-blocking TCP connection with a ring buffer a direction. Its owner learns of all by callbacks.
+// A non-blocking TCP connection with one ring buffer per direction, and helpers for sockets. The owner of a
+// connection is notified through virtual callbacks.
 #pragma once
 
 #include <ev++.h>
@@ -12,7 +13,7 @@
 
 namespace cedarring::wire {
 
-/// A descriptor that closes itself.
+/// Owns a file descriptor and closes it on destruction; -1 stands for none.
 class Fd {
  public:
   explicit Fd(int fd = -1) : fd_(fd) {}
@@ -26,96 +27,113 @@
   int fd_;
 };
 
-/// An IPv4 "address:port" as text; false if it is not one.
+/// Whether the text is an IPv4 address and port in the form "address:port".
 bool valid_address(const std::string& address);
-/// Starts a connection; on failure the descriptor is -1 and errno tells why.
+/// Starts connecting without blocking; on failure the descriptor is -1 and errno is set.
 Fd connect_to(const std::string& address);
-/// Listens there and nowhere else. `shared`: another process of this gateway may listen there, too.
+/// Listens on exactly this address; on failure the descriptor is -1 and errno is set. `shared` sets
+/// SO_REUSEPORT, so that another process of this gateway may listen on the address, too.
 Fd listen_on(const std::string& address, bool shared = false);
-/// A datagram socket there.
+/// Binds a UDP socket; on failure the descriptor is -1 and errno is set.
 Fd bind_datagram(const std::string& address);
-/// Whether nobody but this machine can reach it.
+/// Whether the address is in 127.0.0.0/8, which only processes of this machine can reach.
 bool is_loopback(const std::string& address);
-/// Where a listener really is, for port 0.
+/// The address and port that a socket is bound to, with the actual port if port 0 was requested.
 std::string bound_address(const Fd& listener);
-/// The next connection waiting, -1 with errno if there is none.
+/// Accepts the next pending connection; -1 with errno set if there is none.
 Fd accept_from(int listener);
 
+/// A stream connection driven by an event loop. All connections of the process share one memory limit
+/// (RingBuffer::total_limit); over it the connection that holds most memory is closed.
 class Connection {
  public:
-  Connection(ev::loop_ref loop, Fd fd, bool connecting, std::size_t in_most, std::size_t out_most);
+  /// `connecting`: the connect is still in progress. `max_input` and `max_output`: bytes per buffer.
+  Connection(ev::loop_ref loop, Fd fd, bool connecting, std::size_t max_input, std::size_t max_output);
   virtual ~Connection();
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
   [[nodiscard]] bool closed() const { return fd_.get() < 0; }
   [[nodiscard]] int descriptor() const { return fd_.get(); }
-  /// Whether something is left or waits to be read, the peer's close too: an idle connection like that is not
-  /// to be used.
-  [[nodiscard]] bool pending() const;
-  /// Whether the peer has ended or reset it, also where the end stands behind bytes that are not read.
-  [[nodiscard]] bool peer_gone() const;
-  /// Those that memory has kept from reading read on.
-  static void read_on();
+  /// Whether unprocessed input, an error or the peer's close is waiting. An idle connection in this state
+  /// must not be reused.
+  [[nodiscard]] bool has_pending_input() const;
+  /// Whether the peer has closed or reset the connection, even if unread bytes precede its close.
+  [[nodiscard]] bool peer_closed() const;
+  /// Resumes reading on all connections that were paused for lack of memory, once there is memory again.
+  static void resume_starved();
 
  protected:
-  /// Whether ending it would cost somebody an answer: when memory is short it goes after all that owe
-  /// nothing.
-  [[nodiscard]] virtual bool owes() const { return true; }
-  /// Whether it may be kept from reading for a while when memory is short.
-  [[nodiscard]] virtual bool can_wait() const { return false; }
-  /// Whether what the peer says, its end too, is heard.
+  /// Whether closing the connection would lose somebody's answer. When memory is short, connections without
+  /// pending work are closed first.
+  [[nodiscard]] virtual bool has_pending_work() const { return true; }
+  /// Whether reading may be paused for a while when memory is short.
+  [[nodiscard]] virtual bool can_pause_reading() const { return false; }
+  /// Whether input from the peer, including its close, is being read.
   [[nodiscard]] bool reading() const { return reads_; }
-  virtual void on_open() {}            // the connection has come up
-  virtual void on_input() = 0;         // in_ has grown
-  virtual void on_end(int error) = 0;  // the peer ended it (0) or it broke; it is closed already
-  virtual void on_sent() {}            // out_ has run empty
+  /// The connect has succeeded.
+  virtual void on_open() {}
+  /// in_ has grown.
+  virtual void on_input() = 0;
+  /// The peer has closed the connection (`error` is 0) or it has failed (errno). It is closed already.
+  virtual void on_end(int error) = 0;
+  /// out_ has become empty.
+  virtual void on_sent() {}
 
-  /// False if it does not fit under the bound.
+  /// Queues bytes and tries to send them; false if the connection is closed or they exceed the buffer's
+  /// limit.
   bool write(std::string_view bytes);
   void close();
-  /// Sends the end after what has been written; the peer may go on sending.
+  /// Closes the sending direction after everything written so far; the peer may go on sending.
   void shut_down_writing();
-  /// After this on_input comes again only once the buffer has room: for owners that stop taking input.
-  void input_taken() { interest(); }
+  /// To be called by owners that leave input in the buffer: reading stops while the buffer is full.
+  void input_consumed() { update_events(); }
   [[nodiscard]] bool connecting() const { return connecting_; }
-  /// Nothing more is read while it is held.
-  void hold(bool on) { held_ = on, interest(); }
-  [[nodiscard]] bool held() const { return held_; }
-  /// Bytes that the peer's machine has taken, ever.
-  [[nodiscard]] std::uint64_t sent() const { return sent_; }
-  /// Its events are seen to before those of all others.
-  void hurry();
-  [[nodiscard]] std::size_t in_most() const { return in_.most(); }
+  /// Pauses or resumes reading.
+  void pause_reading(bool paused) {
+    paused_ = paused;
+    update_events();
+  }
+  [[nodiscard]] bool reading_paused() const { return paused_; }
+  /// Bytes passed to the kernel since the connection was opened.
+  [[nodiscard]] std::uint64_t bytes_sent() const { return bytes_sent_; }
+  /// Handles this connection's events before those of connections with normal priority.
+  void raise_priority();
+  [[nodiscard]] std::size_t max_input() const { return in_.max_size(); }
 
   ev::loop_ref loop_;
   RingBuffer in_, out_;
 
  private:
-  void ready(ev::io& watcher, int events);
+  void on_ready(ev::io& watcher, int events);
   void read_some();
-  bool make_memory();
-  void cut();
+  bool ensure_memory();
+  void close_for_memory();
   [[nodiscard]] std::size_t memory() const { return in_.capacity() + out_.capacity(); }
   void flush();
-  void interest();
-  void broken(int error);
+  void update_events();
+  void disconnect(int error);
   Fd fd_;
   ev::io io_;
-  bool connecting_, held_ = false, starved_ = false, reads_ = false;
-  std::uint64_t sent_ = 0;
+  bool connecting_;
+  bool paused_ = false;   // by the owner
+  bool starved_ = false;  // paused for lack of memory
+  bool reads_ = false;
+  std::uint64_t bytes_sent_ = 0;
   int write_error_ = 0;
-  Connection *next_, *previous_ = nullptr;  // of all there are
+  // Intrusive list of all connections of the process.
+  Connection *next_, *previous_ = nullptr;
   inline static Connection* first_ = nullptr;
 };
 
-/// Keeps connections that have closed until no callback of theirs can be running.
+/// Keeps closed connections alive until the loop next blocks, when no callback of theirs can be running.
 class Reaper {
  public:
   explicit Reaper(ev::loop_ref loop) : prepare_(loop) {
     prepare_.set<Reaper, &Reaper::reap>(this);
     prepare_.start();
   }
-  void take(std::unique_ptr<Connection> connection) { dead_.push_back(std::move(connection)); }
+  /// Takes ownership of a connection that is to be destroyed.
+  void add(std::unique_ptr<Connection> connection) { dead_.push_back(std::move(connection)); }
 
  private:
   void reap(ev::prepare&, int) { dead_.clear(); }
--- /dev/null
+++ b/src/wire/control_endpoint.h
@@ -0,0 +1,65 @@
+// The HTTP/1.1 control endpoint for operators: one request per connection. It parses requests and writes
+// responses; its owner handles them.
+#pragma once
+
+#include <ev++.h>
+
+#include <functional>
+#include <list>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "wire/connection.h"
+
+namespace cedarring::wire {
+
+struct ControlRequest {
+  std::string method, path;  // the path as sent, without the query
+};
+struct ControlResponse {
+  int status = 200;
+  std::string body;
+  std::string allow;  // the methods of the path, with status 405
+};
+
+/// The percent-decoded segments of a path; nothing if a per cent sign is not followed by two hexadecimal
+/// digits or a zero byte is encoded, which no name contains.
+std::optional<std::vector<std::string>> split_path(std::string_view path);
+
+/// The listener of the control endpoint and its connections.
+class ControlServer {
+ public:
+  /// Must not block: it runs in the event loop, and clients wait for 1 s only.
+  using Handler = std::function<ControlResponse(const ControlRequest&)>;
+  /// Listens on exactly `address`. Throws std::system_error.
+  ControlServer(ev::loop_ref loop, Reaper& reaper, const std::string& address, Handler handler);
+  ~ControlServer();
+  [[nodiscard]] std::string address() const { return bound_address(listener_); }
+
+  static constexpr std::size_t max_connections = 12;
+  /// Descriptors to be reserved for it: connections, the listener, and one being accepted.
+  static constexpr std::size_t descriptors = max_connections + 2;
+  static constexpr std::size_t max_head_size = 8192;                         // bytes
+  static constexpr std::size_t max_body_size = 65536;                        // bytes
+  static constexpr std::size_t max_response_size = std::size_t{256} * 1024;  // bytes
+  static constexpr double timeout_s = 5;                                     // from connect to close
+
+ private:
+  class Exchange;
+  friend class Exchange;
+  void on_connection(ev::io&, int);
+  void resume_accepting(ev::timer&, int) { io_.start(); }
+  void remove(Exchange* exchange);
+  ev::loop_ref loop_;
+  Reaper& reaper_;
+  Handler handler_;
+  Fd listener_;
+  ev::io io_;
+  ev::timer accept_pause_;
+  std::list<std::unique_ptr<Exchange>> exchanges_;  // in the order of arrival
+};
+
+}  // namespace cedarring::wire
--- a/src/wire/discovery.cpp
+++ b/src/wire/discovery.cpp
@@ -10,98 +10,112 @@
 namespace cedarring::wire {
 namespace {
 
-constexpr std::size_t line_most = std::size_t{1} << 20U;
+constexpr std::size_t max_object_size = std::size_t{1} << 20U;  // bytes
+/// Start times from this on (milliseconds since 1970) are ignored as invalid.
+constexpr double max_started_ms = 1e13;
+constexpr std::size_t input_buffer_size = 65536;
+constexpr std::size_t output_buffer_size = 4096;
 
-double seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
+double seconds(Duration duration) { return static_cast<double>(duration.count()) / 1e6; }
 
-std::string text_of(const rapidjson::Value& v, const char* name) {
-  const auto it = v.FindMember(name);
-  return it != v.MemberEnd() && it->value.IsString()
+std::string string_member(const rapidjson::Value& entry, const char* name) {
+  const auto it = entry.FindMember(name);
+  return it != entry.MemberEnd() && it->value.IsString()
              ? std::string(it->value.GetString(), it->value.GetStringLength())
              : std::string();
 }
-double number_of(const rapidjson::Value& v, const char* name, double fallback) {
-  const auto it = v.FindMember(name);
-  return it != v.MemberEnd() && it->value.IsNumber() ? it->value.GetDouble() : fallback;
+double number_member(const rapidjson::Value& entry, const char* name, double fallback) {
+  const auto it = entry.FindMember(name);
+  return it != entry.MemberEnd() && it->value.IsNumber() ? it->value.GetDouble() : fallback;
 }
 
-bool parse_member(const rapidjson::Value& v, broker::Member& m) {
-  if (!v.IsObject()) return false;
-  m.id = text_of(v, "id");
-  m.address = text_of(v, "addr");
-  m.zone = text_of(v, "zone");
-  const auto cell = v.FindMember("cell");
-  m.group = GroupId{cell != v.MemberEnd() && cell->value.IsInt64() ? cell->value.GetInt64() : 0};
-  const auto state = text_of(v, "state");
+bool parse_member(const rapidjson::Value& entry, broker::Member& member) {
+  if (!entry.IsObject()) return false;
+  member.id = string_member(entry, "id");
+  member.address = string_member(entry, "addr");
+  member.zone = string_member(entry, "zone");
+  const auto cell = entry.FindMember("cell");
+  member.group = GroupId{cell != entry.MemberEnd() && cell->value.IsInt64() ? cell->value.GetInt64() : 0};
+  const auto state = string_member(entry, "state");
   if (state == "SERVING")
-    m.state = HostState::ready;
+    member.state = HostState::ready;
   else if (state == "DRAINING")
-    m.state = HostState::draining;
+    member.state = HostState::draining;
   else if (state == "DELETED")
-    m.state = HostState::gone;
+    member.state = HostState::gone;
   else
     return false;
-  m.weight = number_of(v, "weight", 1);
-  m.primary = text_of(v, "recovery") == "off";
-  const double started = number_of(v, "started_ms", 0);
-  if (started > 0 && started < 1e13) m.started_at = Time(static_cast<std::int64_t>(started * 1000));
-  // Where nothing more goes, where it is does not matter.
-  if (m.state != HostState::ready && !valid_address(m.address)) m.address.clear();
-  return !m.id.empty() && (m.state != HostState::ready || valid_address(m.address));
+  member.weight = number_member(entry, "weight", 1);
+  member.primary = string_member(entry, "recovery") == "off";
+  const double started = number_member(entry, "started_ms", 0);
+  if (started > 0 && started < max_started_ms)
+    member.started_at = Time(static_cast<std::int64_t>(started * 1000));
+  // A host that gets no new requests needs no address.
+  if (member.state != HostState::ready && !valid_address(member.address)) member.address.clear();
+  return !member.id.empty() && (member.state != HostState::ready || valid_address(member.address));
 }
 
 }  // namespace
 
 std::optional<broker::MemberList> parse_members(std::string_view json) {
-  rapidjson::Document d;
-  d.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
-  if (d.HasParseError() || !d.IsObject()) return std::nullopt;
-  const auto servers = d.FindMember("servers");
-  if (servers == d.MemberEnd() || !servers->value.IsArray()) return std::nullopt;
+  rapidjson::Document document;
+  document.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
+  if (document.HasParseError() || !document.IsObject()) return std::nullopt;
+  const auto servers = document.FindMember("servers");
+  if (servers == document.MemberEnd() || !servers->value.IsArray()) return std::nullopt;
   broker::MemberList list;
-  const auto version = d.FindMember("version");
-  if (version != d.MemberEnd() && version->value.IsUint64()) list.version = version->value.GetUint64();
-  const auto full = d.FindMember("full");
-  list.full = full != d.MemberEnd() && full->value.IsBool() && full->value.GetBool();
-  for (const auto& v : servers->value.GetArray())
-    if (broker::Member m; parse_member(v, m)) list.members.push_back(std::move(m));
+  const auto version = document.FindMember("version");
+  if (version != document.MemberEnd() && version->value.IsUint64()) list.version = version->value.GetUint64();
+  const auto full = document.FindMember("full");
+  list.full = full != document.MemberEnd() && full->value.IsBool() && full->value.GetBool();
+  for (const auto& entry : servers->value.GetArray())
+    if (broker::Member member; parse_member(entry, member)) list.members.push_back(std::move(member));
   return list;
 }
 
 std::string members_json(const broker::MemberList& list) {
   rapidjson::StringBuffer buffer;
-  rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
+  rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
   const auto text = [&](const char* key, const std::string& value) {
-    w.Key(key), w.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
+    writer.Key(key);
+    writer.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
   };
-  w.StartObject();
-  w.Key("version"), w.Uint64(list.version);
-  w.Key("full"), w.Bool(list.full);
-  w.Key("servers"), w.StartArray();
-  for (const auto& m : list.members) {
-    w.StartObject();
-    text("id", m.id), text("addr", m.address), text("zone", m.zone);
-    w.Key("cell"), w.Int64(m.group.value);
-    text("state", m.state == HostState::ready      ? "SERVING"
-                  : m.state == HostState::draining ? "DRAINING"
-                                                   : "DELETED");
-    w.Key("weight"), w.Double(m.weight);
-    text("recovery", m.primary ? "off" : "on");
-    // Whole milliseconds, rounded up: later is colder.
-    w.Key("started_ms"),
-        w.Int64(m.started_at ? std::chrono::ceil<std::chrono::milliseconds>(*m.started_at).count() : 0);
-    w.EndObject();
+  writer.StartObject();
+  writer.Key("version");
+  writer.Uint64(list.version);
+  writer.Key("full");
+  writer.Bool(list.full);
+  writer.Key("servers");
+  writer.StartArray();
+  for (const auto& member : list.members) {
+    writer.StartObject();
+    text("id", member.id);
+    text("addr", member.address);
+    text("zone", member.zone);
+    writer.Key("cell");
+    writer.Int64(member.group.value);
+    text("state", member.state == HostState::ready      ? "SERVING"
+                  : member.state == HostState::draining ? "DRAINING"
+                                                        : "DELETED");
+    writer.Key("weight");
+    writer.Double(member.weight);
+    text("recovery", member.primary ? "off" : "on");
+    // Rounded up to milliseconds: a later start only prolongs the slow start.
+    writer.Key("started_ms");
+    writer.Int64(member.started_at ? std::chrono::ceil<std::chrono::milliseconds>(*member.started_at).count()
+                                   : 0);
+    writer.EndObject();
   }
-  w.EndArray();
-  w.EndObject();
+  writer.EndArray();
+  writer.EndObject();
   return buffer.GetString();
 }
 
-ObjectSplitter::Found ObjectSplitter::next(std::string_view& bytes, std::string& object) {
+ObjectSplitter::Result ObjectSplitter::next(std::string_view& bytes, std::string& object) {
   for (std::size_t i = 0; i < bytes.size(); ++i) {
     const char c = bytes[i];
-    const auto take = [&] {
-      begun_ += bytes.substr(0, i + 1);
+    const auto consume_current = [&] {
+      partial_ += bytes.substr(0, i + 1);
       bytes.remove_prefix(i + 1);
     };
     if (quoted_) {
@@ -115,28 +129,30 @@
       quoted_ = c == '"';
       depth_ += (c == '{' || c == '[') ? 1 : (c == '}' || c == ']') ? -1 : 0;
       if (depth_ > 0) continue;
-      take();
+      consume_current();
       object.clear();
-      object.swap(begun_);
-      return Found::object;
+      object.swap(partial_);
+      return Result::object;
     } else if (c == '\n') {
       bytes.remove_prefix(i + 1);
-      return Found::heartbeat;
+      return Result::heartbeat;
     } else if (c == '{') {
       depth_ = 1;
     } else if (c != ' ' && c != '\r' && c != '\t') {
-      return Found::bad;
+      return Result::malformed;
     }
   }
-  if (depth_ > 0) begun_ += bytes;
+  if (depth_ > 0) partial_ += bytes;
   bytes = {};
-  return begun_.size() > line_most ? Found::bad : Found::nothing;
+  return partial_.size() > max_object_size ? Result::malformed : Result::incomplete;
 }
 
 class DiscoveryWatch::Stream : public Connection {
  public:
   Stream(ev::loop_ref loop, Fd fd, std::string request, DiscoveryWatch& owner)
-      : Connection(loop, std::move(fd), true, 65536, 4096), request_(std::move(request)), owner_(owner) {
+      : Connection(loop, std::move(fd), true, input_buffer_size, output_buffer_size),
+        request_(std::move(request)),
+        owner_(owner) {
     http_parser_init(&parser_, HTTP_RESPONSE);
     parser_.data = this;
   }
@@ -145,9 +161,12 @@
   }
 
  private:
-  /// After a standstill what has changed is heard before what clients ask: nothing new goes where the list
-  /// says no.
-  void on_open() override { hurry(), write(request_); }
+  /// After a stall of the process, changes of the list are read before clients' requests, so that no new
+  /// request goes to a host that the list has withdrawn.
+  void on_open() override {
+    raise_priority();
+    write(request_);
+  }
   void on_input() override {
     static const http_parser_settings settings = [] {
       http_parser_settings s;
@@ -157,38 +176,39 @@
         return static_cast<Stream*>(p->data)->body({at, n}) ? 0 : -1;
       };
       s.on_message_complete = [](http_parser* p) {
-        static_cast<Stream*>(p->data)->whole_ = true;
+        static_cast<Stream*>(p->data)->complete_ = true;
         return 0;
       };
       return s;
     }();
     const auto in = in_.view();
     const auto used = http_parser_execute(&parser_, &settings, in.data(), in.size());
-    const bool bad = used != in.size() || HTTP_PARSER_ERRNO(&parser_) != HPE_OK;
+    const bool malformed = used != in.size() || HTTP_PARSER_ERRNO(&parser_) != HPE_OK;
     if (closed()) return;
     in_.consume(in.size());
-    if (bad || whole_) owner_.ended(false);
+    if (malformed || complete_) owner_.on_stream_end(false);
   }
-  void on_end(int) override { owner_.ended(false); }
-  /// Only what is whole is a sign of life: bytes that never end would keep a watch that tells nothing.
+  void on_end(int) override { owner_.on_stream_end(false); }
+  /// Only complete objects and heartbeats count as activity: an endless object would otherwise keep a useless
+  /// watch open.
   bool body(std::string_view bytes) {
     std::string object;
     for (;;) {
       switch (splitter_.next(bytes, object)) {
-        case ObjectSplitter::Found::nothing:
+        case ObjectSplitter::Result::incomplete:
           return true;
-        case ObjectSplitter::Found::bad:
+        case ObjectSplitter::Result::malformed:
           return false;
-        case ObjectSplitter::Found::heartbeat:
-          owner_.heard();
+        case ObjectSplitter::Result::heartbeat:
+          owner_.on_activity();
           continue;
-        case ObjectSplitter::Found::object:
+        case ObjectSplitter::Result::object:
           break;
       }
       const auto list = parse_members(object);
       if (!list) return false;
-      owner_.heard();
-      owner_.listed(*list);
+      owner_.on_activity();
+      owner_.on_list(*list);
       if (closed()) return false;
     }
   }
@@ -197,104 +217,109 @@
   DiscoveryWatch& owner_;
   http_parser parser_{};
   ObjectSplitter splitter_;
-  bool whole_ = false;
+  bool complete_ = false;
 };
 
 DiscoveryWatch::DiscoveryWatch(ev::loop_ref loop, Reaper& reaper, std::string address, std::uint64_t version,
-                               fleet::WatchTiming terms, Events events)
+                               fleet::WatchTiming timing, Events events)
     : loop_(loop),
       reaper_(reaper),
       address_(std::move(address)),
       version_(version),
       events_(std::move(events)),
-      terms_(terms),
-      silence_(loop),
-      again_(loop) {
-  silence_.set<DiscoveryWatch, &DiscoveryWatch::silent>(this);
-  again_.set<DiscoveryWatch, &DiscoveryWatch::again>(this);
+      timing_(timing),
+      silence_timer_(loop),
+      retry_timer_(loop) {
+  silence_timer_.set<DiscoveryWatch, &DiscoveryWatch::on_silence>(this);
+  retry_timer_.set<DiscoveryWatch, &DiscoveryWatch::retry>(this);
 }
 
 DiscoveryWatch::~DiscoveryWatch() = default;
 
-/// A watch that was moved may be open already when the router asks for one after the last that failed.
+/// After change_address() a watch may be open already when the router requests one after a failure.
 void DiscoveryWatch::start() {
   if (!stream_) open();
 }
 
-void DiscoveryWatch::keep() {
-  kept_ = true;
+void DiscoveryWatch::keep_open() {
+  keep_open_ = true;
   start();
 }
 
-void DiscoveryWatch::move(std::string address) {
-  if (stream_) stream_->stop(), reaper_.take(std::move(stream_));
+void DiscoveryWatch::change_address(std::string address) {
+  if (stream_) {
+    stream_->stop();
+    reaper_.add(std::move(stream_));
+  }
   address_ = std::move(address);
   version_ = 0;
-  terms_.heard();
+  timing_.heard();
   open();
 }
 
 void DiscoveryWatch::open() {
-  again_.stop();
+  retry_timer_.stop();
   answered_ = false;
   Fd fd = connect_to(address_);
-  if (fd.get() < 0) return failed();
+  if (fd.get() < 0) return on_failure();
   std::string request = "GET /catalog/members?follow=1&since=" + std::to_string(version_) +
                         " HTTP/1.1\r\nHost: " + address_ + "\r\nAccept: application/json\r\n\r\n";
   stream_ = std::make_unique<Stream>(loop_, std::move(fd), std::move(request), *this);
-  wait_for_word();
+  restart_silence_timer();
 }
 
-void DiscoveryWatch::wait_for_word() {
-  silence_.stop();
-  silence_.start(seconds(fleet::WatchTiming::silence(answered_)));
+void DiscoveryWatch::restart_silence_timer() {
+  silence_timer_.stop();
+  silence_timer_.start(seconds(fleet::WatchTiming::silence(answered_)));
 }
 
-void DiscoveryWatch::heard() {
+void DiscoveryWatch::on_activity() {
   answered_ = true;
-  terms_.heard();
-  heard_ = std::chrono::steady_clock::now();
-  wait_for_word();
+  timing_.heard();
+  last_activity_ = std::chrono::steady_clock::now();
+  restart_silence_timer();
 }
 
-/// Changes that are older than what is held would undo what was told since: discovery has begun anew, or
-/// another one answers, and is asked for all it has. What they say is to get nothing more binds meanwhile.
-void DiscoveryWatch::listed(const broker::MemberList& list) {
+/// A change older than the known version would undo later ones: discovery has restarted, or another instance
+/// answers, so the full list is requested. Until it arrives, hosts that the change lists as draining or gone
+/// count as such.
+void DiscoveryWatch::on_list(const broker::MemberList& list) {
   if (list.full || list.version >= version_) {
     version_ = list.version;
-    told_ = true;
-    return events_.listed(list);
+    has_list_ = true;
+    return events_.on_list(list);
   }
-  auto binding = list;
-  binding.version = version_;
-  auto& m = binding.members;
-  m.erase(std::remove_if(m.begin(), m.end(), [](const auto& x) { return x.state == HostState::ready; }),
-          m.end());
-  events_.listed(binding);
+  auto restrictions = list;
+  restrictions.version = version_;
+  auto& members = restrictions.members;
+  members.erase(std::remove_if(members.begin(), members.end(),
+                               [](const auto& member) { return member.state == HostState::ready; }),
+                members.end());
+  events_.on_list(restrictions);
   version_ = 0;
-  ended(true);
+  on_stream_end(true);
 }
 
-/// The end of what is open; `at_once`: it had to be ended here, and another follows without anybody's word.
-void DiscoveryWatch::ended(bool at_once) {
-  silence_.stop();
+/// The open stream has ended. `reopen_at_once`: it was ended by this side and is replaced immediately.
+void DiscoveryWatch::on_stream_end(bool reopen_at_once) {
+  silence_timer_.stop();
   if (!stream_) return;
   stream_->stop();
-  reaper_.take(std::move(stream_));
-  if (at_once) return open();
-  failed();
+  reaper_.add(std::move(stream_));
+  if (reopen_at_once) return open();
+  on_failure();
 }
 
-void DiscoveryWatch::failed() {
-  if (kept_)
-    again_.start(seconds(terms_.after_end()));
+void DiscoveryWatch::on_failure() {
+  if (keep_open_)
+    retry_timer_.start(seconds(timing_.after_end()));
   else
-    events_.failed();
+    events_.on_failure();
 }
 
-/// A machine that was cut off says nothing: its watch would look calm for ever. One that was heard before is
-/// opened anew at once, for what it misses counts as told soon; one that never said a word is a call that has
-/// failed.
-void DiscoveryWatch::silent(ev::timer&, int) { ended(answered_); }
+/// A watch on a machine that was cut off from the network would stay silent for ever. If it has sent
+/// something before, it is reopened at once, since the gateway is expected to know the changes that it misses
+/// a few seconds later; otherwise the attempt to open it counts as failed.
+void DiscoveryWatch::on_silence(ev::timer&, int) { on_stream_end(answered_); }
 
 }  // namespace cedarring::wire
--- a/src/wire/discovery.h
+++ b/src/wire/discovery.h
@@ -1,4 +1,4 @@
-// The watch on discovery's list: HTTP/1.1, one JSON object a line.
+// The watch on discovery's list of hosts: a long-lived HTTP/1.1 response with one JSON object per line.
 #pragma once
 
 #include <http_parser.h>
@@ -15,70 +15,75 @@
 
 namespace cedarring::wire {
 
-/// One list in discovery's form; nothing if it is not one. A single entry that cannot be read is left out,
-/// but for one that is to get nothing more: of that the id and the state are enough.
+/// Parses one list in discovery's JSON form; nothing if it is malformed. Single entries that cannot be parsed
+/// are skipped; for a host that is draining or deleted the id and the state suffice.
 std::optional<broker::MemberList> parse_members(std::string_view json);
 
-/// Cuts a stream of JSON objects into whole ones, however they are spread over lines.
+/// Splits a stream into complete JSON objects, independent of line breaks inside them.
 class ObjectSplitter {
  public:
-  enum class Found { nothing, heartbeat, object, bad };
-  /// Takes bytes off the front of `bytes` up to the next find; `object` is set where that is one. A heartbeat
-  /// is an empty line between objects.
-  Found next(std::string_view& bytes, std::string& object);
+  enum class Result { incomplete, heartbeat, object, malformed };
+  /// Removes bytes from the front of `bytes` up to and including the next object or heartbeat; `object` is
+  /// set if there is one. A heartbeat is an empty line between objects.
+  Result next(std::string_view& bytes, std::string& object);
 
  private:
-  std::string begun_;
+  std::string partial_;
   int depth_ = 0;
   bool quoted_ = false, escaped_ = false;
 };
 
-/// The same form, written.
+/// Writes a list in discovery's JSON form.
 std::string members_json(const broker::MemberList& list);
 
+/// Keeps a watch on discovery and reports the lists it sends.
 class DiscoveryWatch {
  public:
   struct Events {
-    std::function<void(const broker::MemberList&)> listed;
-    std::function<void()> failed;
+    std::function<void(const broker::MemberList&)> on_list;
+    /// The watch could not be opened or has ended.
+    std::function<void()> on_failure;
   };
+  /// `version`: of the list already known; discovery sends what is newer.
   DiscoveryWatch(ev::loop_ref loop, Reaper& reaper, std::string address, std::uint64_t version,
-                 fleet::WatchTiming terms, Events events);
+                 fleet::WatchTiming timing, Events events);
   ~DiscoveryWatch();
-  /// Starts a watch if none is open; one event follows in any case.
+  /// Opens a watch if none is open; at least one event follows.
   void start();
-  /// Keeps a watch open from now on without being asked, and never tells that it failed.
-  void keep();
-  /// Whether a list has come.
-  [[nodiscard]] bool told() const { return told_; }
-  /// Leaves the watch that is open, if any, for one at another address, which is asked at once for all it
-  /// has: its versions may not be those of the address before.
-  void move(std::string address);
-  /// Seconds since a byte came from it, or since it was set up.
+  /// Keeps a watch open from now on, reconnecting by itself; on_failure is no longer called.
+  void keep_open();
+  /// Whether a list has been received.
+  [[nodiscard]] bool has_list() const { return has_list_; }
+  /// Closes the current watch, if any, and opens one at another address. The full list is requested, since
+  /// versions of the previous address may not apply there.
+  void change_address(std::string address);
+  /// Seconds since data was last received, or since construction.
   [[nodiscard]] double silence() const {
-    return std::chrono::duration<double>(std::chrono::steady_clock::now() - heard_).count();
+    return std::chrono::duration<double>(std::chrono::steady_clock::now() - last_activity_).count();
   }
 
  private:
   class Stream;
-  void listed(const broker::MemberList& list);
+  void on_list(const broker::MemberList& list);
   void open();
-  void ended(bool at_once);
-  void silent(ev::timer&, int);
-  void again(ev::timer&, int) { start(); }
-  void heard();
-  void wait_for_word();
-  void failed();
+  void on_stream_end(bool reopen_at_once);
+  void on_silence(ev::timer&, int);
+  void retry(ev::timer&, int) { start(); }
+  void on_activity();
+  void restart_silence_timer();
+  void on_failure();
   ev::loop_ref loop_;
   Reaper& reaper_;
   std::string address_;
   std::uint64_t version_;
   Events events_;
   std::unique_ptr<Stream> stream_;
-  fleet::WatchTiming terms_;
-  bool kept_ = false, told_ = false, answered_ = false;  // answered: the one that is open
-  ev::timer silence_, again_;
-  std::chrono::steady_clock::time_point heard_ = std::chrono::steady_clock::now();
+  fleet::WatchTiming timing_;
+  bool keep_open_ = false;
+  bool has_list_ = false;
+  bool answered_ = false;  // the open stream has sent something
+  ev::timer silence_timer_, retry_timer_;
+  std::chrono::steady_clock::time_point last_activity_ = std::chrono::steady_clock::now();
 };
 
 }  // namespace cedarring::wire
