--- a/src/wire/handover.cpp
+++ b/src/wire/handover.cpp
@@ -15,56 +15,63 @@
 namespace cedarring::wire {
 namespace {
 
-constexpr std::string_view mark = "cedarring1";  // other builds of another form say another number
-constexpr std::size_t fds_most = 4;
-
-std::string digest(std::string_view text) {
-  char hex[17];
+constexpr std::string_view format_marker = "cedarring1";  // the number is that of the packet format
+constexpr std::size_t max_descriptors = 4;                // per packet
+constexpr std::size_t header_overhead = 256;              // bytes of a packet beside its text, at most
+constexpr std::size_t checksum_size = 16;                 // hexadecimal digits
+constexpr mode_t owner_only_mask = 0177;
+constexpr int listen_backlog = 4;
+constexpr int packets_per_event = 64;
+
+std::string checksum(std::string_view text) {
+  char hex[checksum_size + 1];
   std::snprintf(hex, sizeof hex, "%016llx",
                 static_cast<unsigned long long>(XXH64(text.data(), text.size(), 0)));
   return hex;
 }
 
-/// The folder by its descriptor: the path of a socket may have 107 bytes, that of a folder more.
-struct Place {
+/// The address of a socket, with its folder given by descriptor: a socket path may have 107 bytes, a folder
+/// path more.
+struct SocketAddress {
   Fd dir;
-  sockaddr_un at{};
-  Place(const std::string& path, const std::string& name)
+  sockaddr_un address{};
+  SocketAddress(const std::string& path, const std::string& name)
       : dir(::open(path.c_str(), O_PATH | O_DIRECTORY | O_CLOEXEC)) {
-    at.sun_family = AF_UNIX;
+    address.sun_family = AF_UNIX;
     const auto full = "/proc/self/fd/" + std::to_string(dir.get()) + "/" + name;
-    std::strncpy(at.sun_path, full.c_str(), sizeof at.sun_path - 1);
+    std::strncpy(address.sun_path, full.c_str(), sizeof address.sun_path - 1);
   }
-  [[nodiscard]] const sockaddr* address() const { return reinterpret_cast<const sockaddr*>(&at); }
+  [[nodiscard]] const sockaddr* get() const { return reinterpret_cast<const sockaddr*>(&address); }
 };
 
-Fd packets() { return Fd(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)); }
+Fd packet_socket() { return Fd(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)); }
 
-/// One packet; -1 with errno, 0 at the end of the link, else 1. What cannot be read comes with an empty kind.
-int receive(int fd, Packet& out) {
-  std::vector<char> bytes(packet_most + 256);
-  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int) * fds_most)];
-  iovec part{bytes.data(), bytes.size()};
+/// Receives one packet; returns -1 with errno set, 0 at the end of the link, else 1. An invalid packet has an
+/// empty kind.
+int receive_packet(int fd, Packet& out) {
+  std::vector<char> bytes(max_packet_text + header_overhead);
+  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int) * max_descriptors)];
+  iovec region{bytes.data(), bytes.size()};
   msghdr message{};
-  message.msg_iov = &part;
+  message.msg_iov = &region;
   message.msg_iovlen = 1;
   message.msg_control = control;
   message.msg_controllen = sizeof control;
   const auto n = ::recvmsg(fd, &message, MSG_DONTWAIT | MSG_CMSG_CLOEXEC);
   if (n <= 0) return static_cast<int>(n);
   std::vector<Fd> fds;
-  for (auto* c = CMSG_FIRSTHDR(&message); c; c = CMSG_NXTHDR(&message, c)) {
-    if (c->cmsg_level != SOL_SOCKET || c->cmsg_type != SCM_RIGHTS) continue;
-    const auto count = (c->cmsg_len - CMSG_LEN(0)) / sizeof(int);
+  for (auto* header = CMSG_FIRSTHDR(&message); header; header = CMSG_NXTHDR(&message, header)) {
+    if (header->cmsg_level != SOL_SOCKET || header->cmsg_type != SCM_RIGHTS) continue;
+    const auto count = (header->cmsg_len - CMSG_LEN(0)) / sizeof(int);
     for (std::size_t i = 0; i < count; ++i) {
-      int got = -1;
-      std::memcpy(&got, CMSG_DATA(c) + i * sizeof got, sizeof got);
-      fds.emplace_back(got);
+      int descriptor = -1;
+      std::memcpy(&descriptor, CMSG_DATA(header) + i * sizeof descriptor, sizeof descriptor);
+      fds.emplace_back(descriptor);
     }
   }
   auto packet = (message.msg_flags & (MSG_TRUNC | MSG_CTRUNC)) != 0
                     ? std::nullopt
-                    : unseal({bytes.data(), static_cast<std::size_t>(n)});
+                    : decode_packet({bytes.data(), static_cast<std::size_t>(n)});
   out = packet ? std::move(*packet) : Packet{};
   out.fds = std::move(fds);
   return 1;
@@ -72,140 +79,143 @@
 
 }  // namespace
 
-std::string seal(std::string_view kind, std::string_view text) {
+std::string encode_packet(std::string_view kind, std::string_view text) {
   std::string body(kind);
   body += ' ';
   body += text;
-  return std::string(mark) + ' ' + digest(body) + ' ' + body;
+  return std::string(format_marker) + ' ' + checksum(body) + ' ' + body;
 }
 
-std::optional<Packet> unseal(std::string_view bytes) {
-  const auto head = mark.size() + 1 + 16 + 1;
-  if (bytes.size() < head || bytes.substr(0, mark.size()) != mark) return std::nullopt;
+std::optional<Packet> decode_packet(std::string_view bytes) {
+  const auto head = format_marker.size() + 1 + checksum_size + 1;
+  if (bytes.size() < head || bytes.substr(0, format_marker.size()) != format_marker) return std::nullopt;
   const auto body = bytes.substr(head);
-  if (bytes.substr(mark.size() + 1, 16) != digest(body)) return std::nullopt;
+  if (bytes.substr(format_marker.size() + 1, checksum_size) != checksum(body)) return std::nullopt;
   const auto space = body.find(' ');
   if (space == 0 || space == std::string_view::npos) return std::nullopt;
-  Packet p;
-  p.kind = body.substr(0, space);
-  p.text = body.substr(space + 1);
-  return p;
+  Packet packet;
+  packet.kind = body.substr(0, space);
+  packet.text = body.substr(space + 1);
+  return packet;
 }
 
-Link::Link(ev::loop_ref loop, Fd fd, Events events)
+HandoverLink::HandoverLink(ev::loop_ref loop, Fd fd, Events events)
     : loop_(loop), fd_(std::move(fd)), io_(loop), events_(std::move(events)) {
-  io_.set<Link, &Link::ready>(this);
+  io_.set<HandoverLink, &HandoverLink::on_ready>(this);
   io_.start(fd_.get(), ev::READ);
 }
 
-bool Link::put(const std::string& bytes, int fd) {
-  iovec part{const_cast<char*>(bytes.data()), bytes.size()};
+bool HandoverLink::send_packet(const std::string& bytes, int fd) {
+  iovec region{const_cast<char*>(bytes.data()), bytes.size()};
   msghdr message{};
-  message.msg_iov = &part;
+  message.msg_iov = &region;
   message.msg_iovlen = 1;
   alignas(cmsghdr) char control[CMSG_SPACE(sizeof fd)] = {};
   if (fd >= 0) {
     message.msg_control = control;
     message.msg_controllen = sizeof control;
-    auto* c = CMSG_FIRSTHDR(&message);
-    c->cmsg_level = SOL_SOCKET;
-    c->cmsg_type = SCM_RIGHTS;
-    c->cmsg_len = CMSG_LEN(sizeof fd);
-    std::memcpy(CMSG_DATA(c), &fd, sizeof fd);
+    auto* header = CMSG_FIRSTHDR(&message);
+    header->cmsg_level = SOL_SOCKET;
+    header->cmsg_type = SCM_RIGHTS;
+    header->cmsg_len = CMSG_LEN(sizeof fd);
+    std::memcpy(CMSG_DATA(header), &fd, sizeof fd);
   }
   return ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL | MSG_DONTWAIT) == static_cast<ssize_t>(bytes.size());
 }
 
-bool Link::send_now(std::string_view kind, std::string_view text, int fd) {
-  return fd_.get() >= 0 && waiting_.empty() && put(seal(kind, text), fd);
+bool HandoverLink::send_now(std::string_view kind, std::string_view text, int fd) {
+  return fd_.get() >= 0 && queue_.empty() && send_packet(encode_packet(kind, text), fd);
 }
 
-void Link::send(std::string_view kind, std::string_view text, int fd) {
+void HandoverLink::send(std::string_view kind, std::string_view text, int fd) {
   if (fd_.get() < 0) return;
-  auto bytes = seal(kind, text);
-  if (waiting_.empty() && put(bytes, fd)) return;
-  // A peer that does not read is left alone: its state goes stale, ours goes on.
-  if (held_ + bytes.size() > link_most) return;
-  held_ += bytes.size();
-  waiting_.emplace_back(std::move(bytes), Fd(fd >= 0 ? ::fcntl(fd, F_DUPFD_CLOEXEC, 0) : -1));
+  auto bytes = encode_packet(kind, text);
+  if (queue_.empty() && send_packet(bytes, fd)) return;
+  // A peer that does not read loses packets: its state becomes stale, but this process is not held up.
+  if (queued_bytes_ + bytes.size() > max_link_bytes) return;
+  queued_bytes_ += bytes.size();
+  queue_.emplace_back(std::move(bytes), Fd(fd >= 0 ? ::fcntl(fd, F_DUPFD_CLOEXEC, 0) : -1));
   io_.set(ev::READ | ev::WRITE);
 }
 
-void Link::ready(ev::io&, int events) {
+void HandoverLink::on_ready(ev::io&, int events) {
   if ((events & ev::WRITE) != 0) {
-    while (!waiting_.empty() && put(waiting_.front().first, waiting_.front().second.get())) {
-      held_ -= waiting_.front().first.size();
-      waiting_.pop_front();
+    while (!queue_.empty() && send_packet(queue_.front().first, queue_.front().second.get())) {
+      queued_bytes_ -= queue_.front().first.size();
+      queue_.pop_front();
     }
-    if (waiting_.empty()) io_.set(ev::READ);
+    if (queue_.empty()) io_.set(ev::READ);
   }
   if ((events & ev::READ) == 0) return;
-  for (int i = 0; i < 64; ++i) {
-    Packet p;
-    const int n = receive(fd_.get(), p);
+  for (int i = 0; i < packets_per_event; ++i) {
+    Packet packet;
+    const int n = receive_packet(fd_.get(), packet);
     if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
-    if (n <= 0 || p.kind.empty()) return end();
-    events_.came(std::move(p));
+    if (n <= 0 || packet.kind.empty()) return end();
+    events_.on_packet(std::move(packet));
   }
 }
 
-void Link::end() {
+void HandoverLink::end() {
   io_.stop();
   fd_.reset();
-  waiting_.clear();
-  const auto ended = events_.ended;
-  ended();
+  queue_.clear();
+  const auto on_end = events_.on_end;
+  on_end();
 }
 
-std::unique_ptr<HandoverDoor> HandoverDoor::open(ev::loop_ref loop, const std::string& dir,
-                                                 const std::string& name, Came came) {
-  const Place place(dir, name);
-  Fd fd = packets();
-  if (place.dir.get() < 0 || fd.get() < 0) return nullptr;
-  ::unlinkat(place.dir.get(), name.c_str(), 0);
-  const auto mask = ::umask(0177);  // the owner's alone
-  const bool bound = ::bind(fd.get(), place.address(), sizeof place.at) == 0;
+std::unique_ptr<HandoverListener> HandoverListener::open(ev::loop_ref loop, const std::string& dir,
+                                                         const std::string& name,
+                                                         OnConnection on_connection) {
+  const SocketAddress location(dir, name);
+  Fd fd = packet_socket();
+  if (location.dir.get() < 0 || fd.get() < 0) return nullptr;
+  ::unlinkat(location.dir.get(), name.c_str(), 0);
+  const auto mask = ::umask(owner_only_mask);
+  const bool bound = ::bind(fd.get(), location.get(), sizeof location.address) == 0;
   ::umask(mask);
-  if (!bound || ::listen(fd.get(), 4) != 0) return nullptr;
-  return std::make_unique<HandoverDoor>(loop, std::move(fd), std::move(came));
+  if (!bound || ::listen(fd.get(), listen_backlog) != 0) return nullptr;
+  return std::make_unique<HandoverListener>(loop, std::move(fd), std::move(on_connection));
 }
 
-HandoverDoor::HandoverDoor(ev::loop_ref loop, Fd listener, Came came)
-    : listener_(std::move(listener)), io_(loop), came_(std::move(came)) {
-  io_.set<HandoverDoor, &HandoverDoor::incoming>(this);
+HandoverListener::HandoverListener(ev::loop_ref loop, Fd listener, OnConnection on_connection)
+    : listener_(std::move(listener)), io_(loop), on_connection_(std::move(on_connection)) {
+  io_.set<HandoverListener, &HandoverListener::accept>(this);
   io_.start(listener_.get(), ev::READ);
 }
 
-void HandoverDoor::incoming(ev::io&, int) {
+void HandoverListener::accept(ev::io&, int) {
   Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-  if (fd.get() >= 0) came_(std::move(fd));
+  if (fd.get() >= 0) on_connection_(std::move(fd));
 }
 
-std::optional<Inheritance> inherit(const std::string& dir, const std::string& name, double seconds) {
-  const Place place(dir, name);
-  Inheritance all;
-  all.link = packets();
-  if (place.dir.get() < 0 || all.link.get() < 0) return std::nullopt;
-  if (::connect(all.link.get(), place.address(), sizeof place.at) != 0) return std::nullopt;
-  const auto until = std::chrono::steady_clock::now() + std::chrono::duration<double>(seconds);
+std::optional<ReceivedHandover> receive_handover(const std::string& dir, const std::string& name,
+                                                 double timeout_s) {
+  const SocketAddress location(dir, name);
+  ReceivedHandover handover;
+  handover.link = packet_socket();
+  if (location.dir.get() < 0 || handover.link.get() < 0) return std::nullopt;
+  if (::connect(handover.link.get(), location.get(), sizeof location.address) != 0) return std::nullopt;
+  const auto deadline = std::chrono::steady_clock::now() + std::chrono::duration<double>(timeout_s);
   for (;;) {
-    const auto left =
-        std::chrono::duration<double, std::milli>(until - std::chrono::steady_clock::now()).count();
-    pollfd p{all.link.get(), POLLIN, 0};
-    if (left <= 0 || ::poll(&p, 1, static_cast<int>(left) + 1) <= 0) return std::nullopt;
+    const auto remaining_ms =
+        std::chrono::duration<double, std::milli>(deadline - std::chrono::steady_clock::now()).count();
+    pollfd descriptor{handover.link.get(), POLLIN, 0};
+    if (remaining_ms <= 0 || ::poll(&descriptor, 1, static_cast<int>(remaining_ms) + 1) <= 0)
+      return std::nullopt;
     Packet packet;
-    const int n = receive(all.link.get(), packet);
+    const int n = receive_packet(handover.link.get(), packet);
     if (n < 0 && (errno == EAGAIN || errno == EINTR)) continue;
     if (n <= 0) return std::nullopt;
     if (packet.kind == "listener" && packet.fds.size() == 1) {
-      all.listeners.emplace_back(packet.text, std::move(packet.fds[0]));
+      handover.listeners.emplace_back(packet.text, std::move(packet.fds[0]));
     } else if (packet.kind == "state") {
-      all.state += packet.text;
-      if (all.state.size() > link_most) return std::nullopt;
+      handover.state += packet.text;
+      if (handover.state.size() > max_link_bytes) return std::nullopt;
     } else if (packet.kind == "whole") {
-      return all;
+      return handover;
     } else {
-      return std::nullopt;  // garbage, or a form that this build does not know
+      return std::nullopt;  // invalid, or a format unknown to this build
     }
   }
 }
--- a/src/wire/handover.h
+++ b/src/wire/handover.h
@@ -1,6 +1,6 @@
-// The socket over which one process of a gateway hands over to the next: a Unix socket of packets in $TMPDIR.
-// Each packet has a version and a checksum; one that does not fit ends the link. It decides nothing and waits
-// for nobody but at the start of the new process, for a bounded time.
+// The link between two processes of a gateway during an upgrade: a Unix socket in $TMPDIR that carries
+// packets. Each packet has a format version and a checksum; an invalid one ends the link. Only the new
+// process blocks on it, at its start and for a limited time.
 #pragma once
 
 #include <ev++.h>
@@ -17,67 +17,73 @@
 
 namespace cedarring::wire {
 
-inline constexpr std::size_t packet_most = 60'000;  // bytes of a packet's text
-inline constexpr std::size_t link_most = std::size_t{8}
-                                         << 20U;  // bytes that wait to be sent, or make up a state
+inline constexpr std::size_t max_packet_text = 60'000;  // bytes
+/// Bytes that may wait to be sent on a link, and that a state may have in total.
+inline constexpr std::size_t max_link_bytes = std::size_t{8} << 20U;
 
 struct Packet {
   std::string kind, text;
   std::vector<Fd> fds;
 };
 
-/// A packet as it is on the socket, and back; nothing for one of another version or with a wrong checksum.
-std::string seal(std::string_view kind, std::string_view text);
-std::optional<Packet> unseal(std::string_view bytes);
+/// Encodes a packet with format version and checksum.
+std::string encode_packet(std::string_view kind, std::string_view text);
+/// Decodes a packet; nothing if it has another format version or a wrong checksum.
+std::optional<Packet> decode_packet(std::string_view bytes);
 
 /// One end of the link.
-class Link {
+class HandoverLink {
  public:
   struct Events {
-    std::function<void(Packet)> came;
-    std::function<void()> ended;  // may destroy the link
+    std::function<void(Packet)> on_packet;
+    std::function<void()> on_end;  // may destroy the link
   };
-  Link(ev::loop_ref loop, Fd fd, Events events);
-  /// Sends, or keeps until there is room; what does not fit into link_most ends the link.
+  HandoverLink(ev::loop_ref loop, Fd fd, Events events);
+  /// Sends the packet or queues it; it is dropped if more than max_link_bytes would be queued. A descriptor
+  /// is duplicated if it has to wait.
   void send(std::string_view kind, std::string_view text = {}, int fd = -1);
-  /// Sends now or not at all; true: the other end's machine has it, and a descriptor in it is theirs, too.
+  /// Sends the packet at once or not at all. On success the kernel holds it for the other process, along with
+  /// the descriptor.
   bool send_now(std::string_view kind, std::string_view text, int fd);
 
  private:
-  void ready(ev::io&, int events);
-  bool put(const std::string& bytes, int fd);
+  void on_ready(ev::io&, int events);
+  bool send_packet(const std::string& bytes, int fd);
   void end();
   ev::loop_ref loop_;
   Fd fd_;
   ev::io io_;
   Events events_;
-  std::deque<std::pair<std::string, Fd>> waiting_;
-  std::size_t held_ = 0;
+  std::deque<std::pair<std::string, Fd>> queue_;
+  std::size_t queued_bytes_ = 0;
 };
 
-/// Where the process that serves waits for the one that follows. Absent where Unix sockets cannot be had.
-class HandoverDoor {
+/// The socket on which the serving process waits for a successor.
+class HandoverListener {
  public:
-  using Came = std::function<void(Fd)>;
-  /// Takes the place of whoever listened at `dir`/`name` before.
-  static std::unique_ptr<HandoverDoor> open(ev::loop_ref loop, const std::string& dir,
-                                            const std::string& name, Came came);
-  HandoverDoor(ev::loop_ref loop, Fd listener, Came came);
+  using OnConnection = std::function<void(Fd)>;
+  /// Listens at `dir`/`name`, replacing any previous socket there. Null if Unix sockets are not available
+  /// there.
+  static std::unique_ptr<HandoverListener> open(ev::loop_ref loop, const std::string& dir,
+                                                const std::string& name, OnConnection on_connection);
+  HandoverListener(ev::loop_ref loop, Fd listener, OnConnection on_connection);
 
  private:
-  void incoming(ev::io&, int);
+  void accept(ev::io&, int);
   Fd listener_;
   ev::io io_;
-  Came came_;
+  OnConnection on_connection_;
 };
 
-/// What the process before has to hand over, asked for at the start.
-struct Inheritance {
+/// What a new process receives from the serving one at its start.
+struct ReceivedHandover {
   std::vector<std::pair<std::string, Fd>> listeners;  // by front
   std::string state;
-  Fd link;  // goes on after that
+  Fd link;  // stays open for a HandoverLink
 };
-/// Nothing if nobody is there, or what is there does not answer whole within `seconds`.
-std::optional<Inheritance> inherit(const std::string& dir, const std::string& name, double seconds);
+/// Requests the handover and waits for it; nothing if no process listens or the handover is not complete
+/// within `timeout_s` seconds.
+std::optional<ReceivedHandover> receive_handover(const std::string& dir, const std::string& name,
+                                                 double timeout_s);
 
 }  // namespace cedarring::wire
--- a/src/wire/mysql_client.cpp
+++ b/src/wire/mysql_client.cpp
@@ -78,7 +78,7 @@
 void MysqlClient::fatal(std::uint16_t code, std::string_view state, const std::string& message) {
   std::string out;
   put_packet(out, sequence_, error_packet({code, std::string(state), message}));
-  say_last(out);
+  reply_and_close(out);
 }
 
 void MysqlClient::error(std::uint16_t code, std::string_view state, const std::string& message) {
@@ -95,7 +95,7 @@
 
 void MysqlClient::turn_away() { fatal(1040, "08004", "Too many connections"); }
 
-bool MysqlClient::take_one() {
+bool MysqlClient::process_command() {
   Packet packet;
   const auto frame = next_packet(in_.view(), mysql_message_most, packet);
   if (frame == Frame::partial) return false;
@@ -107,7 +107,7 @@
   const std::string payload(packet.payload);
   in_.consume(packet.size);
   if (welcomed_)
-    spoke(), command(payload);
+    on_command_received(), command(payload);
   else
     shake_hands(payload);
   return !closed();
@@ -301,7 +301,7 @@
   }
   if (const auto lacks = lacking(work->info); !lacks.empty())
     return error(1210, "HY000", "the statement lacks " + std::string(lacks));
-  switch (ask(work->info, work)) {
+  switch (submit_request(work->info, work)) {
     case broker::Rejection::none:
       return;
     case broker::Rejection::unknown_contract:
@@ -319,12 +319,12 @@
   }
 }
 
-void MysqlClient::resume(const std::string& known) {
-  const auto capabilities = to_int(known);
+void MysqlClient::resume(const std::string& state) {
+  const auto capabilities = to_int(state);
   if (!capabilities) return leave();
   capabilities_ = static_cast<std::uint32_t>(*capabilities) & our_capabilities;
   welcomed_ = true;
-  spoke();
+  on_command_received();
 }
 
 void MysqlClient::put_answer(broker::FinalAnswer answer, std::string& out) {
--- a/src/wire/mysql_client.h
+++ b/src/wire/mysql_client.h
@@ -17,9 +17,9 @@
   void turn_away() override;
   void greet() override;
   /// Prepared statements stay with the process that holds them.
-  [[nodiscard]] bool movable() const override { return welcomed_ && statements_.empty(); }
-  [[nodiscard]] std::string known() const override { return std::to_string(capabilities_); }
-  void resume(const std::string& known) override;
+  [[nodiscard]] bool transferable() const override { return welcomed_ && statements_.empty(); }
+  [[nodiscard]] std::string transfer_state() const override { return std::to_string(capabilities_); }
+  void resume(const std::string& state) override;
 
  private:
   struct Statement {
@@ -33,7 +33,7 @@
     void drop_long_data();
   };
   [[nodiscard]] bool silent() const override { return !welcomed_ && in_.empty(); }
-  bool take_one() override;
+  bool process_command() override;
   void put_answer(broker::FinalAnswer answer, std::string& out) override;
   void shake_hands(std::string_view payload);
   void command(std::string_view payload);
--- a/src/wire/mysql_host.cpp
+++ b/src/wire/mysql_host.cpp
@@ -62,8 +62,8 @@
   if (!work().prepared) {
     const auto& w = work();
     state_ = State::first;
-    const auto sql = w.info.deadline_len > 0 ? with_deadline(w.sql, w.info, ms_left()) : w.sql;
-    return command(query_packet(with_own_deadline(w, ms_left()), sql), true);
+    const auto sql = w.info.deadline_len > 0 ? with_deadline(w.sql, w.info, remaining_ms()) : w.sql;
+    return command(query_packet(with_own_deadline(w, remaining_ms()), sql), true);
   }
   const auto it = std::find_if(statements_.begin(), statements_.end(),
                                [&](const Prepared& p) { return p.sql == work().sql; });
@@ -79,7 +79,7 @@
 void MysqlHost::prepared(std::uint32_t id) {
   sequence_ = 1;
   state_ = State::first;
-  command(execute_packet(id, work().placeholders, with_own_deadline(work(), ms_left())), true);
+  command(execute_packet(id, work().placeholders, with_own_deadline(work(), remaining_ms())), true);
 }
 
 void MysqlHost::on_input() {
@@ -87,11 +87,11 @@
     Packet packet;
     const auto frame = next_packet(in_.view(), mysql_message_most, packet);
     if (frame == Frame::partial) return;
-    if (frame == Frame::bad) return broken();
+    if (frame == Frame::bad) return protocol_error();
     const std::string whole(in_.view().substr(0, packet.size));
     in_.consume(packet.size);
     packet.payload = std::string_view(whole).substr(4);
-    if (!take(packet)) return broken();
+    if (!take(packet)) return protocol_error();
   }
 }
 
@@ -141,7 +141,7 @@
   if (is_error(payload)) return failed(payload), true;
   if (!is_ok(payload)) return false;  // we have no password to give
   state_ = State::idle;
-  welcome();
+  on_handshake_done();
   return true;
 }
 
@@ -213,7 +213,7 @@
   return true;
 }
 
-std::optional<broker::AttemptResult> MysqlHost::said() {
+std::optional<broker::AttemptResult> MysqlHost::received_result() {
   Error e;
   if (error_.empty() || !parse_error(error_, e)) return std::nullopt;
   broker::AttemptResult result;
@@ -225,9 +225,9 @@
 /// A host's error. Of a login it ends the connection; a host that forgot a statement has forgotten all.
 void MysqlHost::failed(std::string_view error) {
   error_ = error;
-  auto result = said();
-  const bool keep = welcomed_ && result && result->outcome != Outcome::not_sent;
-  if (!job_ || !result) return broken();
+  auto result = received_result();
+  const bool keep = handshake_done_ && result && result->outcome != Outcome::not_sent;
+  if (!job_ || !result) return protocol_error();
   state_ = State::idle;
   finish(std::move(*result), keep);
 }
--- a/src/wire/mysql_host.h
+++ b/src/wire/mysql_host.h
@@ -23,7 +23,7 @@
   void on_input() override;
   void reset() override;
   void submit() override;
-  std::optional<broker::AttemptResult> said() override;
+  std::optional<broker::AttemptResult> received_result() override;
   /// False if the host has broken the protocol.
   bool take(const mysql::Packet& packet);
   bool take_greeting(std::string_view payload);
--- a/src/wire/pg_client.cpp
+++ b/src/wire/pg_client.cpp
@@ -32,7 +32,7 @@
 bool PgClient::fatal(std::string_view code, std::string_view message) {
   std::string out;
   pg::put_error(out, true, code, message);
-  say_last(out);
+  reply_and_close(out);
   return false;
 }
 
@@ -67,26 +67,26 @@
 /// What a long statement's bytes are waited for: room first, then all of them.
 bool PgClient::take_long() {
   if (long_room_.bytes() == 0) {
-    if (!reserve(long_size_, long_room_)) return false;
+    if (!reserve_memory(long_size_, long_room_)) return false;
     long_.reserve(long_size_);
   }
   const auto in = in_.view();
   const auto n = std::min(in.size(), long_size_ - long_.size());
   long_ += in.substr(0, n);
   in_.consume(n);
-  if (long_.size() < long_size_) return took_part(), false;
+  if (long_.size() < long_size_) return on_command_progress(), false;
   long_size_ = 0;
   auto sql = std::exchange(long_, {});
   auto room = std::exchange(long_room_, {});
   if (sql.back() != '\0' || sql.find('\0') != sql.size() - 1) return fatal("08P01", "invalid query message");
   sql.pop_back();
-  spoke();
+  on_command_received();
   query(std::move(sql), std::move(room));
   return true;
 }
 
 bool PgClient::take_message() {
-  if (reading_long()) return take_long();
+  if (reading_long_command()) return take_long();
   if (const auto size = pg::long_query(in_.view(), pg_message_most, pg_statement_most)) {
     in_.consume(5);
     long_size_ = *size;
@@ -96,13 +96,13 @@
   const auto frame = pg::next_message(in_.view(), pg_message_most, message);
   if (frame == pg::Frame::bad) return fatal("08P01", "message length out of range");
   if (frame == pg::Frame::partial) return false;
-  if (message.type == 'X') return at_rest() ? leave() : say_last({}), false;
+  if (message.type == 'X') return nothing_pending() ? leave() : reply_and_close({}), false;
   if (message.type != 'Q') return fatal("08P01", "only simple queries are spoken here");
   auto body = message.body;
   const auto sql = pg::take_text(body);
   if (!sql || !body.empty()) return fatal("08P01", "invalid query message");
   std::string text(*sql);
-  spoke();
+  on_command_received();
   in_.consume(message.size);
   query(std::move(text));
   return true;
@@ -126,7 +126,7 @@
   std::string missing;
   if (!parse_statement(work->sql, work->info, missing))
     return refuse("08P01", "the statement lacks " + missing);
-  switch (ask(work->info, work)) {
+  switch (submit_request(work->info, work)) {
     case broker::Rejection::none:
       return;
     case broker::Rejection::unknown_contract:
--- a/src/wire/pg_client.h
+++ b/src/wire/pg_client.h
@@ -13,17 +13,17 @@
   PgClient(ev::loop_ref loop, Fd fd, ClientSet& owner)
       : Client(loop, std::move(fd), owner, pg_message_most) {}
   void turn_away() override;
-  [[nodiscard]] bool movable() const override { return welcomed_; }
-  void resume(const std::string& /*known*/) override { welcomed_ = true, spoke(); }
+  [[nodiscard]] bool transferable() const override { return welcomed_; }
+  void resume(const std::string& /*state*/) override { welcomed_ = true, on_command_received(); }
 
  private:
   [[nodiscard]] bool silent() const override { return !welcomed_ && in_.empty(); }
-  [[nodiscard]] std::size_t depth() const override { return 16; }
-  bool take_one() override { return welcomed_ ? take_message() : take_startup(); }
+  [[nodiscard]] std::size_t pipeline_depth() const override { return 16; }
+  bool process_command() override { return welcomed_ ? take_message() : take_startup(); }
   void put_answer(broker::FinalAnswer answer, std::string& out) override;
   bool take_startup();
   bool take_message();
-  [[nodiscard]] bool reading_long() const override { return long_size_ > 0; }
+  [[nodiscard]] bool reading_long_command() const override { return long_size_ > 0; }
   bool take_long();
   void query(std::string sql, broker::MemoryBudget::Reservation room = {});
   void refuse(std::string_view code, const std::string& why);
--- a/src/wire/pg_host.cpp
+++ b/src/wire/pg_host.cpp
@@ -54,14 +54,14 @@
   if (job_->attempt) {
     const auto& work = static_cast<const PgWork&>(*job_->work);
     if (work.sql.size() > pg_message_most) {
-      digits_ = std::to_string(ms_left());
+      digits_ = std::to_string(remaining_ms());
       fed_ = 0;
       feeding_ = true;
       pg::put_query_head(out, work.sql.size() - work.info.deadline_len + digits_.size());
       write(out);
       return feed();
     }
-    pg::put_query(out, with_deadline(work.sql, work.info, ms_left()));
+    pg::put_query(out, with_deadline(work.sql, work.info, remaining_ms()));
   } else {
     pg::put_query(out, "SHOW health");
   }
@@ -70,7 +70,7 @@
 
 /// The row's head has to be right, for its bytes cannot be taken back.
 bool PgHost::long_row() {
-  if (!job_ || !job_->attempt || !welcomed_ || !submitted_ || next_ != Next::row) return false;
+  if (!job_ || !job_->attempt || !handshake_done_ || !submitted_ || next_ != Next::row) return false;
   const auto size = pg::long_row(in_.view(), pg_stream_from, pg_row_most);
   if (!size) return false;
   left_ = *size;
@@ -101,7 +101,7 @@
     const auto frame = pg::next_message(in, pg_message_most, message);
     if (frame == pg::Frame::partial) return;
     if (frame == pg::Frame::bad || !take(message.type, message.body, in.substr(0, message.size)))
-      return broken();
+      return protocol_error();
     in_.consume(message.size);
     if (message.type == 'Z') completed();
   }
@@ -109,7 +109,7 @@
 
 bool PgHost::take(char type, std::string_view body, std::string_view whole) {
   if (!job_) return false;  // nothing is due: a second answer, or the host's goodbye
-  const bool answer = welcomed_ && submitted_;
+  const bool answer = handshake_done_ && submitted_;
   switch (type) {
     case 'T':
       if (!answer || next_ != Next::description || !pg::one_column(body)) return false;
@@ -129,7 +129,7 @@
     case 'E':
       return take_error(body);
     case 'Z':
-      return body == "I" && (!welcomed_ || (answer && next_ == Next::ready));
+      return body == "I" && (!handshake_done_ || (answer && next_ == Next::ready));
     case 'S': {
       const auto name = pg::take_text(body);
       const auto value = pg::take_text(body);
@@ -138,9 +138,9 @@
       return true;
     }
     case 'R':
-      return !welcomed_ && body == std::string_view("\0\0\0\0", 4);
+      return !handshake_done_ && body == std::string_view("\0\0\0\0", 4);
     case 'K':
-      return !welcomed_;
+      return !handshake_done_;
     case 'N':
       return true;
     default:
@@ -160,7 +160,7 @@
   return true;
 }
 
-std::optional<broker::AttemptResult> PgHost::said() {
+std::optional<broker::AttemptResult> PgHost::received_result() {
   if (error_code_.empty()) return std::nullopt;
   broker::AttemptResult result;
   result.outcome = pg::outcome_of(error_code_);
@@ -171,11 +171,11 @@
 
 /// ReadyForQuery: the welcome is over, or the answer is whole.
 void PgHost::completed() {
-  if (!welcomed_) {
-    if (!error_code_.empty() || !in_.empty()) return broken();
-    return welcome();
+  if (!handshake_done_) {
+    if (!error_code_.empty() || !in_.empty()) return protocol_error();
+    return on_handshake_done();
   }
-  auto result = said().value_or(broker::AttemptResult{});
+  auto result = received_result().value_or(broker::AttemptResult{});
   if (error_code_.empty()) {
     result.metadata = note_;
     result.value = std::move(rows_);
--- a/src/wire/pg_host.h
+++ b/src/wire/pg_host.h
@@ -18,7 +18,7 @@
   void on_input() override;
   void reset() override;
   void submit() override;
-  std::optional<broker::AttemptResult> said() override;
+  std::optional<broker::AttemptResult> received_result() override;
   /// False for what has no place here: the connection has lost its order and is of no more use.
   bool take(char type, std::string_view body, std::string_view whole);
   bool take_error(std::string_view body);
@@ -27,8 +27,8 @@
   bool stream();
   /// Whether the message at the front is a row that is to be passed on as it comes.
   bool long_row();
-  void on_more() override { on_input(); }
-  void on_room() override { feed(); }
+  void on_resume() override { on_input(); }
+  void on_writable() override { feed(); }
   /// Writes the next piece of a long statement.
   void feed();
 
--- a/src/wire/ring_buffer.h
+++ b/src/wire/ring_buffer.h
@@ -1,5 +1,5 @@
-// The bytes of one direction of one connection. Grows on demand up to a bound and gives its memory
-// back as soon as it is empty.
+// A ring buffer for the bytes of one direction of one connection. It grows on demand up to a limit and frees
+// its memory as soon as it is empty.
 #pragma once
 
 #include <sys/uio.h>
@@ -12,99 +12,110 @@
 
 namespace cedarring::wire {
 
+/// Not thread-safe: the capacity of all buffers of the process is summed up in a static member.
 class RingBuffer {
  public:
-  explicit RingBuffer(std::size_t most) : most_(most) {}
-  ~RingBuffer() { total_ -= capacity_; }
+  /// `max_size`: bytes that the buffer may hold at most.
+  explicit RingBuffer(std::size_t max_size) : max_size_(max_size) {}
+  ~RingBuffer() { total_capacity_ -= capacity_; }
   RingBuffer(const RingBuffer&) = delete;
   RingBuffer& operator=(const RingBuffer&) = delete;
 
   [[nodiscard]] std::size_t size() const { return size_; }
   [[nodiscard]] std::size_t capacity() const { return capacity_; }
-  [[nodiscard]] std::size_t most() const { return most_; }
+  [[nodiscard]] std::size_t max_size() const { return max_size_; }
   [[nodiscard]] bool empty() const { return size_ == 0; }
-  /// Bytes of all ring buffers of the process: what the memory limit is kept by.
-  static std::size_t total() { return total_; }
-  /// Past this no connection reads on.
-  static std::size_t bound() { return bound_; }
-  static void set_bound(std::size_t bytes) { bound_ = bytes; }
+  /// Bytes allocated by all ring buffers of the process; the memory limit applies to this sum.
+  static std::size_t total_capacity() { return total_capacity_; }
+  /// The memory limit in bytes; connections do not read on beyond it.
+  static std::size_t total_limit() { return total_limit_; }
+  static void set_total_limit(std::size_t bytes) { total_limit_ = bytes; }
 
-  /// False if the bytes do not fit under the bound: nothing was taken.
+  /// Appends all of the bytes, or none and returns false if they exceed the maximum size.
   bool append(std::string_view bytes) {
     if (!reserve(bytes.size())) return false;
-    iovec parts[2];
-    const int n = free_space(parts);
+    iovec regions[2];
+    const int region_count = writable_regions(regions);
     std::size_t done = 0;
-    for (int i = 0; i < n && done < bytes.size(); ++i) {
-      const auto part = std::min(parts[i].iov_len, bytes.size() - done);
-      std::memcpy(parts[i].iov_base, bytes.data() + done, part);
+    for (int i = 0; i < region_count && done < bytes.size(); ++i) {
+      const auto part = std::min(regions[i].iov_len, bytes.size() - done);
+      std::memcpy(regions[i].iov_base, bytes.data() + done, part);
       done += part;
     }
     size_ += bytes.size();
     return true;
   }
-  /// Gives up what is held, of a connection that is done with.
+  /// Discards the content and frees the memory.
   void clear() { consume(size_); }
-  /// Makes room for `more` bytes; false past the bound.
-  bool reserve(std::size_t more) {
-    if (size_ + more > most_) return false;
-    if (size_ + more <= capacity_) return true;
-    std::size_t want = std::max<std::size_t>(capacity_ * 2, 1024);
-    while (want < size_ + more) want *= 2;
-    resize(std::min(want, most_));
+  /// Makes room for `additional` bytes; false if they exceed the maximum size.
+  bool reserve(std::size_t additional) {
+    if (size_ + additional > max_size_) return false;
+    if (size_ + additional <= capacity_) return true;
+    std::size_t wanted = std::max<std::size_t>(capacity_ * 2, initial_capacity);
+    while (wanted < size_ + additional) wanted *= 2;
+    resize(std::min(wanted, max_size_));
     return true;
   }
-  /// Room that is there now, as at most two parts; tells how many.
-  int free_space(iovec (&parts)[2]) {
+  /// Sets the regions of allocated free memory, for readv(); returns their number, 0 to 2.
+  int writable_regions(iovec (&regions)[2]) {
     const auto free = capacity_ - size_;
     if (free == 0) return 0;
     const auto at = (head_ + size_) % capacity_;
     const auto first = std::min(free, capacity_ - at);
-    parts[0] = {data_.get() + at, first};
-    parts[1] = {data_.get(), free - first};
+    regions[0] = {data_.get() + at, first};
+    regions[1] = {data_.get(), free - first};
     return free > first ? 2 : 1;
   }
-  void grow(std::size_t written) { size_ += written; }
-  int filled(iovec (&parts)[2]) const {
+  /// Adds bytes that were written into the writable regions to the content.
+  void commit(std::size_t written) { size_ += written; }
+  /// Sets the regions of the content, for writev(); returns their number, 0 to 2.
+  int readable_regions(iovec (&regions)[2]) const {
     if (size_ == 0) return 0;
     const auto first = std::min(size_, capacity_ - head_);
-    parts[0] = {data_.get() + head_, first};
-    parts[1] = {data_.get(), size_ - first};
+    regions[0] = {data_.get() + head_, first};
+    regions[1] = {data_.get(), size_ - first};
     return size_ > first ? 2 : 1;
   }
-  void consume(std::size_t n) {
-    size_ -= n;
-    head_ = size_ == 0 ? 0 : (head_ + n) % capacity_;
-    // Connections are idle most of their life: memory is held only for what is under way.
+  /// Removes bytes from the front; `count` must not exceed size().
+  void consume(std::size_t count) {
+    size_ -= count;
+    head_ = size_ == 0 ? 0 : (head_ + count) % capacity_;
+    // Connections are idle most of the time; only those with data in transit hold memory.
     if (size_ == 0) resize(0);
   }
-  /// All bytes in one piece; moves them only where they wrap.
+  /// The content as one contiguous view; copies it only where it wraps around. Valid until the next change.
   std::string_view view() {
     if (size_ > 0 && head_ + size_ > capacity_) resize(capacity_);
     return {data_.get() + head_, size_};
   }
 
  private:
+  static constexpr std::size_t initial_capacity = 1024;
+
   void resize(std::size_t capacity) {
     std::unique_ptr<char[]> data;
     if (capacity > 0) {
       data.reset(new char[capacity]);
-      iovec parts[2];
+      iovec regions[2];
       std::size_t at = 0;
-      for (int i = 0, n = filled(parts); i < n; ++i) {
-        std::memcpy(data.get() + at, parts[i].iov_base, parts[i].iov_len);
-        at += parts[i].iov_len;
+      for (int i = 0, region_count = readable_regions(regions); i < region_count; ++i) {
+        std::memcpy(data.get() + at, regions[i].iov_base, regions[i].iov_len);
+        at += regions[i].iov_len;
       }
     }
-    total_ += capacity;
-    total_ -= capacity_;
+    total_capacity_ += capacity;
+    total_capacity_ -= capacity_;
     data_ = std::move(data);
     capacity_ = capacity;
     head_ = 0;
   }
-  inline static std::size_t total_ = 0, bound_ = std::size_t{96} << 20U;
+  inline static std::size_t total_capacity_ = 0;
+  inline static std::size_t total_limit_ = std::size_t{96} << 20U;
   std::unique_ptr<char[]> data_;
-  std::size_t most_, capacity_ = 0, head_ = 0, size_ = 0;
+  std::size_t max_size_;
+  std::size_t capacity_ = 0;
+  std::size_t head_ = 0;
+  std::size_t size_ = 0;
 };
 
 }  // namespace cedarring::wire
--- a/src/wire/upstream.cpp
+++ b/src/wire/upstream.cpp
@@ -8,14 +8,18 @@
 
 using broker::AttemptResult;
 
-constexpr double silent_most = 10;     // seconds that a host may pause within a value
-constexpr std::size_t for_probes = 8;  // one in so many places is left to probes
+constexpr double stream_stall_timeout_s = 10;  // that a host may pause within a streamed value
+/// One in this many connections is reserved for probes.
+constexpr std::size_t probe_reserve = 8;
+constexpr std::size_t message_overhead = 16;  // bytes that a message may have beside its content
+constexpr double sweep_interval_s = 1;
 
 double seconds(Duration d) { return std::max(0.0, static_cast<double>(d.count()) / 1e6); }
 
-/// PROTOCOL's table, for what happens to a connection; what hosts say is told by each protocol's codec.
-/// Refused, never up, or broken before the last byte of the request was written: it never ran.
-Outcome lost(bool submitted, bool timed_out) {
+/// The outcome of an attempt whose connection failed or timed out; outcomes that hosts report are mapped by
+/// each protocol's codec. If the connection was refused, not established, or failed before the last byte of
+/// the request was sent, the request did not run.
+Outcome outcome_of_loss(bool submitted, bool timed_out) {
   if (!submitted) return Outcome::connect_failed;
   return timed_out ? Outcome::timeout : Outcome::reset;
 }
@@ -23,161 +27,168 @@
 }  // namespace
 
 HostConnection::HostConnection(ev::loop_ref loop, Fd fd, HostId host, SocketUpstream& owner,
-                               std::size_t message_most)
-    : Connection(loop, std::move(fd), true, message_most + 16, 2 * message_most),
+                               std::size_t max_message)
+    : Connection(loop, std::move(fd), true, max_message + message_overhead, 2 * max_message),
       owner_(owner),
       host_(host),
       timer_(loop) {
-  timer_.set<HostConnection, &HostConnection::expired>(this);
+  timer_.set<HostConnection, &HostConnection::on_timeout>(this);
 }
 
 void HostConnection::run(Job job) {
   job_ = std::move(job);
-  submitted_ = counted_ = streaming_ = false;
+  submitted_ = sent_reported_ = streaming_ = false;
   reset();
-  if (welcomed_) submit();
-  arm();
+  if (handshake_done_) submit();
+  start_timer();
 }
 
-void HostConnection::arm() {
+void HostConnection::start_timer() {
   if (!job_) return;
-  auto due = job_->stop_at;
-  const auto most = owner_.options().connect_timeout;
-  if (!welcomed_)
-    due = std::min(due, job_->started + (job_->patient ? most : owner_.patience().allowed(most)));
+  auto due = job_->give_up_at;
+  const auto connect_timeout = owner_.options().connect_timeout;
+  if (!handshake_done_) {
+    const auto allowed =
+        job_->sole_candidate ? connect_timeout : owner_.adaptive_connect_timeout().allowed(connect_timeout);
+    due = std::min(due, job_->started_at + allowed);
+  }
   timer_.start(seconds(due - owner_.now()));
 }
 
-void HostConnection::welcome() {
-  welcomed_ = true;
-  if (job_) owner_.patience().took(owner_.now() - job_->started);
+void HostConnection::on_handshake_done() {
+  handshake_done_ = true;
+  if (job_) owner_.adaptive_connect_timeout().took(owner_.now() - job_->started_at);
   reset();
   if (!job_) return;
   submit();
-  arm();
+  start_timer();
 }
 
 bool HostConnection::write_request(std::string_view bytes) {
   submitted_ = true;
-  const bool taken = write(bytes);
-  if (taken && out_.empty()) on_sent();
-  return taken;
+  const bool written = write(bytes);
+  if (written && out_.empty()) on_sent();
+  return written;
 }
 
-/// The last byte of what was written has left. Before the request itself that is a welcome, or a PREPARE.
+/// All output has been sent. Before the request itself that is the handshake, or a PREPARE.
 void HostConnection::on_sent() {
-  if (job_ && !submitted_ && welcomed_) return on_room();
-  if (!job_ || !submitted_ || counted_) return;
-  counted_ = true;
-  owner_.written(*job_);
+  if (job_ && !submitted_ && handshake_done_) return on_writable();
+  if (!job_ || !submitted_ || sent_reported_) return;
+  sent_reported_ = true;
+  owner_.on_request_sent(*job_);
 }
 
-std::int64_t HostConnection::ms_left() const {
-  const auto left = std::chrono::floor<std::chrono::milliseconds>(job_->stop_at - owner_.now()).count();
-  return std::max<std::int64_t>(left, 1);
+std::int64_t HostConnection::remaining_ms() const {
+  const auto remaining =
+      std::chrono::floor<std::chrono::milliseconds>(job_->give_up_at - owner_.now()).count();
+  return std::max<std::int64_t>(remaining, 1);
 }
 
 void HostConnection::finish(AttemptResult result, bool keep) {
   timer_.stop();
   const auto job = std::exchange(job_, std::nullopt);
-  keep = keep && submitted_ && !last_ && in_.empty() && out_.empty();
+  keep = keep && submitted_ && !retired_ && in_.empty() && out_.empty();
   if (!keep && !closed()) close();
-  owner_.done(this, *job, std::move(result), keep);
+  owner_.on_job_done(this, *job, std::move(result), keep);
 }
 
-void HostConnection::expired(ev::timer&, int) {
+void HostConnection::on_timeout(ev::timer&, int) {
   if (!job_) return;
   AttemptResult result;
-  result.outcome = lost(submitted_ && out_.empty(), true);
+  result.outcome = outcome_of_loss(submitted_ && out_.empty(), true);
   result.connect_timed_out = true;
-  if (!welcomed_) owner_.patience().gave_up();
+  if (!handshake_done_) owner_.adaptive_connect_timeout().gave_up();
   finish(std::move(result), false);
 }
 
 bool HostConnection::pass(std::string_view bytes) {
   streaming_ = true;
-  const bool go_on = owner_.part(*job_, bytes);
+  const bool read_on = owner_.on_answer_part(*job_, bytes);
   if (closed() || !job_) return false;
-  // While its client takes nothing the host is not to blame.
-  if (go_on)
-    timer_.start(silent_most);
-  else
-    timer_.stop(), hold(true);
-  return go_on;
+  // While the client does not read, the host must not time out.
+  if (read_on) {
+    timer_.start(stream_stall_timeout_s);
+  } else {
+    timer_.stop();
+    pause_reading(true);
+  }
+  return read_on;
 }
 
-void HostConnection::more() {
+void HostConnection::resume() {
   if (closed() || !job_ || !streaming_) return;
-  timer_.start(silent_most);
-  hold(false);
-  on_more();
+  timer_.start(stream_stall_timeout_s);
+  pause_reading(false);
+  on_resume();
 }
 
-void HostConnection::give_up() {
+void HostConnection::abandon() {
   timer_.stop();
   job_.reset();
   if (!closed()) close();
 }
 
-void HostConnection::withdraw() {
-  last_ = true;
+void HostConnection::retire() {
+  retired_ = true;
   if (!job_ || submitted_) return;
   AttemptResult result;
   result.outcome = Outcome::not_sent;
   finish(std::move(result), false);
 }
 
-void HostConnection::broken() {
+void HostConnection::protocol_error() {
   if (!closed()) close();
   end(std::nullopt);
 }
 
-void HostConnection::on_end(int) { end(said()); }
+void HostConnection::on_end(int) { end(received_result()); }
 
 void HostConnection::end(std::optional<AttemptResult> result) {
-  if (!job_) return owner_.gone(this);
+  if (!job_) return owner_.remove(this);
   if (!result) {
     result.emplace();
-    result->outcome = lost(submitted_ && out_.empty(), false);
+    result->outcome = outcome_of_loss(submitted_ && out_.empty(), false);
   }
   finish(std::move(*result), false);
 }
 
-SocketUpstream::SocketUpstream(ev::loop_ref loop, Reaper& reaper, Clock clock, Options options, Make make,
-                               std::function<void()> watch)
+SocketUpstream::SocketUpstream(ev::loop_ref loop, Reaper& reaper, Clock clock, Options options,
+                               Factory factory, std::function<void()> open_watch)
     : loop_(loop),
       reaper_(reaper),
       clock_(std::move(clock)),
       options_(options),
-      most_(options.most),
-      make_(std::move(make)),
-      watch_(std::move(watch)),
-      wake_(loop),
+      limit_(options.max_connections),
+      factory_(std::move(factory)),
+      open_watch_(std::move(open_watch)),
+      timer_(loop),
       sweep_(loop) {
-  wake_.set<SocketUpstream, &SocketUpstream::wake>(this);
+  timer_.set<SocketUpstream, &SocketUpstream::on_timer>(this);
   sweep_.set<SocketUpstream, &SocketUpstream::sweep>(this);
-  sweep_.start(1, 1);
+  sweep_.start(sweep_interval_s, sweep_interval_s);
 }
 
-/// The router keeps what finds no place, so an attempt meets a bound only when there is less room than it was
-/// told.
-void SocketUpstream::apply_most() {
-  most_ = std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(options_.most) * factor_));
-  if (broker_) broker_->set_max_in_flight(most_ - most_ / for_probes);
+/// The router queues requests beyond max_in_flight, so an attempt hits the connection limit only if the limit
+/// has become lower than the router knows.
+void SocketUpstream::apply_limit() {
+  limit_ = std::max<std::size_t>(
+      1, static_cast<std::size_t>(static_cast<double>(options_.max_connections) * factor_));
+  if (broker_) broker_->set_max_in_flight(limit_ - limit_ / probe_reserve);
 }
 
-void SocketUpstream::trim(std::size_t most) {
-  while (connections_.size() > most) {
+void SocketUpstream::trim(std::size_t max_connections) {
+  while (connections_.size() > max_connections) {
     auto* idle = pool_.oldest();
     if (!idle) return;
-    drop(idle);
+    close(idle);
   }
 }
 
 void SocketUpstream::start(broker::AttemptKey key, HostId host, const std::string& address,
-                           const std::shared_ptr<const broker::RequestPayload>& work, Time stop_at,
-                           bool only_there) {
-  run(host, address, {key, work, clock_(), stop_at, only_there});
+                           const std::shared_ptr<const broker::RequestPayload>& work, Time give_up_at,
+                           bool sole_candidate) {
+  run(host, address, {key, work, clock_(), give_up_at, sole_candidate});
 }
 
 void SocketUpstream::probe(HostId host, const std::string& address) {
@@ -187,119 +198,122 @@
 
 void SocketUpstream::run(HostId host, const std::string& address, Job job) {
   auto* connection = pool_.take(host);
-  // A host that has just closed it: the loop has not told yet, and what is written now would count as run.
-  while (connection && connection->pending()) {
-    drop(connection);
+  // If the host has just closed the connection, the loop has not reported it yet: a request written now would
+  // count as possibly executed.
+  while (connection && connection->has_pending_input()) {
+    close(connection);
     connection = pool_.take(host);
   }
   if (!connection) {
-    // At the bound the connection that was idle longest, anywhere, makes room.
-    if (connections_.size() >= most_ && full_) full_();
-    if (connections_.size() >= most_)
-      if (auto* idle = pool_.oldest()) drop(idle);
+    // At the limit the longest idle connection to any host is closed.
+    if (connections_.size() >= limit_ && limit_reached_) limit_reached_();
+    if (connections_.size() >= limit_)
+      if (auto* idle = pool_.oldest()) close(idle);
     AttemptResult failed;
     failed.outcome = Outcome::not_sent;
-    if (connections_.size() >= most_) return tell(job, host, std::move(failed));
+    if (connections_.size() >= limit_) return report(job, host, std::move(failed));
     Fd fd = connect_to(address);
     if (fd.get() < 0) {
-      // Out of descriptors is no fault of the host's, and must not count as one.
+      // Running out of descriptors must not count as a failure of the host.
       if (errno != EMFILE && errno != ENFILE) failed.outcome = Outcome::connect_failed;
-      return tell(job, host, std::move(failed));
+      return report(job, host, std::move(failed));
     }
-    auto fresh = make_(std::move(fd), host, *this);
-    connection = fresh.get();
-    connections_.emplace(connection, std::move(fresh));
+    auto created = factory_(std::move(fd), host, *this);
+    connection = created.get();
+    connections_.emplace(connection, std::move(created));
   }
   if (job.attempt) attempts_[{job.attempt->request.value, job.attempt->number}] = connection;
   connection->run(std::move(job));
 }
 
-/// Giving an attempt up closes its connection: an answer that is still due must not meet another request.
+/// Cancelling an attempt closes its connection: the pending answer must not be taken for another request's.
 void SocketUpstream::cancel(broker::AttemptKey key) {
   const auto it = attempts_.find({key.request.value, key.number});
   if (it == attempts_.end()) return;
   auto* connection = it->second;
   attempts_.erase(it);
-  drop(connection);
+  close(connection);
 }
 
-void SocketUpstream::done(HostConnection* connection, const Job& job, AttemptResult result, bool keep) {
+void SocketUpstream::on_job_done(HostConnection* connection, const Job& job, AttemptResult result,
+                                 bool keep) {
   const auto host = connection->host();
   if (job.attempt) attempts_.erase({job.attempt->request.value, job.attempt->number});
-  if (keep && !winding_down_ && connections_.size() <= most_)
+  if (keep && !draining_ && connections_.size() <= limit_)
     pool_.put(host, connection, clock_());
   else
-    gone(connection);
-  tell(job, host, std::move(result));
+    remove(connection);
+  report(job, host, std::move(result));
 }
 
-bool SocketUpstream::part(const Job& job, std::string_view bytes) {
+bool SocketUpstream::on_answer_part(const Job& job, std::string_view bytes) {
   return !job.attempt || broker_->attempt_part(*job.attempt, bytes);
 }
 
 void SocketUpstream::resume(broker::AttemptKey key) {
   const auto it = attempts_.find({key.request.value, key.number});
-  if (it != attempts_.end()) it->second->more();
+  if (it != attempts_.end()) it->second->resume();
 }
 
-void SocketUpstream::written(const Job& job) {
+void SocketUpstream::on_request_sent(const Job& job) {
   if (job.attempt) broker_->attempt_written(*job.attempt);
 }
 
-void SocketUpstream::tell(const Job& job, HostId host, AttemptResult result) {
+void SocketUpstream::report(const Job& job, HostId host, AttemptResult result) {
   if (job.attempt)
     broker_->attempt_ended(*job.attempt, std::move(result));
   else
-    broker_->probe_ended(host, result.outcome, clock_() - job.started, result.report);
+    broker_->probe_ended(host, result.outcome, clock_() - job.started_at, result.report);
 }
 
-void SocketUpstream::wind_down(bool on) {
-  winding_down_ = on;
-  if (!on) return;
-  while (auto* idle = pool_.oldest()) drop(idle);
+void SocketUpstream::set_draining(bool draining) {
+  draining_ = draining;
+  if (!draining) return;
+  while (auto* idle = pool_.oldest()) close(idle);
 }
 
-void SocketUpstream::drop(HostConnection* connection) {
-  connection->give_up();
-  gone(connection);
+void SocketUpstream::close(HostConnection* connection) {
+  connection->abandon();
+  remove(connection);
 }
 
-void SocketUpstream::gone(HostConnection* connection) {
+void SocketUpstream::remove(HostConnection* connection) {
   pool_.remove(connection->host(), connection);
   const auto it = connections_.find(connection);
   if (it == connections_.end()) return;
-  reaper_.take(std::move(it->second));
+  reaper_.add(std::move(it->second));
   connections_.erase(it);
 }
 
 void SocketUpstream::close_idle(HostId host) {
-  for (auto* idle : pool_.drop(host)) drop(idle);
-  // A slow connect or prepare must not put a request on the host long after we were told.
-  std::vector<HostConnection*> mine;
+  for (auto* idle : pool_.drop(host)) close(idle);
+  // A slow connect or prepare must not send a request to the host long after it was listed as draining or
+  // gone.
+  std::vector<HostConnection*> of_host;
   for (const auto& [key, connection] : connections_)
-    if (connection->host() == host) mine.push_back(connection.get());
-  for (auto* connection : mine) connection->withdraw();
+    if (connection->host() == host) of_host.push_back(connection.get());
+  for (auto* connection : of_host) connection->retire();
 }
 
 void SocketUpstream::set_timer(Time due) {
-  wake_at_ = due;
-  arm_wake();
+  timer_due_ = due;
+  start_timer();
 }
 
-void SocketUpstream::arm_wake() {
-  wake_.stop();
-  wake_.start(seconds(wake_at_ - clock_()));
+void SocketUpstream::start_timer() {
+  timer_.stop();
+  timer_.start(seconds(timer_due_ - clock_()));
 }
 
-void SocketUpstream::wake(ev::timer&, int) {
-  // The router passes over a beat that comes early: the loop's clock and ours may differ by a little.
-  if (clock_() < wake_at_) return arm_wake();
+void SocketUpstream::on_timer(ev::timer&, int) {
+  // The router ignores a timer that fires early; the loop's clock may differ slightly from clock_.
+  if (clock_() < timer_due_) return start_timer();
   broker_->timer_fired();
 }
 
-/// Idle connections go well before the host closes them: a request written then would be lost.
+/// Idle connections are closed well before the host would close them: a request written then would be lost.
 void SocketUpstream::sweep(ev::timer&, int) {
-  for (auto* idle : pool_.retire(clock_() - options_.idle_close / 2)) drop(idle);
+  for (auto* idle : pool_.retire(clock_() - options_.idle_timeout / 2)) close(idle);
 }
 
 }  // namespace cedarring::wire
--- a/src/wire/upstream.h
+++ b/src/wire/upstream.h
@@ -1,4 +1,5 @@
-// Host connections of any protocol: attempts and probes, one at a time on each, and the pool of idle ones.
+// Connections to database hosts, of any protocol: each executes one attempt or probe at a time; idle
+// connections are pooled.
 #pragma once
 
 #include <algorithm>
@@ -18,145 +19,168 @@
 
 class SocketUpstream;
 
-/// What a host connection is doing: an attempt, or a probe.
+/// The work of a host connection: an attempt of a request, or a probe.
 struct Job {
   std::optional<broker::AttemptKey> attempt;  // absent: a probe
   std::shared_ptr<const broker::RequestPayload> work;
-  Time started{}, stop_at{};
-  bool patient = true;  // a connection is waited for as long as may be
+  Time started_at{}, give_up_at{};
+  bool sole_candidate = true;  // no other host can serve the request: wait the full connect time-out
 };
 
-/// One connection to a host. It carries a job from the connect to the whole answer and never resends.
+/// One connection to a host. It executes a job from connecting to the complete answer and never resends a
+/// request. Subclasses speak the protocol.
 class HostConnection : public Connection {
  public:
-  HostConnection(ev::loop_ref loop, Fd fd, HostId host, SocketUpstream& owner, std::size_t message_most);
+  /// `max_message`: bytes of the longest message that fits the input buffer.
+  HostConnection(ev::loop_ref loop, Fd fd, HostId host, SocketUpstream& owner, std::size_t max_message);
   void run(Job job);
-  /// Closes without a word to the owner.
-  void give_up();
-  /// Its host has been told draining or gone, or is elsewhere now: a job whose request has not been written
-  /// yet ends; another is finished, but the connection serves no more after it.
-  void withdraw();
-  /// Its answer's taker has room again.
-  void more();
+  /// Closes without reporting a result to the owner.
+  void abandon();
+  /// The host is draining, gone or has another address: a job whose request has not been written yet ends;
+  /// another is completed, but the connection is not reused.
+  void retire();
+  /// The client has read enough of a streamed answer: reads on.
+  void resume();
   [[nodiscard]] HostId host() const { return host_; }
 
  protected:
-  /// Forgets the last job's answer.
+  /// Clears the state of the previous job's answer.
   virtual void reset() = 0;
-  /// Works on the job: the connection is up and welcomed.
+  /// Starts sending the job's request; the handshake is complete.
   virtual void submit() = 0;
-  /// What the host had said when the connection ended; nothing if it had not.
-  virtual std::optional<broker::AttemptResult> said() { return std::nullopt; }
+  /// The result that the host had sent when the connection ended; nothing if it had sent none.
+  virtual std::optional<broker::AttemptResult> received_result() { return std::nullopt; }
 
-  [[nodiscard]] bool owes() const final { return job_.has_value(); }
+  [[nodiscard]] bool has_pending_work() const final { return job_.has_value(); }
   void on_end(int error) final;
   void on_sent() final;
   void end(std::optional<broker::AttemptResult> result);
-  /// The host has welcomed us.
-  void welcome();
-  /// The request itself is being written: from its last byte on it may run.
+  /// To be called when the host has completed the handshake.
+  void on_handshake_done();
+  /// Writes the last or only part of the request: once its last byte is sent the request may run.
   bool write_request(std::string_view bytes);
-  /// Keeps the connection only if nothing is left over on it: that would be taken for the next answer.
+  /// Reports the job's result. The connection is kept only if no unexpected bytes are left on it, which would
+  /// be taken for part of the next answer.
   void finish(broker::AttemptResult result, bool keep);
-  /// Passes a part of a long answer on. From the first on only silence ends the attempt. False if it is to
-  /// wait: then nothing is read until on_more.
+  /// Passes a part of a long answer on. From the first part on only a stalled host ends the attempt. Returns
+  /// false if the connection has to wait: nothing is read until on_resume().
   bool pass(std::string_view bytes);
-  /// What had to wait may go on.
-  virtual void on_more() {}
-  /// What has been written of a job that is not submitted yet has left.
-  virtual void on_room() {}
-  /// Ends a connection that has broken the protocol: whatever it had said of the job counts for nothing.
-  void broken();
-  [[nodiscard]] std::int64_t ms_left() const;
+  /// Reading goes on after pass() has returned false.
+  virtual void on_resume() {}
+  /// The output buffer has been sent while the job's request has not been submitted completely.
+  virtual void on_writable() {}
+  /// Ends a connection that has violated the protocol; what it had sent of the job's answer is discarded.
+  void protocol_error();
+  /// Milliseconds until the job is given up, at least 1.
+  [[nodiscard]] std::int64_t remaining_ms() const;
 
   std::optional<Job> job_;
-  bool welcomed_ = false, submitted_ = false, last_ = false;
+  bool handshake_done_ = false;
+  bool submitted_ = false;  // the last part of the request has been passed to write()
 
  private:
-  void expired(ev::timer&, int);
-  void arm();
+  void on_timeout(ev::timer&, int);
+  void start_timer();
+  bool retired_ = false;  // not to be reused after the current job
   bool streaming_ = false;
-  bool counted_ = false;  // the attempt's last byte has left, and the broker knows
+  bool sent_reported_ = false;  // the broker knows that the request has been sent completely
   SocketUpstream& owner_;
   HostId host_;
   ev::timer timer_;
 };
 
+/// The broker's upstream: opens, reuses and closes host connections.
 class SocketUpstream : public broker::Upstream {
  public:
   struct Options {
     Duration connect_timeout{250'000};
-    Duration idle_close{30'000'000};
-    std::size_t most = 300;  // connections
+    Duration idle_timeout{30'000'000};
+    std::size_t max_connections = 300;
   };
   using Clock = broker::Broker::Clock;
-  using Make = std::function<std::unique_ptr<HostConnection>(Fd fd, HostId host, SocketUpstream& owner)>;
-  SocketUpstream(ev::loop_ref loop, Reaper& reaper, Clock clock, Options options, Make make,
-                 std::function<void()> watch);
-  void attach(broker::Broker& broker) { broker_ = &broker, apply_most(); }
-  /// A factor on the most connections; those beyond it go as they fall idle or make room.
-  void scale_most(double factor) { factor_ = factor, apply_most(); }
-
-  /// Another process follows this one: while that is so connections that fall idle are closed.
-  void wind_down(bool on);
-  /// From the next connection or sweep on.
-  void set_times(Duration connect_timeout, Duration idle_close) {
+  using Factory = std::function<std::unique_ptr<HostConnection>(Fd fd, HostId host, SocketUpstream& owner)>;
+  /// `open_watch` is called when the broker wants a watch on discovery's list.
+  SocketUpstream(ev::loop_ref loop, Reaper& reaper, Clock clock, Options options, Factory factory,
+                 std::function<void()> open_watch);
+  /// To be called once, before any other call of the broker.
+  void attach(broker::Broker& broker) {
+    broker_ = &broker;
+    apply_limit();
+  }
+  /// A factor on the connection limit; connections beyond it are closed as they become idle or make room.
+  void scale_limit(double factor) {
+    factor_ = factor;
+    apply_limit();
+  }
+
+  /// While another process takes over, connections are closed as they become idle.
+  void set_draining(bool draining);
+  /// Apply from the next connection or sweep on.
+  void set_timeouts(Duration connect_timeout, Duration idle_timeout) {
     options_.connect_timeout = connect_timeout;
-    options_.idle_close = idle_close;
+    options_.idle_timeout = idle_timeout;
+  }
+  [[nodiscard]] std::size_t max_connections() const { return options_.max_connections; }
+  void set_max_connections(std::size_t max_connections) {
+    options_.max_connections = max_connections;
+    apply_limit();
   }
-  [[nodiscard]] std::size_t most() const { return options_.most; }
-  void set_most(std::size_t most) { options_.most = most, apply_most(); }
   [[nodiscard]] std::size_t connections() const { return connections_.size(); }
-  /// Closes idle connections, the longest idle first, until there are `most` at most or none is idle.
-  void trim(std::size_t most);
-  /// Called when a connection is wanted and there is no place: may raise the most.
-  void on_full(std::function<void()> call) { full_ = std::move(call); }
+  /// Closes idle connections, the longest idle first, until at most `max_connections` remain or none is idle.
+  void trim(std::size_t max_connections);
+  /// The callback runs when a connection is needed and the limit is reached; it may raise the limit.
+  void on_limit_reached(std::function<void()> callback) { limit_reached_ = std::move(callback); }
 
   void start(broker::AttemptKey key, HostId host, const std::string& address,
-             const std::shared_ptr<const broker::RequestPayload>& work, Time stop_at,
-             bool only_there) override;
+             const std::shared_ptr<const broker::RequestPayload>& work, Time give_up_at,
+             bool sole_candidate) override;
   void cancel(broker::AttemptKey key) override;
   void resume(broker::AttemptKey key) override;
   void probe(HostId host, const std::string& address) override;
-  void open_watch() override { watch_(); }
+  void open_watch() override { open_watch_(); }
   void set_timer(Time due) override;
   void close_idle(HostId host) override;
 
-  // for the connections
+  // Called by host connections.
   [[nodiscard]] Time now() const { return clock_(); }
   [[nodiscard]] const Options& options() const { return options_; }
-  fleet::AdaptiveConnectTimeout& patience() { return patience_; }
-  void done(HostConnection* connection, const Job& job, broker::AttemptResult result, bool keep);
-  void gone(HostConnection* connection);
-  void written(const Job& job);
-  bool part(const Job& job, std::string_view bytes);
+  fleet::AdaptiveConnectTimeout& adaptive_connect_timeout() { return adaptive_connect_timeout_; }
+  /// A job is done; the connection becomes idle if `keep`, else it is destroyed.
+  void on_job_done(HostConnection* connection, const Job& job, broker::AttemptResult result, bool keep);
+  /// Destroys a closed connection.
+  void remove(HostConnection* connection);
+  /// The last byte of the job's request has been sent.
+  void on_request_sent(const Job& job);
+  /// Passes a part of an answer on; false if the client does not take more now.
+  bool on_answer_part(const Job& job, std::string_view bytes);
 
  private:
   void run(HostId host, const std::string& address, Job job);
-  void tell(const Job& job, HostId host, broker::AttemptResult result);
-  void drop(HostConnection* connection);
-  void wake(ev::timer&, int);
+  void report(const Job& job, HostId host, broker::AttemptResult result);
+  void close(HostConnection* connection);
+  void on_timer(ev::timer&, int);
   void sweep(ev::timer&, int);
-  void arm_wake();
+  void start_timer();
 
   ev::loop_ref loop_;
   Reaper& reaper_;
   Clock clock_;
   Options options_;
-  fleet::AdaptiveConnectTimeout patience_;
-  void apply_most();
-  std::size_t most_;
+  fleet::AdaptiveConnectTimeout adaptive_connect_timeout_;
+  void apply_limit();
+  std::size_t limit_;  // options_.max_connections times factor_
   double factor_ = 1;
-  std::function<void()> full_;
-  bool winding_down_ = false;
-  Make make_;
-  std::function<void()> watch_;
+  std::function<void()> limit_reached_;
+  bool draining_ = false;
+  Factory factory_;
+  std::function<void()> open_watch_;
   broker::Broker* broker_ = nullptr;
   std::unordered_map<HostConnection*, std::unique_ptr<HostConnection>> connections_;
-  std::map<std::pair<std::uint64_t, std::uint32_t>, HostConnection*> attempts_;
+  std::map<std::pair<std::uint64_t, std::uint32_t>, HostConnection*>
+      attempts_;  // by request and attempt number
   broker::IdlePool<HostConnection> pool_;
-  ev::timer wake_, sweep_;
-  Time wake_at_{};
+  ev::timer timer_, sweep_;
+  Time timer_due_{};
 };
 
 }  // namespace cedarring::wire
--- a/tests/connection_test.cpp
+++ b/tests/connection_test.cpp
@@ -1,4 +1,4 @@
-// Connections over socket pairs: what the process as a whole must not hold.
+// Tests of connections over socket pairs: the memory limit shared by all connections of the process.
 #include "wire/connection.h"
 
 #include <gtest/gtest.h>
@@ -10,35 +10,39 @@
 namespace cedarring::test {
 namespace {
 
-struct Reader : wire::Connection {
-  Reader(ev::loop_ref loop, int fd) : Connection(loop, wire::Fd(fd), false, 1U << 20U, 1U << 20U) {}
-  void on_input() override { got = in_.size(); }
+struct TestConnection : wire::Connection {
+  TestConnection(ev::loop_ref loop, int fd) : Connection(loop, wire::Fd(fd), false, 1U << 20U, 1U << 20U) {}
+  void on_input() override { received = in_.size(); }
   void on_end(int e) override { error = e; }
-  std::size_t got = 0;
+  std::size_t received = 0;
   int error = -1;
 };
 
-TEST(Connection, OverTheBoundTheOneThatHoldsTheMostIsCut) {
+// A connection that buffers too much input must not cost another one its request.
+TEST(Connection, OverTheMemoryLimitTheLargestConnectionIsClosed) {
   ev::dynamic_loop loop;
-  int a[2], b[2];
-  ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, a), 0);
-  ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, b), 0);
-  const auto bound = wire::RingBuffer::bound();
+  int large_ends[2];
+  int small_ends[2];
+  ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, large_ends), 0);
+  ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, small_ends), 0);
+  const auto original_limit = wire::RingBuffer::total_limit();
   {
-    Reader hog(loop, a[0]), usual(loop, b[0]);
-    const std::string much(60000, 'x');
-    ASSERT_EQ(::write(a[1], much.data(), much.size()), 60000);
-    while (hog.got < much.size()) loop.run(EVRUN_ONCE);
-    wire::RingBuffer::set_bound(40000);
-    ASSERT_EQ(::write(b[1], "request", 7), 7);
-    while (usual.got == 0 && usual.error < 0) loop.run(EVRUN_ONCE);
-    EXPECT_EQ(usual.got, 7U);
-    EXPECT_FALSE(usual.closed());
-    EXPECT_EQ(hog.error, ENOMEM);
+    TestConnection large(loop, large_ends[0]);
+    TestConnection small(loop, small_ends[0]);
+    const std::string payload(60000, 'x');
+    ASSERT_EQ(::write(large_ends[1], payload.data(), payload.size()), 60000);
+    while (large.received < payload.size()) loop.run(EVRUN_ONCE);
+    wire::RingBuffer::set_total_limit(40000);
+    ASSERT_EQ(::write(small_ends[1], "request", 7), 7);
+    while (small.received == 0 && small.error < 0) loop.run(EVRUN_ONCE);
+    EXPECT_EQ(small.received, 7U);
+    EXPECT_FALSE(small.closed());
+    EXPECT_EQ(large.error, ENOMEM);
   }
-  EXPECT_EQ(wire::RingBuffer::total(), 0U);
-  wire::RingBuffer::set_bound(bound);
-  ::close(a[1]), ::close(b[1]);
+  EXPECT_EQ(wire::RingBuffer::total_capacity(), 0U);
+  wire::RingBuffer::set_total_limit(original_limit);
+  ::close(large_ends[1]);
+  ::close(small_ends[1]);
 }
 
 }  // namespace
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -114,9 +114,9 @@
       std::string object;
       for (bool more = true; more;) {
         const auto found = splitter.next(bytes, object);
-        ASSERT_NE(found, wire::ObjectSplitter::Found::bad);
-        if (found == wire::ObjectSplitter::Found::object) got.push_back(object.substr(object.find('{')));
-        more = found != wire::ObjectSplitter::Found::nothing;
+        ASSERT_NE(found, wire::ObjectSplitter::Result::malformed);
+        if (found == wire::ObjectSplitter::Result::object) got.push_back(object.substr(object.find('{')));
+        more = found != wire::ObjectSplitter::Result::incomplete;
       }
     }
     EXPECT_EQ(got, wanted) << step;
@@ -124,7 +124,7 @@
   wire::ObjectSplitter splitter;
   std::string object;
   std::string_view bad = "[]\n";
-  EXPECT_EQ(splitter.next(bad, object), wire::ObjectSplitter::Found::bad);
+  EXPECT_EQ(splitter.next(bad, object), wire::ObjectSplitter::Result::malformed);
 }
 
 TEST(Lists, AnEntryThatDrainsIsHeededThoughItsAddressCannotBeRead) {
--- a/tests/reduced_test.cpp
+++ b/tests/reduced_test.cpp
@@ -257,7 +257,7 @@
   ASSERT_EQ(::stat(path.c_str(), &there), 0);
   EXPECT_EQ(there.st_mode & 0077U, 0U);  // nobody else's business
   std::vector<wire::Fd> stuck;
-  for (std::size_t i = 0; i < wire::AdminSocket::clients_most; ++i) {
+  for (std::size_t i = 0; i < wire::AdminSocket::max_clients; ++i) {
     stuck.push_back(local());
     ASSERT_GT(::send(stuck.back().get(), "lev", 3, MSG_NOSIGNAL), 0);  // half a line, and nothing more
   }
@@ -274,7 +274,7 @@
   const auto path = r.program->dir() + "/admin.sock";
   const auto ask = [&](const std::string& line) {
     std::string answer, error;
-    EXPECT_TRUE(wire::ask_admin(path, line, answer, error)) << error;
+    EXPECT_TRUE(wire::send_admin_command(path, line, answer, error)) << error;
     return answer;
   };
   EXPECT_NE(ask("frobnicate").find("unknown command"), std::string::npos);
@@ -286,7 +286,7 @@
   EXPECT_NE(ask(std::string(2000, 'x')).find("too long"), std::string::npos);
   EXPECT_NE(ask("hosts").find("\"group\":1"), std::string::npos);
   std::string answer, error;
-  EXPECT_FALSE(wire::ask_admin(path + "x", "levels", answer, error));
+  EXPECT_FALSE(wire::send_admin_command(path + "x", "levels", answer, error));
   EXPECT_FALSE(error.empty());
 }
 
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -15,8 +15,8 @@
 #include "handover/json_archive.h"
 #include "handover/resource_shares.h"
 #include "support/stand_in.h"
+#include "wire/control_endpoint.h"
 #include "wire/discovery.h"
-#include "wire/door.h"
 #include "wire/handover.h"
 #include "wire/pg.h"
 
@@ -68,7 +68,7 @@
       {"/%zz", std::nullopt},
       {"/a%00b", std::nullopt},
   };
-  for (const auto& c : cases) EXPECT_EQ(wire::path_parts(c.path), c.parts) << c.path;
+  for (const auto& c : cases) EXPECT_EQ(wire::split_path(c.path), c.parts) << c.path;
 }
 
 TEST(Door, AnswersOneCallAConnection) {
@@ -105,7 +105,7 @@
 TEST(Door, CallersThatStallAndClientsOnAllPlacesKeepNobodyOut) {
   Service s("64");
   std::vector<Socket> stalled, clients;
-  for (std::size_t i = 0; i < 3 * wire::ControlDoor::callers_most; ++i) {
+  for (std::size_t i = 0; i < 3 * wire::ControlServer::max_connections; ++i) {
     stalled.push_back(Socket::to(s.program->control()));
     stalled.back().send("GET /-/rea");
   }
@@ -205,17 +205,18 @@
 }
 
 TEST(Handover, PacketsAreReadWholeOrNotAtAll) {
-  const auto good = wire::seal("role", "primary host-1");
-  ASSERT_TRUE(wire::unseal(good));
-  EXPECT_EQ(wire::unseal(good)->kind, "role");
-  EXPECT_EQ(wire::unseal(good)->text, "primary host-1");
-  for (std::size_t cut = 0; cut < good.size(); ++cut) EXPECT_FALSE(wire::unseal(good.substr(0, cut))) << cut;
+  const auto good = wire::encode_packet("role", "primary host-1");
+  ASSERT_TRUE(wire::decode_packet(good));
+  EXPECT_EQ(wire::decode_packet(good)->kind, "role");
+  EXPECT_EQ(wire::decode_packet(good)->text, "primary host-1");
+  for (std::size_t cut = 0; cut < good.size(); ++cut)
+    EXPECT_FALSE(wire::decode_packet(good.substr(0, cut))) << cut;
   for (std::size_t at = 0; at < good.size(); ++at) {
     if (at == std::string("cedarring1").size() || at == std::string("cedarring1 0123456789abcdef").size())
       continue;
     auto bad = good;
     bad[at] ^= 1;
-    EXPECT_FALSE(wire::unseal(bad)) << at;
+    EXPECT_FALSE(wire::decode_packet(bad)) << at;
   }
 }
 
@@ -227,19 +228,19 @@
   hosts.apply(*wire::parse_members(list));
   hosts.set_disabled("p", true, now);
   hosts.observe(*hosts.find("r"), Role::replica, now, now);
-  const auto text = app::to_text({app::state_of("postgresql", hosts)});
-  const auto all = app::services_of(text);
+  const auto text = app::to_json({app::capture_state("postgresql", hosts)});
+  const auto all = app::parse_services(text);
   ASSERT_TRUE(all);
   const auto& s = all->at(0);
   EXPECT_EQ(s.list.version, 7U);
   ASSERT_EQ(s.list.members.size(), 2U);
   EXPECT_EQ(s.list.members[1].state, HostState::draining);
   EXPECT_EQ(s.list.members[1].started_at, Time(1'234'000));
-  EXPECT_EQ(s.out, std::vector<std::string>{"p"});
-  ASSERT_EQ(s.heard.size(), 1U);
-  EXPECT_EQ(s.heard[0].role, Role::replica);
-  EXPECT_EQ(s.heard[0].position, now);
-  for (std::size_t cut = 0; cut < text.size(); ++cut) EXPECT_FALSE(app::services_of(text.substr(0, cut)));
+  EXPECT_EQ(s.disabled_hosts, std::vector<std::string>{"p"});
+  ASSERT_EQ(s.observed_hosts.size(), 1U);
+  EXPECT_EQ(s.observed_hosts[0].role, Role::replica);
+  EXPECT_EQ(s.observed_hosts[0].position, now);
+  for (std::size_t cut = 0; cut < text.size(); ++cut) EXPECT_FALSE(app::parse_services(text.substr(0, cut)));
 }
 
 TEST(Handover, BothTogetherNeverHaveMoreThanOne) {
@@ -661,9 +662,9 @@
   Service s;
   const auto path = handover_socket(s.program->dir());
   ASSERT_FALSE(path.empty());
-  const auto whole = wire::seal("whole", "");
-  for (const auto& says : {std::string("garbage"), std::string(), wire::seal("state", "[{]"),
-                           whole.substr(0, 20), wire::seal("unheard-of", "")}) {
+  const auto whole = wire::encode_packet("whole", "");
+  for (const auto& says : {std::string("garbage"), std::string(), wire::encode_packet("state", "[{]"),
+                           whole.substr(0, 20), wire::encode_packet("unheard-of", "")}) {
     Impostor impostor(path, says.empty() ? std::vector<std::string>{} : std::vector{says});
     const auto start = Clock::now();
     Program next(*s.program, "");
@@ -682,14 +683,15 @@
   app::ServiceState state;
   state.front = "postgresql";
   state.list = *wire::parse_members(list_of(1, s.members));
-  state.out = {"r/1"};
-  state.parts = {{"hosts", "[1,{\"hosts\":[{\"host\":7}]}]"},
-                 {"sessions", "[1,{\"sessions\":[],\"more\":1}]"},
-                 {"new", "?"}};
-  const std::map<std::string, app::StateParts> rest{
+  state.disabled_hosts = {"r/1"};
+  state.sections = {{"hosts", "[1,{\"hosts\":[{\"host\":7}]}]"},
+                    {"sessions", "[1,{\"sessions\":[],\"more\":1}]"},
+                    {"new", "?"}};
+  const std::map<std::string, app::StateSections> rest{
       {"postgresql", {{"tenants", "[2,{}]"}, {"contracts", "["}, {"levels", "[1,{}]"}}}};
-  Impostor impostor(path, {wire::seal("state", app::to_text({state})), wire::seal("whole", ""),
-                           wire::seal("parts", handover::to_text(rest)), wire::seal("yes", "")});
+  Impostor impostor(path,
+                    {wire::encode_packet("state", app::to_json({state})), wire::encode_packet("whole", ""),
+                     wire::encode_packet("parts", handover::to_text(rest)), wire::encode_packet("yes", "")});
   Program next(*s.program, "");
   ASSERT_TRUE(next.wait_output("cannot be read", 3));  // hosts, then tenants and contracts
   const auto dropped = [&](const std::string& part) { return next.output().find(part) != std::string::npos; };
