--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -18,77 +18,84 @@
 
 using Json = rapidjson::Value;
 
-const Json& need(const Json& object, const char* key) {
+constexpr double min_memory_mb = 16;
+constexpr double min_sockets = 64;
+constexpr double max_limit = 1e6;  // of either
+
+const Json& require(const Json& object, const char* key) {
   const auto it = object.FindMember(key);
   if (it == object.MemberEnd()) throw ConfigError(std::string(key) + ": missing");
   return it->value;
 }
-std::string need_text(const Json& object, const char* key) {
-  const auto& v = need(object, key);
-  if (!v.IsString()) throw ConfigError(std::string(key) + ": not a string");
-  return v.GetString();
+std::string require_string(const Json& object, const char* key) {
+  const auto& value = require(object, key);
+  if (!value.IsString()) throw ConfigError(std::string(key) + ": not a string");
+  return value.GetString();
 }
 
-/// A plain value as the simulator's wire spells it: no space or comma inside.
-std::string plain(const Json& v) {
-  if (v.IsNull()) return "";
-  if (v.IsString()) {
-    std::string text(v.GetString(), v.GetStringLength());
+/// A scalar in the form of the settings parser: spaces and commas inside strings are replaced.
+std::string to_setting_value(const Json& value) {
+  if (value.IsNull()) return "";
+  if (value.IsString()) {
+    std::string text(value.GetString(), value.GetStringLength());
     for (auto& c : text)
       if (c == ' ' || c == ',') c = '_';
     return text;
   }
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
-  v.Accept(writer);
+  value.Accept(writer);
   return buffer.GetString();
 }
 
-/// The settings as path=value pairs: the form that the adapter's parser reads.
-void flatten(const Json& v, const std::string& path, std::string& out) {
-  if (v.IsObject()) {
-    for (const auto& m : v.GetObject())
-      flatten(m.value, path.empty() ? m.name.GetString() : path + "." + m.name.GetString(), out);
+/// Appends the settings as path=value pairs, the input of parse_settings().
+void flatten(const Json& json, const std::string& path, std::string& out) {
+  if (json.IsObject()) {
+    for (const auto& member : json.GetObject())
+      flatten(member.value, path.empty() ? member.name.GetString() : path + "." + member.name.GetString(),
+              out);
     return;
   }
-  if (v.IsArray() && !v.Empty() && v[0].IsObject()) {
-    out += path + ".count=" + std::to_string(v.Size()) + " ";
-    for (rapidjson::SizeType i = 0; i < v.Size(); ++i) flatten(v[i], path + "." + std::to_string(i), out);
+  if (json.IsArray() && !json.Empty() && json[0].IsObject()) {
+    out += path + ".count=" + std::to_string(json.Size()) + " ";
+    for (rapidjson::SizeType i = 0; i < json.Size(); ++i)
+      flatten(json[i], path + "." + std::to_string(i), out);
     return;
   }
   std::string value;
-  if (v.IsArray())
-    for (const auto& item : v.GetArray()) value += (value.empty() ? "" : ",") + plain(item);
+  if (json.IsArray())
+    for (const auto& item : json.GetArray()) value += (value.empty() ? "" : ",") + to_setting_value(item);
   else
-    value = plain(v);
+    value = to_setting_value(json);
   out += path + "=" + value + " ";
 }
 
-/// Shares are over all gateways together: each keeps its part.
+/// Quotas apply to all gateways together; each enforces its share.
 std::vector<broker::TenantBudget> read_budgets(const Json& settings, std::uint32_t gateways) {
   std::vector<broker::TenantBudget> budgets;
   const auto realms = settings.FindMember("realms");
   if (realms == settings.MemberEnd()) return budgets;
   if (!realms->value.IsArray()) throw ConfigError("settings.realms: not a list");
-  for (const auto& r : realms->value.GetArray()) {
-    if (!r.IsObject()) throw ConfigError("settings.realms: not a list of objects");
-    broker::TenantBudget b;
-    b.tenant = need_text(r, "name");
-    const auto quota = r.FindMember("quota_per_s");
-    if (quota != r.MemberEnd() && quota->value.IsNumber()) b.per_second = quota->value.GetDouble() / gateways;
-    budgets.push_back(std::move(b));
+  for (const auto& realm : realms->value.GetArray()) {
+    if (!realm.IsObject()) throw ConfigError("settings.realms: not a list of objects");
+    broker::TenantBudget budget;
+    budget.tenant = require_string(realm, "name");
+    const auto quota = realm.FindMember("quota_per_s");
+    if (quota != realm.MemberEnd() && quota->value.IsNumber())
+      budget.per_second = quota->value.GetDouble() / gateways;
+    budgets.push_back(std::move(budget));
   }
   return budgets;
 }
 
-/// Each limit has its own least: the platform hands out 32 MB, and a floor meant for descriptors must not end
-/// us.
-std::size_t limit(const Json& root, const char* key, double least, std::size_t fallback) {
+/// Reads a key of `limits`. Each key has its own minimum: the platform grants 32 MB, and the minimum for
+/// descriptors must not reject that.
+std::size_t read_limit(const Json& root, const char* key, double minimum, std::size_t fallback) {
   const auto limits = root.FindMember("limits");
   if (limits == root.MemberEnd() || !limits->value.IsObject()) return fallback;
   const auto it = limits->value.FindMember(key);
   if (it == limits->value.MemberEnd()) return fallback;
-  if (!it->value.IsNumber() || it->value.GetDouble() < least || it->value.GetDouble() > 1e6)
+  if (!it->value.IsNumber() || it->value.GetDouble() < minimum || it->value.GetDouble() > max_limit)
     throw ConfigError("limits." + std::string(key) + ": out of range");
   return static_cast<std::size_t>(it->value.GetDouble());
 }
@@ -109,15 +116,16 @@
 
 namespace {
 
-rapidjson::Document parse_json(const std::string& json, const char* what) {
-  rapidjson::Document d;
-  d.Parse<rapidjson::kParseIterativeFlag>(json.c_str());
-  if (d.HasParseError() || !d.IsObject()) throw ConfigError(std::string(what) + ": not a JSON object");
-  return d;
+rapidjson::Document parse_json(const std::string& json, const char* file_kind) {
+  rapidjson::Document document;
+  document.Parse<rapidjson::kParseIterativeFlag>(json.c_str());
+  if (document.HasParseError() || !document.IsObject())
+    throw ConfigError(std::string(file_kind) + ": not a JSON object");
+  return document;
 }
 
 std::uint64_t read_seed(const Json& root) {
-  const auto& seed = need(root, "seed");
+  const auto& seed = require(root, "seed");
   if (seed.IsUint64()) return seed.GetUint64();
   if (!seed.IsString()) throw ConfigError("seed: not a number");
   const std::string text = seed.GetString();
@@ -127,91 +135,92 @@
   return number;
 }
 
-/// What cannot be guessed without breaking a promise: with a default in its place a class might be repeated
-/// that may not be, read older than it allows, or a host be sent to for longer than it may.
-void check_whole(const Json& settings, const std::string& path) {
-  const auto has = [&](const Json& object, const std::string& at, std::initializer_list<const char*> keys) {
+/// Checks the keys that must not be defaulted: a default could cause retries of requests that must not be
+/// repeated, reads staler than their class allows, or requests to a host for longer than permitted.
+void check_required_keys(const Json& settings, const std::string& path) {
+  const auto require_keys = [&](const Json& object, const std::string& at,
+                                std::initializer_list<const char*> keys) {
     for (const auto* key : keys)
       if (object.FindMember(key) == object.MemberEnd()) throw ConfigError(path + at + key + ": missing");
   };
-  const auto part = [&](const char* key) -> const Json& {
-    has(settings, "settings.", {key});
-    const auto& v = settings[key];
-    if (!v.IsObject()) throw ConfigError(path + "settings." + key + ": not an object");
-    return v;
+  const auto require_object = [&](const char* key) -> const Json& {
+    require_keys(settings, "settings.", {key});
+    const auto& value = settings[key];
+    if (!value.IsObject()) throw ConfigError(path + "settings." + key + ": not an object");
+    return value;
   };
-  has(settings, "settings.", {"classes", "registry_mode"});
+  require_keys(settings, "settings.", {"classes", "registry_mode"});
   const auto& classes = settings["classes"];
   if (!classes.IsArray() || classes.Empty())
     throw ConfigError(path + "settings.classes: not a list of classes");
   for (rapidjson::SizeType i = 0; i < classes.Size(); ++i) {
     const auto at = "settings.classes[" + std::to_string(i) + "].";
     if (!classes[i].IsObject()) throw ConfigError(path + at + ": not an object");
-    has(classes[i], at, {"name", "aim", "deadline", "effect"});
+    require_keys(classes[i], at, {"name", "aim", "deadline", "effect"});
     const auto& effect = classes[i]["effect"];
     if (effect.IsString() && std::string_view(effect.GetString()) == "idempotency_key")
-      has(classes[i], at, {"group", "window"});
+      require_keys(classes[i], at, {"group", "window"});
   }
-  has(part("limits"), "settings.limits.", {"send_cap"});
-  has(part("guarantees"), "settings.guarantees.",
-      {"stop_sending_within", "tip_multiple", "tip_after", "cold"});
-  const auto& specifics = part("specifics");
-  has(specifics, "settings.specifics.", {"needs_by_class", "checks"});
-  const auto& needs = specifics["needs_by_class"];
-  if (!needs.IsArray() || needs.Size() != classes.Size())
+  require_keys(require_object("limits"), "settings.limits.", {"send_cap"});
+  require_keys(require_object("guarantees"), "settings.guarantees.",
+               {"stop_sending_within", "tip_multiple", "tip_after", "cold"});
+  const auto& specifics = require_object("specifics");
+  require_keys(specifics, "settings.specifics.", {"needs_by_class", "checks"});
+  const auto& requirements = specifics["needs_by_class"];
+  if (!requirements.IsArray() || requirements.Size() != classes.Size())
     throw ConfigError(path + "settings.specifics.needs_by_class: not one for each class");
 }
 
-/// The list of hosts and the settings, where they are given.
-void read_service(const Json& root, std::uint64_t seed, const std::string& path, ServiceConfig& c) {
+/// Reads the list of hosts and the settings, if present.
+void read_service(const Json& root, std::uint64_t seed, const std::string& path, ServiceConfig& config) {
   if (const auto known = root.FindMember("known"); known != root.MemberEnd() && !known->value.IsNull()) {
-    const auto list = wire::parse_members(plain(known->value));
+    const auto list = wire::parse_members(to_setting_value(known->value));
     if (!list) throw ConfigError(path + "known: not a list");
-    c.known = *list;
+    config.known_hosts = *list;
   }
   const auto settings = root.FindMember("settings");
   if (settings == root.MemberEnd()) return;
   if (!settings->value.IsObject()) throw ConfigError(path + "settings: not an object");
-  check_whole(settings->value, path);
-  std::string facts;
-  flatten(settings->value, "", facts);
-  Time base{};  // positions on sockets are Unix times: nothing is counted from it here
-  c.zones.clear();
+  check_required_keys(settings->value, path);
+  std::string settings_text;
+  flatten(settings->value, "", settings_text);
+  Time base_time{};  // unused: positions on sockets are Unix times
+  config.zones.clear();
   try {
-    c.settings = parse_settings(facts, seed, "", c.zones, base);
-    c.settings.late_refusal_costs =
-        true;  // PROTOCOL: refused after half its time and never sent costs 0.3 of its worth
-    check(c.settings);
+    config.settings = parse_settings(settings_text, seed, "", config.zones, base_time);
+    // A request refused after half its deadline without having been sent costs 0.3 of its value.
+    config.settings.late_refusal_costs = true;
+    check(config.settings);
   } catch (const std::exception& e) {
     throw ConfigError(path + "settings." + e.what() + ": bad value");
   }
-  c.budgets = read_budgets(settings->value, c.settings.instance_count);
+  config.budgets = read_budgets(settings->value, config.settings.instance_count);
 }
 
 }  // namespace
 
 Config parse_config(const std::string& json) {
-  const auto d = parse_json(json, "config");
-  Config c;
-  c.text = json;
-  c.name = need_text(d, "name");
-  c.platform.listen = need_text(d, "listen");
-  c.platform.discovery = need_text(d, "discovery");
-  if (const auto it = d.FindMember("control"); it != d.MemberEnd() && !it->value.IsNull())
-    c.control = need_text(d, "control");
-  c.memory_mb = limit(d, "memory_mb", 16, c.memory_mb);
-  c.sockets = limit(d, "sockets", 64, c.sockets);
-  need(d, "settings");
-  read_service(d, read_seed(d), "", c.platform);
-  return c;
+  const auto document = parse_json(json, "config");
+  Config config;
+  config.text = json;
+  config.name = require_string(document, "name");
+  config.platform.listen = require_string(document, "listen");
+  config.platform.discovery = require_string(document, "discovery");
+  if (const auto it = document.FindMember("control"); it != document.MemberEnd() && !it->value.IsNull())
+    config.control = require_string(document, "control");
+  config.memory_mb = read_limit(document, "memory_mb", min_memory_mb, config.memory_mb);
+  config.sockets = read_limit(document, "sockets", min_sockets, config.sockets);
+  require(document, "settings");
+  read_service(document, read_seed(document), "", config.platform);
+  return config;
 }
 
 namespace {
 
-void check_keys(const Json& before, const Json& after, const std::string& path);
+void check_keys_kept(const Json& before, const Json& after, const std::string& path);
 
-/// Objects in a list, such as classes: each needs what all of those before had.
-void check_items(const Json& before, const Json& after, const std::string& path) {
+/// Objects in a list, such as classes: each needs the keys that all previous items have.
+void check_list_items(const Json& before, const Json& after, const std::string& path) {
   rapidjson::Document common;
   common.CopyFrom(before[0], common.GetAllocator());
   for (const auto& item : before.GetArray()) {
@@ -220,101 +229,112 @@
       it = item.HasMember(it->name) ? std::next(it) : common.EraseMember(it);
   }
   for (rapidjson::SizeType i = 0; i < after.Size(); ++i)
-    check_keys(common, after[i], path + "[" + std::to_string(i) + "]");
+    check_keys_kept(common, after[i], path + "[" + std::to_string(i) + "]");
 }
 
-void check_keys(const Json& before, const Json& after, const std::string& path) {
+void check_keys_kept(const Json& before, const Json& after, const std::string& path) {
   if (before.IsObject()) {
     if (!after.IsObject()) throw ConfigError(path + ": not an object");
-    for (const auto& m : before.GetObject()) {
-      const auto at = (path.empty() ? "" : path + ".") + m.name.GetString();
-      const auto it = after.FindMember(m.name);
+    for (const auto& member : before.GetObject()) {
+      const auto at = (path.empty() ? "" : path + ".") + member.name.GetString();
+      const auto it = after.FindMember(member.name);
       if (it == after.MemberEnd()) throw ConfigError(at + ": missing");
-      // What hosts there are is discovery's to tell: it is no form to keep to.
-      if (at != "known.servers") check_keys(m.value, it->value, at);
+      // The hosts come from discovery and may change.
+      if (at != "known.servers") check_keys_kept(member.value, it->value, at);
     }
   } else if (before.IsArray()) {
     if (!after.IsArray()) throw ConfigError(path + ": not a list");
-    if (!before.Empty() && before[0].IsObject()) check_items(before, after, path);
+    if (!before.Empty() && before[0].IsObject()) check_list_items(before, after, path);
   }
 }
 
-void above_zero(const Json& object, const char* key, const std::string& path, bool whole) {
+void check_positive(const Json& object, const char* key, const std::string& path, bool whole) {
   const auto it = object.FindMember(key);
   if (it == object.MemberEnd()) return;
-  const auto& v = it->value;
-  const bool fits =
-      v.IsNumber() && v.GetDouble() > 0 && (!whole || v.GetDouble() == std::floor(v.GetDouble()));
+  const auto& value = it->value;
+  const bool fits = value.IsNumber() && value.GetDouble() > 0 &&
+                    (!whole || value.GetDouble() == std::floor(value.GetDouble()));
   if (!fits)
     throw ConfigError(path + key + (whole ? ": not a whole number above 0" : ": not a number above 0"));
 }
 
 }  // namespace
 
-void check_successor(const std::string& in_force, const std::string& next) {
-  const auto before = parse_json(in_force, "config"), after = parse_json(next, "config");
-  check_keys(before, after, "");
+void check_reload(const std::string& in_force, const std::string& candidate) {
+  const auto before = parse_json(in_force, "config");
+  const auto after = parse_json(candidate, "config");
+  check_keys_kept(before, after, "");
   const auto settings = after.FindMember("settings");
   if (settings == after.MemberEnd() || !settings->value.IsObject()) return;
   if (const auto limits = settings->value.FindMember("limits");
       limits != settings->value.MemberEnd() && limits->value.IsObject())
-    above_zero(limits->value, "send_cap", "settings.limits.", true);
+    check_positive(limits->value, "send_cap", "settings.limits.", true);
   const auto classes = settings->value.FindMember("classes");
   if (classes == settings->value.MemberEnd() || !classes->value.IsArray()) return;
   for (rapidjson::SizeType i = 0; i < classes->value.Size(); ++i)
     if (classes->value[i].IsObject())
-      above_zero(classes->value[i], "deadline", "settings.classes[" + std::to_string(i) + "].", false);
+      check_positive(classes->value[i], "deadline", "settings.classes[" + std::to_string(i) + "].", false);
 }
 
 std::optional<ServiceConfig> parse_mysql_config(const std::string& json, const ServiceConfig& platform) {
-  const auto d = parse_json(json, "mysql");
-  const auto& enabled = need(d, "enabled");
+  const auto document = parse_json(json, "mysql");
+  const auto& enabled = require(document, "enabled");
   if (!enabled.IsBool()) throw ConfigError("mysql.enabled: not true or false");
   if (!enabled.GetBool()) return std::nullopt;
-  auto c = platform;
-  c.listen = need_text(d, "listen");
-  check_address("mysql.listen", c.listen);
-  c.discovery.clear();
-  if (d.HasMember("discovery")) c.discovery = need_text(d, "discovery");
-  if (!c.discovery.empty()) check_address("mysql.discovery", c.discovery);
-  c.known = {};
-  if (const auto dns = d.FindMember("dns"); dns != d.MemberEnd()) {
+  auto config = platform;
+  config.listen = require_string(document, "listen");
+  check_address("mysql.listen", config.listen);
+  config.discovery.clear();
+  if (document.HasMember("discovery")) config.discovery = require_string(document, "discovery");
+  if (!config.discovery.empty()) check_address("mysql.discovery", config.discovery);
+  config.known_hosts = {};
+  if (const auto dns = document.FindMember("dns"); dns != document.MemberEnd()) {
     if (!dns->value.IsObject()) throw ConfigError("mysql.dns: not an object");
-    c.zone_updates = need_text(dns->value, "listen");
-    if (!wire::is_loopback(c.zone_updates)) throw ConfigError("mysql.dns.listen: not a loopback address");
+    config.zone_updates = require_string(dns->value, "listen");
+    if (!wire::is_loopback(config.zone_updates))
+      throw ConfigError("mysql.dns.listen: not a loopback address");
     std::string error;
-    if (!wire::dns::parse_zone(read_file(need_text(dns->value, "zone_file").c_str()),
-                               need_text(dns->value, "origin"), c.zone, error))
+    if (!wire::dns::parse_zone(read_file(require_string(dns->value, "zone_file").c_str()),
+                               require_string(dns->value, "origin"), config.zone, error))
       throw ConfigError("mysql.dns.zone_file: " + error);
-    c.known = wire::dns::members_of(c.zone, 1);
-    c.discovery.clear();
+    config.known_hosts = wire::dns::members_of(config.zone, 1);
+    config.discovery.clear();
   }
-  read_service(d, platform.settings.seed + 1, "mysql.", c);
-  return c;
+  read_service(document, platform.settings.seed + 1, "mysql.", config);
+  return config;
 }
 
-gates::ServiceInfo ServiceConfig::for_gate(std::uint64_t salt) const {
-  gates::ServiceInfo s;
-  s.classes = settings.classes;
-  s.tenants = budgets.size();
-  s.max_pause = settings.max_retry_after;
-  s.pauses = settings.retry_after_allowed;
-  s.seed = settings.seed ^ salt;  // neither the router's own draws nor another gate's
-  return s;
+namespace {
+
+constexpr std::uint64_t levels_salt = 0x6c6576656c73ULL;
+constexpr std::uint64_t contracts_salt = 0x7465726d73ULL;
+
+}  // namespace
+
+gates::ServiceInfo ServiceConfig::gate_service_info(std::uint64_t salt) const {
+  gates::ServiceInfo info;
+  info.classes = settings.classes;
+  info.tenants = budgets.size();
+  info.max_pause = settings.max_retry_after;
+  info.pauses = settings.retry_after_allowed;
+  info.seed = settings.seed ^ salt;  // other random numbers than those of the router and of other gates
+  return info;
 }
 
-levels::ServiceInfo ServiceConfig::for_levels() const { return for_gate(0x6c6576656c73ULL); }
+levels::ServiceInfo ServiceConfig::levels_service_info() const { return gate_service_info(levels_salt); }
 
-contracts::ServiceInfo ServiceConfig::for_contracts() const { return for_gate(0x7465726d73ULL); }
+contracts::ServiceInfo ServiceConfig::contracts_service_info() const {
+  return gate_service_info(contracts_salt);
+}
 
-void read_gateway_file(const std::string& text, const std::string& name, Config& c) {
-  c.file = parse_gateway_file(text, name);
-  if (const auto* mysql = c.file.section("mysql")) {
+void read_gateway_file(const std::string& text, const std::string& name, Config& config) {
+  config.file = parse_gateway_file(text, name);
+  if (const auto* mysql = config.file.section("mysql")) {
     rapidjson::StringBuffer buffer;
     rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
     mysql->Accept(writer);
     try {
-      c.mysql = parse_mysql_config(buffer.GetString(), c.platform);
+      config.mysql = parse_mysql_config(buffer.GetString(), config.platform);
     } catch (const ConfigError& e) {
       throw ConfigError(name + ": /mysql: " + e.what());
     }
@@ -323,15 +343,15 @@
 
 namespace {
 
-void read_levels(Config& c) {
+void read_gates(Config& config) {
   const auto read = [&](ServiceConfig& service, const char* front) {
     std::vector<std::string> tenants;
-    for (const auto& b : service.budgets) tenants.push_back(b.tenant);
-    service.levels = levels_of(c.file, front, service.for_levels(), tenants);
-    service.contracts = contracts_of(c.file, front, service.for_contracts(), tenants);
+    for (const auto& budget : service.budgets) tenants.push_back(budget.tenant);
+    service.levels = levels_of(config.file, front, service.levels_service_info(), tenants);
+    service.contracts = contracts_of(config.file, front, service.contracts_service_info(), tenants);
   };
-  read(c.platform, "postgresql");
-  if (c.mysql) read(*c.mysql, "mysql");
+  read(config.platform, "postgresql");
+  if (config.mysql) read(*config.mysql, "mysql");
 }
 
 }  // namespace
@@ -340,34 +360,36 @@
   const char* path = std::getenv("ROUTER_CONFIG");
   if (!path) throw ConfigError("ROUTER_CONFIG: not set");
   const auto text = read_file(path);
-  if (!in_force.empty()) check_successor(in_force, text);
-  auto c = parse_config(text);
-  const auto variable = [](const char* name, std::string& value) {
+  if (!in_force.empty()) check_reload(in_force, text);
+  auto config = parse_config(text);
+  const auto override_from_environment = [](const char* name, std::string& value) {
     if (const char* text = std::getenv(name); text && *text) value = text;
   };
-  variable("ROUTER_NAME", c.name);
-  variable("ROUTER_LISTEN", c.platform.listen);
-  variable("ROUTER_CONTROL", c.control);
-  if (!reload) variable("ROUTER_DISCOVERY", c.platform.discovery);
-  check_address("listen", c.platform.listen);
-  check_address("discovery", c.platform.discovery);
-  if (!c.control.empty()) check_address("control", c.control);
+  override_from_environment("ROUTER_NAME", config.name);
+  override_from_environment("ROUTER_LISTEN", config.platform.listen);
+  override_from_environment("ROUTER_CONTROL", config.control);
+  if (!reload) override_from_environment("ROUTER_DISCOVERY", config.platform.discovery);
+  check_address("listen", config.platform.listen);
+  check_address("discovery", config.platform.discovery);
+  if (!config.control.empty()) check_address("control", config.control);
   std::string gateway = "deploy/gateway.json";
-  const bool named = !file.empty() || std::getenv("CEDARRING_GATEWAY");
-  variable("CEDARRING_GATEWAY", gateway);
+  const bool explicitly_named = !file.empty() || std::getenv("CEDARRING_GATEWAY");
+  override_from_environment("CEDARRING_GATEWAY", gateway);
   if (!file.empty()) gateway = file;
-  // One that was named has to be there; the usual one need not.
-  if (named || std::ifstream(gateway)) read_gateway_file(read_file(gateway.c_str()), gateway, c);
-  // Who names the MySQL front's own file of before means it; else it is read where nothing has taken its
-  // place.
+  // A file that was named must exist; the default one is optional.
+  if (explicitly_named || std::ifstream(gateway))
+    read_gateway_file(read_file(gateway.c_str()), gateway, config);
+  // The former file of the MySQL front is read if it is named explicitly, or if the gateway file has no
+  // section for it.
   std::string mysql = "deploy/mysql.json";
-  variable("CEDARRING_MYSQL", mysql);
-  if ((std::getenv("CEDARRING_MYSQL") || !c.file.section("mysql")) && std::ifstream(mysql)) {
-    c.mysql = parse_mysql_config(read_file(mysql.c_str()), c.platform);
-    c.notes.push_back("the MySQL front's own file is read; its place is now the section mysql of " + gateway);
+  override_from_environment("CEDARRING_MYSQL", mysql);
+  if ((std::getenv("CEDARRING_MYSQL") || !config.file.section("mysql")) && std::ifstream(mysql)) {
+    config.mysql = parse_mysql_config(read_file(mysql.c_str()), config.platform);
+    config.warnings.push_back("the MySQL front's own file is read; its place is now the section mysql of " +
+                              gateway);
   }
-  read_levels(c);
-  return c;
+  read_gates(config);
+  return config;
 }
 
 }  // namespace cedarring::app
--- a/src/app/config.h
+++ b/src/app/config.h
@@ -1,4 +1,5 @@
-// What the gateway is told at its start.
+// The configuration of a gateway process: the platform's file (ROUTER_CONFIG), environment variables and the
+// gateway file.
 #pragma once
 
 #include <string>
@@ -12,51 +13,57 @@
 
 namespace cedarring::app {
 
-/// One front: where it listens, and the hosts behind it.
+/// The configuration of one front and the hosts behind it.
 struct ServiceConfig {
-  std::string listen, discovery;
-  std::string zone_updates;  // where dynamic updates of the zone are taken; empty: there is no zone
+  std::string listen;
+  std::string discovery;
+  std::string zone_updates;  // where dynamic updates of the zone are received; empty: no zone
   wire::dns::Zone zone;
-  broker::MemberList known;
+  broker::MemberList known_hosts;
   Settings settings;
   std::vector<broker::TenantBudget> budgets;
   std::vector<std::string> zones;
   std::optional<levels::Config> levels;      // absent: off
   std::optional<ContractsConfig> contracts;  // absent: off
-  [[nodiscard]] contracts::ServiceInfo for_contracts() const;
-  /// What levels need to know of this service.
-  [[nodiscard]] levels::ServiceInfo for_levels() const;
+  /// The service information that the contracts gate needs.
+  [[nodiscard]] contracts::ServiceInfo contracts_service_info() const;
+  /// The service information that the levels gate needs.
+  [[nodiscard]] levels::ServiceInfo levels_service_info() const;
 
  private:
-  [[nodiscard]] gates::ServiceInfo for_gate(std::uint64_t salt) const;
+  [[nodiscard]] gates::ServiceInfo gate_service_info(std::uint64_t salt) const;
 };
 
+/// The configuration of the process.
 struct Config {
   std::string name;
   std::string text;     // the file as it was read
-  std::string control;  // the operators' door; empty: there is none
-  std::size_t memory_mb = 192, sockets = 1024;
+  std::string control;  // address of the control endpoint; empty: none
+  std::size_t memory_mb = 192;
+  std::size_t sockets = 1024;  // descriptors
   ServiceConfig platform;
   std::optional<ServiceConfig> mysql;  // absent: off
-  GatewayFile file;                    // deploy/gateway.json; empty where there is none
-  std::vector<std::string> notes;      // what is to be logged once
+  GatewayFile file;                    // deploy/gateway.json; empty if there is none
+  std::vector<std::string> warnings;   // to be logged once
 };
 
-/// Reads the JSON; throws ConfigError.
+/// Parses the platform's configuration file; throws ConfigError.
 Config parse_config(const std::string& json);
-/// Throws ConfigError, with the key, for a file that may not take the place of the one in force: it lacks a
-/// key that that one has, or a deadline or the number of attempts is no number above 0. Classes may come and
-/// go: a class has to have the keys that all of before have.
-void check_successor(const std::string& in_force, const std::string& next);
-/// Reads the MySQL front's file: nothing if it is off. What it leaves out is as on the platform.
+/// Checks whether a file may replace the one in force. Throws ConfigError, with the key, if it lacks a key of
+/// that file, or if a deadline or the number of attempts is not above 0. Classes may be added and removed,
+/// but need the keys that all previous classes have.
+void check_reload(const std::string& in_force, const std::string& candidate);
+/// Parses the configuration of the MySQL front; nothing if it is disabled. Omitted settings are those of the
+/// platform. Throws ConfigError.
 std::optional<ServiceConfig> parse_mysql_config(const std::string& json, const ServiceConfig& platform);
-/// Reads the file of ROUTER_CONFIG; at the start the other variables win over what it holds, at a reload the
-/// file wins: it is newer. What else there is to say stands in deploy/gateway.json, or what `file` or
-/// CEDARRING_GATEWAY names. The MySQL front's own file of before, which CEDARRING_MYSQL names, is still read
-/// where that has no section `mysql`. `in_force`: at a reload the text of the file in force, which the new
-/// one must be fit to follow.
+/// Reads the file named by ROUTER_CONFIG, environment variables and the gateway file. At the start
+/// ROUTER_DISCOVERY overrides the file; at a reload the file, being newer, takes precedence. The gateway file
+/// is `file`, or the one named by CEDARRING_GATEWAY, or deploy/gateway.json. The former separate file of the
+/// MySQL front is read if CEDARRING_MYSQL names it or the gateway file has no section `mysql`. `in_force`: at
+/// a reload the text of the configuration in force, for check_reload(). Throws ConfigError.
 Config load_config(bool reload = false, const std::string& file = "", const std::string& in_force = "");
-/// Reads the gateway's file into a configuration that holds the platform's part already.
+/// Parses the gateway file into a configuration that holds the platform's settings already. Throws
+/// ConfigError.
 void read_gateway_file(const std::string& text, const std::string& name, Config& config);
 
 }  // namespace cedarring::app
--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -162,7 +162,7 @@
     control_ = std::make_unique<wire::ControlServer>(
         loop, reaper_, config.control,
         [this](const wire::ControlRequest& request) { return answer_control(request); });
-  for (const auto& note : config.notes) log_.write(telemetry::Level::warning, "configuration", note);
+  for (const auto& warning : config.warnings) log_.write(telemetry::Level::warning, "configuration", warning);
 }
 
 void Gateway::run() {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The command line. Without a sub-command the gateway serves: it reads its configuration and ends on SIGTERM.
+// The command line. Without a sub-command the gateway reads its configuration and serves until SIGTERM.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -18,32 +18,33 @@
 
 int serve(const std::string& file) {
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGHUP, SIG_IGN);  // until the gateway takes it
+  std::signal(SIGHUP, SIG_IGN);  // until the gateway handles it
   ev::default_loop loop;
   cedarring::app::Gateway gateway(loop, cedarring::app::load_config(false, file), file);
   gateway.run();
   return 0;
 }
 
-/// Says what a gateway's file comes to. With the platform's configuration beside it (ROUTER_CONFIG) levels
-/// are read against its classes, else only the file's form can be checked.
+/// Validates a gateway file and prints the resulting settings. With the platform's configuration
+/// (ROUTER_CONFIG) levels are checked against its classes; without it only the syntax is checked.
 int check(const std::string& file) {
   using namespace cedarring::app;
   if (std::getenv("ROUTER_CONFIG")) {
-    const auto c = load_config(false, file);
-    for (const auto& note : c.notes) std::cerr << "note: " << note << '\n';
-    const auto show = [](const char* front, const ServiceConfig& s) {
+    const auto config = load_config(false, file);
+    for (const auto& warning : config.warnings) std::cerr << "note: " << warning << '\n';
+    const auto print_service = [](const char* front, const ServiceConfig& service) {
       std::vector<std::string> tenants;
-      for (const auto& b : s.budgets) tenants.push_back(b.tenant);
-      std::cout << front << " listens at " << s.listen << ", " << s.settings.classes.size() << " classes, "
-                << tenants.size() << " tenants\n"
-                << front
-                << " levels: " << (s.levels ? levels_json(*s.levels, s.for_levels(), tenants) : "off")
+      for (const auto& budget : service.budgets) tenants.push_back(budget.tenant);
+      std::cout << front << " listens at " << service.listen << ", " << service.settings.classes.size()
+                << " classes, " << tenants.size() << " tenants\n"
+                << front << " levels: "
+                << (service.levels ? levels_json(*service.levels, service.levels_service_info(), tenants)
+                                   : "off")
                 << '\n';
     };
-    show("postgresql", c.platform);
-    if (c.mysql)
-      show("mysql", *c.mysql);
+    print_service("postgresql", config.platform);
+    if (config.mysql)
+      print_service("mysql", *config.mysql);
     else
       std::cout << "mysql: off\n";
   } else {
@@ -51,17 +52,17 @@
     std::stringstream text;
     text << in.rdbuf();
     if (!in) throw ConfigError(file + ": cannot be read");
-    const auto f = parse_gateway_file(text.str(), file);
-    std::cout << "the form is right; set ROUTER_CONFIG to have levels read against its classes\n";
+    const auto parsed = parse_gateway_file(text.str(), file);
+    std::cout << "the syntax is valid; set ROUTER_CONFIG to check levels against its classes\n";
   }
   return 0;
 }
 
-/// Any other word is a program of its own beside this one: the gateway stays lean.
+/// Runs the program cedarring-NAME beside this one for any other command, which keeps the gateway small.
 [[noreturn]] void run_tool(char** argv) {
-  char self[PATH_MAX] = "";
-  const auto n = ::readlink("/proc/self/exe", self, sizeof self - 1);
-  std::string path = n > 0 ? std::string(self, static_cast<std::size_t>(n)) : argv[0];
+  char executable[PATH_MAX] = "";
+  const auto n = ::readlink("/proc/self/exe", executable, sizeof executable - 1);
+  std::string path = n > 0 ? std::string(executable, static_cast<std::size_t>(n)) : argv[0];
   path.resize(path.rfind('/') + 1);
   path += "cedarring-";
   path += argv[1];
@@ -71,7 +72,7 @@
   std::exit(2);
 }
 
-bool is_tool(const std::string& word) {
+bool names_tool(const std::string& word) {
   if (word.empty() || word == "serve" || word == "check" || word == "version" || word == "help") return false;
   return word.find_first_not_of("abcdefghijklmnopqrstuvwxyz0123456789-") == std::string::npos &&
          word[0] != '-';
@@ -80,23 +81,26 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  if (argc > 1 && is_tool(argv[1])) run_tool(argv);
+  if (argc > 1 && names_tool(argv[1])) run_tool(argv);
   CLI::App app("cedarring, a gateway for ledgers kept by replica groups", "cedarring");
-  std::string file, checked;
-  app.add_option("--config", file,
-                 "The gateway's own file; else CEDARRING_GATEWAY, else deploy/gateway.json");
-  app.add_subcommand("serve", "Serve until SIGTERM; the same as no command")
-      ->add_option("--config", file, "The gateway's own file");
+  std::string file;
+  std::string checked_file;
+  app.add_option("--config", file, "The gateway file (default: CEDARRING_GATEWAY, else deploy/gateway.json)");
+  app.add_subcommand("serve", "Serve until SIGTERM (default)")
+      ->add_option("--config", file, "The gateway file");
   auto* check_command =
-      app.add_subcommand("check", "Say whether a gateway's file can be used, and what it comes to");
-  check_command->add_option("FILE", checked, "The file")->required();
-  auto* version_command = app.add_subcommand("version", "Say which version this is");
-  app.footer("Any other command NAME runs cedarring-NAME beside this program, such as: ctl");
+      app.add_subcommand("check", "Validate a gateway file and print the resulting settings");
+  check_command->add_option("FILE", checked_file, "The file")->required();
+  auto* version_command = app.add_subcommand("version", "Print the version");
+  app.footer("Any other command NAME runs the program cedarring-NAME, such as: ctl");
   app.require_subcommand(0, 1);
   CLI11_PARSE(app, argc, argv);
   try {
-    if (version_command->parsed()) return std::cout << "cedarring " << version << '\n', 0;
-    if (check_command->parsed()) return check(checked);
+    if (version_command->parsed()) {
+      std::cout << "cedarring " << version << '\n';
+      return 0;
+    }
+    if (check_command->parsed()) return check(checked_file);
     return serve(file);
   } catch (const std::exception& e) {
     std::cerr << "cedarring: " << e.what() << '\n';
--- a/src/tools/plan/main.cpp
+++ b/src/tools/plan/main.cpp
@@ -64,7 +64,7 @@
   app::read_gateway_file(read(gateway), gateway, config);
   std::vector<std::string> tenants;
   for (const auto& b : config.platform.budgets) tenants.push_back(b.tenant);
-  const auto service = config.platform.for_contracts();
+  const auto service = config.platform.contracts_service_info();
   const auto contracts = app::contracts_of(config.file, "postgresql", service, tenants);
   if (!contracts) throw app::ConfigError(gateway + ": /contracts: expected contracts in force, found none");
   const auto d = app::parse_object(read(fleet_file), fleet_file);
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -315,7 +315,7 @@
   EXPECT_EQ(c.platform.settings.classes.at(0).staleness_bound, Duration(1'000'000));
   EXPECT_EQ(c.platform.settings.seed, 0x2aU);
   EXPECT_EQ(c.platform.budgets.at(0).tenant, "acme");
-  EXPECT_EQ(c.platform.known.members.size(), 1U);
+  EXPECT_EQ(c.platform.known_hosts.members.size(), 1U);
   EXPECT_FALSE(app::parse_mysql_config(R"({"enabled":false})", c.platform));
   struct Case {
     std::string json, key;
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -360,7 +360,7 @@
   const auto good = config_json("127.0.0.1:1", list_of(1, {}));
   const auto fits = [&](const std::string& next) {
     try {
-      app::check_successor(good, next);
+      app::check_reload(good, next);
       app::parse_config(next);
       return true;
     } catch (const std::exception&) {
