--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -248,14 +248,15 @@
   }
 }
 
-void check_positive(const Json& object, const char* key, const std::string& path, bool whole) {
+void check_positive(const Json& object, const char* key, const std::string& path, bool integer_only) {
   const auto it = object.FindMember(key);
   if (it == object.MemberEnd()) return;
   const auto& value = it->value;
   const bool fits = value.IsNumber() && value.GetDouble() > 0 &&
-                    (!whole || value.GetDouble() == std::floor(value.GetDouble()));
+                    (!integer_only || value.GetDouble() == std::floor(value.GetDouble()));
   if (!fits)
-    throw ConfigError(path + key + (whole ? ": not a whole number above 0" : ": not a number above 0"));
+    throw ConfigError(path + key +
+                      (integer_only ? ": not a whole number above 0" : ": not a number above 0"));
 }
 
 }  // namespace
--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -123,8 +123,8 @@
   };
   const auto state_of_front = [&](const std::string& front) -> const ServiceState* {
     if (state)
-      for (const auto& s : *state)
-        if (s.front == front) return &s;
+      for (const auto& candidate : *state)
+        if (candidate.front == front) return &candidate;
     return nullptr;
   };
   services_.push_back(std::make_unique<Service>(
@@ -141,15 +141,15 @@
     });
     // Sent before the client gets its answer, so that its next request finds the commit known in the other
     // process.
-    service->broker().on_commit([this, front = service->front()](const SessionSnapshot& s) {
-      if (link_) link_->send("commit", front + ' ' + handover::to_text(s));
+    service->broker().on_commit([this, front = service->front()](const SessionSnapshot& session) {
+      if (link_) link_->send("commit", front + ' ' + handover::to_text(session));
     });
-    if (const auto* s = state_of_front(service->front()); s && !s->sections.empty()) {
+    if (const auto* received = state_of_front(service->front()); received && !received->sections.empty()) {
       awaits_budgets_ = true;
-      log_unreadable(service->front(), service->restore(s->sections));
+      log_unreadable(service->front(), service->restore(received->sections));
     }
   }
-  for (auto& s : services_) s->set_resources(total_resources_of(*s));
+  for (auto& service : services_) service->set_resources(total_resources_of(*service));
   update_request_traces();
   if (predecessor) {
     start_as_successor(std::move(predecessor->link));
@@ -177,15 +177,15 @@
   report();
   if (!link_ || !handing_over_) return;
   std::map<std::string, StateSections> sections;
-  for (auto& s : services_) sections[s->front()] = s->bookings();
+  for (auto& service : services_) sections[service->front()] = service->bookings();
   send_sections("booked", sections);
 }
 
 /// Prints one line per tenant: its requests at this gateway, how many of them exceeded its share, and the
 /// results.
 void Gateway::report() const {
-  for (const auto& s : services_)
-    for (const auto& budget : s->budgets())
+  for (const auto& service : services_)
+    for (const auto& budget : service->budgets())
       std::cout << "tenant " << budget.tenant << " asked " << budget.asked << " over " << budget.over
                 << " served " << budget.served << " refused " << budget.refused << " failed " << budget.failed
                 << std::endl;
@@ -233,12 +233,12 @@
 /// At log level `debug` each finished request is logged with its result and its attempts.
 void Gateway::update_request_traces() {
   const bool on = log_.config().least == telemetry::Level::debug;
-  for (auto& s : services_) {
+  for (auto& service : services_) {
     if (!on) {
-      s->broker().on_request_trace(nullptr);
+      service->broker().on_request_trace(nullptr);
       continue;
     }
-    s->broker().on_request_trace([this](const broker::RequestTrace& trace) {
+    service->broker().on_request_trace([this](const broker::RequestTrace& trace) {
       const auto milliseconds = [](Duration duration) {
         char text[32];
         std::snprintf(text, sizeof text, "%.1f", static_cast<double>(duration.count()) / 1000);
@@ -276,8 +276,9 @@
   if (verb == "levels") return answer_levels();
   if (verb == "contracts") {
     std::string out = "[";
-    for (const auto& s : services_)
-      if (const auto* c = s->contracts()) out += (out.size() > 1 ? "," : "") + c->status();
+    for (const auto& service : services_)
+      if (const auto* contracts = service->contracts())
+        out += (out.size() > 1 ? "," : "") + contracts->status();
     return out + "]";
   }
   if (verb == "hosts") return answer_hosts();
@@ -294,8 +295,8 @@
 
 std::string Gateway::answer_levels() const {
   std::string out = "[";
-  for (const auto& s : services_)
-    if (const auto* levels = s->levels()) out += (out.size() > 1 ? "," : "") + levels->status();
+  for (const auto& service : services_)
+    if (const auto* levels = service->levels()) out += (out.size() > 1 ? "," : "") + levels->status();
   return out + "]";
 }
 
@@ -303,13 +304,13 @@
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
   writer.StartArray();
-  for (const auto& s : services_) {
+  for (const auto& service : services_) {
     std::vector<GroupView> views;
-    s->broker().group_views(views);
+    service->broker().group_views(views);
     for (const auto& view : views) {
       writer.StartObject();
       writer.Key("front");
-      writer.String(s->front().c_str());
+      writer.String(service->front().c_str());
       writer.Key("group");
       writer.Int64(view.group.value);
       writer.Key("primary");
@@ -347,9 +348,9 @@
 std::string Gateway::set_level(const std::vector<std::string>& words) {
   const bool set = words[0] == "set-level";
   if (words.size() != (set ? 5U : 3U)) return error_json("set-level FRONT pressure|GROUP LEVEL SECONDS");
-  for (const auto& s : services_) {
-    auto* levels = s->levels();
-    if (s->front() != words[1] || !levels) continue;
+  for (const auto& service : services_) {
+    auto* levels = service->levels();
+    if (service->front() != words[1] || !levels) continue;
     std::optional<GroupId> group;
     if (words[2] != "pressure") {
       const auto number = wire::to_int(words[2]);
@@ -379,12 +380,12 @@
   return !drain_timer_.is_active() && !empty_check_.is_active() && !handing_over_ &&
          !serving_timer_.is_active() &&
          std::all_of(
-             services_.begin(), services_.end(), [](const auto& s) { return s->ready(); });
+             services_.begin(), services_.end(), [](const auto& service) { return service->ready(); });
 }
 
 std::string Gateway::metrics() {
   telemetry::Metrics metrics;
-  for (auto& s : services_) s->broker().collect_metrics(metrics);
+  for (auto& service : services_) service->broker().collect_metrics(metrics);
   metrics.config_applied = configs_applied_;
   metrics.config_rejected = configs_rejected_;
   return telemetry::to_prometheus(metrics);
@@ -417,7 +418,7 @@
 
 bool Gateway::set_disabled(const std::string& host, bool disabled) {
   bool any = false;
-  for (auto& s : services_) any = s->broker().set_disabled(host, disabled) || any;
+  for (auto& service : services_) any = service->broker().set_disabled(host, disabled) || any;
   if (!any) return false;
   if (link_) link_->send(disabled ? "out" : "back", host);
   log_.write(telemetry::Level::warning, "operator", disabled ? "host disabled" : "host enabled",
@@ -446,9 +447,9 @@
 /// Starts serving once the services are ready. A pushed list is waited for only for a limited time, since
 /// discovery may be down.
 void Gateway::try_serving(ev::timer&, int) {
-  for (auto& s : services_)
-    if ((is_successor_ && !s->broker().ready()) ||
-        (!s->has_binding_list() && loop_.now() - started_at_ < first_list_timeout_s))
+  for (auto& service : services_)
+    if ((is_successor_ && !service->broker().ready()) ||
+        (!service->has_binding_list() && loop_.now() - started_at_ < first_list_timeout_s))
       return;
   serving_timer_.stop();
   if (!link_ || !awaits_budgets_) return serve();
@@ -458,14 +459,14 @@
 
 /// The predecessor does not answer: it may be hung, and its spending is unknown.
 void Gateway::on_budgets_timeout(ev::timer&, int) {
-  for (auto& s : services_) s->assume_own_share();
+  for (auto& service : services_) service->assume_own_share();
   serve();
 }
 
 void Gateway::serve() {
   awaits_budgets_ = false;
   budgets_timer_.stop();
-  for (auto& s : services_) s->start_accepting();
+  for (auto& service : services_) service->start_accepting();
   if (link_) {
     link_->send("serving");
     ejections_timer_.start(ejections_interval_s, ejections_interval_s);
@@ -477,7 +478,7 @@
 void Gateway::split_budgets() {
   if (std::exchange(budgets_split_, true)) return;
   std::map<std::string, StateSections> sections;
-  for (auto& s : services_) sections[s->front()] = s->snapshot(true);
+  for (auto& service : services_) sections[service->front()] = service->snapshot(true);
   send_sections("yes", sections);
   ejections_timer_.start(ejections_interval_s, ejections_interval_s);
 }
@@ -498,21 +499,21 @@
 /// Sends new ejections of hosts to the other process, which sends requests to the same hosts.
 void Gateway::send_ejections(ev::timer&, int) {
   if (!link_) return ejections_timer_.stop();
-  for (auto& s : services_) {
+  for (auto& service : services_) {
     handover::HostsSection ejected;
-    for (auto& h : s->broker().snapshot(SnapshotScope::hosts).hosts) {
-      auto& known_until = known_ejections_[s->front() + ' ' + h.name];
-      const auto until = h.ejection_remaining ? clock_.now() + *h.ejection_remaining : Time{};
-      if (!h.ejection_remaining || until <= known_until + ejection_tolerance) continue;
+    for (auto& host : service->broker().snapshot(SnapshotScope::hosts).hosts) {
+      auto& known_until = known_ejections_[service->front() + ' ' + host.name];
+      const auto until = host.ejection_remaining ? clock_.now() + *host.ejection_remaining : Time{};
+      if (!host.ejection_remaining || until <= known_until + ejection_tolerance) continue;
       known_until = until;
       // Estimates are specific to each process.
-      h.relative_latency = h.concurrency_limit = 0;
-      h.load = -1;
-      h.start_age.reset();
-      h.slow_start_sends.clear();
-      ejected.k.hosts.push_back(std::move(h));
+      host.relative_latency = host.concurrency_limit = 0;
+      host.load = -1;
+      host.start_age.reset();
+      host.slow_start_sends.clear();
+      ejected.k.hosts.push_back(std::move(host));
     }
-    if (!ejected.k.hosts.empty()) link_->send("hosts", s->front() + ' ' + handover::to_text(ejected));
+    if (!ejected.k.hosts.empty()) link_->send("hosts", service->front() + ' ' + handover::to_text(ejected));
   }
 }
 
@@ -528,18 +529,19 @@
   if (handing_over_ || is_successor_) return;
   ended_links_.clear();
   if (std::exchange(budgets_split_, false))
-    for (auto& s : services_) s->resume_full_spending();
+    for (auto& service : services_) service->resume_full_spending();
   known_ejections_.clear();
   link_ = std::make_unique<wire::HandoverLink>(
       loop_, std::move(fd),
       wire::HandoverLink::Events{[this](wire::Packet packet) { on_packet(std::move(packet)); },
                                  [this] { on_peer_end(); }});
   std::vector<ServiceState> states;
-  for (const auto& s : services_) {
-    link_->send("listener", s->front(), s->listener().get());
-    if (const auto* fd = s->update_socket()) link_->send("listener", s->front() + " updates", fd->get());
-    states.push_back(capture_state(s->front(), s->broker().hosts()));
-    states.back().sections = s->snapshot(false);
+  for (const auto& service : services_) {
+    link_->send("listener", service->front(), service->listener().get());
+    if (const auto* fd = service->update_socket())
+      link_->send("listener", service->front() + " updates", fd->get());
+    states.push_back(capture_state(service->front(), service->broker().hosts()));
+    states.back().sections = service->snapshot(false);
   }
   const auto text = to_json(states);
   for (std::size_t at = 0; at < text.size(); at += wire::max_packet_text)
@@ -555,18 +557,18 @@
 }
 
 void Gateway::share_resources(bool outgoing, std::size_t peer_clients) {
-  for (auto& s : services_) {
-    const auto total = total_resources_of(*s);
+  for (auto& service : services_) {
+    const auto total = total_resources_of(*service);
     const auto share = handover::split_resources(total, outgoing, outgoing ? total.clients : peer_clients);
     wire::RingBuffer::set_total_limit(share.memory);
-    s->set_resources(share);
+    service->set_resources(share);
   }
 }
 
 void Gateway::on_packet(wire::Packet packet) {
   const auto find_service = [&](const std::string& front) -> Service* {
-    for (auto& s : services_)
-      if (s->front() == front) return s.get();
+    for (auto& service : services_)
+      if (service->front() == front) return service.get();
     return nullptr;
   };
   // Most packets consist of a word and what it refers to.
@@ -584,27 +586,28 @@
         handover::from_text<std::map<std::string, StateSections>>(std::exchange(received_sections_, {}));
     if (!received) {
       log_unreadable("all", {packet.kind});
-      for (auto& s : services_) s->assume_own_share();
+      for (auto& service : services_) service->assume_own_share();
     } else {
       for (const auto& [front, sections] : *received)
-        if (auto* s = find_service(front))
-          log_unreadable(front, packet.kind == "yes" ? s->restore(sections) : s->add_bookings(sections));
+        if (auto* service = find_service(front))
+          log_unreadable(front,
+                         packet.kind == "yes" ? service->restore(sections) : service->add_bookings(sections));
     }
     if (awaits_budgets_) serve();
   } else if (packet.kind == "commit") {
     const auto commit = handover::from_text<SessionSnapshot>(rest);
-    if (auto* s = find_service(word); s && commit) {
+    if (auto* service = find_service(word); service && commit) {
       RouterSnapshot snapshot;
       snapshot.sessions.push_back(*commit);
-      s->broker().merge_snapshot(std::move(snapshot));
+      service->broker().merge_snapshot(std::move(snapshot));
     }
   } else if (packet.kind == "hosts") {
     auto ejected = handover::from_text<handover::HostsSection>(rest);
-    if (auto* s = find_service(word); s && ejected) {
-      for (const auto& h : ejected->k.hosts)
-        if (h.ejection_remaining)
-          known_ejections_[s->front() + ' ' + h.name] = clock_.now() + *h.ejection_remaining;
-      s->broker().merge_snapshot(std::move(ejected->k));
+    if (auto* service = find_service(word); service && ejected) {
+      for (const auto& host : ejected->k.hosts)
+        if (host.ejection_remaining)
+          known_ejections_[service->front() + ' ' + host.name] = clock_.now() + *host.ejection_remaining;
+      service->broker().merge_snapshot(std::move(ejected->k));
     }
   } else if (packet.kind == "serving" && !is_successor_ && !handing_over_) {
     split_budgets();  // successors of older builds do not send "ready"
@@ -612,27 +615,28 @@
     serving_timer_.stop();
     handover_.reset();  // the socket's name belongs to the successor now
     admin_.reset();
-    for (auto& s : services_)
-      s->start_handover([this, front = s->front()](int fd, const std::string& state) {
+    for (auto& service : services_)
+      service->start_handover([this, front = service->front()](int fd, const std::string& state) {
         return link_ && link_->send_now("client", front + ' ' + state, fd);
       });
-    std::size_t left = 0;
-    for (const auto& s : services_) left += s->client_count();
-    link_->send("stopped", std::to_string(left));
+    std::size_t remaining_clients = 0;
+    for (const auto& service : services_) remaining_clients += service->client_count();
+    link_->send("stopped", std::to_string(remaining_clients));
     leave_timer_.start(leave_after_s);
     std::cout << "followed by another process" << std::endl;
   } else if (packet.kind == "client" && packet.fds.size() == 1) {
-    if (auto* s = find_service(word); s && has_rest) s->adopt(std::move(packet.fds[0]), rest);
+    if (auto* service = find_service(word); service && has_rest)
+      service->adopt(std::move(packet.fds[0]), rest);
     if (predecessor_clients_ > 0) share_resources(false, --predecessor_clients_);
   } else if (packet.kind == "stopped") {
     predecessor_clients_ = static_cast<std::size_t>(wire::to_int(packet.text).value_or(0));
     share_resources(false, predecessor_clients_);
     open_admin_socket();
   } else if (packet.kind == "out" || packet.kind == "back") {
-    for (auto& s : services_) s->broker().set_disabled(packet.text, packet.kind == "out", true);
+    for (auto& service : services_) service->broker().set_disabled(packet.text, packet.kind == "out", true);
   } else if (packet.kind == "role") {
     if (!has_rest) return;
-    for (auto& s : services_) s->broker().observe(rest, parse_role(word), std::nullopt);
+    for (auto& service : services_) service->broker().observe(rest, parse_role(word), std::nullopt);
   }
 }
 
@@ -644,14 +648,14 @@
   if (handing_over_ && !empty_check_.is_active()) {
     handing_over_ = false;
     leave_timer_.stop();
-    for (auto& s : services_) s->cancel_handover();
+    for (auto& service : services_) service->cancel_handover();
     open_admin_socket();
     listen_for_successor();
     std::cout << "the other process has ended, this one serves on" << std::endl;
   }
   if (is_successor_) open_admin_socket();
   if (is_successor_ || budgets_split_)
-    for (auto& s : services_) s->resume_full_spending();
+    for (auto& service : services_) service->resume_full_spending();
   is_successor_ = false;
   budgets_split_ = false;
   ejections_timer_.stop();
@@ -659,19 +663,19 @@
   received_sections_.clear();
   if (awaits_budgets_ && budgets_timer_.is_active()) serve();
   wire::RingBuffer::set_total_limit(max_buffer_bytes_);
-  for (auto& s : services_) s->set_resources(total_resources_of(*s));
+  for (auto& service : services_) service->set_resources(total_resources_of(*service));
 }
 
 bool Gateway::empty() const {
   return std::all_of(
-      services_.begin(), services_.end(), [](const auto& s) { return s->empty(); });
+      services_.begin(), services_.end(), [](const auto& service) { return service->empty(); });
 }
 
 /// New clients are accepted for a while longer, since load balancers have not noticed yet.
 void Gateway::on_stop_signal(ev::sig&, int) {
   if (!shutdown_timer_.is_active()) {
     Duration longest{};
-    for (const auto& s : services_) longest = std::max(longest, s->longest_deadline());
+    for (const auto& service : services_) longest = std::max(longest, service->longest_deadline());
     const auto deadline = std::min(static_cast<double>(longest.count()) / 1e6, max_kill_deadline_s);
     shutdown_timer_.start(deadline + kill_after_s - shutdown_lead_s);
   }
@@ -680,13 +684,13 @@
 }
 
 void Gateway::begin_shutdown(ev::timer&, int) {
-  for (auto& s : services_) s->broker().begin_shutdown();
+  for (auto& service : services_) service->broker().begin_shutdown();
 }
 
 void Gateway::drain(ev::timer&, int) {
   if (empty_check_.is_active()) return;
   serving_timer_.stop();
-  for (auto& s : services_) s->drain();
+  for (auto& service : services_) service->drain();
   empty_check_.start();
   if (empty()) loop_.break_loop(ev::ALL);
 }
--- a/src/wire/control_endpoint.cpp
+++ b/src/wire/control_endpoint.cpp
@@ -1,10 +1,10 @@
+#include "wire/control_endpoint.h"
+
 #include <http_parser.h>
 
 #include <cerrno>
 #include <system_error>
 
-#include "wire/control_endpoint.h"
-
 namespace cedarring::wire {
 namespace {
 
