--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -344,6 +344,7 @@
 
 namespace {
 
+/// Reads the levels and contracts of each front, which refer to its classes and tenants.
 void read_gates(Config& config) {
   const auto read = [&](ServiceConfig& service, const char* front) {
     std::vector<std::string> tenants;
@@ -386,7 +387,7 @@
   override_from_environment("CEDARRING_MYSQL", mysql);
   if ((std::getenv("CEDARRING_MYSQL") || !config.file.section("mysql")) && std::ifstream(mysql)) {
     config.mysql = parse_mysql_config(read_file(mysql.c_str()), config.platform);
-    config.warnings.push_back("the MySQL front's own file is read; its place is now the section mysql of " +
+    config.warnings.push_back("the MySQL front's own file is read; move it to the section mysql of " +
                               gateway);
   }
   read_gates(config);
--- a/src/app/config.h
+++ b/src/app/config.h
@@ -15,11 +15,11 @@
 
 /// The configuration of one front and the hosts behind it.
 struct ServiceConfig {
-  std::string listen;
-  std::string discovery;
+  std::string listen;        // address of the client listener
+  std::string discovery;     // address of discovery; empty: the list does not come from there
   std::string zone_updates;  // where dynamic updates of the zone are received; empty: no zone
   wire::dns::Zone zone;
-  broker::MemberList known_hosts;
+  broker::MemberList known_hosts;  // the list in force until discovery sends one
   Settings settings;
   std::vector<broker::TenantBudget> budgets;
   std::vector<std::string> zones;
--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -260,6 +260,7 @@
   }
 }
 
+/// An error answer on the admin socket.
 std::string error_json(const std::string& text) {
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
--- a/src/wire/client.h
+++ b/src/wire/client.h
@@ -69,6 +69,7 @@
  protected:
   /// Processes one command from in_; false if there is no complete one or the connection is to be closed.
   virtual bool process_command() = 0;
+  /// Encodes the answer, or the rest of a streamed one, into `out`, which is empty.
   virtual void put_answer(broker::FinalAnswer answer, std::string& out) = 0;
   /// How many requests may be pending at once, in protocols with pipelining. Finished answers that wait for
   /// an earlier one do not count; they are limited separately, by number and by bytes.
@@ -146,6 +147,7 @@
 /// A listener and the clients that it has accepted.
 class ClientSet {
  public:
+  /// Creates the client of an accepted connection.
   using Factory = std::function<std::unique_ptr<Client>(Fd fd, ClientSet& owner)>;
   /// Passes a client's descriptor and transfer state to another process; whether that has received them.
   using Transfer = std::function<bool(int fd, const std::string& state)>;
--- a/src/wire/upstream.h
+++ b/src/wire/upstream.h
@@ -98,6 +98,7 @@
     std::size_t max_connections = 300;
   };
   using Clock = broker::Broker::Clock;
+  /// Creates a connection to a host for a socket whose connect has been started.
   using Factory = std::function<std::unique_ptr<HostConnection>(Fd fd, HostId host, SocketUpstream& owner)>;
   /// `open_watch` is called when the broker wants a watch on discovery's list.
   SocketUpstream(ev::loop_ref loop, Reaper& reaper, Clock clock, Options options, Factory factory,
