--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -316,8 +316,8 @@
   gates::ServiceInfo info;
   info.classes = settings.classes;
   info.tenants = budgets.size();
-  info.max_pause = settings.max_retry_after;
-  info.pauses = settings.retry_after_allowed;
+  info.max_retry_after = settings.max_retry_after;
+  info.retry_after_allowed = settings.retry_after_allowed;
   info.seed = settings.seed ^ salt;  // other random numbers than those of the router and of other gates
   return info;
 }
--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -136,7 +136,7 @@
         descriptors, "mysql", log_, listener("mysql"), state_of_front("mysql"), listener("mysql updates")));
   admin_path_ = config.file.admin_socket;
   for (auto& service : services_) {
-    service->broker().on_role([this](const std::string& host, Role role) {
+    service->broker().on_role_change([this](const std::string& host, Role role) {
       if (link_) link_->send("role", std::string(role_name(role)) + ' ' + host);
     });
     // Sent before the client gets its answer, so that its next request finds the commit known in the other
@@ -186,9 +186,9 @@
 void Gateway::report() const {
   for (const auto& service : services_)
     for (const auto& budget : service->budgets())
-      std::cout << "tenant " << budget.tenant << " asked " << budget.asked << " over " << budget.over
-                << " served " << budget.served << " refused " << budget.refused << " failed " << budget.failed
-                << std::endl;
+      std::cout << "tenant " << budget.tenant << " asked " << budget.requested << " over "
+                << budget.over_budget << " served " << budget.served << " refused " << budget.refused
+                << " failed " << budget.failed << std::endl;
 }
 
 /// Applies settings, discovery addresses, contracts, levels and log limits of the configuration as it is now.
@@ -232,7 +232,7 @@
 
 /// At log level `debug` each finished request is logged with its result and its attempts.
 void Gateway::update_request_traces() {
-  const bool on = log_.config().least == telemetry::Level::debug;
+  const bool on = log_.config().min_level == telemetry::Level::debug;
   for (auto& service : services_) {
     if (!on) {
       service->broker().on_request_trace(nullptr);
@@ -245,9 +245,9 @@
         return std::string(text);
       };
       std::string attempts;
-      for (const auto& attempt : trace.legs)
-        attempts += (attempts.empty() ? "" : " ") + attempt.host + '@' + milliseconds(attempt.sent) + '+' +
-                    milliseconds(attempt.took) + '=' + name_of(attempt.outcome);
+      for (const auto& attempt : trace.attempts)
+        attempts += (attempts.empty() ? "" : " ") + attempt.host + '@' + milliseconds(attempt.sent_after) +
+                    '+' + milliseconds(attempt.duration) + '=' + name_of(attempt.outcome);
       log_.write(telemetry::Level::debug, "request", "is over",
                  {{"id", trace.name},
                   {"class", trace.contract},
@@ -512,9 +512,10 @@
       host.load = -1;
       host.start_age.reset();
       host.slow_start_sends.clear();
-      ejected.k.hosts.push_back(std::move(host));
+      ejected.snapshot.hosts.push_back(std::move(host));
     }
-    if (!ejected.k.hosts.empty()) link_->send("hosts", service->front() + ' ' + handover::to_text(ejected));
+    if (!ejected.snapshot.hosts.empty())
+      link_->send("hosts", service->front() + ' ' + handover::to_text(ejected));
   }
 }
 
@@ -605,10 +606,10 @@
   } else if (packet.kind == "hosts") {
     auto ejected = handover::from_text<handover::HostsSection>(rest);
     if (auto* service = find_service(word); service && ejected) {
-      for (const auto& host : ejected->k.hosts)
+      for (const auto& host : ejected->snapshot.hosts)
         if (host.ejection_remaining)
           known_ejections_[service->front() + ' ' + host.name] = clock_.now() + *host.ejection_remaining;
-      service->broker().merge_snapshot(std::move(ejected->k));
+      service->broker().merge_snapshot(std::move(ejected->snapshot));
     }
   } else if (packet.kind == "serving" && !is_successor_ && !handing_over_) {
     split_budgets();  // successors of older builds do not send "ready"
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -46,12 +46,12 @@
   if (!config.discovery.empty())
     discovery_.emplace(
         loop, reaper, config.discovery, known_list_.version, fleet::WatchTiming(config.settings.drain_grace),
-        wire::DiscoveryWatch::Events{[this](const broker::MemberList& list) { broker_.listed(list); },
-                                     [this] { broker_.list_failed(); }});
+        wire::DiscoveryWatch::Events{[this](const broker::MemberList& list) { broker_.on_member_list(list); },
+                                     [this] { broker_.on_member_list_failed(); }});
   if (!config.zone_updates.empty())
     zone_.emplace(
         loop, config.zone_updates, config.zone,
-        [this](const broker::MemberList& list) { broker_.listed(list); }, std::move(update_socket));
+        [this](const broker::MemberList& list) { broker_.on_member_list(list); }, std::move(update_socket));
   if (config.contracts)
     contracts_.emplace(loop_, front_, *config.contracts, contracts_service_info_, broker_, clock_, log_);
   if (config.levels) start_levels(*config.levels);
@@ -97,11 +97,12 @@
   };
   restore_if_present(
       "sessions", handover::SessionsSection{},
-      [&](auto section) { broker_.merge_snapshot(std::move(section.k)); });
+      [&](auto section) { broker_.merge_snapshot(std::move(section.snapshot)); });
   restore_if_present(
-      "hosts", handover::HostsSection{}, [&](auto section) { broker_.merge_snapshot(std::move(section.k)); });
+      "hosts", handover::HostsSection{},
+      [&](auto section) { broker_.merge_snapshot(std::move(section.snapshot)); });
   restore_if_present(
-      "tenants", broker::BudgetSnapshots{}, [&](auto section) { broker_.take_budgets(section); });
+      "tenants", broker::BudgetSnapshots{}, [&](auto section) { broker_.restore_budgets(section); });
   restore_if_present(
       "contracts", contracts::Snapshot{},
       [&](auto section) {
@@ -113,7 +114,7 @@
   // Budgets that cannot be read count as spent.
   for (const auto& name : unreadable) {
     if (name == "hosts") broker_.set_slow_start_share(own_share);
-    if (name == "tenants") broker_.take_budgets({});
+    if (name == "tenants") broker_.restore_budgets({});
     if (name == "contracts" && contracts_) contracts_->contracts().unheard(clock_());
   }
   return unreadable;
@@ -216,7 +217,7 @@
   if (discovery_) return discovery_->start();
   auto list = zone_ ? zone_->list() : known_list_;
   list.full = true;
-  broker_.listed(list);
+  broker_.on_member_list(list);
 }
 
 }  // namespace cedarring::app
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -193,10 +193,10 @@
   void suspend_spending() {
     retry_tokens_ = 0;
     probe_budget_.set_balance(0);
-    slow_start_share_.hold(0, 0);
+    slow_start_share_.set(0, 0);
   }
   void set_slow_start_share(Time now, double share) {
-    slow_start_share_.widen(now + settings_.overload_window, share);
+    slow_start_share_.schedule_increase(now + settings_.overload_window, share);
   }
   bool tracks(HostId id) const { return hosts_.count(id) > 0; }
   std::size_t entry_count() const {
@@ -273,7 +273,7 @@
     const Time started_at = entry.started_at.value_or(never);
     if (started_at > host.started_at && now_ - started_at < settings_.warm_up_duration) {
       host.started_at = started_at;
-      host.outlier.forget();
+      host.outlier.reset();
       host.lost_probes = 0;
       host.relative_latency = 1;
     }
@@ -406,7 +406,7 @@
 
   /// Counts a failure of `weight` ordinary ones, and ejects the host at the threshold.
   void record_failure(Host& host, double weight) {
-    if (!host.outlier.failed(now_, first_event_at_, weight)) return;
+    if (!host.outlier.record_failure(now_, first_event_at_, weight)) return;
     // Long enough that the next request of this router is not the trial yet. Not so for a primary: requests
     // that need it cannot be sent elsewhere meanwhile.
     const auto interval =
@@ -424,7 +424,7 @@
     host.refused_connections = 0;
     if (host.lost_probes > 0) probe_unreliability_ += (1 - probe_unreliability_) * failure_gain;
     host.lost_probes = 0;
-    host.outlier.answered(now_, first_event_at_);
+    host.outlier.record_success(now_, first_event_at_);
   }
 
   /// Updates the latency estimates of the class, the host and its queue, and the host's concurrency limit.
@@ -493,7 +493,7 @@
     const Time window_start = now_ - settings_.overload_window;
     auto& usage = host.slow_start_usage;
     const double own_usage = usage.own(window_start);
-    const double left = slow_start_share_.left(now_, budget, own_usage, usage.others(window_start));
+    const double left = slow_start_share_.remaining(now_, budget, own_usage, usage.others(window_start));
     if (left >= relative_work(request.class_id.value)) return true;
     const double arrivals = std::max(1.0, arrived_.decayed_sum(now_));
     const double seconds = arrived_.effective_seconds(now_ - first_event_at_);
@@ -707,7 +707,7 @@
         // Only where replicas check reads themselves are there stale candidates: the most current ones first.
         if (!eligible.empty() && !busy) {
           const bool assume_kept_up =
-              fleet::StaleReadSuccessRate::trust(group.stale_read_success, stale_read_success_);
+              fleet::StaleReadSuccessRate::assume_current(group.stale_read_success, stale_read_success_);
           const auto tolerance = assume_kept_up ? request_class.staleness_bound / 4 : Duration::zero();
           fleet::retain_most_current(eligible, tolerance,
                                      [&](const Host& host) { return host.lag(now_, assume_kept_up); });
@@ -1006,7 +1006,7 @@
     if (event.outcome == Outcome::too_stale) request.refused_as_stale = true;
     if (attempt.to_stale_replica && (event.outcome == Outcome::ok || event.outcome == Outcome::too_stale))
       for (auto* success_rate : {&groups_[group].stale_read_success, &stale_read_success_})
-        success_rate->ended(event.outcome == Outcome::ok);
+        success_rate->record(event.outcome == Outcome::ok);
     request.reached_host = request.reached_host ||
                            (event.outcome != Outcome::connect_failed && event.outcome != Outcome::not_sent);
     if (event.outcome == Outcome::ok &&
--- a/src/wire/client.cpp
+++ b/src/wire/client.cpp
@@ -77,10 +77,10 @@
   }
   queued_answer_bytes_ -= output.size();
   output.clear();
-  if (out_.empty()) owner_.broker().more(slots_.front().request);
+  if (out_.empty()) owner_.broker().resume_answer(slots_.front().request);
 }
 
-bool Client::part(RequestId request, std::string_view bytes) {
+bool Client::on_answer_part(RequestId request, std::string_view bytes) {
   const auto slot = find_slot(request);
   if (slot == slots_.end()) return true;
   if (!std::exchange(slot->streaming, true)) waiting_since_ = loop_.now();
@@ -142,7 +142,7 @@
 }
 
 bool Client::reserve_memory(std::size_t bytes, broker::MemoryBudget::Reservation& out) {
-  if (owner_.memory_budget().take(this, bytes, out)) return true;
+  if (owner_.memory_budget().try_reserve(this, bytes, out)) return true;
   pause_reading(true);
   return false;
 }
@@ -160,7 +160,7 @@
 }
 
 void Client::leave() {
-  owner_.memory_budget().leave(this);
+  owner_.memory_budget().stop_waiting(this);
   if (!closed()) close();
   for (const auto& slot : std::exchange(slots_, {}))
     if (slot.pending) owner_.broker().client_left(slot.request);
@@ -178,7 +178,7 @@
   }
   if (!slots_.empty() && slots_.front().streaming && slots_.front().pending) {
     waiting_since_ = loop_.now();
-    return owner_.broker().more(slots_.front().request);
+    return owner_.broker().resume_answer(slots_.front().request);
   }
   if (drained()) leave();
 }
@@ -252,7 +252,7 @@
   if (!info.session.empty()) request.session = session_of(info.session);
   request.retry = info.retry;
   if (info.after_ms) request.after = std::chrono::milliseconds(*info.after_ms);
-  request.work = std::move(payload);
+  request.payload = std::move(payload);
   slots_.push_back({{}, true, {}});
   ++pending_requests_;
   const auto rejection = owner_.broker().accept(request, *this, slots_.back().request);
@@ -327,12 +327,12 @@
 
 /// Wakes the clients that wait for memory in their order, until one still finds none.
 void ClientSet::on_memory_freed(ev::timer&, int) {
-  for (const void* last = nullptr; memory_budget_->next() && memory_budget_->next() != last;) {
-    last = memory_budget_->next();
+  for (const void* last = nullptr; memory_budget_->next_waiter() && memory_budget_->next_waiter() != last;) {
+    last = memory_budget_->next_waiter();
     const auto it = std::find_if(clients_.begin(), clients_.end(),
                                  [&](const auto& entry) { return entry.first == last; });
     if (it == clients_.end())
-      memory_budget_->leave(last);
+      memory_budget_->stop_waiting(last);
     else
       it->second->on_memory_available();
   }
@@ -407,14 +407,14 @@
 /// Closes idle clients, the longest idle first, while the number of connections calls for it. The permitted
 /// idle time grows with each client closed.
 void ClientSet::retire_idle() {
-  if (!idle_limits_.gives_way(Duration::max(), active_count(), idle_limit_)) return;
+  if (!idle_limits_.should_close(Duration::max(), active_count(), idle_limit_)) return;
   std::vector<Client*> idle;
   for (const auto& [key, client] : clients_)
     if (client->idle()) idle.push_back(key);
   std::sort(idle.begin(), idle.end(),
             [](const Client* a, const Client* b) { return a->waiting_since() < b->waiting_since(); });
   for (auto* client : idle) {
-    if (!idle_limits_.gives_way(idle_time(*client), active_count(), idle_limit_)) return;
+    if (!idle_limits_.should_close(idle_time(*client), active_count(), idle_limit_)) return;
     if (!client->has_pending_input()) client->leave();  // its next request may have arrived already
   }
 }
@@ -435,7 +435,7 @@
   };
   for (const auto& [key, client] : clients_)
     if (client->evictable(loop_.now()) &&
-        (!client->idle() || idle_limits_.gives_way(idle_time(*client), active_count(), idle_limit_)) &&
+        (!client->idle() || idle_limits_.should_close(idle_time(*client), active_count(), idle_limit_)) &&
         (!first || before(key, first)) && !client->has_pending_input())
       first = key;
   if (first) first->leave();
--- a/src/wire/client.h
+++ b/src/wire/client.h
@@ -27,9 +27,9 @@
  public:
   /// `max_message`: bytes of the longest command that fits the input buffer.
   Client(ev::loop_ref loop, Fd fd, ClientSet& owner, std::size_t max_message);
-  bool part(RequestId request, std::string_view bytes) final;
+  bool on_answer_part(RequestId request, std::string_view bytes) final;
   void finish(RequestId request, broker::FinalAnswer answer) final;
-  [[nodiscard]] bool gone() const final { return closed() || peer_closed(); }
+  [[nodiscard]] bool client_gone() const final { return closed() || peer_closed(); }
   /// Whether the client has closed while its requests are pending and the close cannot be noticed, because
   /// its input is not being read.
   [[nodiscard]] bool closed_unnoticed() const { return pending_requests_ > 0 && !reading() && peer_closed(); }
--- a/src/wire/discovery.cpp
+++ b/src/wire/discovery.cpp
@@ -253,7 +253,7 @@
   }
   address_ = std::move(address);
   version_ = 0;
-  timing_.heard();
+  timing_.on_message();
   open();
 }
 
@@ -270,12 +270,12 @@
 
 void DiscoveryWatch::restart_silence_timer() {
   silence_timer_.stop();
-  silence_timer_.start(seconds(fleet::WatchTiming::silence(answered_)));
+  silence_timer_.start(seconds(fleet::WatchTiming::silence_timeout(answered_)));
 }
 
 void DiscoveryWatch::on_activity() {
   answered_ = true;
-  timing_.heard();
+  timing_.on_message();
   last_activity_ = std::chrono::steady_clock::now();
   restart_silence_timer();
 }
@@ -312,7 +312,7 @@
 
 void DiscoveryWatch::on_failure() {
   if (keep_open_)
-    retry_timer_.start(seconds(timing_.after_end()));
+    retry_timer_.start(seconds(timing_.next_reopen_delay()));
   else
     events_.on_failure();
 }
--- a/src/wire/upstream.cpp
+++ b/src/wire/upstream.cpp
@@ -49,7 +49,7 @@
   const auto connect_timeout = owner_.options().connect_timeout;
   if (!handshake_done_) {
     const auto allowed =
-        job_->sole_candidate ? connect_timeout : owner_.adaptive_connect_timeout().allowed(connect_timeout);
+        job_->sole_candidate ? connect_timeout : owner_.adaptive_connect_timeout().timeout(connect_timeout);
     due = std::min(due, job_->started_at + allowed);
   }
   timer_.start(seconds(due - owner_.now()));
@@ -57,7 +57,7 @@
 
 void HostConnection::on_handshake_done() {
   handshake_done_ = true;
-  if (job_) owner_.adaptive_connect_timeout().took(owner_.now() - job_->started_at);
+  if (job_) owner_.adaptive_connect_timeout().connected(owner_.now() - job_->started_at);
   reset();
   if (!job_) return;
   submit();
@@ -98,7 +98,7 @@
   AttemptResult result;
   result.outcome = outcome_of_loss(submitted_ && out_.empty(), true);
   result.connect_timed_out = true;
-  if (!handshake_done_) owner_.adaptive_connect_timeout().gave_up();
+  if (!handshake_done_) owner_.adaptive_connect_timeout().timed_out();
   finish(std::move(result), false);
 }
 
@@ -179,7 +179,7 @@
 
 void SocketUpstream::trim(std::size_t max_connections) {
   while (connections_.size() > max_connections) {
-    auto* idle = pool_.oldest();
+    auto* idle = pool_.take_oldest();
     if (!idle) return;
     close(idle);
   }
@@ -208,7 +208,7 @@
     // At the limit the longest idle connection to any host is closed.
     if (connections_.size() >= limit_ && limit_reached_) limit_reached_();
     if (connections_.size() >= limit_)
-      if (auto* idle = pool_.oldest()) close(idle);
+      if (auto* idle = pool_.take_oldest()) close(idle);
     AttemptResult failed;
     failed.outcome = Outcome::not_sent;
     if (connections_.size() >= limit_) return report(job, host, std::move(failed));
@@ -269,7 +269,7 @@
 void SocketUpstream::set_draining(bool draining) {
   draining_ = draining;
   if (!draining) return;
-  while (auto* idle = pool_.oldest()) close(idle);
+  while (auto* idle = pool_.take_oldest()) close(idle);
 }
 
 void SocketUpstream::close(HostConnection* connection) {
@@ -286,7 +286,7 @@
 }
 
 void SocketUpstream::close_idle(HostId host) {
-  for (auto* idle : pool_.drop(host)) close(idle);
+  for (auto* idle : pool_.take_all(host)) close(idle);
   // A slow connect or prepare must not send a request to the host long after it was listed as draining or
   // gone.
   std::vector<HostConnection*> of_host;
@@ -313,7 +313,7 @@
 
 /// Idle connections are closed well before the host would close them: a request written then would be lost.
 void SocketUpstream::sweep(ev::timer&, int) {
-  for (auto* idle : pool_.retire(clock_() - options_.idle_timeout / 2)) close(idle);
+  for (auto* idle : pool_.take_expired(clock_() - options_.idle_timeout / 2)) close(idle);
 }
 
 }  // namespace cedarring::wire
