--- a/tests/dns_test.cpp
+++ b/tests/dns_test.cpp
@@ -179,7 +179,7 @@
   const auto port = [](const Host& h) { return h.address().substr(h.address().rfind(':') + 1); };
   const std::string file = testing::TempDir() + "cedarring-" + std::to_string(getpid()) + ".zone";
   std::ofstream(file) << head << "a A 127.0.0.1\nb A 127.0.0.1\n_mysql._tcp.g1 SRV 0 0 " << port(a) << " a\n";
-  Program program(
+  GatewayProcess program(
       config_json("127.0.0.1:1", list_of(1, {})),
       R"({"enabled":true,"listen":"127.0.0.1:0","dns":{"origin":"ledger.test.","listen":"127.0.0.1:0",)"
       R"("zone_file":")" +
@@ -216,7 +216,7 @@
   std::ofstream(file) << head << "a A 127.0.0.1\n_mysql._tcp.g1 SRV 0 0 " << port << " a\n";
   PgStandIn platform;
   platform.primary = true;
-  Program first(
+  GatewayProcess first(
       with_key(config_json("127.0.0.1:1", list_of(1, {member("p", platform.address(), true)})),
                R"("control":"127.0.0.1:0")"),
       R"({"enabled":true,"listen":"127.0.0.1:0","dns":{"origin":"ledger.test.","listen":"127.0.0.1:0",)"
@@ -230,7 +230,7 @@
     return packet == "\1";
   };
   EXPECT_TRUE(run("a"));
-  Program next(first, first.pg());
+  GatewayProcess next(first, first.pg());
   ASSERT_TRUE(first.wait_output("followed", 1));
   EXPECT_TRUE(next.wait_output("listening dns " + first.dns(), 1));
   EXPECT_TRUE(next.wait_output("listening mysql " + first.mysql(), 1));
--- a/tests/gateway_file_test.cpp
+++ b/tests/gateway_file_test.cpp
@@ -293,10 +293,10 @@
   host.primary = true;
   const auto known = list_of(1, {member("a", host.address(), true)});
   const auto platform = config_json("127.0.0.1:1", list_of(1, {}));
-  Program now(platform, "", R"({"mysql":)" + mysql_json(known) + "}");
+  GatewayProcess now(platform, "", R"({"mysql":)" + mysql_json(known) + "}");
   ASSERT_TRUE(now.wait_output("listening mysql", 1));
   EXPECT_EQ(now.output().find("own file is read"), std::string::npos);
-  Program before(platform, mysql_json(known), "{}");
+  GatewayProcess before(platform, mysql_json(known), "{}");
   before.signal(SIGTERM);
   before.wait_exit();
   EXPECT_NE(before.output().find("own file is read"), std::string::npos);
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,4 +1,5 @@
-// The rules, each with real sockets against the started program.
+// Routing, retries, deadlines, member lists, protocol errors and resource limits, each over real sockets
+// against the started program.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -13,10 +14,12 @@
 
 /// A primary, two replicas, discovery and the program.
 struct Fleet {
-  PgStandIn primary, left, right;
+  PgStandIn primary;
+  PgStandIn left;
+  PgStandIn right;
   std::vector<std::string> members;
   std::unique_ptr<Discovery> discovery;
-  std::unique_ptr<Program> program;
+  std::unique_ptr<GatewayProcess> program;
   explicit Fleet(std::int64_t right_started = 0, const std::string& connect_timeout = "1000") {
     primary.primary = true;
     members = {member("p", primary.address(), true), member("l", left.address(), false),
@@ -25,187 +28,198 @@
     auto config = config_json(discovery->address(), list_of(1, members));
     const std::string key = "\"connect_timeout\":";
     config.replace(config.find(key) + key.size(), 4, connect_timeout);
-    program = std::make_unique<Program>(config);
+    program = std::make_unique<GatewayProcess>(config);
+  }
+  std::size_t request_count() { return primary.count() + left.count() + right.count(); }
+  void set_behavior(Behavior behavior) {
+    primary.behavior = behavior;
+    left.behavior = behavior;
+    right.behavior = behavior;
   }
-  std::size_t all() { return primary.count() + left.count() + right.count(); }
-  void act(Act a) { primary.act = a, left.act = a, right.act = a; }
 };
 
-TEST(Gateway, ServesTheValueOfAHost) {
-  Fleet f;
-  PgClient c(f.program->pg());
-  const auto read = c.query(statement("a1", "history"));
+TEST(Gateway, RequestIsServedByAHostAndWritesByThePrimary) {
+  Fleet fleet;
+  PgClient client(fleet.program->pg());
+  const auto read = client.query(statement("a1", "history"));
   EXPECT_EQ(read.types, "TDCZ");
   EXPECT_EQ(read.value.rfind("from 127.0.0.1:", 0), 0U);
-  EXPECT_EQ(c.query(statement("a2", "bid")).value, "from " + f.primary.address());
-  EXPECT_EQ(c.query(statement("a3", "gate")).value, "from " + f.primary.address());
+  EXPECT_EQ(client.query(statement("a2", "bid")).value, "from " + fleet.primary.address());
+  EXPECT_EQ(client.query(statement("a3", "gate")).value, "from " + fleet.primary.address());
 }
 
-TEST(Gateway, OneFinalAnswerInTime) {
-  Fleet f;
-  f.act(Act::hang);
-  PgClient c(f.program->pg());
+TEST(Gateway, HungRequestIsAnsweredAtItsDeadlineAndItsHostConnectionClosed) {
+  Fleet fleet;
+  fleet.set_behavior(Behavior::hang);
+  PgClient client(fleet.program->pg());
   const auto start = Clock::now();
-  const auto answer = c.query(statement("a1", "pay", 600));
+  const auto answer = client.query(statement("a1", "pay", 600));
   const auto took = Clock::now() - start;
   EXPECT_EQ(answer.types, "EZ");
   EXPECT_GE(took, 550ms);
   EXPECT_LT(took, 3s);
-  EXPECT_TRUE(f.primary.wait_ended(1));  // and its host connection is closed, not kept
-  f.act(Act::serve);
-  EXPECT_EQ(c.query(statement("a2", "pay")).types, "TDCZ");
+  EXPECT_TRUE(fleet.primary.wait_ended(1));  // the connection to the host is closed, not pooled
+  fleet.set_behavior(Behavior::serve);
+  EXPECT_EQ(client.query(statement("a2", "pay")).types, "TDCZ");
 }
 
-TEST(Gateway, WhatMayHaveRunDoesNotGoOutAgain) {
-  Fleet f;
-  f.primary.act = Act::reset;
-  PgClient c(f.program->pg());
-  const auto answer = c.query(statement("a1", "pay"));
+TEST(Gateway, NonIdempotentRequestThatMayHaveRunIsNotRetried) {
+  Fleet fleet;
+  fleet.primary.behavior = Behavior::reset;
+  PgClient client(fleet.program->pg());
+  const auto answer = client.query(statement("a1", "pay"));
   EXPECT_EQ(answer.types, "EZ");
-  EXPECT_NE(answer.code, "53300");  // no refusal either: it may have run
-  EXPECT_EQ(f.all(), 1U);
+  EXPECT_NE(answer.code, "53300");  // nor reported as refused: it may have run
+  EXPECT_EQ(fleet.request_count(), 1U);
 }
 
-TEST(Gateway, AKeyedRepeatStaysInItsGroupUnderItsKey) {
-  Fleet f;
-  f.primary.act = Act::reset_once;
-  PgClient c(f.program->pg());
-  EXPECT_EQ(c.query(statement("a1", "bid")).types, "TDCZ");
-  EXPECT_EQ(f.primary.seen(), (std::vector<std::string>{"a1", "a1"}));
-  EXPECT_EQ(f.left.count() + f.right.count(), 0U);
+TEST(Gateway, KeyedWriteIsRetriedInItsGroupUnderTheSameId) {
+  Fleet fleet;
+  fleet.primary.behavior = Behavior::reset_once;
+  PgClient client(fleet.program->pg());
+  EXPECT_EQ(client.query(statement("a1", "bid")).types, "TDCZ");
+  EXPECT_EQ(fleet.primary.seen(), (std::vector<std::string>{"a1", "a1"}));
+  EXPECT_EQ(fleet.left.count() + fleet.right.count(), 0U);
 }
 
-TEST(Gateway, SixAttemptsAtMostThenRefusedAtOnceWithAPause) {
-  Fleet f;
-  f.act(Act::full);
-  PgClient c(f.program->pg());
+TEST(Gateway, RejectedRequestIsRefusedWithARetryDelayAfterAtMostSixAttempts) {
+  Fleet fleet;
+  fleet.set_behavior(Behavior::reject_as_full);
+  PgClient client(fleet.program->pg());
   const auto start = Clock::now();
-  const auto answer = c.query(statement("a1", "history", 5000));
+  const auto answer = client.query(statement("a1", "history", 5000));
   EXPECT_LT(Clock::now() - start, 2500ms);
   EXPECT_EQ(answer.code, "53300");
   EXPECT_GT(std::atoi(answer.detail.c_str()), 0);
-  EXPECT_GE(f.all(), 1U);
-  EXPECT_LE(f.all(), 6U);
+  EXPECT_GE(fleet.request_count(), 1U);
+  EXPECT_LE(fleet.request_count(), 6U);
 }
 
-TEST(Gateway, NothingNewToAHostThatDrains) {
-  Fleet f;
-  ASSERT_TRUE(f.discovery->wait_watches(1));
-  PgClient c(f.program->pg());
-  for (int i = 0; i < 60; ++i) c.query(statement("a" + std::to_string(i), "history"));
-  const auto before = f.left.count();
+TEST(Gateway, DrainingHostGetsNoNewRequests) {
+  Fleet fleet;
+  ASSERT_TRUE(fleet.discovery->wait_watches(1));
+  PgClient client(fleet.program->pg());
+  for (int i = 0; i < 60; ++i) client.query(statement("a" + std::to_string(i), "history"));
+  const auto before = fleet.left.count();
   EXPECT_GT(before, 0U);
-  f.discovery->tell(list_of(2, {member("l", f.left.address(), false, "DRAINING")}, false));
-  std::this_thread::sleep_for(1s);  // what the rule allows
-  const auto told = f.left.count();
+  fleet.discovery->send_list(list_of(2, {member("l", fleet.left.address(), false, "DRAINING")}, false));
+  std::this_thread::sleep_for(1s);  // the time allowed by stop_sending_within
+  const auto count_when_drained = fleet.left.count();
   for (int i = 0; i < 60; ++i)
-    EXPECT_EQ(c.query(statement("b" + std::to_string(i), "history")).types, "TDCZ");
-  EXPECT_EQ(f.left.count(), told);
+    EXPECT_EQ(client.query(statement("b" + std::to_string(i), "history")).types, "TDCZ");
+  EXPECT_EQ(fleet.left.count(), count_when_drained);
 }
 
-TEST(Gateway, ASlowConnectPutsNothingOnAHostThatDrains) {
-  Fleet f(0, "9000");
-  f.primary.act = Act::mute;
-  ASSERT_TRUE(f.discovery->wait_watches(1));
-  PgClient c(f.program->pg());
+// A request that waits for the startup of a connection must move on when the host starts to drain.
+TEST(Gateway, RequestWaitingForAConnectLeavesADrainingHost) {
+  Fleet fleet(0, "9000");
+  fleet.primary.behavior = Behavior::withhold_greeting;
+  ASSERT_TRUE(fleet.discovery->wait_watches(1));
+  PgClient client(fleet.program->pg());
   const auto start = Clock::now();
-  c.socket.send(pg_query(statement("a1", "pay", 9000)));
-  ASSERT_TRUE(f.primary.wait_for(1));
-  f.left.primary = true;
-  f.discovery->tell(list_of(
-      2, {member("p", f.primary.address(), false, "DRAINING"), member("l", f.left.address(), true)}, false));
-  EXPECT_EQ(c.read_answer().value, "from " + f.left.address());
+  client.socket.send(pg_query(statement("a1", "pay", 9000)));
+  ASSERT_TRUE(fleet.primary.wait_for(1));
+  fleet.left.primary = true;
+  fleet.discovery->send_list(list_of(
+      2, {member("p", fleet.primary.address(), false, "DRAINING"), member("l", fleet.left.address(), true)},
+      false));
+  EXPECT_EQ(client.read_answer().value, "from " + fleet.left.address());
   EXPECT_LT(Clock::now() - start, 5s);
 }
 
-TEST(Gateway, AConnectionThatItsHostHasClosedIsNotUsedAgain) {
-  Fleet f;
-  f.primary.act = Act::serve_last;
-  PgClient c(f.program->pg());
-  for (int i = 0; i < 10; ++i) EXPECT_EQ(c.query(statement("a" + std::to_string(i), "pay")).types, "TDCZ");
-  EXPECT_EQ(f.primary.count(), 10U);
+TEST(Gateway, ConnectionClosedByItsHostIsNotReused) {
+  Fleet fleet;
+  fleet.primary.behavior = Behavior::serve_and_close;
+  PgClient client(fleet.program->pg());
+  for (int i = 0; i < 10; ++i)
+    EXPECT_EQ(client.query(statement("a" + std::to_string(i), "pay")).types, "TDCZ");
+  EXPECT_EQ(fleet.primary.count(), 10U);
 }
 
-TEST(Gateway, AColdHostIsSpared) {
+TEST(Gateway, HostInSlowStartGetsFewerRequests) {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
-  Fleet f(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
-  PgClient c(f.program->pg());
-  for (int i = 0; i < 200; ++i) c.query(statement("a" + std::to_string(i), "history"));
-  EXPECT_EQ(f.all(), 200U);
-  EXPECT_LT(f.right.count(), f.left.count() / 2);
-}
-
-TEST(Gateway, AReadTurnedAwayAsTooOldGoesToThePrimary) {
-  Fleet f;
-  f.left.act = Act::miss, f.right.act = Act::miss;
-  PgClient c(f.program->pg());
+  Fleet fleet(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
+  PgClient client(fleet.program->pg());
+  for (int i = 0; i < 200; ++i) client.query(statement("a" + std::to_string(i), "history"));
+  EXPECT_EQ(fleet.request_count(), 200U);
+  EXPECT_LT(fleet.right.count(), fleet.left.count() / 2);
+}
+
+TEST(Gateway, ReadRejectedAsStaleGoesToThePrimary) {
+  Fleet fleet;
+  fleet.left.behavior = Behavior::reject_as_stale;
+  fleet.right.behavior = Behavior::reject_as_stale;
+  PgClient client(fleet.program->pg());
   for (const auto* contract : {"view", "gate"})
-    EXPECT_EQ(c.query(statement(contract, contract)).value, "from " + f.primary.address());
+    EXPECT_EQ(client.query(statement(contract, contract)).value, "from " + fleet.primary.address());
 }
 
-TEST(Gateway, AClientThatClosesEndsItsAttempt) {
-  Fleet f;
-  f.act(Act::hang);
+TEST(Gateway, ClosedClientEndsItsAttempt) {
+  Fleet fleet;
+  fleet.set_behavior(Behavior::hang);
   {
-    PgClient c(f.program->pg());
-    c.socket.send(pg_query(statement("a1", "pay")));
-    ASSERT_TRUE(f.primary.wait_for(1));
+    PgClient client(fleet.program->pg());
+    client.socket.send(pg_query(statement("a1", "pay")));
+    ASSERT_TRUE(fleet.primary.wait_for(1));
   }
-  EXPECT_TRUE(f.primary.wait_ended(1));
-  f.act(Act::serve);
-  PgClient other(f.program->pg());
+  EXPECT_TRUE(fleet.primary.wait_ended(1));
+  fleet.set_behavior(Behavior::serve);
+  PgClient other(fleet.program->pg());
   EXPECT_EQ(other.query(statement("a2", "pay")).types, "TDCZ");
-  EXPECT_EQ(f.primary.seen(), (std::vector<std::string>{"a1", "a2"}));
-}
-
-TEST(Gateway, TermServesOnFinishesWhatItHoldsAndExitsCleanly) {
-  Fleet f;
-  f.primary.act = Act::hang;
-  PgClient held(f.program->pg()), idle(f.program->pg());
-  held.socket.send(pg_query(statement("a1", "pay", 2500)));
-  ASSERT_TRUE(f.primary.wait_for(1));
-  f.program->signal(SIGTERM);
-  PgClient late(f.program->pg());  // the front has not heard yet
+  EXPECT_EQ(fleet.primary.seen(), (std::vector<std::string>{"a1", "a2"}));
+}
+
+TEST(Gateway, SigtermServesLateClientsFinishesOpenRequestsAndExitsWithZero) {
+  Fleet fleet;
+  fleet.primary.behavior = Behavior::hang;
+  PgClient waiting(fleet.program->pg());
+  PgClient idle(fleet.program->pg());
+  waiting.socket.send(pg_query(statement("a1", "pay", 2500)));
+  ASSERT_TRUE(fleet.primary.wait_for(1));
+  fleet.program->signal(SIGTERM);
+  PgClient late(fleet.program->pg());  // the load balancer in front does not know yet
   EXPECT_EQ(late.query(statement("a2", "history")).types, "TDCZ");
   EXPECT_TRUE(idle.socket.ended());
-  EXPECT_EQ(held.read_answer().types, "EZ");
-  EXPECT_EQ(f.program->wait_exit(), 0);
-  EXPECT_NE(f.program->output().find("tenant acme asked 2 over 0 served 1"), std::string::npos);
+  EXPECT_EQ(waiting.read_answer().types, "EZ");
+  EXPECT_EQ(fleet.program->wait_exit(), 0);
+  EXPECT_NE(fleet.program->output().find("tenant acme asked 2 over 0 served 1"), std::string::npos);
 }
 
-TEST(Gateway, HupMovesTheWatchAndKeepsAllElse) {
-  Fleet f;
+TEST(Gateway, SighupMovesTheDiscoveryWatchAndKeepsRequestsAndConnections) {
+  Fleet fleet;
   PgStandIn newcomer;
   Discovery next(
-      list_of(2, {member("p", f.primary.address(), true), member("n", newcomer.address(), false)}));
-  ASSERT_TRUE(f.discovery->wait_watches(1));
-  PgClient held(f.program->pg()), c(f.program->pg());
-  f.primary.act = Act::hang;
-  held.socket.send(pg_query(statement("a1", "pay", 3000)));
-  ASSERT_TRUE(f.primary.wait_for(1));
+      list_of(2, {member("p", fleet.primary.address(), true), member("n", newcomer.address(), false)}));
+  ASSERT_TRUE(fleet.discovery->wait_watches(1));
+  PgClient waiting(fleet.program->pg());
+  PgClient client(fleet.program->pg());
+  fleet.primary.behavior = Behavior::hang;
+  waiting.socket.send(pg_query(statement("a1", "pay", 3000)));
+  ASSERT_TRUE(fleet.primary.wait_for(1));
   for (const auto& bad : {std::string("nonsense"), config_json("nowhere", list_of(1, {}))}) {
-    f.program->configure(bad);
-    f.program->signal(SIGHUP);
-    ASSERT_TRUE(f.program->wait_output("not reloaded: ", bad == "nonsense" ? 1 : 2));
+    fleet.program->configure(bad);
+    fleet.program->signal(SIGHUP);
+    ASSERT_TRUE(fleet.program->wait_output("not reloaded: ", bad == "nonsense" ? 1 : 2));
   }
-  EXPECT_EQ(c.query(statement("a2", "history")).types, "TDCZ");
-  f.program->configure(config_json(next.address(), list_of(1, {})));
-  for (int i = 0; i < 5; ++i) f.program->signal(SIGHUP);
+  EXPECT_EQ(client.query(statement("a2", "history")).types, "TDCZ");
+  fleet.program->configure(config_json(next.address(), list_of(1, {})));
+  for (int i = 0; i < 5; ++i) fleet.program->signal(SIGHUP);
   ASSERT_TRUE(next.wait_watches(1));
   for (int i = 0; newcomer.count() == 0 && i < 2000; ++i)
-    EXPECT_EQ(c.query(statement("b" + std::to_string(i), "history")).types, "TDCZ");
+    EXPECT_EQ(client.query(statement("b" + std::to_string(i), "history")).types, "TDCZ");
   EXPECT_GT(newcomer.count(), 0U);
-  EXPECT_EQ(held.read_answer().code, "58000");  // at its deadline, on the connection that it had
-  f.program->signal(SIGHUP);
-  f.program->signal(SIGTERM);
-  f.program->signal(SIGHUP);
-  EXPECT_EQ(f.program->wait_exit(), 0);
+  EXPECT_EQ(waiting.read_answer().code, "58000");  // at its deadline: it kept its connection to the host
+  fleet.program->signal(SIGHUP);
+  fleet.program->signal(SIGTERM);
+  fleet.program->signal(SIGHUP);
+  EXPECT_EQ(fleet.program->wait_exit(), 0);
 }
 
-TEST(Gateway, AtHupTheFileWinsOverTheVariable) {
-  Discovery first(list_of(1, {})), next(list_of(1, {}));
+TEST(Gateway, SighupPrefersTheFileOverTheEnvironmentVariable) {
+  Discovery first(list_of(1, {}));
+  Discovery next(list_of(1, {}));
   ::setenv("ROUTER_DISCOVERY", first.address().c_str(), 1);
-  Program program(config_json("127.0.0.1:1", list_of(1, {})));
+  GatewayProcess program(config_json("127.0.0.1:1", list_of(1, {})));
   ::unsetenv("ROUTER_DISCOVERY");
   ASSERT_TRUE(first.wait_watches(1));
   program.configure(config_json(next.address(), list_of(1, {})));
@@ -213,282 +227,303 @@
   EXPECT_TRUE(next.wait_watches(1));
 }
 
-TEST(Gateway, AWatchThatFallsSilentIsAskedForAnew) {
-  Fleet f;
-  ASSERT_TRUE(f.discovery->wait_watches(1));
-  EXPECT_TRUE(f.discovery->wait_watches(2));  // the stand-in sends no heartbeats
-}
-
-TEST(Gateway, AListThatIsBrokenOffMalformedOrTooLongKeepsTheOldOneAndCostsOneCall) {
-  const std::string half = R"({"version":7,"full":true,"servers":[{"id":"l","addr":"127.0.)";
-  for (const auto& [bytes, end] : {std::pair{half, true}, std::pair{std::string("{\"version\":7}\n"), false},
-                                   std::pair{std::string("{]\n"), false},
-                                   std::pair{std::string(std::size_t{1100} << 10U, 'x'), false}}) {
-    Fleet f;
-    ASSERT_TRUE(f.discovery->wait_watches(1));
-    PgClient c(f.program->pg());
-    EXPECT_EQ(c.query(statement("a1", "bid")).types, "TDCZ");
-    f.discovery->blurt(bytes, end);
-    EXPECT_EQ(c.query(statement("a2", "bid")).types, "TDCZ");
-    EXPECT_TRUE(f.discovery->wait_watches(2)) << bytes.substr(0, 20);
-    EXPECT_EQ(c.query(statement("a3", "history")).types, "TDCZ");
-    EXPECT_EQ(f.discovery->watches(), 2U) << bytes.substr(0, 20);
+TEST(Gateway, SilentDiscoveryWatchIsReopened) {
+  Fleet fleet;
+  ASSERT_TRUE(fleet.discovery->wait_watches(1));
+  EXPECT_TRUE(fleet.discovery->wait_watches(2));  // the stand-in sends no heartbeats
+}
+
+TEST(Gateway, TruncatedMalformedOrOversizedMemberListKeepsTheOldOneAndReopensTheWatchOnce) {
+  const std::string truncated = R"({"version":7,"full":true,"servers":[{"id":"l","addr":"127.0.)";
+  for (const auto& [bytes, end] :
+       {std::pair{truncated, true}, std::pair{std::string("{\"version\":7}\n"), false},
+        std::pair{std::string("{]\n"), false},
+        std::pair{std::string(std::size_t{1100} << 10U, 'x'), false}}) {
+    Fleet fleet;
+    ASSERT_TRUE(fleet.discovery->wait_watches(1));
+    PgClient client(fleet.program->pg());
+    EXPECT_EQ(client.query(statement("a1", "bid")).types, "TDCZ");
+    fleet.discovery->send_partial_chunk(bytes, end);
+    EXPECT_EQ(client.query(statement("a2", "bid")).types, "TDCZ");
+    EXPECT_TRUE(fleet.discovery->wait_watches(2)) << bytes.substr(0, 20);
+    EXPECT_EQ(client.query(statement("a3", "history")).types, "TDCZ");
+    EXPECT_EQ(fleet.discovery->watches(), 2U) << bytes.substr(0, 20);
   }
 }
 
-TEST(Gateway, ABusyDiscoveryIsAskedAgainWhileRequestsGoByTheKnownList) {
+TEST(Gateway, BusyDiscoveryIsRetriedWhileRequestsUseTheConfiguredList) {
   PgStandIn primary;
   primary.primary = true;
   const auto known = list_of(1, {member("p", primary.address(), true)});
   Discovery discovery(list_of(9, {member("p", primary.address(), true)}), 2);
-  Program program(config_json(discovery.address(), known));
-  PgClient c(program.pg());
-  EXPECT_EQ(c.query(statement("a1", "bid")).types, "TDCZ");
+  GatewayProcess program(config_json(discovery.address(), known));
+  PgClient client(program.pg());
+  EXPECT_EQ(client.query(statement("a1", "bid")).types, "TDCZ");
   EXPECT_TRUE(discovery.wait_watches(1)) << "the third call";
-  EXPECT_EQ(c.query(statement("a2", "bid")).types, "TDCZ");
+  EXPECT_EQ(client.query(statement("a2", "bid")).types, "TDCZ");
 }
 
-TEST(Gateway, ADeltaOfSixTenthsOfSixtyHostsIsHeededAsOne) {
-  Fleet f;
-  ASSERT_TRUE(f.discovery->wait_watches(1));
-  // 57 more hosts in 14 other groups, at an address where nobody listens; 36 of the 60 change at once.
-  std::vector<std::string> others, changed;
+TEST(Gateway, DeltaThatChangesSixtyPercentOfSixtyHostsIsApplied) {
+  Fleet fleet;
+  ASSERT_TRUE(fleet.discovery->wait_watches(1));
+  // 57 more hosts in other groups, at an address without a listener; 36 of the 60 hosts change at once.
+  std::vector<std::string> others;
+  std::vector<std::string> changed;
   for (int i = 0; i < 57; ++i) {
     const auto in_group = [&](const char* state) {
-      auto m = member("x" + std::to_string(i), "127.0.0.1:1", i % 4 == 0, state);
+      auto entry = member("x" + std::to_string(i), "127.0.0.1:1", i % 4 == 0, state);
       const std::string cell = "\"cell\":1";
-      m.replace(m.find(cell), cell.size(), "\"cell\":" + std::to_string(2 + i / 4));
-      return m;
+      entry.replace(entry.find(cell), cell.size(), "\"cell\":" + std::to_string(2 + i / 4));
+      return entry;
     };
     others.push_back(in_group("SERVING"));
     if (i < 34) changed.push_back(in_group("DRAINING"));
   }
-  f.discovery->tell(list_of(2, others, false));
-  PgClient c(f.program->pg());
-  EXPECT_EQ(c.query(statement("a0", "history")).types, "TDCZ");
-  changed.push_back(member("l", f.left.address(), false, "DRAINING"));
-  changed.push_back(member("r", f.right.address(), false, "DRAINING"));
-  f.discovery->tell(list_of(3, changed, false));
-  // Reads go on to the replicas until it has been taken, then to the primary alone.
-  int until = 0;
-  for (; until < 200; ++until)
-    if (const auto a = c.query(statement("b" + std::to_string(until), "history"));
-        a.value == "from " + f.primary.address())
+  fleet.discovery->send_list(list_of(2, others, false));
+  PgClient client(fleet.program->pg());
+  EXPECT_EQ(client.query(statement("a0", "history")).types, "TDCZ");
+  changed.push_back(member("l", fleet.left.address(), false, "DRAINING"));
+  changed.push_back(member("r", fleet.right.address(), false, "DRAINING"));
+  fleet.discovery->send_list(list_of(3, changed, false));
+  // Reads go to the replicas until the list has been applied, then to the primary alone.
+  int reads = 0;
+  for (; reads < 200; ++reads)
+    if (const auto answer = client.query(statement("b" + std::to_string(reads), "history"));
+        answer.value == "from " + fleet.primary.address())
       break;
-  ASSERT_LT(until, 200);
-  const auto before = f.left.count() + f.right.count();
+  ASSERT_LT(reads, 200);
+  const auto before = fleet.left.count() + fleet.right.count();
   for (int i = 0; i < 40; ++i)
-    EXPECT_EQ(c.query(statement("c" + std::to_string(i), "history")).types, "TDCZ");
-  EXPECT_EQ(f.left.count() + f.right.count(), before);
+    EXPECT_EQ(client.query(statement("c" + std::to_string(i), "history")).types, "TDCZ");
+  EXPECT_EQ(fleet.left.count() + fleet.right.count(), before);
 }
 
 TEST(Gateway, StartupAndQueriesInOneSegmentAreAnsweredInOrder) {
-  Fleet f;
-  PgClient c(f.program->pg(), false);
-  const std::string ssl("\0\0\0\x08\x04\xd2\x16\x2f", 8);
-  c.socket.send(ssl + pg_startup() + pg_query("") + pg_query(statement("a1", "history")) +
-                pg_query("SET x = 1"));
-  EXPECT_EQ(c.socket.read(1), "N");
-  EXPECT_EQ(c.read_answer().types, "RSSSZ");
-  EXPECT_EQ(c.read_answer().types, "IZ");
-  EXPECT_EQ(c.read_answer().types, "TDCZ");
-  EXPECT_EQ(c.read_answer().types, "CZ");
-}
-
-TEST(Gateway, ASpoiltAnswerIsAFailureThatMayHaveRun) {
-  Fleet f;
-  PgClient c(f.program->pg());
-  const auto z = PgStandIn::message('Z', "I"), row = PgStandIn::row("v");
-  const auto t = row.substr(0, row.find('D')), d = row.substr(t.size(), row.find('C') - t.size());
-  const auto done = row.substr(t.size() + d.size());
+  Fleet fleet;
+  PgClient client(fleet.program->pg(), false);
+  const std::string ssl_request("\0\0\0\x08\x04\xd2\x16\x2f", 8);
+  client.socket.send(ssl_request + pg_startup() + pg_query("") + pg_query(statement("a1", "history")) +
+                     pg_query("SET x = 1"));
+  EXPECT_EQ(client.socket.read(1), "N");
+  EXPECT_EQ(client.read_answer().types, "RSSSZ");
+  EXPECT_EQ(client.read_answer().types, "IZ");
+  EXPECT_EQ(client.read_answer().types, "TDCZ");
+  EXPECT_EQ(client.read_answer().types, "CZ");
+}
+
+// An answer that breaks the protocol must neither reach the client nor cause a retry: the request may have
+// run.
+TEST(Gateway, MalformedHostAnswerIsReportedAsAFailureThatMayHaveRun) {
+  Fleet fleet;
+  PgClient client(fleet.program->pg());
+  const auto ready = PgStandIn::message('Z', "I");
+  const auto row = PgStandIn::row("v");
+  const auto description = row.substr(0, row.find('D'));
+  const auto data = row.substr(description.size(), row.find('C') - description.size());
+  const auto done = row.substr(description.size() + data.size());
   const auto error = PgStandIn::message('E', std::string("C53300\0Mfull\0\0", 14));
   int i = 0;
   for (const auto& bytes :
-       {std::string(40, '\x07'), d + t + done + z, t + d + d + done + z, t + done + z, d + done + z,
-        t + d + z, z, t + t + d + done + z, t + d + error + z, t + d + done + error + z, error + row + z,
-        PgStandIn::message('E', std::string("Mno code\0\0", 10)) + z,
-        PgStandIn::message('T', "garbage") + d + done + z, t + PgStandIn::message('D', "garbage") + done + z,
-        t + std::string("D\xb2\xd0\x5e\0", 5), t + std::string("D\xff\xff\xff\xff", 5)}) {
-    f.primary.say_once(bytes);
-    const auto before = f.all();
-    const auto answer = c.query(statement("s" + std::to_string(++i), "pay"));
+       {std::string(40, '\x07'), data + description + done + ready, description + data + data + done + ready,
+        description + done + ready, data + done + ready, description + data + ready, ready,
+        description + description + data + done + ready, description + data + error + ready,
+        description + data + done + error + ready, error + row + ready,
+        PgStandIn::message('E', std::string("Mno code\0\0", 10)) + ready,
+        PgStandIn::message('T', "garbage") + data + done + ready,
+        description + PgStandIn::message('D', "garbage") + done + ready,
+        description + std::string("D\xb2\xd0\x5e\0", 5), description + std::string("D\xff\xff\xff\xff", 5)}) {
+    fleet.primary.answer_once_with(bytes);
+    const auto before = fleet.request_count();
+    const auto answer = client.query(statement("s" + std::to_string(++i), "pay"));
     EXPECT_EQ(answer.types, "EZ") << i;
     EXPECT_EQ(answer.code, "58000") << i;  // no refusal: it may have run
-    EXPECT_EQ(f.all(), before + 1) << i;
-    EXPECT_EQ(c.query(statement("g" + std::to_string(i), "pay")).value, "from " + f.primary.address()) << i;
+    EXPECT_EQ(fleet.request_count(), before + 1) << i;
+    EXPECT_EQ(client.query(statement("g" + std::to_string(i), "pay")).value,
+              "from " + fleet.primary.address())
+        << i;
   }
 }
 
-TEST(Gateway, WhatIsLeftOverIsNobodysAnswer) {
-  Fleet f;
-  const auto whole = PgStandIn::row("first") + PgStandIn::message('Z', "I");
+// Bytes behind a complete answer must not be taken for the answer to the next request.
+TEST(Gateway, SurplusBytesFromAHostReachNoClient) {
+  Fleet fleet;
+  const auto complete_answer = PgStandIn::row("first") + PgStandIn::message('Z', "I");
   int i = 0;
-  for (const auto& more : {whole, std::string(3, '\x07'), std::string("\0", 1)}) {
-    f.primary.say_once(whole + more);
-    PgClient c(f.program->pg());
+  for (const auto& surplus : {complete_answer, std::string(3, '\x07'), std::string("\0", 1)}) {
+    fleet.primary.answer_once_with(complete_answer + surplus);
+    PgClient client(fleet.program->pg());
     const auto id = std::to_string(++i);
-    EXPECT_EQ(c.query(statement("a" + id, "pay")).value, "first");
-    EXPECT_EQ(c.query(statement("b" + id, "pay")).value, "from " + f.primary.address());
+    EXPECT_EQ(client.query(statement("a" + id, "pay")).value, "first");
+    EXPECT_EQ(client.query(statement("b" + id, "pay")).value, "from " + fleet.primary.address());
   }
 }
 
-TEST(Gateway, AConnectionToWhereAHostNoLongerIsServesNoMore) {
-  Fleet f;
-  PgStandIn elsewhere, newcomer;
+TEST(Gateway, ConnectionToTheOldAddressOfAHostIsNotReused) {
+  Fleet fleet;
+  PgStandIn elsewhere;
+  PgStandIn newcomer;
   elsewhere.primary = true;
-  ASSERT_TRUE(f.discovery->wait_watches(1));
-  PgClient held(f.program->pg()), c(f.program->pg());
-  f.primary.act = Act::hold;
-  held.socket.send(pg_query(statement("a1", "pay")));
-  ASSERT_TRUE(f.primary.wait_for(1));
-  f.discovery->tell(
+  ASSERT_TRUE(fleet.discovery->wait_watches(1));
+  PgClient waiting(fleet.program->pg());
+  PgClient client(fleet.program->pg());
+  fleet.primary.behavior = Behavior::hold;
+  waiting.socket.send(pg_query(statement("a1", "pay")));
+  ASSERT_TRUE(fleet.primary.wait_for(1));
+  fleet.discovery->send_list(
       list_of(2, {member("p", elsewhere.address(), true), member("n", newcomer.address(), false)}, false));
   for (int i = 0; newcomer.count() == 0 && i < 2000; ++i)
-    c.query(statement("r" + std::to_string(i), "history"));
-  f.primary.act = Act::serve;
-  EXPECT_EQ(held.read_answer().value, "from " + f.primary.address());  // it is finished there
-  EXPECT_EQ(held.query(statement("a2", "pay")).value, "from " + elsewhere.address());
-}
-
-TEST(Gateway, AnIdOfAnotherOpenRequestReachesNoHost) {
-  Fleet f;
-  f.primary.act = Act::hang;
-  PgClient held(f.program->pg()), other(f.program->pg());
-  held.socket.send(pg_query(statement("a1", "pay", 3000)));
-  ASSERT_TRUE(f.primary.wait_for(1));
-  f.primary.act = Act::serve;
+    client.query(statement("r" + std::to_string(i), "history"));
+  fleet.primary.behavior = Behavior::serve;
+  // The open request finishes at the old address.
+  EXPECT_EQ(waiting.read_answer().value, "from " + fleet.primary.address());
+  EXPECT_EQ(waiting.query(statement("a2", "pay")).value, "from " + elsewhere.address());
+}
+
+TEST(Gateway, RequestWithTheIdOfAnOpenRequestIsRejected) {
+  Fleet fleet;
+  fleet.primary.behavior = Behavior::hang;
+  PgClient waiting(fleet.program->pg());
+  PgClient other(fleet.program->pg());
+  waiting.socket.send(pg_query(statement("a1", "pay", 3000)));
+  ASSERT_TRUE(fleet.primary.wait_for(1));
+  fleet.primary.behavior = Behavior::serve;
   EXPECT_EQ(other.query(statement("a1", "history")).code, "08P01");
-  EXPECT_EQ(f.all(), 1U);
-  EXPECT_EQ(held.read_answer().code, "58000");
+  EXPECT_EQ(fleet.request_count(), 1U);
+  EXPECT_EQ(waiting.read_answer().code, "58000");
   EXPECT_EQ(other.query(statement("a1", "history")).types, "TDCZ");
 }
 
-TEST(Gateway, PipelinedRequestsRunBesideOneAnotherAndAreAnsweredInOrder) {
-  Fleet f;
-  f.primary.act = Act::hold;
-  PgClient c(f.program->pg());
-  c.socket.send(pg_query(statement("a1", "pay")) + pg_query(statement("a2", "history")) + pg_query("") +
-                pg_query("garbage") + pg_query(statement("a3", "history")) + "X" +
-                std::string("\0\0\0\4", 4));
-  ASSERT_TRUE(f.primary.wait_for(1));
-  for (int i = 0; f.all() < 3 && i < 2000; ++i) std::this_thread::sleep_for(5ms);
-  EXPECT_EQ(f.all(), 3U);  // though the first is not answered yet
-  f.primary.act = Act::serve;
-  EXPECT_EQ(c.read_answer().value, "from " + f.primary.address());
-  for (const auto* types : {"TDCZ", "IZ", "EZ", "TDCZ"}) EXPECT_EQ(c.read_answer().types, types);
-  EXPECT_TRUE(c.socket.ended_in_order());
-}
-
-TEST(Gateway, AnswersBehindASilentHostDoNotHoldUpTheCommandsBehindThem) {
-  Fleet f;
-  f.primary.act = Act::hang;
-  PgClient c(f.program->pg());
-  std::string all = pg_query(statement("a0", "pay", 9000));
-  for (int i = 1; i <= 40; ++i) all += pg_query(statement("a" + std::to_string(i), "history"));
-  c.socket.send(all);
-  const auto reads = [&] { return f.left.count() + f.right.count() + f.primary.count() - 1; };
-  ASSERT_TRUE(f.primary.wait_for(1));
+TEST(Gateway, PipelinedRequestsRunConcurrentlyAndAreAnsweredInOrder) {
+  Fleet fleet;
+  fleet.primary.behavior = Behavior::hold;
+  PgClient client(fleet.program->pg());
+  client.socket.send(pg_query(statement("a1", "pay")) + pg_query(statement("a2", "history")) + pg_query("") +
+                     pg_query("garbage") + pg_query(statement("a3", "history")) + "X" +
+                     std::string("\0\0\0\4", 4));
+  ASSERT_TRUE(fleet.primary.wait_for(1));
+  for (int i = 0; fleet.request_count() < 3 && i < 2000; ++i) std::this_thread::sleep_for(5ms);
+  EXPECT_EQ(fleet.request_count(), 3U);  // though the first is not answered yet
+  fleet.primary.behavior = Behavior::serve;
+  EXPECT_EQ(client.read_answer().value, "from " + fleet.primary.address());
+  for (const auto* types : {"TDCZ", "IZ", "EZ", "TDCZ"}) EXPECT_EQ(client.read_answer().types, types);
+  EXPECT_TRUE(client.socket.ended_in_order());
+}
+
+TEST(Gateway, HungRequestDoesNotBlockTheRequestsPipelinedBehindIt) {
+  Fleet fleet;
+  fleet.primary.behavior = Behavior::hang;
+  PgClient client(fleet.program->pg());
+  std::string pipeline = pg_query(statement("a0", "pay", 9000));
+  for (int i = 1; i <= 40; ++i) pipeline += pg_query(statement("a" + std::to_string(i), "history"));
+  client.socket.send(pipeline);
+  const auto reads = [&] { return fleet.left.count() + fleet.right.count() + fleet.primary.count() - 1; };
+  ASSERT_TRUE(fleet.primary.wait_for(1));
   for (int i = 0; reads() < 40 && i < 1000; ++i) std::this_thread::sleep_for(5ms);
-  EXPECT_GE(reads(), 40U);  // with the first still out: its answer is due in 9 s
+  EXPECT_GE(reads(), 40U);  // while the first is open: its deadline is 9 s
 }
 
-TEST(Gateway, ADeadlineCountsFromTheLastByteNotFromTheTurn) {
-  Fleet f;
-  f.act(Act::hang);
-  PgClient c(f.program->pg());
-  std::string all;
+TEST(Gateway, DeadlineCountsFromTheLastByteOfTheRequestNotFromItsStart) {
+  Fleet fleet;
+  fleet.set_behavior(Behavior::hang);
+  PgClient client(fleet.program->pg());
+  std::string pipeline;
   const auto add = [&](int i, const char* contract, int ms) {
-    all += pg_query(statement("a" + std::to_string(i), contract, ms));
+    pipeline += pg_query(statement("a" + std::to_string(i), contract, ms));
   };
   for (int i = 0; i < 10; ++i) add(i, "pay", 700);
-  for (int i = 10; i < 16; ++i) add(i, "history", 2000);  // as many as may be in work: the next one waits
+  // 16 requests may be open on a connection: the next one waits.
+  for (int i = 10; i < 16; ++i) add(i, "history", 2000);
   add(16, "pay", 700);
-  c.socket.send(all);
-  for (int i = 0; i < 10; ++i) EXPECT_EQ(c.read_answer().code, "58000") << i;
-  for (int i = 10; i < 16; ++i) EXPECT_EQ(c.read_answer().types, "EZ") << i;
-  EXPECT_EQ(c.read_answer().code, "53300");  // its turn came when its time was up: it never ran
-  const auto seen = f.primary.seen();
+  client.socket.send(pipeline);
+  for (int i = 0; i < 10; ++i) EXPECT_EQ(client.read_answer().code, "58000") << i;
+  for (int i = 10; i < 16; ++i) EXPECT_EQ(client.read_answer().types, "EZ") << i;
+  EXPECT_EQ(client.read_answer().code, "53300");  // started after its deadline: it never ran
+  const auto seen = fleet.primary.seen();
   EXPECT_EQ(std::count(seen.begin(), seen.end(), "a16"), 0);
 }
 
-TEST(Gateway, APipeliningClientThatLeavesEndsAllItsAttempts) {
-  Fleet f;
-  f.act(Act::hang);
+TEST(Gateway, ClosedClientEndsAllItsPipelinedAttempts) {
+  Fleet fleet;
+  fleet.set_behavior(Behavior::hang);
   {
-    PgClient c(f.program->pg());
-    c.socket.send(pg_query(statement("a1", "pay")) + pg_query(statement("a2", "pay")));
-    ASSERT_TRUE(f.primary.wait_for(2));
+    PgClient client(fleet.program->pg());
+    client.socket.send(pg_query(statement("a1", "pay")) + pg_query(statement("a2", "pay")));
+    ASSERT_TRUE(fleet.primary.wait_for(2));
   }
-  EXPECT_TRUE(f.primary.wait_ended(2));
+  EXPECT_TRUE(fleet.primary.wait_ended(2));
 }
 
-TEST(Gateway, WrongRequestsGetAClearError) {
-  Fleet f;
+TEST(Gateway, InvalidRequestGetsAnErrorCodeAndABrokenMessageClosesTheConnection) {
+  Fleet fleet;
   struct Case {
-    std::string sql, code;
+    std::string sql;
+    std::string code;
   };
-  PgClient c(f.program->pg());
+  PgClient client(fleet.program->pg());
   for (const auto& [sql, code] : {Case{"SELECT 1", "08P01"}, Case{statement("a", "nothing"), "08P01"},
                                   Case{"SELECT v /* id=a,c=view,t=nobody,d=900,cluster=1 */", "08P01"},
                                   Case{"SELECT v /* id=a,c=view,t=acme,d=900,cluster=77 */", "3D000"},
                                   Case{"SELECT v /* c=view,t=acme,d=900,cluster=1 */", "08P01"},
                                   Case{"SELECT v /* id=a,c=view,t=acme,cluster=1 */", "08P01"},
                                   Case{"SELECT v /* id=a,c=view,t=acme,d=soon,cluster=1 */", "08P01"}}) {
-    const auto answer = c.query(sql);
+    const auto answer = client.query(sql);
     EXPECT_EQ(answer.types, "EZ") << sql;
     EXPECT_EQ(answer.code, code) << sql;
   }
-  EXPECT_EQ(c.query(statement("a1", "history")).types, "TDCZ");  // it is still good for others
-  for (const auto& lost :
+  EXPECT_EQ(client.query(statement("a1", "history")).types, "TDCZ");  // the connection stays usable
+  for (const auto& bytes :
        {std::string("Q\x7f\xff\xff\xff", 5), std::string("Q\0\0\0\1", 5), std::string("P\0\0\0\4", 5)}) {
-    PgClient broken(f.program->pg());
-    broken.socket.send(lost);
+    PgClient broken(fleet.program->pg());
+    broken.socket.send(bytes);
     EXPECT_EQ(broken.read_answer().code, "08P01");
     EXPECT_TRUE(broken.socket.ended());
   }
-  EXPECT_EQ(f.all(), 1U);
+  EXPECT_EQ(fleet.request_count(), 1U);
 }
 
-/// Twelve places for clients, four for connections to its host.
-struct Small {
+/// A gateway with connection limits of twelve clients and four connections to its host.
+struct SmallGateway {
   PgStandIn host;
   std::unique_ptr<Discovery> discovery;
-  std::unique_ptr<Program> program;
-  Small() {
+  std::unique_ptr<GatewayProcess> program;
+  SmallGateway() {
     host.primary = true;
     const auto known = list_of(1, {member("p", host.address(), true)});
     discovery = std::make_unique<Discovery>(known);
     auto config = config_json(discovery->address(), known);
     const std::string limit = "\"sockets\":1024";
     config.replace(config.find(limit), limit.size(), "\"sockets\":64");
-    program = std::make_unique<Program>(config);
+    program = std::make_unique<GatewayProcess>(config);
   }
 };
 
-TEST(Gateway, OnesThatAskedOnceAndStayMakeRoomBeforeAllPlacesAreTaken) {
-  Small s;
-  std::vector<std::unique_ptr<PgClient>> stay;
+TEST(Gateway, LongestIdleClientIsClosedBeforeTheClientLimitIsReached) {
+  SmallGateway gateway;
+  std::vector<std::unique_ptr<PgClient>> idle;
   for (int i = 0; i < 9; ++i) {
-    stay.push_back(std::make_unique<PgClient>(s.program->pg()));
-    EXPECT_EQ(stay.back()->query(statement("a" + std::to_string(i), "pay")).types, "TDCZ");
+    idle.push_back(std::make_unique<PgClient>(gateway.program->pg()));
+    EXPECT_EQ(idle.back()->query(statement("a" + std::to_string(i), "pay")).types, "TDCZ");
   }
-  EXPECT_TRUE(stay.front()->socket.ended());  // the longest idle, once it may be closed
-  EXPECT_EQ(stay.back()->query(statement("c", "pay")).types, "TDCZ");  // a sixth of the places is left alone
+  EXPECT_TRUE(idle.front()->socket.ended());  // the longest idle one
+  // A sixth of the connections may stay idle.
+  EXPECT_EQ(idle.back()->query(statement("c", "pay")).types, "TDCZ");
 }
 
-TEST(Gateway, OnesThatSayNothingWholeAreClosedAndTheOthersNot) {
-  Fleet f;
-  PgClient usual(f.program->pg()), mute(f.program->pg(), false), half(f.program->pg());
-  EXPECT_EQ(usual.query("").types, "IZ");
+TEST(Gateway, ClientWithoutACompleteMessageIsClosedAndOthersStay) {
+  Fleet fleet;
+  PgClient complete(fleet.program->pg());
+  PgClient silent(fleet.program->pg(), false);
+  PgClient half(fleet.program->pg());
+  EXPECT_EQ(complete.query("").types, "IZ");
   half.socket.send(pg_query(statement("a", "pay")).substr(0, 40));
-  EXPECT_TRUE(mute.socket.ended());
+  EXPECT_TRUE(silent.socket.ended());
   EXPECT_TRUE(half.socket.ended());
-  EXPECT_EQ(usual.query(statement("b", "pay")).types, "TDCZ");
+  EXPECT_EQ(complete.query(statement("b", "pay")).types, "TDCZ");
 }
 
-TEST(Gateway, TheLastWordArrivesThoughInputIsUnread) {
-  Small s;
-  PgClient broken(s.program->pg());
+TEST(Gateway, FinalErrorArrivesDespiteUnreadInput) {
+  SmallGateway gateway;
+  PgClient broken(gateway.program->pg());
   broken.socket.send("P" + std::string(4, '\0') + std::string(100000, 'x'));
   const auto head = broken.socket.read(5);
   ASSERT_TRUE(head && broken.socket.read(static_cast<unsigned char>((*head)[4]) - 4U));
@@ -496,46 +531,47 @@
   EXPECT_TRUE(broken.socket.ended_in_order());
 }
 
-TEST(Gateway, TooManyClientsAreTurnedAwayAndTheOthersServed) {
-  Small s;
-  auto& program = *s.program;
+TEST(Gateway, ClientAboveTheLimitIsRejectedAndTheOthersAreServed) {
+  SmallGateway gateway;
+  auto& program = *gateway.program;
   std::vector<std::unique_ptr<PgClient>> clients;
   for (int i = 0; i < 12; ++i) {
     clients.push_back(std::make_unique<PgClient>(program.pg()));
     EXPECT_EQ(clients.back()->query("").types, "IZ");
-    // With half a command none of them is idle: an idle one would have to make room.
+    // With half a command no client is idle; an idle one would be closed for the next.
     clients.back()->socket.send(pg_query(statement("a" + std::to_string(i), "pay")).substr(0, 40));
   }
-  PgClient next_one(program.pg(), false);
-  EXPECT_EQ(next_one.read_answer().code, "53300");
-  EXPECT_TRUE(next_one.socket.ended());
+  PgClient rejected(program.pg(), false);
+  EXPECT_EQ(rejected.read_answer().code, "53300");
+  EXPECT_TRUE(rejected.socket.ended());
   for (int i = 0; i < 12; ++i) {
     clients[i]->socket.send(pg_query(statement("a" + std::to_string(i), "pay")).substr(40));
     EXPECT_EQ(clients[i]->read_answer().types, "TDCZ");
   }
   clients.pop_back();
-  std::unique_ptr<PgClient> next;  // its place is free once the gateway has seen it leave
+  std::unique_ptr<PgClient> next;  // admitted once the gateway has seen the other close
   for (int i = 0; i < 200 && !(next && next->query("").types == "IZ"); ++i)
     next = std::make_unique<PgClient>(program.pg());
   EXPECT_EQ(next->query(statement("a2", "pay")).types, "TDCZ");
 }
 
-TEST(Gateway, StartsUnderTheLeastLimitsOfThePlatform) {
+TEST(Gateway, StartsUnderTheSmallestResourceLimits) {
   auto config = config_json("127.0.0.1:1", list_of(1, {}));
   const std::string limits = "\"memory_mb\":192,\"sockets\":1024";
   config.replace(config.find(limits), limits.size(), "\"memory_mb\":32,\"sockets\":256");
-  Program program(config);
+  GatewayProcess program(config);
   EXPECT_EQ(PgClient(program.pg()).query("").types, "IZ");
 }
 
-TEST(Gateway, ABadConfigurationIsOneLineThatNamesTheKey) {
+TEST(Gateway, InvalidConfigurationIsReportedInOneLineThatNamesTheKey) {
   const auto good = config_json("127.0.0.1:1", list_of(1, {}));
   const auto with = [&](const std::string& from, const std::string& to) {
     auto text = good;
     return text.replace(text.find(from), from.size(), to);
   };
   struct Case {
-    std::string config, key;
+    std::string config;
+    std::string key;
   };
   for (const auto& [config, key] :
        {Case{"nonsense", "config"}, Case{with("\"name\"", "\"nom\""), "name"},
@@ -545,10 +581,10 @@
         Case{with("\"memory_mb\":192", "\"memory_mb\":1"), "limits.memory_mb"},
         Case{with("\"aim\":2000", "\"aim\":\"soon\""), "settings.classes.0.aim"},
         Case{with("\"servers\":[]", "\"servers\":7"), "known"}}) {
-    Program p(config);
-    EXPECT_EQ(p.wait_exit(), 1) << key;
-    EXPECT_NE(p.output().find(key), std::string::npos) << p.output();
-    EXPECT_EQ(std::count(p.output().begin(), p.output().end(), '\n'), 1) << p.output();
+    GatewayProcess program(config);
+    EXPECT_EQ(program.wait_exit(), 1) << key;
+    EXPECT_NE(program.output().find(key), std::string::npos) << program.output();
+    EXPECT_EQ(std::count(program.output().begin(), program.output().end(), '\n'), 1) << program.output();
   }
 }
 
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -1,4 +1,4 @@
-// Rare moments, each forced: the stand-in holds one side until the other has acted.
+// Races between two events, each forced: a stand-in delays one side until the other has acted.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/socket.h>
@@ -17,109 +17,121 @@
 
 std::string replaced(std::string text, const std::string& from, const std::string& to) {
   const auto at = text.find(from);
-  if (at == std::string::npos) throw std::runtime_error("not there: " + from);
+  if (at == std::string::npos) throw std::runtime_error("text not found: " + from);
   return text.replace(at, from.size(), to);
 }
 
-std::string pushed(const std::string& config) { return replaced(config, "\"subscribe\"", "\"automatic\""); }
+/// The configuration with a registry that pushes member lists, so that the gateway waits for the first one.
+std::string with_pushed_lists(const std::string& config) {
+  return replaced(config, "\"subscribe\"", "\"automatic\"");
+}
 
 /// A primary, two replicas and discovery; the program is started by the test.
-struct Ledger {
-  PgStandIn primary, left, right;
-  std::string all, drained;
+struct Fleet {
+  PgStandIn primary;
+  PgStandIn left;
+  PgStandIn right;
+  std::string serving_list;
+  std::string draining_list;
   Discovery discovery;
-  Ledger() : discovery(list(5, "SERVING")) {
+  Fleet() : discovery(list(5, "SERVING")) {
     primary.primary = true;
-    all = list(5, "SERVING"), drained = list(6, "DRAINING");
+    serving_list = list(5, "SERVING");
+    draining_list = list(6, "DRAINING");
   }
+  /// A list with both replicas in this state.
   std::string list(int version, const std::string& state) {
     return list_of(version, {member("p", primary.address(), true), member("l", left.address(), false, state),
                              member("r", right.address(), false, state)});
   }
-  std::size_t replicas() { return left.count() + right.count(); }
-  /// Reads until one is answered by the primary: the drain has been heard. False if none is.
-  bool heard_drain(PgClient& c, const std::string& prefix) {
+  /// Number of requests that reached a replica.
+  std::size_t replica_requests() { return left.count() + right.count(); }
+  /// Sends reads until the primary answers one, which shows that the draining list has been applied. False if
+  /// that does not happen.
+  bool wait_for_drain(PgClient& client, const std::string& prefix) {
     for (int i = 0; i < 2000; ++i)
-      if (c.query(statement(prefix + std::to_string(i), "history")).value == "from " + primary.address())
+      if (client.query(statement(prefix + std::to_string(i), "history")).value == "from " + primary.address())
         return true;
     return false;
   }
 };
 
-// ---- lists ----
-
-TEST(Lists, ThatArePushedAreHeardBeforeTheFirstRequest) {
-  Ledger f;
-  f.discovery.tell_first(f.drained);
-  f.discovery.answers = false;
-  Program program(pushed(config_json(f.discovery.address(), f.all)));
-  PgClient c(program.pg(), false);
-  c.socket.send(pg_startup() +
-                pg_query(statement("a1", "history")));  // the old list would send it to a replica
-  while (f.discovery.calls == 0) std::this_thread::yield();
-  f.discovery.answers = true;
-  c.read_answer();  // the welcome
-  EXPECT_EQ(c.read_answer().value, "from " + f.primary.address());
-  EXPECT_EQ(f.replicas(), 0U);
+// ---- member lists ----
+
+// With a registry that pushes lists, the list in the configuration may be outdated at the start.
+TEST(MemberList, FirstPushedListIsAppliedBeforeTheFirstRequest) {
+  Fleet fleet;
+  fleet.discovery.set_first_list(fleet.draining_list);
+  fleet.discovery.answering = false;
+  GatewayProcess program(with_pushed_lists(config_json(fleet.discovery.address(), fleet.serving_list)));
+  PgClient client(program.pg(), false);
+  client.socket.send(pg_startup() +
+                     pg_query(statement("a1", "history")));  // by the old list it would go to a replica
+  while (fleet.discovery.call_count == 0) std::this_thread::yield();
+  fleet.discovery.answering = true;
+  client.read_answer();  // the answer to the startup
+  EXPECT_EQ(client.read_answer().value, "from " + fleet.primary.address());
+  EXPECT_EQ(fleet.replica_requests(), 0U);
 }
 
-TEST(Lists, AnAgentThatIsDownAtTheStartKeepsNobodyWaitingForEver) {
-  Ledger f;
-  Program program(pushed(config_json("127.0.0.1:1", f.all)));
-  PgClient c(program.pg());
-  EXPECT_EQ(c.query(statement("a1", "history")).types, "TDCZ");
+TEST(MemberList, RequestsAreServedIfDiscoveryIsDownAtTheStart) {
+  Fleet fleet;
+  GatewayProcess program(with_pushed_lists(config_json("127.0.0.1:1", fleet.serving_list)));
+  PgClient client(program.pg());
+  EXPECT_EQ(client.query(statement("a1", "history")).types, "TDCZ");
 }
 
-TEST(Lists, APushedWatchThatIsResetIsOpenedAnewAtOnceAndHeard) {
-  Ledger f;
-  Program program(pushed(config_json(f.discovery.address(), f.all)));
-  PgClient c(program.pg());
-  ASSERT_TRUE(f.discovery.wait_watches(1));
-  EXPECT_EQ(c.query(statement("a1", "history")).types, "TDCZ");
-  f.discovery.tell_first(f.drained);
-  f.discovery.drop();
-  ASSERT_TRUE(f.discovery.wait_watches(2));
-  ASSERT_TRUE(f.heard_drain(c, "b"));
-  const auto before = f.replicas();
+TEST(MemberList, ResetWatchIsReopenedAndItsListApplied) {
+  Fleet fleet;
+  GatewayProcess program(with_pushed_lists(config_json(fleet.discovery.address(), fleet.serving_list)));
+  PgClient client(program.pg());
+  ASSERT_TRUE(fleet.discovery.wait_watches(1));
+  EXPECT_EQ(client.query(statement("a1", "history")).types, "TDCZ");
+  fleet.discovery.set_first_list(fleet.draining_list);
+  fleet.discovery.reset_last_watch();
+  ASSERT_TRUE(fleet.discovery.wait_watches(2));
+  ASSERT_TRUE(fleet.wait_for_drain(client, "b"));
+  const auto before = fleet.replica_requests();
   for (int i = 0; i < 20; ++i)
-    EXPECT_EQ(c.query(statement("c" + std::to_string(i), "history")).types, "TDCZ");
-  EXPECT_EQ(f.replicas(), before);
+    EXPECT_EQ(client.query(statement("c" + std::to_string(i), "history")).types, "TDCZ");
+  EXPECT_EQ(fleet.replica_requests(), before);
 }
 
-TEST(Lists, MayComeIndentedOverManyLines) {
-  Ledger f;
-  Program program(config_json(f.discovery.address(), f.all));
-  PgClient c(program.pg());
-  ASSERT_TRUE(f.discovery.wait_watches(1));
+TEST(MemberList, IndentedListOfManyLinesIsApplied) {
+  Fleet fleet;
+  GatewayProcess program(config_json(fleet.discovery.address(), fleet.serving_list));
+  PgClient client(program.pg());
+  ASSERT_TRUE(fleet.discovery.wait_watches(1));
   std::string indented;
-  for (const char ch : f.drained) {
+  for (const char ch : fleet.draining_list) {
     indented += ch;
     if (ch == '{' || ch == ',' || ch == '[') indented += "\n    ";
   }
-  f.discovery.tell(indented);
-  EXPECT_TRUE(f.heard_drain(c, "b"));
-  EXPECT_EQ(f.discovery.watches(), 1U);
+  fleet.discovery.send_list(indented);
+  EXPECT_TRUE(fleet.wait_for_drain(client, "b"));
+  EXPECT_EQ(fleet.discovery.watches(), 1U);
 }
 
-TEST(Lists, AreCutIntoObjectsHoweverTheBytesCome) {
+TEST(MemberList, ObjectsAreSplitIndependentlyOfHowTheBytesArrive) {
   const std::string text =
       "\n{\"a\":[1,{\"b\":\"}\\\"{\"}]}\r\n\r\n  {\n\"c\":\n2}\n{\"d\":\"\\\\\"}{\"e\":1}\n";
-  const std::vector<std::string> wanted = {"{\"a\":[1,{\"b\":\"}\\\"{\"}]}", "{\n\"c\":\n2}",
-                                           "{\"d\":\"\\\\\"}", "{\"e\":1}"};
+  const std::vector<std::string> expected = {"{\"a\":[1,{\"b\":\"}\\\"{\"}]}", "{\n\"c\":\n2}",
+                                             "{\"d\":\"\\\\\"}", "{\"e\":1}"};
   for (std::size_t step = 1; step <= text.size(); ++step) {
     wire::ObjectSplitter splitter;
-    std::vector<std::string> got;
+    std::vector<std::string> objects;
     for (std::size_t at = 0; at < text.size(); at += step) {
       std::string_view bytes = std::string_view(text).substr(at, step);
       std::string object;
       for (bool more = true; more;) {
-        const auto found = splitter.next(bytes, object);
-        ASSERT_NE(found, wire::ObjectSplitter::Result::malformed);
-        if (found == wire::ObjectSplitter::Result::object) got.push_back(object.substr(object.find('{')));
-        more = found != wire::ObjectSplitter::Result::incomplete;
+        const auto result = splitter.next(bytes, object);
+        ASSERT_NE(result, wire::ObjectSplitter::Result::malformed);
+        if (result == wire::ObjectSplitter::Result::object)
+          objects.push_back(object.substr(object.find('{')));
+        more = result != wire::ObjectSplitter::Result::incomplete;
       }
     }
-    EXPECT_EQ(got, wanted) << step;
+    EXPECT_EQ(objects, expected) << step;
   }
   wire::ObjectSplitter splitter;
   std::string object;
@@ -127,79 +139,83 @@
   EXPECT_EQ(splitter.next(bad, object), wire::ObjectSplitter::Result::malformed);
 }
 
-TEST(Lists, AnEntryThatDrainsIsHeededThoughItsAddressCannotBeRead) {
-  Ledger f;
-  Program program(config_json(f.discovery.address(), f.all));
-  PgClient c(program.pg());
-  ASSERT_TRUE(f.discovery.wait_watches(1));
-  f.discovery.tell(R"({"version":6,"full":false,"servers":[{"id":"l","addr":"?","state":"DRAINING"},)"
-                   R"({"id":"r","state":"DELETED"}]})");
-  ASSERT_TRUE(f.heard_drain(c, "b"));
-  const auto before = f.replicas();
+TEST(MemberList, DrainingEntryIsAppliedDespiteAnInvalidAddress) {
+  Fleet fleet;
+  GatewayProcess program(config_json(fleet.discovery.address(), fleet.serving_list));
+  PgClient client(program.pg());
+  ASSERT_TRUE(fleet.discovery.wait_watches(1));
+  fleet.discovery.send_list(
+      R"({"version":6,"full":false,"servers":[{"id":"l","addr":"?","state":"DRAINING"},)"
+      R"({"id":"r","state":"DELETED"}]})");
+  ASSERT_TRUE(fleet.wait_for_drain(client, "b"));
+  const auto before = fleet.replica_requests();
   for (int i = 0; i < 20; ++i)
-    EXPECT_EQ(c.query(statement("c" + std::to_string(i), "history")).types, "TDCZ");
-  EXPECT_EQ(f.replicas(), before);
+    EXPECT_EQ(client.query(statement("c" + std::to_string(i), "history")).types, "TDCZ");
+  EXPECT_EQ(fleet.replica_requests(), before);
 }
 
-TEST(Lists, OlderChangesUndoNoDrainAndAllIsAskedForAnew) {
-  Ledger f;
-  Program program(config_json(f.discovery.address(), f.all));
-  PgClient c(program.pg());
-  ASSERT_TRUE(f.discovery.wait_watches(1));
-  f.discovery.tell(f.drained);
-  ASSERT_TRUE(f.heard_drain(c, "b"));
-  f.discovery.tell_first(f.list(7, "DRAINING"));
-  const auto before = f.replicas();
-  f.discovery.tell(
-      list_of(3, {member("l", f.left.address(), false), member("r", f.right.address(), false)}, false));
-  for (int i = 0; f.discovery.watches() < 2 || i < 40; ++i)
-    ASSERT_EQ(c.query(statement("c" + std::to_string(i), "history")).types, "TDCZ");
-  EXPECT_EQ(f.replicas(), before);
+// A delayed delta with an older version must not put draining hosts back into service.
+TEST(MemberList, OutdatedDeltaIsIgnoredAndTheWatchReopened) {
+  Fleet fleet;
+  GatewayProcess program(config_json(fleet.discovery.address(), fleet.serving_list));
+  PgClient client(program.pg());
+  ASSERT_TRUE(fleet.discovery.wait_watches(1));
+  fleet.discovery.send_list(fleet.draining_list);
+  ASSERT_TRUE(fleet.wait_for_drain(client, "b"));
+  fleet.discovery.set_first_list(fleet.list(7, "DRAINING"));
+  const auto before = fleet.replica_requests();
+  fleet.discovery.send_list(list_of(
+      3, {member("l", fleet.left.address(), false), member("r", fleet.right.address(), false)}, false));
+  for (int i = 0; fleet.discovery.watches() < 2 || i < 40; ++i)
+    ASSERT_EQ(client.query(statement("c" + std::to_string(i), "history")).types, "TDCZ");
+  EXPECT_EQ(fleet.replica_requests(), before);
 }
 
-TEST(Lists, BytesThatNeverMakeAListAreNoSignOfLife) {
-  Ledger f;
-  Program program(config_json(f.discovery.address(), f.all));
-  ASSERT_TRUE(f.discovery.wait_watches(1));
-  f.discovery.blurt("{\"version\":", false);
-  const auto until = Clock::now() + patience;
-  while (f.discovery.watches() < 2 && Clock::now() < until) {
-    f.discovery.raw(" ");
+// Bytes alone must not count as a heartbeat, or a watch whose list never ends would stay open.
+TEST(MemberList, WatchWithoutACompleteListIsReopened) {
+  Fleet fleet;
+  GatewayProcess program(config_json(fleet.discovery.address(), fleet.serving_list));
+  ASSERT_TRUE(fleet.discovery.wait_watches(1));
+  fleet.discovery.send_partial_chunk("{\"version\":", false);
+  const auto give_up_at = Clock::now() + response_timeout;
+  while (fleet.discovery.watches() < 2 && Clock::now() < give_up_at) {
+    fleet.discovery.send_raw(" ");
     std::this_thread::sleep_for(20ms);
   }
-  EXPECT_EQ(f.discovery.watches(), 2U);
+  EXPECT_EQ(fleet.discovery.watches(), 2U);
 }
 
-TEST(Lists, SilenceIsSeenTwiceBeforeWhatIsMissedCountsAsTold) {
+// A list counts as delivered after 6 s, so two silent watches in a row must be detected before that.
+TEST(MemberList, TwoSilentWatchesAreDetectedWithinSixSecondsAndReopeningBacksOff) {
   using fleet::WatchTiming;
   EXPECT_GT(WatchTiming::silence_timeout(true), WatchTiming::heartbeat);
   EXPECT_LT(WatchTiming::silence_timeout(true) + WatchTiming::silence_timeout(false), Duration(6'000'000));
   for (const auto grace : {1, 250'000, 1'000'000, 5'000'000}) {
-    WatchTiming terms{Duration(grace)};
-    EXPECT_EQ(terms.next_reopen_delay(), Duration(0));  // at once after one that was answered
-    Duration last{};
+    WatchTiming timing{Duration(grace)};
+    EXPECT_EQ(timing.next_reopen_delay(), Duration(0));  // at once after an answered watch
+    Duration previous{};
     for (int i = 0; i < 50; ++i) {
-      const auto wait = terms.next_reopen_delay();
-      EXPECT_GE(wait, last);
-      EXPECT_LE(wait, std::max(Duration(grace / 4), Duration(20'000)));
-      last = wait;
+      const auto delay = timing.next_reopen_delay();
+      EXPECT_GE(delay, previous);
+      EXPECT_LE(delay, std::max(Duration(grace / 4), Duration(20'000)));
+      previous = delay;
     }
-    EXPECT_GE(last, Duration(20'000)) << "calls are bounded";
-    terms.on_message();
-    EXPECT_EQ(terms.next_reopen_delay(), Duration(0));
+    EXPECT_GE(previous, Duration(20'000)) << "the rate of calls is bounded";
+    timing.on_message();
+    EXPECT_EQ(timing.next_reopen_delay(), Duration(0));
   }
 }
 
-// ---- clients that leave ----
+// ---- clients that disconnect ----
 
-/// A group without a primary, of either front, so that what only a primary can take waits; both fronts, the
-/// door.
-struct Waiting {
+/// A gateway with a PostgreSQL and a MySQL listener and a control endpoint. Neither group has a primary, so
+/// that requests for a primary wait.
+struct WithoutPrimary {
   PgStandIn pg_host;
   MysqlStandIn mysql_host;
   Discovery discovery, mysql_discovery;
-  Program program;
-  explicit Waiting(const std::string& memory = "192")
+  GatewayProcess program;
+  explicit WithoutPrimary(const std::string& memory = "192")
       : discovery(list_of(1, {member("p", pg_host.address(), false)})),
         mysql_discovery(list_of(1, {member("m", mysql_host.address(), false)})),
         program(with_key(replaced(config_json(discovery.address(),
@@ -208,28 +224,32 @@
                          R"("control":"127.0.0.1:0")"),
                 with_key(mysql_json(list_of(1, {member("m", mysql_host.address(), false)})),
                          R"("discovery":")" + mysql_discovery.address() + "\"")) {}
-  long active() { return figure(call(program.control(), "GET", "/-/metrics").body, "app_active"); }
-  bool wait_active(long n, std::chrono::milliseconds most = patience) {
-    for (const auto until = Clock::now() + most; Clock::now() < until;)
-      if (active() == n) return true;
+  /// Number of open requests.
+  long active_requests() {
+    return metric_value(call(program.control(), "GET", "/-/metrics").body, "app_active");
+  }
+  bool wait_active(long n, std::chrono::milliseconds timeout = response_timeout) {
+    for (const auto give_up_at = Clock::now() + timeout; Clock::now() < give_up_at;)
+      if (active_requests() == n) return true;
     return false;
   }
-  /// From here on there is a primary for whoever still waits: another host by its id, so that the list's word
-  /// on its role counts at once.
-  void find_primary() {
-    pg_host.primary = true, mysql_host.primary = true;
-    discovery.tell(list_of(2, {member("p2", pg_host.address(), true)}));
-    mysql_discovery.tell(list_of(2, {member("m2", mysql_host.address(), true)}));
+  /// Provides both groups with a primary. It gets another host id, so that its listed role counts at once.
+  void add_primary() {
+    pg_host.primary = true;
+    mysql_host.primary = true;
+    discovery.send_list(list_of(2, {member("p2", pg_host.address(), true)}));
+    mysql_discovery.send_list(list_of(2, {member("m2", mysql_host.address(), true)}));
   }
+  /// A request that only a primary can serve.
   static std::string gate(const std::string& id) { return statement(id, "gate", 30'000); }
   static std::string mysql_gate(const std::string& id) {
-    std::string out;
+    std::string packet;
     std::uint8_t sequence = 0;
-    wire::mysql::put_packet(out, sequence, wire::mysql::query_packet({}, gate(id)));
-    return out;
+    wire::mysql::put_packet(packet, sequence, wire::mysql::query_packet({}, gate(id)));
+    return packet;
   }
-  /// Both hosts see what two that come now ask, and nothing else.
-  void only_those_who_stay() {
+  /// Checks that each host receives the request of a new client, and no other.
+  void expect_only_new_requests() {
     PgClient pg(program.pg());
     MysqlRaw mysql(program.mysql());
     EXPECT_EQ(pg.query(gate("stays")).types, "TDCZ");
@@ -240,128 +260,140 @@
   }
 };
 
-TEST(Leaving, WhoeverLeftWhileItWaitedIsNotSentOnHoweverItLeft) {
-  Waiting w;
-  const std::string more(std::size_t{101} << 10U, ' ');  // two of these are more than its buffer takes
+// A client may leave by an orderly close, a reset, or a terminate message, also behind input that the gateway
+// has not read yet. Its waiting request must never reach a host.
+TEST(Disconnect, WaitingRequestOfADisconnectedClientIsNotSent) {
+  WithoutPrimary gateway;
+  const std::string filler(std::size_t{101} << 10U, ' ');  // two of these exceed the gateway's input buffer
   const std::string terminate("X\0\0\0\4", 5);
-  std::vector<std::unique_ptr<PgClient>> clients;
-  std::vector<std::unique_ptr<MysqlRaw>> others;
+  std::vector<std::unique_ptr<PgClient>> pg_clients;
+  std::vector<std::unique_ptr<MysqlRaw>> mysql_clients;
   long count = 0;
   for (int i = 0; i < 60; ++i) {
     const auto id = "w" + std::to_string(i);
-    auto& c = *clients.emplace_back(std::make_unique<PgClient>(w.program.pg()));
-    std::string all = pg_query(Waiting::gate(id));
+    auto& pg_client = *pg_clients.emplace_back(std::make_unique<PgClient>(gateway.program.pg()));
+    std::string pipeline = pg_query(WithoutPrimary::gate(id));
     ++count;
-    if (i % 5 == 1) all += terminate;
-    if (i % 5 ==
-        2) {  // more than the gateway takes at once, so that the end stands behind what it does not read
-      for (int k = 0; k < 20; ++k) all += pg_query(Waiting::gate(id + "." + std::to_string(k)));
-      all += pg_query("SELECT 1 " + more) + pg_query("SELECT 2 " + more);
+    if (i % 5 == 1) pipeline += terminate;
+    if (i % 5 == 2) {
+      // More requests than the gateway reads at once, so that the end of the stream is behind unread input.
+      for (int k = 0; k < 20; ++k) pipeline += pg_query(WithoutPrimary::gate(id + "." + std::to_string(k)));
+      pipeline += pg_query("SELECT 1 " + filler) + pg_query("SELECT 2 " + filler);
       count += 15;
     }
-    c.socket.send(all);
-    auto& o = *others.emplace_back(std::make_unique<MysqlRaw>(w.program.mysql()));
-    std::string packets = Waiting::mysql_gate(id);
+    pg_client.socket.send(pipeline);
+    auto& mysql_client = *mysql_clients.emplace_back(std::make_unique<MysqlRaw>(gateway.program.mysql()));
+    std::string packets = WithoutPrimary::mysql_gate(id);
     ++count;
     if (i % 5 == 2)
       for (int k = 0; k < 2; ++k) {
         std::uint8_t sequence = 0;
-        wire::mysql::put_packet(packets, sequence, wire::mysql::query_packet({}, more));
+        wire::mysql::put_packet(packets, sequence, wire::mysql::query_packet({}, filler));
       }
-    o.socket.send(packets);
+    mysql_client.socket.send(packets);
   }
-  ASSERT_TRUE(w.wait_active(count)) << w.active();
+  ASSERT_TRUE(gateway.wait_active(count)) << gateway.active_requests();
   for (int i = 0; i < 60; ++i) {
-    auto& c = clients[static_cast<std::size_t>(i)]->socket;
-    auto& o = others[static_cast<std::size_t>(i)]->socket;
-    if (i % 5 == 3)
-      c.reset(), o.reset();
-    else
-      ::shutdown(c.fd(), SHUT_WR), ::shutdown(o.fd(), SHUT_WR);
-    if (i % 5 == 4) clients[static_cast<std::size_t>(i)].reset(), others[static_cast<std::size_t>(i)].reset();
+    auto& pg_client = pg_clients[static_cast<std::size_t>(i)]->socket;
+    auto& mysql_client = mysql_clients[static_cast<std::size_t>(i)]->socket;
+    if (i % 5 == 3) {
+      pg_client.reset();
+      mysql_client.reset();
+    } else {
+      ::shutdown(pg_client.fd(), SHUT_WR);
+      ::shutdown(mysql_client.fd(), SHUT_WR);
+    }
+    if (i % 5 == 4) {
+      pg_clients[static_cast<std::size_t>(i)].reset();
+      mysql_clients[static_cast<std::size_t>(i)].reset();
+    }
   }
-  ASSERT_TRUE(w.wait_active(0, 2s)) << "they leave waiting lines, budgets and counts: " << w.active();
-  w.find_primary();
-  w.only_those_who_stay();
+  ASSERT_TRUE(gateway.wait_active(0, 2s)) << "requests still counted as open: " << gateway.active_requests();
+  gateway.add_primary();
+  gateway.expect_only_new_requests();
 }
 
-TEST(Leaving, AcrossAnUpgradeNothingIsSentForThemByEitherProcess) {
-  Waiting w;
-  std::vector<std::unique_ptr<PgClient>> clients;
-  std::vector<std::unique_ptr<MysqlRaw>> others;
+TEST(Disconnect, NeitherProcessSendsRequestsOfClientsThatDisconnectDuringAnUpgrade) {
+  WithoutPrimary gateway;
+  std::vector<std::unique_ptr<PgClient>> pg_clients;
+  std::vector<std::unique_ptr<MysqlRaw>> mysql_clients;
   for (int i = 0; i < 20; ++i) {
     const auto id = "w" + std::to_string(i);
-    std::string all = pg_query(Waiting::gate(id));
-    if (i % 2 == 1)  // its end stands behind what is not read
-      for (int k = 0; k < 20; ++k) all += pg_query(Waiting::gate(id + "." + std::to_string(k)));
-    if (i % 2 == 1) all += pg_query(std::string(101 << 10, ' ')) + pg_query(std::string(101 << 10, ' '));
-    clients.emplace_back(std::make_unique<PgClient>(w.program.pg()))->socket.send(all);
-    others.emplace_back(std::make_unique<MysqlRaw>(w.program.mysql()))->socket.send(Waiting::mysql_gate(id));
+    std::string pipeline = pg_query(WithoutPrimary::gate(id));
+    if (i % 2 == 1)  // the end of the stream is behind unread input
+      for (int k = 0; k < 20; ++k) pipeline += pg_query(WithoutPrimary::gate(id + "." + std::to_string(k)));
+    if (i % 2 == 1) pipeline += pg_query(std::string(101 << 10, ' ')) + pg_query(std::string(101 << 10, ' '));
+    pg_clients.emplace_back(std::make_unique<PgClient>(gateway.program.pg()))->socket.send(pipeline);
+    mysql_clients.emplace_back(std::make_unique<MysqlRaw>(gateway.program.mysql()))
+        ->socket.send(WithoutPrimary::mysql_gate(id));
   }
-  ASSERT_TRUE(w.wait_active(10 + 10 * 16 + 20)) << w.active();
-  Program next(w.program, w.program.pg());
-  ASSERT_TRUE(w.program.wait_output("followed", 1));
-  clients.clear(), others.clear();
-  ASSERT_TRUE(w.wait_active(0, 2s)) << w.active();
-  w.program.signal(SIGTERM);
-  w.find_primary();
-  w.only_those_who_stay();
-  EXPECT_EQ(w.program.wait_exit(), 0);
+  ASSERT_TRUE(gateway.wait_active(10 + 10 * 16 + 20)) << gateway.active_requests();
+  GatewayProcess next(gateway.program, gateway.program.pg());
+  ASSERT_TRUE(gateway.program.wait_output("followed", 1));
+  pg_clients.clear();
+  mysql_clients.clear();
+  ASSERT_TRUE(gateway.wait_active(0, 2s)) << gateway.active_requests();
+  gateway.program.signal(SIGTERM);
+  gateway.add_primary();
+  gateway.expect_only_new_requests();
+  EXPECT_EQ(gateway.program.wait_exit(), 0);
 }
 
-// ---- answers that are owed ----
-
-TEST(Owed, ManyLongAnswersWaitForAClientThatReadsThemLate) {
-  Ledger f;
-  Program program(config_json(f.discovery.address(), f.all));
-  f.primary.padding = 60'000;
-  PgClient c(program.pg());
-  const int all = 150;  // more than sockets and buffers hold
-  std::thread asks([&] {
-    for (int i = 0; i < all; ++i) c.socket.send(pg_query(statement("a" + std::to_string(i), "gate", 15'000)));
+// ---- answers not delivered yet ----
+
+TEST(PendingAnswers, ManyLongAnswersReachAClientThatReadsLate) {
+  Fleet fleet;
+  GatewayProcess program(config_json(fleet.discovery.address(), fleet.serving_list));
+  fleet.primary.padding_bytes = 60'000;
+  PgClient client(program.pg());
+  const int request_count = 150;  // their answers exceed the buffers of the sockets and the gateway
+  std::thread sender([&] {
+    for (int i = 0; i < request_count; ++i)
+      client.socket.send(pg_query(statement("a" + std::to_string(i), "gate", 15'000)));
   });
-  ASSERT_TRUE(f.primary.wait_for(40));
-  std::this_thread::sleep_for(500ms);  // no event: nothing more moves
-  for (int i = 0; i < all; ++i) ASSERT_EQ(c.read_answer().types, "TDCZ") << i;
-  asks.join();
+  ASSERT_TRUE(fleet.primary.wait_for(40));
+  std::this_thread::sleep_for(500ms);  // no event to wait for: by then all buffers are full
+  for (int i = 0; i < request_count; ++i) ASSERT_EQ(client.read_answer().types, "TDCZ") << i;
+  sender.join();
 }
 
-TEST(Owed, WantOfMemoryEndsTheLargestThatOwesNothingAndNobodyWhoIsOwedAnAnswer) {
-  Ledger f;
-  Program program(
-      replaced(config_json(f.discovery.address(), f.all), "\"memory_mb\":192", "\"memory_mb\":16"));
-  f.primary.act = Act::hold;
-  const auto begun = [](std::size_t bytes) {  // a command of which this much comes
-    auto q = pg_query(std::string(195'000, ' '));
-    return q.substr(0, bytes);
+// Under memory pressure the gateway closes the client with the most input, but none with an open request.
+TEST(PendingAnswers, MemoryPressureClosesNoClientThatWaitsForAnAnswer) {
+  Fleet fleet;
+  GatewayProcess program(replaced(config_json(fleet.discovery.address(), fleet.serving_list),
+                                  "\"memory_mb\":192", "\"memory_mb\":16"));
+  fleet.primary.behavior = Behavior::hold;
+  const auto partial_command = [](std::size_t bytes) {  // the first bytes of a command
+    auto command = pg_query(std::string(195'000, ' '));
+    return command.substr(0, bytes);
   };
-  PgClient owed(program.pg());
-  owed.socket.send(pg_query(statement("a", "gate", 15'000)));
-  ASSERT_TRUE(f.primary.wait_for(1));
-  owed.socket.send(begun(190'000));  // the largest of all
+  PgClient waiting(program.pg());
+  waiting.socket.send(pg_query(statement("a", "gate", 15'000)));
+  ASSERT_TRUE(fleet.primary.wait_for(1));
+  waiting.socket.send(partial_command(190'000));  // the most input of all clients
   std::vector<std::unique_ptr<PgClient>> others;
   for (int i = 0; i < 90; ++i) {
     others.push_back(std::make_unique<PgClient>(program.pg()));
-    others.back()->socket.send(begun(120'000));
+    others.back()->socket.send(partial_command(120'000));
   }
-  PgClient last(program.pg());  // all of that has been read once it is answered
+  PgClient last(program.pg());  // once it is answered, all input before it has been read
   EXPECT_EQ(last.query("").types, "IZ");
-  f.primary.act = Act::serve;
-  EXPECT_EQ(owed.read_answer().types, "TDCZ");
+  fleet.primary.behavior = Behavior::serve;
+  EXPECT_EQ(waiting.read_answer().types, "TDCZ");
 }
 
-// ---- the end ----
+// ---- shutdown ----
 
-TEST(TheEnd, WhatWaitsInTheListenersQueueAndInSocketsIsServed) {
-  Ledger f;
-  Program program(config_json(f.discovery.address(), f.all));
+TEST(Shutdown, ClientsInTheListenQueueAndRequestsInSocketsAreServed) {
+  Fleet fleet;
+  GatewayProcess program(config_json(fleet.discovery.address(), fleet.serving_list));
   PgClient stays(program.pg());
   EXPECT_EQ(stays.query(statement("a1", "gate")).types, "TDCZ");
   PgClient idle(program.pg());
   program.signal(SIGTERM);
-  EXPECT_EQ(idle.query(statement("a2", "gate")).types, "TDCZ");  // it has been heard by now
-  program.stand_still();
-  std::this_thread::sleep_for(600ms);  // no event: the time is up in which it still takes clients
+  EXPECT_EQ(idle.query(statement("a2", "gate")).types, "TDCZ");  // the signal has been handled by now
+  program.suspend();
+  std::this_thread::sleep_for(600ms);  // no event to wait for: by then it accepts no more clients
   std::vector<std::unique_ptr<PgClient>> queued;
   for (int i = 0; i < 70; ++i) {
     queued.push_back(std::make_unique<PgClient>(program.pg(), false));
@@ -370,107 +402,112 @@
   stays.socket.send(pg_query(statement("a3", "gate")));
   program.signal(SIGCONT);
   EXPECT_EQ(stays.read_answer().types, "TDCZ");
-  for (auto& c : queued) {
-    c->read_answer();  // the welcome
-    EXPECT_EQ(c->read_answer().types, "TDCZ");
+  for (auto& client : queued) {
+    client->read_answer();  // the answer to the startup
+    EXPECT_EQ(client->read_answer().types, "TDCZ");
   }
   EXPECT_EQ(program.wait_exit(), 0);
 }
 
-TEST(TheEnd, BeforeTheFirstListWhoeverHasComeIsServed) {
-  Ledger f;
-  f.discovery.answers = false;
-  Program program(pushed(config_json(f.discovery.address(), f.all)));
-  PgClient c(program.pg(), false);
-  c.socket.send(pg_startup() + pg_query(statement("a1", "history")));
+TEST(Shutdown, ClientThatArrivedBeforeTheFirstMemberListIsServed) {
+  Fleet fleet;
+  fleet.discovery.answering = false;
+  GatewayProcess program(with_pushed_lists(config_json(fleet.discovery.address(), fleet.serving_list)));
+  PgClient client(program.pg(), false);
+  client.socket.send(pg_startup() + pg_query(statement("a1", "history")));
   program.signal(SIGTERM);
-  c.read_answer();  // the welcome
-  EXPECT_EQ(c.read_answer().types, "TDCZ");
+  client.read_answer();  // the answer to the startup
+  EXPECT_EQ(client.read_answer().types, "TDCZ");
   EXPECT_EQ(program.wait_exit(), 0);
-  f.discovery.answers = true;
+  fleet.discovery.answering = true;
 }
 
-TEST(TheEnd, WhatIsStillHeldIsAnsweredBeforeItIsKilledThoughItMightWaitLonger) {
-  Ledger f;
-  // 0.6 s until the last call.
-  std::string config = config_json(f.discovery.address(), f.all);
-  const std::string usual = "\"aim\":2000,\"deadline\":5000";
-  for (auto at = config.find(usual); at != std::string::npos; at = config.find(usual))
-    config.replace(at, usual.size(), "\"aim\":80,\"deadline\":100");
-  Program program(config);
-  f.primary.act = Act::hang;
+// The deadline of the request is later than the time at which a supervisor would kill the process.
+TEST(Shutdown, OpenRequestIsAnsweredBeforeItsDeadline) {
+  Fleet fleet;
+  // With these deadlines, open requests are answered 0.6 s after the signal.
+  std::string config = config_json(fleet.discovery.address(), fleet.serving_list);
+  const std::string original = "\"aim\":2000,\"deadline\":5000";
+  for (auto at = config.find(original); at != std::string::npos; at = config.find(original))
+    config.replace(at, original.size(), "\"aim\":80,\"deadline\":100");
+  GatewayProcess program(config);
+  fleet.primary.behavior = Behavior::hang;
   PgClient out(program.pg());
   out.socket.send(pg_query(statement("a1", "pay", 60'000)));
-  ASSERT_TRUE(f.primary.wait_for(1));
+  ASSERT_TRUE(fleet.primary.wait_for(1));
   program.signal(SIGTERM);
   program.signal(SIGTERM);
   EXPECT_EQ(out.read_answer().code, "58000");  // it may have run
-  EXPECT_TRUE(f.primary.wait_ended(1));
+  EXPECT_TRUE(fleet.primary.wait_ended(1));
   EXPECT_EQ(program.wait_exit(), 0);
 }
 
-/// An upgrade held at its middle: the next process has the listener, and waits for its first list.
-struct HalfWay {
-  Ledger f;
-  Program old{with_key(pushed(config_json(f.discovery.address(), f.all)), R"("control":"127.0.0.1:0")")};
-  PgClient idle{old.pg()}, busy{old.pg()};
-  std::unique_ptr<Program> next;
-  HalfWay() {
+/// An upgrade stopped in the middle: the next process has the listener and waits for its first member list.
+struct InterruptedUpgrade {
+  Fleet fleet;
+  GatewayProcess old{with_key(with_pushed_lists(config_json(fleet.discovery.address(), fleet.serving_list)),
+                              R"("control":"127.0.0.1:0")")};
+  PgClient idle{old.pg()};
+  PgClient busy{old.pg()};
+  std::unique_ptr<GatewayProcess> next;
+  InterruptedUpgrade() {
     EXPECT_EQ(idle.query(statement("i1", "gate")).types, "TDCZ");
-    f.primary.act = Act::hold;
+    fleet.primary.behavior = Behavior::hold;
     busy.socket.send(pg_query(statement("b1", "pay")));
-    EXPECT_TRUE(f.primary.wait_for(2));
-    f.discovery.answers = false;
-    const int before = f.discovery.calls;
-    next = std::make_unique<Program>(old, old.pg());
-    for (const auto until = Clock::now() + patience; f.discovery.calls == before && Clock::now() < until;) {
+    EXPECT_TRUE(fleet.primary.wait_for(2));
+    fleet.discovery.answering = false;
+    const int before = fleet.discovery.call_count;
+    next = std::make_unique<GatewayProcess>(old, old.pg());
+    for (const auto give_up_at = Clock::now() + response_timeout;
+         fleet.discovery.call_count == before && Clock::now() < give_up_at;) {
     }
   }
 };
 
-TEST(TheEnd, AHandOverCrossedByTheOldOnesSigtermLosesNobody) {
-  HalfWay h;
-  h.old.signal(SIGTERM);
-  PgClient meanwhile(h.old.pg(), false);  // heard by either
+TEST(Shutdown, SigtermOfTheOldProcessDuringAnUpgradeLosesNoClient) {
+  InterruptedUpgrade upgrade;
+  upgrade.old.signal(SIGTERM);
+  PgClient meanwhile(upgrade.old.pg(), false);  // either process may serve it
   meanwhile.socket.send(pg_startup() + pg_query(statement("m1", "history")));
-  h.f.primary.act = Act::serve;
-  EXPECT_EQ(h.busy.read_answer().types, "TDCZ");
-  meanwhile.read_answer();  // the welcome
+  upgrade.fleet.primary.behavior = Behavior::serve;
+  EXPECT_EQ(upgrade.busy.read_answer().types, "TDCZ");
+  meanwhile.read_answer();  // the answer to the startup
   EXPECT_EQ(meanwhile.read_answer().types, "TDCZ");
-  EXPECT_EQ(h.old.wait_exit(), 0);
-  // Comes while nobody takes clients, and waits in the listener's queue.
-  PgClient late(h.old.pg(), false);
+  EXPECT_EQ(upgrade.old.wait_exit(), 0);
+  // Arrives while neither process accepts clients, and waits in the listen queue.
+  PgClient late(upgrade.old.pg(), false);
   late.socket.send(pg_startup() + pg_query(statement("l1", "gate")));
-  h.f.discovery.answers = true;
-  late.read_answer();  // the welcome
+  upgrade.fleet.discovery.answering = true;
+  late.read_answer();  // the answer to the startup
   EXPECT_EQ(late.read_answer().types, "TDCZ");
 }
 
-TEST(TheEnd, AHandOverThatTheNextOnesSigtermEndsLeavesTheOldOneServing) {
-  HalfWay h;
-  h.next->signal(SIGTERM);
-  h.f.primary.act = Act::serve;
+TEST(Shutdown, SigtermOfTheNextProcessDuringAnUpgradeLeavesTheOldOneServing) {
+  InterruptedUpgrade upgrade;
+  upgrade.next->signal(SIGTERM);
+  upgrade.fleet.primary.behavior = Behavior::serve;
   for (int i = 0; i < 40; ++i) {
-    PgClient c(h.old.pg());
-    EXPECT_EQ(c.query(statement("c" + std::to_string(i), "gate")).types, "TDCZ");
+    PgClient client(upgrade.old.pg());
+    EXPECT_EQ(client.query(statement("c" + std::to_string(i), "gate")).types, "TDCZ");
   }
-  EXPECT_EQ(h.next->wait_exit(), 0);
-  EXPECT_EQ(h.busy.read_answer().types, "TDCZ");
-  EXPECT_EQ(h.idle.query(statement("i2", "gate")).types, "TDCZ");
-  PgClient c(h.old.pg());
-  EXPECT_EQ(c.query(statement("d", "gate")).types, "TDCZ");
-  h.f.discovery.answers = true;
+  EXPECT_EQ(upgrade.next->wait_exit(), 0);
+  EXPECT_EQ(upgrade.busy.read_answer().types, "TDCZ");
+  EXPECT_EQ(upgrade.idle.query(statement("i2", "gate")).types, "TDCZ");
+  PgClient client(upgrade.old.pg());
+  EXPECT_EQ(client.query(statement("d", "gate")).types, "TDCZ");
+  upgrade.fleet.discovery.answering = true;
 }
 
-// ---- settings from elsewhere ----
+// ---- settings ----
 
-TEST(Settings, AKeyThatCannotBeGuessedIsNamedWhereItIsMissing) {
+TEST(Settings, MissingKeyWithoutADefaultIsNamedInTheError) {
   const auto good = config_json("127.0.0.1:1", list_of(1, {}));
   EXPECT_NO_THROW(app::parse_config(good));
   for (const auto* key : {"registry_mode", "name", "aim", "deadline", "effect", "window", "group", "send_cap",
                           "stop_sending_within", "tip_multiple", "tip_after", "cold", "needs_by_class",
                           "checks", "guarantees", "specifics"}) {
-    // The last that has the name: a key of another is left in its place. The gateway's own name comes first.
+    // Removes the last key of that name; other objects keep theirs. For "name" that is the last one of a
+    // class.
     auto bad = good;
     const auto at = bad.rfind("\"" + std::string(key) + "\":",
                               std::string(key) == "name" ? bad.find("realms") : bad.npos);
@@ -478,19 +515,19 @@
     bad.replace(at + 1, std::string(key).size(), "x" + std::string(key));
     try {
       app::parse_config(bad);
-      // Of five classes the last may be repeated by nobody: it needs no window.
+      // The last class is not idempotent, so it needs no group or window for retries.
       EXPECT_TRUE(std::string(key) == "window" || std::string(key) == "group") << key;
     } catch (const app::ConfigError& e) {
       EXPECT_NE(std::string(e.what()).find(std::string(key) + ": missing"), std::string::npos) << e.what();
     }
   }
-  auto fewer = replaced(good, R"("needs_by_class":["lag_bound",)", R"("needs_by_class":[)");
-  EXPECT_THROW(app::parse_config(fewer), app::ConfigError);
-  // A keyed class does need its window.
+  auto one_missing = replaced(good, R"("needs_by_class":["lag_bound",)", R"("needs_by_class":[)");
+  EXPECT_THROW(app::parse_config(one_missing), app::ConfigError);
+  // A class with idempotency keys needs its window.
   const auto bid = good.find("\"bid\"");
-  auto keyed = good;
-  keyed.replace(keyed.find("\"window\"", bid), 8, "\"xwindow\"");
-  EXPECT_THROW(app::parse_config(keyed), app::ConfigError);
+  auto without_window = good;
+  without_window.replace(without_window.find("\"window\"", bid), 8, "\"xwindow\"");
+  EXPECT_THROW(app::parse_config(without_window), app::ConfigError);
 }
 
 }  // namespace
--- a/tests/mysql_test.cpp
+++ b/tests/mysql_test.cpp
@@ -13,14 +13,14 @@
 
 struct Ledger {
   MysqlStandIn a, b;
-  std::unique_ptr<Program> program;
+  std::unique_ptr<GatewayProcess> program;
   Ledger() {
     a.primary = true;
     const auto known = list_of(1, {member("a", a.address(), true), member("b", b.address(), false)});
-    program = std::make_unique<Program>(config_json("127.0.0.1:1", list_of(1, {})), mysql_json(known));
+    program = std::make_unique<GatewayProcess>(config_json("127.0.0.1:1", list_of(1, {})), mysql_json(known));
   }
   std::size_t all() { return a.count() + b.count(); }
-  void hand_over() { a.act = Act::miss, a.primary = false, b.primary = true; }
+  void hand_over() { a.behavior = Behavior::reject_as_stale, a.primary = false, b.primary = true; }
 };
 
 /// The client library's connection.
@@ -155,7 +155,7 @@
 
 TEST(Mysql, AHostsOwnErrorIsPassedOn) {
   Ledger l;
-  l.a.act = Act::error;
+  l.a.behavior = Behavior::error;
   Library c(l.program->mysql());
   Prepared s(c, statement("e1", "pay"));
   EXPECT_EQ(s.run(), "");
@@ -184,12 +184,12 @@
   Ledger l;
   MysqlRaw c(l.program->mysql());
   const auto id = c.prepare("INSERT INTO records VALUES (1)");
-  l.a.forget = true;
+  l.a.forget_statements = true;
   c.command(execute_with(id, contract("e1", "pay")));
   const auto e = c.read_error();
   EXPECT_EQ(e.code, 3168);  // refused: it has never run
   EXPECT_EQ(l.a.count(), 0U);
-  l.a.forget = false;
+  l.a.forget_statements = false;
   c.command(execute_with(id, contract("e2", "pay")));
   EXPECT_EQ(c.read_packet(), "\1");
   EXPECT_EQ(l.a.seen(), (std::vector<std::string>{"e2"}));
@@ -197,13 +197,13 @@
 
 TEST(Mysql, AResetMidExecuteRepeatsNothingThatMayNotBe) {
   Ledger l;
-  l.a.act = Act::reset_once;
+  l.a.behavior = Behavior::reset_once;
   MysqlRaw c(l.program->mysql());
   const auto id = c.prepare("INSERT INTO records VALUES (1)");
   c.command(execute_with(id, contract("e1", "pay")));
   EXPECT_EQ(c.read_error().code, 1105);
   EXPECT_EQ(l.all(), 1U);
-  l.a.act = Act::reset_once;
+  l.a.behavior = Behavior::reset_once;
   c.command(execute_with(id, contract("e2", "bid")));  // keyed: its ledger set drops a repeat
   EXPECT_EQ(c.read_packet(), "\1");
   EXPECT_EQ(l.a.seen(), (std::vector<std::string>{"e1", "e2", "e2"}));
@@ -212,14 +212,14 @@
 
 TEST(Mysql, AClientThatClosesMidExecuteRepeatsNothing) {
   Ledger l;
-  l.a.act = Act::hang;
+  l.a.behavior = Behavior::hang;
   {
     MysqlRaw c(l.program->mysql());
     c.command(execute_with(c.prepare("INSERT INTO records VALUES (1)"), contract("e1", "bid")));
     ASSERT_TRUE(l.a.wait_for(1));
   }
   EXPECT_TRUE(l.a.wait_ended(1));  // its host connection is dropped
-  l.a.act = Act::serve;
+  l.a.behavior = Behavior::serve;
   MysqlRaw c(l.program->mysql());
   c.command(execute_with(c.prepare("INSERT INTO records VALUES (1)"), contract("e2", "bid")));
   EXPECT_EQ(c.read_packet(), "\1");
@@ -229,7 +229,7 @@
 
 TEST(Mysql, ADeadlineEndsAnExecuteInTime) {
   Ledger l;
-  l.a.act = Act::hang;
+  l.a.behavior = Behavior::hang;
   MysqlRaw c(l.program->mysql());
   const auto id = c.prepare("INSERT INTO records VALUES (1)");
   const auto start = Clock::now();
@@ -242,7 +242,7 @@
 
 TEST(Mysql, ADeadlineCountsFromTheLastByteNotFromTheTurn) {
   Ledger l;
-  l.a.act = Act::hang;
+  l.a.behavior = Behavior::hang;
   MysqlRaw c(l.program->mysql());
   std::string both;
   for (const auto* id : {"e1", "e2"}) {
@@ -257,7 +257,7 @@
 
 TEST(Mysql, ADrainFinishesWhatIsHeld) {
   Ledger l;
-  l.a.act = Act::hang;
+  l.a.behavior = Behavior::hang;
   MysqlRaw held(l.program->mysql()), idle(l.program->mysql());
   held.command(execute_with(held.prepare("INSERT INTO records VALUES (1)"), contract("e1", "pay", "2500")));
   ASSERT_TRUE(l.a.wait_for(1));
@@ -303,12 +303,12 @@
   int i = 0;
   for (const auto& spoilt : {begun + packet(4, my::error_packet({1040, "08004", "full"})),
                              begun + packet(9, my::ok_packet({}, 0xfe, true)), packet(7, "\1")}) {
-    l.a.say_once(spoilt);
+    l.a.answer_once_with(spoilt);
     c.command(my::query_packet({}, statement("s" + std::to_string(++i), "pay")));
     EXPECT_EQ(c.read_error().code, 1105) << i;  // it may have run
     EXPECT_EQ(l.all(), static_cast<std::size_t>(i));
   }
-  l.a.say_once(whole + whole);
+  l.a.answer_once_with(whole + whole);
   c.socket.send(packet(0, my::query_packet({}, statement("a1", "pay"))) +
                 packet(0, my::query_packet({}, statement("a2", "pay"))));
   for (const auto& value : {std::string("mine"), "from " + l.a.address()}) {
--- a/tests/reduced_test.cpp
+++ b/tests/reduced_test.cpp
@@ -24,17 +24,17 @@
 struct Reduced {
   PgStandIn primary, left, right;
   std::unique_ptr<Discovery> discovery;
-  std::unique_ptr<Program> program;
+  std::unique_ptr<GatewayProcess> program;
   explicit Reduced(const std::string& gateway = levels_on) {
     primary.primary = true;
     const auto list = list_of(1, {member("p", primary.address(), true), member("l", left.address(), false),
                                   member("r", right.address(), false)});
     discovery = std::make_unique<Discovery>(list);
-    program = std::make_unique<Program>(config_json(discovery->address(), list), "", gateway);
+    program = std::make_unique<GatewayProcess>(config_json(discovery->address(), list), "", gateway);
   }
   /// Waits until `ctl levels` says so.
   bool wait_levels(const std::string& text) {
-    for (const auto end = Clock::now() + patience; Clock::now() < end;) {
+    for (const auto end = Clock::now() + response_timeout; Clock::now() < end;) {
       if (program->ctl("--json levels").find(text) != std::string::npos) return true;
       std::this_thread::sleep_for(20ms);
     }
@@ -54,7 +54,7 @@
   EXPECT_EQ(c.query(statement("a0", "bid")).types, "TDCZ");
   // The primary is no more: it drains, and nobody has taken over.
   ASSERT_TRUE(r.discovery->wait_watches(1));
-  r.discovery->tell(list_of(2, {member("p", r.primary.address(), false, "DRAINING")}, false));
+  r.discovery->send_list(list_of(2, {member("p", r.primary.address(), false, "DRAINING")}, false));
   ASSERT_TRUE(r.wait_levels("no-writes"));
   const auto start = Clock::now();
   const auto refused = c.query(statement("a1", "bid", 4000));
@@ -65,7 +65,7 @@
   EXPECT_EQ(c.query(statement("a2", "history")).types, "TDCZ");
   // Its return lets writes through at once, though the level is kept for its least stay.
   r.left.primary = true;
-  r.discovery->tell(list_of(3, {member("l", r.left.address(), true)}, false));
+  r.discovery->send_list(list_of(3, {member("l", r.left.address(), true)}, false));
   std::string types;
   for (int i = 0; i < 200 && types != "TDCZ"; ++i) {
     types = c.query(statement("b" + std::to_string(i), "bid")).types;
@@ -130,7 +130,7 @@
   };
   int asked = 0;
   // All requests are retries, then none, by turns of 400 ms, until five changes have been seen.
-  for (const auto end = Clock::now() + patience; Clock::now() < end && changes().size() < 5;)
+  for (const auto end = Clock::now() + response_timeout; Clock::now() < end && changes().size() < 5;)
     for (const auto* more : {",r=1", ""})
       for (const auto swing = Clock::now() + 400ms; Clock::now() < swing;)
         c.query(statement("s" + std::to_string(++asked), "history", 2000, more));
@@ -171,7 +171,7 @@
   EXPECT_NE(status.find(R"("team":"desks","class":"history","asked":4,"within":3,"beyond":1,"in_time":3)"),
             std::string::npos)
       << status;
-  for (const auto end = Clock::now() + patience; Clock::now() < end && r.records().empty();)
+  for (const auto end = Clock::now() + response_timeout; Clock::now() < end && r.records().empty();)
     std::this_thread::sleep_for(20ms);
   EXPECT_NE(r.records().find("the team asked beyond its contract"), std::string::npos) << r.records();
   EXPECT_EQ(r.records().find("the gateway missed"), std::string::npos);
@@ -202,7 +202,7 @@
   auto config = config_json(r.discovery->address(), list);
   const std::string realm = R"({"name":"acme","quota_per_s":100})";
   config.insert(config.find(realm) + realm.size(), R"(,{"name":"batch","quota_per_s":100})");
-  Program program(config, "",
+  GatewayProcess program(config, "",
                   R"({"contracts":{"mode":"enforce","teams":[{"name":"desks","tenants":["acme"]},)"
                   R"({"name":"settlement","tenants":["batch"],)"
                   R"("classes":{"history":{"rate":0.01,"burst":20,"beyond":"refuse"}}}]}})");
@@ -295,7 +295,7 @@
   ASSERT_TRUE(mkdtemp(dir));
   const auto path = std::string(dir) + "/precious";
   std::ofstream(path) << "kept";
-  Program p(config_json("127.0.0.1:1", list_of(1, {})), "", R"({"admin":{"socket":")" + path + "\"}}");
+  GatewayProcess p(config_json("127.0.0.1:1", list_of(1, {})), "", R"({"admin":{"socket":")" + path + "\"}}");
   EXPECT_EQ(p.wait_exit(), 1);
   EXPECT_NE(p.output().find(path), std::string::npos);
   std::string word;
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -1,4 +1,5 @@
-// Day-to-day service over real sockets: the operators' door, figures, hosts out by hand, settings, upgrades.
+// Operation of the running gateway over real sockets: control endpoint, metrics, manually disabled hosts,
+// reloads of the configuration, upgrades to a new process, long values and large fleets.
 #include <dirent.h>
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -25,18 +26,20 @@
 
 using Clock = std::chrono::steady_clock;
 #if defined(__SANITIZE_ADDRESS__)
-constexpr bool built_for_speed = false;  // the sanitizer's own memory is not the program's
+// A sanitizer uses memory of its own, so the bounds on resident memory do not apply.
+constexpr bool memory_bounds_apply = false;
 #else
-constexpr bool built_for_speed = true;
+constexpr bool memory_bounds_apply = true;
 #endif
 
-/// A primary, a replica, discovery and the program with its door.
+/// A primary, a replica, discovery and the program with its control endpoint.
 struct Service {
-  PgStandIn primary, replica;
+  PgStandIn primary;
+  PgStandIn replica;
   std::vector<std::string> members;
   std::unique_ptr<Discovery> discovery;
   std::string config;
-  std::unique_ptr<Program> program;
+  std::unique_ptr<GatewayProcess> program;
   explicit Service(const std::string& sockets = "1024") {
     primary.primary = true;
     members = {member("p", primary.address(), true), member("r/1", replica.address(), false)};
@@ -44,18 +47,20 @@
     config = with_key(config_json(discovery->address(), list_of(1, members)), R"("control":"127.0.0.1:0")");
     const std::string limit = "\"sockets\":1024";
     config.replace(config.find(limit), limit.size(), "\"sockets\":" + sockets);
-    program = std::make_unique<Program>(config);
+    program = std::make_unique<GatewayProcess>(config);
   }
-  DoorReply call(const std::string& method, const std::string& path) const {
+  HttpReply call(const std::string& method, const std::string& path) const {
     return test::call(program->control(), method, path);
   }
-  long figure(const std::string& name) const { return test::figure(call("GET", "/-/metrics").body, name); }
+  long metric_value(const std::string& name) const {
+    return test::metric_value(call("GET", "/-/metrics").body, name);
+  }
 };
 
-TEST(Door, PathsAreDecodedInParts) {
+TEST(ControlEndpoint, PathIsDecodedIntoSegments) {
   struct Case {
     std::string path;
-    std::optional<std::vector<std::string>> parts;
+    std::optional<std::vector<std::string>> segments;
   };
   const std::vector<Case> cases = {
       {"/-/ready", {{"-", "ready"}}},
@@ -68,11 +73,11 @@
       {"/%zz", std::nullopt},
       {"/a%00b", std::nullopt},
   };
-  for (const auto& c : cases) EXPECT_EQ(wire::split_path(c.path), c.parts) << c.path;
+  for (const auto& [path, segments] : cases) EXPECT_EQ(wire::split_path(path), segments) << path;
 }
 
-TEST(Door, AnswersOneCallAConnection) {
-  Service s;
+TEST(ControlEndpoint, AnswersOneCallPerConnection) {
+  Service service;
   struct Case {
     std::string bytes;
     int status;
@@ -91,120 +96,128 @@
       {"GET /-/ready HTTP/1.1\r\nX: " + std::string(9000, 'x') + "\r\n\r\n", 431},
       {"POST /-/ready HTTP/1.1\r\nHost: d\r\nContent-Length: 70000\r\n\r\n" + std::string(70000, 'x'), 413},
   };
-  for (const auto& c : cases) {
-    auto socket = Socket::to(s.program->control());
-    socket.send(c.bytes);
-    EXPECT_EQ(read_reply(socket).status, c.status) << c.bytes.substr(0, 60);
+  for (const auto& [bytes, status] : cases) {
+    auto socket = Socket::to(service.program->control());
+    socket.send(bytes);
+    EXPECT_EQ(read_reply(socket).status, status) << bytes.substr(0, 60);
   }
-  auto slow = Socket::to(s.program->control());
-  for (const char b : std::string("GET /-/ready HTTP/1.1\r\nHost: d\r\n\r\n")) slow.send(std::string(1, b));
+  auto slow = Socket::to(service.program->control());
+  for (const char byte : std::string("GET /-/ready HTTP/1.1\r\nHost: d\r\n\r\n"))
+    slow.send(std::string(1, byte));
   EXPECT_EQ(read_reply(slow).status, 200);
-  EXPECT_NE(s.call("PUT", "/-/metrics").head.find("Allow: GET"), std::string::npos);
+  EXPECT_NE(service.call("PUT", "/-/metrics").head.find("Allow: GET"), std::string::npos);
 }
 
-TEST(Door, CallersThatStallAndClientsOnAllPlacesKeepNobodyOut) {
-  Service s("64");
-  std::vector<Socket> stalled, clients;
+TEST(ControlEndpoint, AnswersDespiteStalledCallsAndExhaustedClientConnections) {
+  Service service("64");
+  std::vector<Socket> stalled;
+  std::vector<Socket> clients;
   for (std::size_t i = 0; i < 3 * wire::ControlServer::max_connections; ++i) {
-    stalled.push_back(Socket::to(s.program->control()));
+    stalled.push_back(Socket::to(service.program->control()));
     stalled.back().send("GET /-/rea");
   }
-  for (int i = 0; i < 60; ++i) clients.push_back(Socket::to(s.program->pg()));
+  for (int i = 0; i < 60; ++i) clients.push_back(Socket::to(service.program->pg()));
   const auto start = Clock::now();
-  EXPECT_EQ(s.call("GET", "/-/ready").status, 200);
-  EXPECT_NE(s.figure("app_active"), -1);
+  EXPECT_EQ(service.call("GET", "/-/ready").status, 200);
+  EXPECT_NE(service.metric_value("app_active"), -1);
   EXPECT_LT(Clock::now() - start, 1s);
 }
 
-TEST(Door, IsNotReadyWithoutAHostAndWhileItEnds) {
-  Program none(with_key(config_json("127.0.0.1:1", list_of(1, {})), R"("control":"127.0.0.1:0")"));
-  EXPECT_EQ(call(none.control(), "GET", "/-/ready").status, 503);
-  Service s;
-  PgClient c(s.program->pg());
-  s.replica.act = s.primary.act = Act::hang;
-  c.socket.send(pg_query(statement("a", "history")));
-  EXPECT_EQ(s.call("GET", "/-/ready").status, 200);
-  s.program->signal(SIGTERM);
-  while (s.call("GET", "/-/ready").status == 200) {
+TEST(ControlEndpoint, IsNotReadyWithoutHostsAndDuringShutdown) {
+  GatewayProcess without_hosts(
+      with_key(config_json("127.0.0.1:1", list_of(1, {})), R"("control":"127.0.0.1:0")"));
+  EXPECT_EQ(call(without_hosts.control(), "GET", "/-/ready").status, 503);
+  Service service;
+  PgClient client(service.program->pg());
+  service.replica.behavior = service.primary.behavior = Behavior::hang;
+  client.socket.send(pg_query(statement("a", "history")));
+  EXPECT_EQ(service.call("GET", "/-/ready").status, 200);
+  service.program->signal(SIGTERM);
+  while (service.call("GET", "/-/ready").status == 200) {
   }
-  EXPECT_EQ(s.call("GET", "/-/ready").status, 503);
+  EXPECT_EQ(service.call("GET", "/-/ready").status, 503);
 }
 
-TEST(Figures, AreWhatClientsAndHostsSaw) {
-  Service s;
-  PgClient c(s.program->pg());
-  const auto first = s.call("GET", "/-/metrics").body;
-  for (const auto* cls : {"view", "history", "gate", "bid", "pay"})
+TEST(Metrics, CountWhatClientsAndHostsObserved) {
+  Service service;
+  PgClient client(service.program->pg());
+  const auto metrics_before = service.call("GET", "/-/metrics").body;
+  for (const auto* class_name : {"view", "history", "gate", "bid", "pay"})
     for (const auto* name : {"app_ok", "app_shed", "app_errors", "app_tries"})
-      EXPECT_EQ(figure(first, std::string(name) + "{kind=\"" + cls + "\"}"), 0) << name << cls;
-  EXPECT_NE(first.find("# TYPE app_ok counter"), std::string::npos);
-  EXPECT_EQ(figure(first, "app_pool_size"), 2);
-  for (int i = 0; i < 5; ++i) EXPECT_EQ(c.query(statement("a" + std::to_string(i), "pay")).types, "TDCZ");
-  s.primary.act = Act::reset;
-  EXPECT_EQ(c.query(statement("b", "pay")).code, "58000");
-  s.primary.act = Act::full;
-  EXPECT_EQ(c.query(statement("c", "gate")).code, "53300");
-  EXPECT_EQ(c.query(statement("d", "invented")).code, "08P01");
-  s.primary.act = Act::hang, s.replica.act = Act::hang;
+      EXPECT_EQ(metric_value(metrics_before, std::string(name) + "{kind=\"" + class_name + "\"}"), 0)
+          << name << class_name;
+  EXPECT_NE(metrics_before.find("# TYPE app_ok counter"), std::string::npos);
+  EXPECT_EQ(metric_value(metrics_before, "app_pool_size"), 2);
+  for (int i = 0; i < 5; ++i)
+    EXPECT_EQ(client.query(statement("a" + std::to_string(i), "pay")).types, "TDCZ");
+  service.primary.behavior = Behavior::reset;
+  EXPECT_EQ(client.query(statement("b", "pay")).code, "58000");
+  service.primary.behavior = Behavior::reject_as_full;
+  EXPECT_EQ(client.query(statement("c", "gate")).code, "53300");
+  EXPECT_EQ(client.query(statement("d", "invented")).code, "08P01");
+  service.primary.behavior = Behavior::hang;
+  service.replica.behavior = Behavior::hang;
   {
-    PgClient gone(s.program->pg());
-    gone.socket.send(pg_query(statement("e", "bid")));
-    PgClient waits(s.program->pg());
-    waits.socket.send(pg_query(statement("f", "bid")));
-    while (s.figure("app_active") != 2) {
+    PgClient first_leaving(service.program->pg());
+    first_leaving.socket.send(pg_query(statement("e", "bid")));
+    PgClient second_leaving(service.program->pg());
+    second_leaving.socket.send(pg_query(statement("f", "bid")));
+    while (service.metric_value("app_active") != 2) {
     }
   }
-  while (s.figure("app_active") != 0) {
+  while (service.metric_value("app_active") != 0) {
   }
-  const auto last = s.call("GET", "/-/metrics").body;
-  EXPECT_EQ(figure(last, "app_ok{kind=\"pay\"}"), 5);
-  EXPECT_EQ(figure(last, "app_errors{kind=\"pay\"}"), 1);
-  EXPECT_EQ(figure(last, "app_tries{kind=\"pay\"}"), 6);
-  EXPECT_EQ(figure(last, "app_shed{kind=\"gate\"}"), 1);
-  EXPECT_EQ(last.find("invented"), std::string::npos);
+  const auto metrics_after = service.call("GET", "/-/metrics").body;
+  EXPECT_EQ(metric_value(metrics_after, "app_ok{kind=\"pay\"}"), 5);
+  EXPECT_EQ(metric_value(metrics_after, "app_errors{kind=\"pay\"}"), 1);
+  EXPECT_EQ(metric_value(metrics_after, "app_tries{kind=\"pay\"}"), 6);
+  EXPECT_EQ(metric_value(metrics_after, "app_shed{kind=\"gate\"}"), 1);
+  EXPECT_EQ(metrics_after.find("invented"), std::string::npos);
   long tries = 0;
-  for (const auto* cls : {"view", "history", "gate", "bid", "pay"})
-    tries += figure(last, std::string("app_tries{kind=\"") + cls + "\"}");
-  EXPECT_EQ(tries, static_cast<long>(s.primary.count() + s.replica.count()));
+  for (const auto* class_name : {"view", "history", "gate", "bid", "pay"})
+    tries += metric_value(metrics_after, std::string("app_tries{kind=\"") + class_name + "\"}");
+  EXPECT_EQ(tries, static_cast<long>(service.primary.count() + service.replica.count()));
 }
 
-TEST(ByHand, NothingNewGoesToAHostThatIsOutWhateverListsSay) {
-  Service s;
-  PgClient c(s.program->pg());
-  ASSERT_TRUE(s.discovery->wait_watches(1));
+TEST(ManualDisable, HostGetsNoNewRequestsUntilEnabledWhateverTheMemberListSays) {
+  Service service;
+  PgClient client(service.program->pg());
+  ASSERT_TRUE(service.discovery->wait_watches(1));
   const auto served_by_replica = [&](const std::string& name) {
-    const auto before = s.replica.count();
+    const auto before = service.replica.count();
     for (int i = 0; i < 40; ++i)
-      EXPECT_EQ(c.query(statement(name + std::to_string(i), "history")).types, "TDCZ");
-    return s.replica.count() - before;
+      EXPECT_EQ(client.query(statement(name + std::to_string(i), "history")).types, "TDCZ");
+    return service.replica.count() - before;
   };
   EXPECT_GT(served_by_replica("a"), 0U);
-  EXPECT_EQ(s.call("POST", "/-/database-hosts/nobody/disable").status, 404);
-  EXPECT_EQ(s.call("POST", "/-/database-hosts/nobody/enable").status, 404);
-  EXPECT_EQ(s.call("GET", "/-/database-hosts/p/disable").status, 405);
-  EXPECT_EQ(s.call("POST", "/-/database-hosts/r%2F1/disable").status, 200);
-  EXPECT_EQ(s.call("POST", "/-/database-hosts/r%2F1/disable").status, 200);  // two out take one back
-  EXPECT_EQ(s.figure("app_pool_ejected"), 1);
-  EXPECT_EQ(s.figure("app_pool_size"), 2);
+  EXPECT_EQ(service.call("POST", "/-/database-hosts/nobody/disable").status, 404);
+  EXPECT_EQ(service.call("POST", "/-/database-hosts/nobody/enable").status, 404);
+  EXPECT_EQ(service.call("GET", "/-/database-hosts/p/disable").status, 405);
+  EXPECT_EQ(service.call("POST", "/-/database-hosts/r%2F1/disable").status, 200);
+  // Disabled twice: enabling once undoes both.
+  EXPECT_EQ(service.call("POST", "/-/database-hosts/r%2F1/disable").status, 200);
+  EXPECT_EQ(service.metric_value("app_pool_ejected"), 1);
+  EXPECT_EQ(service.metric_value("app_pool_size"), 2);
   EXPECT_EQ(served_by_replica("b"), 0U);
-  // A whole list, one without it, one with it again: it is still out.
-  const auto only = list_of(2, {s.members[0]});
-  s.discovery->tell(only);
-  while (s.figure("app_pool_size") != 1) {
+  // The host leaves the member list and comes back: it stays disabled.
+  const auto without_replica = list_of(2, {service.members[0]});
+  service.discovery->send_list(without_replica);
+  while (service.metric_value("app_pool_size") != 1) {
   }
-  s.discovery->tell(list_of(3, s.members));
-  while (s.figure("app_pool_size") != 2) {
+  service.discovery->send_list(list_of(3, service.members));
+  while (service.metric_value("app_pool_size") != 2) {
   }
   EXPECT_EQ(served_by_replica("c"), 0U);
-  EXPECT_EQ(s.call("POST", "/-/database-hosts/r%2F1/enable").status, 200);
-  EXPECT_EQ(s.figure("app_pool_ejected"), 0);
-  // Cold by caution, it still gets work, well within the 5 s that are allowed.
+  EXPECT_EQ(service.call("POST", "/-/database-hosts/r%2F1/enable").status, 200);
+  EXPECT_EQ(service.metric_value("app_pool_ejected"), 0);
+  // After it is enabled the host is in slow start, but must get requests again within 5 s.
   const auto start = Clock::now();
   for (int i = 0; served_by_replica("d" + std::to_string(i) + "-") == 0; ++i)
     ASSERT_LT(Clock::now() - start, 5s);
 }
 
-TEST(Handover, PacketsAreReadWholeOrNotAtAll) {
+// A packet that was cut short or has a flipped bit must not be taken over in part.
+TEST(Handover, TruncatedOrAlteredPacketIsRejected) {
   const auto good = wire::encode_packet("role", "primary host-1");
   ASSERT_TRUE(wire::decode_packet(good));
   EXPECT_EQ(wire::decode_packet(good)->kind, "role");
@@ -220,7 +233,7 @@
   }
 }
 
-TEST(Handover, WhatIsKnownOfHostsGoesOverWhole) {
+TEST(Handover, HostStateIsUnchangedByEncodingAndTruncationIsRejected) {
   broker::HostTable hosts({"a"});
   const auto list =
       list_of(7, {member("p", "127.0.0.1:5", true), member("r", "127.0.0.1:6", false, "DRAINING", 1234)});
@@ -229,50 +242,53 @@
   hosts.set_disabled("p", true, now);
   hosts.observe(*hosts.find("r"), Role::replica, now, now);
   const auto text = app::to_json({app::capture_state("postgresql", hosts)});
-  const auto all = app::parse_services(text);
-  ASSERT_TRUE(all);
-  const auto& s = all->at(0);
-  EXPECT_EQ(s.list.version, 7U);
-  ASSERT_EQ(s.list.members.size(), 2U);
-  EXPECT_EQ(s.list.members[1].state, HostState::draining);
-  EXPECT_EQ(s.list.members[1].started_at, Time(1'234'000));
-  EXPECT_EQ(s.disabled_hosts, std::vector<std::string>{"p"});
-  ASSERT_EQ(s.observed_hosts.size(), 1U);
-  EXPECT_EQ(s.observed_hosts[0].role, Role::replica);
-  EXPECT_EQ(s.observed_hosts[0].position, now);
+  const auto services = app::parse_services(text);
+  ASSERT_TRUE(services);
+  const auto& service = services->at(0);
+  EXPECT_EQ(service.list.version, 7U);
+  ASSERT_EQ(service.list.members.size(), 2U);
+  EXPECT_EQ(service.list.members[1].state, HostState::draining);
+  EXPECT_EQ(service.list.members[1].started_at, Time(1'234'000));
+  EXPECT_EQ(service.disabled_hosts, std::vector<std::string>{"p"});
+  ASSERT_EQ(service.observed_hosts.size(), 1U);
+  EXPECT_EQ(service.observed_hosts[0].role, Role::replica);
+  EXPECT_EQ(service.observed_hosts[0].position, now);
   for (std::size_t cut = 0; cut < text.size(); ++cut) EXPECT_FALSE(app::parse_services(text.substr(0, cut)));
 }
 
-TEST(Handover, BothTogetherNeverHaveMoreThanOne) {
-  std::uint64_t x = 42;
-  const auto draw = [&](std::size_t most) {
-    return static_cast<std::size_t>((x = x * 6364136223846793005ULL + 1) >> 33U) % most;
+// While two processes run, together they must not use more than the limits of one gateway.
+TEST(Handover, SharesOfBothProcessesAddUpToTheLimitsOfOne) {
+  std::uint64_t random_state = 42;
+  const auto draw = [&](std::size_t bound) {
+    return static_cast<std::size_t>((random_state = random_state * 6364136223846793005ULL + 1) >> 33U) %
+           bound;
   };
   for (int i = 0; i < 1000; ++i) {
-    const handover::ResourceShares whole{draw(1U << 27U), draw(800), draw(250)};
-    const auto held = draw(1000);
-    const auto old = handover::split_resources(whole, true, held),
-               fresh = handover::split_resources(whole, false, held);
-    EXPECT_EQ(old.memory + fresh.memory, whole.memory);
-    EXPECT_EQ(old.clients + fresh.clients, whole.clients);
-    EXPECT_EQ(old.hosts + fresh.hosts, whole.hosts);
+    const handover::ResourceShares limits{draw(1U << 27U), draw(800), draw(250)};
+    const auto open_connections = draw(1000);
+    const auto outgoing = handover::split_resources(limits, true, open_connections);
+    const auto incoming = handover::split_resources(limits, false, open_connections);
+    EXPECT_EQ(outgoing.memory + incoming.memory, limits.memory);
+    EXPECT_EQ(outgoing.clients + incoming.clients, limits.clients);
+    EXPECT_EQ(outgoing.hosts + incoming.hosts, limits.hosts);
   }
 }
 
-TEST(Upgrade, ClientsGoOnOverManyAndNoneIsTurnedBack) {
-  Service s;
-  std::vector<std::unique_ptr<Program>> line;
-  line.push_back(std::move(s.program));
-  const auto address = line[0]->pg();
+TEST(Upgrade, TwentyUpgradesInARowFailNoRequestAndKeepAHostDisabled) {
+  Service service;
+  std::vector<std::unique_ptr<GatewayProcess>> processes;
+  processes.push_back(std::move(service.program));
+  const auto address = processes[0]->pg();
   PgClient idle(address);
   EXPECT_EQ(idle.query(statement("first", "history")).types, "TDCZ");
-  EXPECT_EQ(call(line[0]->control(), "POST", "/-/database-hosts/r%2F1/disable").status, 200);
+  EXPECT_EQ(call(processes[0]->control(), "POST", "/-/database-hosts/r%2F1/disable").status, 200);
   std::atomic<bool> stop{false};
-  std::atomic<int> asked{0}, failed{0};
-  std::vector<std::thread> hammer;
+  std::atomic<int> clients_done{0};
+  std::atomic<int> failed{0};
+  std::vector<std::thread> load;
   for (int t = 0; t < 4; ++t)
-    hammer.emplace_back([&, t] {
-      for (int i = 0; !stop; ++i, ++asked) {
+    load.emplace_back([&, t] {
+      for (int i = 0; !stop; ++i, ++clients_done) {
         PgClient fresh(address);
         for (int k = 0; k < 2; ++k)
           if (fresh
@@ -282,71 +298,71 @@
             ++failed;
       }
     });
-  const auto before = s.replica.count();
+  const auto before = service.replica.count();
   for (int i = 0; i < 20; ++i) {
-    PgClient busy(line.back()->pg());
-    line.push_back(std::make_unique<Program>(*line.back(), address));
-    ASSERT_EQ(call(line.back()->control(), "GET", "/-/ready").status, 200);
+    PgClient busy(processes.back()->pg());
+    processes.push_back(std::make_unique<GatewayProcess>(*processes.back(), address));
+    ASSERT_EQ(call(processes.back()->control(), "GET", "/-/ready").status, 200);
     EXPECT_EQ(idle.query(statement("i" + std::to_string(i), "history")).types, "TDCZ");
-    const auto at = asked.load();
-    while (asked < at + 8) std::this_thread::yield();
-    line[line.size() - 2]->signal(SIGTERM);
-    EXPECT_EQ(line[line.size() - 2]->wait_exit(), 0);
+    const auto done_before = clients_done.load();
+    while (clients_done < done_before + 8) std::this_thread::yield();
+    processes[processes.size() - 2]->signal(SIGTERM);
+    EXPECT_EQ(processes[processes.size() - 2]->wait_exit(), 0);
   }
   stop = true;
-  for (auto& t : hammer) t.join();
+  for (auto& thread : load) thread.join();
   EXPECT_EQ(failed, 0);
-  EXPECT_EQ(s.replica.count(), before);  // out by hand, over all of them
-  EXPECT_EQ(call(line.back()->control(), "POST", "/-/database-hosts/r%2F1/enable").status, 200);
-  while (line.size() > 1) line.pop_back();
+  EXPECT_EQ(service.replica.count(), before);  // it stays disabled in all processes
+  EXPECT_EQ(call(processes.back()->control(), "POST", "/-/database-hosts/r%2F1/enable").status, 200);
+  while (processes.size() > 1) processes.pop_back();
 }
 
-/// An upgrade while a host holds a request that came to the old process.
-struct Upgrading {
+/// An upgrade that begins while a host holds a request of the old process.
+struct UpgradeWithOpenRequest {
   Service service;
   PgClient busy{service.program->pg()};
-  std::unique_ptr<Program> next;
-  bool begun = false;
-  Upgrading() {
-    service.primary.act = Act::hold;
+  std::unique_ptr<GatewayProcess> next;
+  bool started = false;
+  UpgradeWithOpenRequest() {
+    service.primary.behavior = Behavior::hold;
     busy.socket.send(pg_query(statement("a", "pay")));
     if (!service.primary.wait_for(1)) return;
-    next = std::make_unique<Program>(*service.program, service.program->pg());
-    begun = service.program->wait_output("followed", 1);
+    next = std::make_unique<GatewayProcess>(*service.program, service.program->pg());
+    started = service.program->wait_output("followed", 1);
   }
 };
 
-TEST(Upgrade, WhatIsInWorkIsFinishedAndACallOutBindsBoth) {
-  Upgrading u;
-  ASSERT_TRUE(u.begun);
-  auto& s = u.service;
-  auto& busy = u.busy;
-  auto& next = *u.next;
-  EXPECT_EQ(s.call("GET", "/-/ready").status, 503);
+TEST(Upgrade, OpenRequestFinishesAndDisablingAHostReachesBothProcesses) {
+  UpgradeWithOpenRequest upgrade;
+  ASSERT_TRUE(upgrade.started);
+  auto& service = upgrade.service;
+  auto& busy = upgrade.busy;
+  auto& next = *upgrade.next;
+  EXPECT_EQ(service.call("GET", "/-/ready").status, 503);
   EXPECT_EQ(call(next.control(), "POST", "/-/database-hosts/r%2F1/disable").status, 200);
-  while (s.figure("app_pool_ejected") != 1) {
+  while (service.metric_value("app_pool_ejected") != 1) {
   }
-  s.program->signal(SIGTERM);
-  s.primary.act = Act::serve;
+  service.program->signal(SIGTERM);
+  service.primary.behavior = Behavior::serve;
   EXPECT_EQ(busy.read_answer().types, "TDCZ");
-  EXPECT_EQ(s.program->wait_exit(), 0);
-  EXPECT_EQ(busy.query(statement("b", "pay")).types, "TDCZ");  // on the same connection, by the next process
+  EXPECT_EQ(service.program->wait_exit(), 0);
+  EXPECT_EQ(busy.query(statement("b", "pay")).types, "TDCZ");  // the next process serves the same connection
 }
 
-TEST(Upgrade, OneThatDiesOnTheWayLeavesTheOtherServing) {
-  Service s;
-  PgClient c(s.program->pg());
-  EXPECT_EQ(c.query(statement("a", "pay")).types, "TDCZ");
+TEST(Upgrade, OldProcessServesOnIfTheNextOneDies) {
+  Service service;
+  PgClient client(service.program->pg());
+  EXPECT_EQ(client.query(statement("a", "pay")).types, "TDCZ");
   {
-    Program next(*s.program, s.program->pg());
-    ASSERT_TRUE(s.program->wait_output("followed", 1));
-  }  // killed
-  ASSERT_TRUE(s.program->wait_output("serves on", 1));
-  PgClient fresh(s.program->pg());
+    GatewayProcess next(*service.program, service.program->pg());
+    ASSERT_TRUE(service.program->wait_output("followed", 1));
+  }  // the destructor kills it
+  ASSERT_TRUE(service.program->wait_output("serves on", 1));
+  PgClient fresh(service.program->pg());
   EXPECT_EQ(fresh.query(statement("b", "pay")).types, "TDCZ");
-  EXPECT_EQ(s.call("GET", "/-/ready").status, 200);
-  Program third(*s.program, s.program->pg());
-  ASSERT_TRUE(s.program->wait_output("followed", 2));
+  EXPECT_EQ(service.call("GET", "/-/ready").status, 200);
+  GatewayProcess third(*service.program, service.program->pg());
+  ASSERT_TRUE(service.program->wait_output("followed", 2));
   EXPECT_EQ(call(third.control(), "GET", "/-/ready").status, 200);
 }
 
@@ -356,9 +372,9 @@
   return at == std::string::npos ? text : text.replace(at, from.size(), to);
 }
 
-TEST(Settings, AFileIsTakenWholeOrNotAtAll) {
+TEST(Settings, IncompleteOrInvalidFileIsRejected) {
   const auto good = config_json("127.0.0.1:1", list_of(1, {}));
-  const auto fits = [&](const std::string& next) {
+  const auto accepts = [&](const std::string& next) {
     try {
       app::check_reload(good, next);
       app::parse_config(next);
@@ -367,69 +383,72 @@
       return false;
     }
   };
-  EXPECT_TRUE(fits(good));
-  for (std::size_t cut = 0; cut < good.size(); ++cut) EXPECT_FALSE(fits(good.substr(0, cut))) << cut;
-  // Each key taken away; a name that comes again stands for its first place.
+  EXPECT_TRUE(accepts(good));
+  for (std::size_t cut = 0; cut < good.size(); ++cut) EXPECT_FALSE(accepts(good.substr(0, cut))) << cut;
+  // The file must not load without any one of its keys.
   for (auto at = good.find("\":"); at != std::string::npos; at = good.find("\":", at + 1)) {
     const auto key = good.rfind('"', at - 1);
-    EXPECT_FALSE(fits(good.substr(0, key + 1) + "other_" + good.substr(key + 1))) << good.substr(key, 20);
+    EXPECT_FALSE(accepts(good.substr(0, key + 1) + "other_" + good.substr(key + 1))) << good.substr(key, 20);
   }
   for (const auto* bad : {"0", "-1", "\"5000\"", "null", "[]", "true", "NaN", "1e999"}) {
-    EXPECT_FALSE(fits(replaced(good, "\"deadline\":5000", std::string("\"deadline\":") + bad))) << bad;
-    EXPECT_FALSE(fits(replaced(good, "\"send_cap\":6", std::string("\"send_cap\":") + bad))) << bad;
+    EXPECT_FALSE(accepts(replaced(good, "\"deadline\":5000", std::string("\"deadline\":") + bad))) << bad;
+    EXPECT_FALSE(accepts(replaced(good, "\"send_cap\":6", std::string("\"send_cap\":") + bad))) << bad;
   }
-  EXPECT_FALSE(fits(replaced(good, "\"send_cap\":6", "\"send_cap\":1.5")));
-  EXPECT_TRUE(fits(replaced(good, "\"deadline\":5000", "\"deadline\":4999.5")));
+  EXPECT_FALSE(accepts(replaced(good, "\"send_cap\":6", "\"send_cap\":1.5")));
+  EXPECT_TRUE(accepts(replaced(good, "\"deadline\":5000", "\"deadline\":4999.5")));
 }
 
-TEST(Settings, ClassesComeGoAndChangeWhileRequestsAreOpen) {
-  Service s;
-  const auto reload = [&](const std::string& config, const char* said, int times) {
-    s.program->configure(config);
-    s.program->signal(SIGHUP);
-    ASSERT_TRUE(s.program->wait_output(said, times));
+TEST(Settings, ClassesAreAddedChangedAndRemovedWhileRequestsAreOpen) {
+  Service service;
+  const auto reload = [&](const std::string& config, const char* expected_output, int times) {
+    service.program->configure(config);
+    service.program->signal(SIGHUP);
+    ASSERT_TRUE(service.program->wait_output(expected_output, times));
   };
-  PgClient c(s.program->pg()), open(s.program->pg());
-  EXPECT_EQ(c.query(statement("a", "audit")).code, "08P01");
-  s.primary.act = Act::hold;
+  PgClient client(service.program->pg());
+  PgClient open(service.program->pg());
+  EXPECT_EQ(client.query(statement("a", "audit")).code, "08P01");
+  service.primary.behavior = Behavior::hold;
   open.socket.send(pg_query(statement("b", "bid")));
-  ASSERT_TRUE(s.primary.wait_for(1));
-  // One more in front, so that all numbers shift; bid may not be repeated any more.
-  auto next = replaced(s.config, "\"classes\":[",
+  ASSERT_TRUE(service.primary.wait_for(1));
+  // A class is added in front, so that all class ids shift; requests of class bid may no longer be retried.
+  auto next = replaced(service.config, "\"classes\":[",
                        R"("classes":[{"name":"audit","aim":2000,"deadline":5000,"importance":1,)"
                        R"("late_worth":0.5,"effect":"read_like","group":"cell","window":0},)");
   next = replaced(next, R"("needs_by_class":[)", R"("needs_by_class":["eventual",)");
   next = replaced(next, R"("class_bound":[)", R"("class_bound":[0,)");
   next = replaced(next, "\"effect\":\"idempotency_key\"", "\"effect\":\"non_idempotent\"");
   reload(next, "reloaded, discovery", 1);
-  EXPECT_EQ(s.figure("app_config_applied"), 1);
-  EXPECT_EQ(s.figure("app_ok{kind=\"audit\"}"), 0);
-  EXPECT_EQ(c.query(statement("c", "audit")).types, "TDCZ");
-  // The one that is open is repeated, as its class was when it came; a new one is not.
-  s.primary.act = Act::reset_once;
-  EXPECT_EQ(c.query(statement("d", "bid")).code, "58000");
-  s.primary.act = Act::serve;
+  EXPECT_EQ(service.metric_value("app_config_applied"), 1);
+  EXPECT_EQ(service.metric_value("app_ok{kind=\"audit\"}"), 0);
+  EXPECT_EQ(client.query(statement("c", "audit")).types, "TDCZ");
+  // The open request is retried under the settings at its arrival; a new one is not.
+  service.primary.behavior = Behavior::reset_once;
+  EXPECT_EQ(client.query(statement("d", "bid")).code, "58000");
+  service.primary.behavior = Behavior::serve;
   EXPECT_EQ(open.read_answer().types, "TDCZ");
-  EXPECT_EQ(s.figure("app_ok{kind=\"bid\"}"), 1);
-  EXPECT_EQ(s.figure("app_errors{kind=\"bid\"}"), 1);
+  EXPECT_EQ(service.metric_value("app_ok{kind=\"bid\"}"), 1);
+  EXPECT_EQ(service.metric_value("app_errors{kind=\"bid\"}"), 1);
   for (const auto& bad : {std::string(), next.substr(0, next.size() / 2),
                           replaced(next, "\"deadline\":5000", "\"deadline\":0")})
-    reload(bad, "not reloaded", static_cast<int>(s.figure("app_config_rejected")) + 1);
-  EXPECT_EQ(s.figure("app_config_rejected"), 3);
-  EXPECT_EQ(c.query(statement("e", "audit")).types, "TDCZ");
-  reload(s.config, "reloaded, discovery", 2);
-  EXPECT_EQ(c.query(statement("f", "audit")).types, "TDCZ");  // clients learn of it later than we
+    reload(bad, "not reloaded", static_cast<int>(service.metric_value("app_config_rejected")) + 1);
+  EXPECT_EQ(service.metric_value("app_config_rejected"), 3);
+  EXPECT_EQ(client.query(statement("e", "audit")).types, "TDCZ");
+  reload(service.config, "reloaded, discovery", 2);
+  // Still served, as clients learn of the removal later.
+  EXPECT_EQ(client.query(statement("f", "audit")).types, "TDCZ");
   const auto start = Clock::now();
-  while (c.query(statement("g" + std::to_string((Clock::now() - start).count()), "audit")).code != "08P01")
+  while (client.query(statement("g" + std::to_string((Clock::now() - start).count()), "audit")).code !=
+         "08P01")
     ASSERT_LT(Clock::now() - start, 5s);
-  s.primary.act = Act::reset_once;
-  EXPECT_EQ(c.query(statement("h", "bid")).types, "TDCZ");  // may be repeated again
+  service.primary.behavior = Behavior::reset_once;
+  EXPECT_EQ(client.query(statement("h", "bid")).types, "TDCZ");  // may be retried again
 }
 
-const std::string complete = PgStandIn::message('C', std::string("SELECT 1") + '\0');
-const std::string ready = PgStandIn::message('Z', "I");
+const std::string command_complete = PgStandIn::message('C', std::string("SELECT 1") + '\0');
+const std::string ready_for_query = PgStandIn::message('Z', "I");
 
-/// A value whose bytes tell their place.
+/// A value that contains its own offset every 1000 bytes, so that lost or moved bytes are detected.
 std::string long_value(std::size_t size) {
   std::string value(size, 'x');
   for (std::size_t i = 0; i < size; i += 1000)
@@ -438,156 +457,166 @@
         std::to_string(i).substr(0, size - i).append(8, ' ').substr(0, std::min<std::size_t>(8, size - i)));
   return value;
 }
-std::string description() {
+/// The row description of PgStandIn::row().
+std::string row_description() {
   const auto row = PgStandIn::row("x");
   return row.substr(0, row.find('D', 1));
 }
 
-TEST(LongValues, TheHeadOfARowIsChecked) {
+TEST(LongValues, RowHeaderIsValidatedBeforeARowIsStreamed) {
   const auto row = PgStandIn::row(std::string(100'000, 'x'));
   const auto at = row.find('D', 1);
-  const auto d = row.substr(at, 100'011);
-  EXPECT_EQ(wire::pg::long_row(d, 65'600, 1 << 20), 100'011U);
-  EXPECT_EQ(wire::pg::long_row(d.substr(0, 11), 65'600, 1 << 20), 100'011U);
-  EXPECT_FALSE(wire::pg::long_row(d.substr(0, 10), 65'600, 1 << 20));
-  EXPECT_FALSE(wire::pg::long_row(d, 100'011, 1 << 20));  // not longer than what is held
-  EXPECT_FALSE(wire::pg::long_row(d, 65'600, 100'000));   // too long altogether
-  for (const std::size_t i : {0, 5, 6, 7, 10}) {          // type, columns, the column's length
-    auto bad = d.substr(0, 11);
+  const auto data_row = row.substr(at, 100'011);
+  EXPECT_EQ(wire::pg::long_row(data_row, 65'600, 1 << 20), 100'011U);
+  EXPECT_EQ(wire::pg::long_row(data_row.substr(0, 11), 65'600, 1 << 20), 100'011U);
+  EXPECT_FALSE(wire::pg::long_row(data_row.substr(0, 10), 65'600, 1 << 20));
+  EXPECT_FALSE(wire::pg::long_row(data_row, 100'011, 1 << 20));  // not longer than the buffer
+  EXPECT_FALSE(wire::pg::long_row(data_row, 65'600, 100'000));   // above the limit for a row
+  for (const std::size_t i : {0, 5, 6, 7, 10}) {                 // type, columns, the column's length
+    auto bad = data_row.substr(0, 11);
     bad[i] ^= 1;
     EXPECT_FALSE(wire::pg::long_row(bad, 65'600, 1 << 20)) << i;
   }
 }
 
-TEST(LongValues, ComeWholeToManyWhoTakeTheirTimeWithinTheMemory) {
-  Service s;
+TEST(LongValues, ReachManySlowClientsCompleteWithinTheMemoryLimit) {
+  Service service;
   const auto value = long_value(std::size_t{4} << 20U);
-  PgClient quick(s.program->pg());
-  s.primary.say_once(PgStandIn::row(value) + ready);
+  PgClient quick(service.program->pg());
+  service.primary.answer_once_with(PgStandIn::row(value) + ready_for_query);
   const auto answer = quick.query(statement("a", "pay"));
   EXPECT_EQ(answer.types, "TDCZ");
   EXPECT_EQ(answer.value, value);
   std::vector<std::unique_ptr<PgClient>> slow;
   for (int i = 0; i < 40; ++i) {
-    slow.push_back(std::make_unique<PgClient>(s.program->pg()));
-    s.primary.say_once(PgStandIn::row(value) + ready);
+    slow.push_back(std::make_unique<PgClient>(service.program->pg()));
+    service.primary.answer_once_with(PgStandIn::row(value) + ready_for_query);
     slow.back()->socket.send(pg_query(statement("b" + std::to_string(i), "pay")));
-    ASSERT_TRUE(slow.back()->socket.read(100));  // and no more for now: the others' turn
+    ASSERT_TRUE(slow.back()->socket.read(100));  // and no more until all clients have begun
   }
-  EXPECT_EQ(s.figure("app_active"), 40);
-  EXPECT_LT(s.program->resident_kb(), built_for_speed ? 32 * 1024 : 1 << 30);
-  for (auto& c : slow) {
-    std::size_t left = description().size() + 11 + value.size() + complete.size() + ready.size() - 100;
-    while (left > 0) {
-      const auto n = std::min<std::size_t>(left, 65536);
-      ASSERT_TRUE(c->socket.read(n));
-      left -= n;
+  EXPECT_EQ(service.metric_value("app_active"), 40);
+  EXPECT_LT(service.program->resident_kb(), memory_bounds_apply ? 32 * 1024 : 1 << 30);
+  for (auto& client : slow) {
+    std::size_t remaining =
+        row_description().size() + 11 + value.size() + command_complete.size() + ready_for_query.size() - 100;
+    while (remaining > 0) {
+      const auto n = std::min<std::size_t>(remaining, 65536);
+      ASSERT_TRUE(client->socket.read(n));
+      remaining -= n;
     }
-    EXPECT_EQ(c->query(statement("c" + std::to_string(left) + std::to_string(&c - slow.data()), "pay")).types,
-              "TDCZ");
+    EXPECT_EQ(
+        client
+            ->query(statement("c" + std::to_string(remaining) + std::to_string(&client - slow.data()), "pay"))
+            .types,
+        "TDCZ");
   }
-  EXPECT_EQ(s.figure("app_active"), 0);
-  EXPECT_EQ(s.figure("app_ok{kind=\"pay\"}"), 81);
+  EXPECT_EQ(service.metric_value("app_active"), 0);
+  EXPECT_EQ(service.metric_value("app_ok{kind=\"pay\"}"), 81);
 }
 
-TEST(LongValues, OneThatBreaksOffIsSeenNotToBeWholeAndIsNotAskedForAgain) {
-  Service s;
-  PgClient c(s.program->pg());
-  s.primary.ends_after_raw = true;
+TEST(LongValues, TruncatedAnswerClosesTheClientAndIsNotRetried) {
+  Service service;
+  PgClient client(service.program->pg());
+  service.primary.close_after_raw = true;
   const auto row = PgStandIn::row(long_value(1'000'000));
-  s.primary.say_once(row.substr(0, row.size() / 2));
-  const auto answer = c.query(statement("a", "gate"));  // safe to repeat, but a part of it has been passed on
+  service.primary.answer_once_with(row.substr(0, row.size() / 2));
+  const auto answer =
+      client.query(statement("a", "gate"));  // safe to retry, but a part of the answer has been forwarded
   EXPECT_EQ(answer.types, "T");
-  EXPECT_TRUE(c.socket.ended());
-  EXPECT_EQ(s.primary.count(), 1U);
-  EXPECT_EQ(s.figure("app_errors{kind=\"gate\"}"), 1);
-  s.primary.ends_after_raw = false;
-  PgClient next(s.program->pg());
+  EXPECT_TRUE(client.socket.ended());
+  EXPECT_EQ(service.primary.count(), 1U);
+  EXPECT_EQ(service.metric_value("app_errors{kind=\"gate\"}"), 1);
+  service.primary.close_after_raw = false;
+  PgClient next(service.program->pg());
   EXPECT_EQ(next.query(statement("b", "gate")).types, "TDCZ");
 }
 
-TEST(LongValues, WaitForTheAnswersBeforeThem) {
-  Service s;
-  PgClient c(s.program->pg());
+TEST(LongValues, PipelinedAnswersStayInOrder) {
+  Service service;
+  PgClient client(service.program->pg());
   const auto value = long_value(300'000);
-  s.replica.act = Act::hold, s.primary.act = Act::hold;
-  c.socket.send(pg_query(statement("a", "pay")));
-  ASSERT_TRUE(s.primary.wait_for(1));
-  s.primary.say_once(PgStandIn::row(value) + ready);
-  // The first has been let go by that; the second gets the long answer while the first may still be on its
-  // way.
-  c.socket.send(pg_query(statement("b", "pay")));
-  EXPECT_EQ(c.read_answer().value, "from " + s.primary.address());
-  EXPECT_EQ(c.read_answer().value, value);
-}
-
-TEST(Room, IsGivenInTurnAndNeverMoreThanThereIs) {
-  std::uint64_t x = 7;
-  const auto draw = [&](std::size_t most) {
-    return static_cast<std::size_t>((x = x * 6364136223846793005ULL + 1) >> 33U) % most;
+  service.replica.behavior = Behavior::hold;
+  service.primary.behavior = Behavior::hold;
+  client.socket.send(pg_query(statement("a", "pay")));
+  ASSERT_TRUE(service.primary.wait_for(1));
+  service.primary.answer_once_with(PgStandIn::row(value) + ready_for_query);
+  // That call released the first request; the second gets the long answer while the answer to the first may
+  // still be in transit.
+  client.socket.send(pg_query(statement("b", "pay")));
+  EXPECT_EQ(client.read_answer().value, "from " + service.primary.address());
+  EXPECT_EQ(client.read_answer().value, value);
+}
+
+TEST(MemoryBudget, ReservationsAreGrantedInOrderAndNeverAboveTheTotal) {
+  std::uint64_t random_state = 7;
+  const auto draw = [&](std::size_t bound) {
+    return static_cast<std::size_t>((random_state = random_state * 6364136223846793005ULL + 1) >> 33U) %
+           bound;
   };
   int freed = 0;
-  auto room = std::make_shared<broker::MemoryBudget>(1000, [&] { ++freed; });
-  std::vector<char> who(20);
-  std::map<const void*, broker::MemoryBudget::Reservation> holds;
-  std::map<const void*, std::size_t> wanted;
-  std::vector<const void*> line;
+  auto budget = std::make_shared<broker::MemoryBudget>(1000, [&] { ++freed; });
+  std::vector<char> owners(20);
+  std::map<const void*, broker::MemoryBudget::Reservation> reservations;
+  std::map<const void*, std::size_t> requested_bytes;
+  std::vector<const void*> waiting;
   for (int i = 0; i < 20'000; ++i) {
-    const void* me = &who[draw(who.size())];
-    if (holds.count(me) > 0) {
-      holds.erase(me);
-    } else if (wanted.count(me) > 0 && draw(8) == 0) {
-      room->stop_waiting(me);
-      wanted.erase(me);
-      line.erase(std::find(line.begin(), line.end(), me));
+    const void* owner = &owners[draw(owners.size())];
+    if (reservations.count(owner) > 0) {
+      reservations.erase(owner);
+    } else if (requested_bytes.count(owner) > 0 && draw(8) == 0) {
+      budget->stop_waiting(owner);
+      requested_bytes.erase(owner);
+      waiting.erase(std::find(waiting.begin(), waiting.end(), owner));
     } else {
-      const auto bytes = wanted.count(me) > 0 ? wanted[me] : 1 + draw(1200);
-      broker::MemoryBudget::Reservation hold;
-      if (room->try_reserve(me, bytes, hold)) {
-        if (!line.empty()) {
-          ASSERT_EQ(line.front(), me);  // nobody is passed by
-          line.erase(line.begin());
+      const auto bytes = requested_bytes.count(owner) > 0 ? requested_bytes[owner] : 1 + draw(1200);
+      broker::MemoryBudget::Reservation reservation;
+      if (budget->try_reserve(owner, bytes, reservation)) {
+        if (!waiting.empty()) {
+          ASSERT_EQ(waiting.front(), owner);  // no waiter is overtaken
+          waiting.erase(waiting.begin());
         }
-        wanted.erase(me);
-        holds[me] = std::move(hold);
-      } else if (wanted.emplace(me, bytes).second) {
-        line.push_back(me);
+        requested_bytes.erase(owner);
+        reservations[owner] = std::move(reservation);
+      } else if (requested_bytes.emplace(owner, bytes).second) {
+        waiting.push_back(owner);
       }
     }
     std::size_t sum = 0;
-    for (const auto& [k, h] : holds) sum += h.bytes();
-    ASSERT_EQ(room->used(), sum);
-    ASSERT_TRUE(sum <= 1000 || holds.size() == 1);
-    ASSERT_EQ(room->waiting(), line.size());
-    // Where nothing is held the first in line gets its room.
-    ASSERT_TRUE(!holds.empty() || line.empty() || room->next_waiter() == line.front());
+    for (const auto& [key, held] : reservations) sum += held.bytes();
+    ASSERT_EQ(budget->used(), sum);
+    ASSERT_TRUE(sum <= 1000 || reservations.size() == 1);
+    ASSERT_EQ(budget->waiting(), waiting.size());
+    // If nothing is reserved, the first waiter may always proceed.
+    ASSERT_TRUE(!reservations.empty() || waiting.empty() || budget->next_waiter() == waiting.front());
   }
   EXPECT_GT(freed, 0);
-  room->close();
+  budget->close();
 }
 
-std::string long_statement(const std::string& id, std::size_t value, const std::string& contract = "pay") {
-  const auto usual = statement(id, contract, 9000);
-  const auto at = usual.find("\\x9f");
-  return usual.substr(0, at + 4) + std::string(value, 'a') + usual.substr(at + 4);
+/// A write whose value is `value` bytes longer than that of statement().
+std::string long_statement(const std::string& id, std::size_t extra_bytes,
+                           const std::string& contract = "pay") {
+  const auto base = statement(id, contract, 9000);
+  const auto at = base.find("\\x9f");
+  return base.substr(0, at + 4) + std::string(extra_bytes, 'a') + base.substr(at + 4);
 }
 
-TEST(LongValues, StatementsGoWholeToTheirHostManyAtOnceWithinTheMemory) {
-  Service s;
-  PgClient c(s.program->pg());
-  EXPECT_EQ(c.query(long_statement("whole", std::size_t{4} << 20U)).types, "TDCZ");
-  EXPECT_EQ(s.primary.seen(), std::vector<std::string>{"whole"});
-  EXPECT_EQ(s.primary.longest(), long_statement("whole", std::size_t{4} << 20U).size());
-  // Many at once, each begun before any is whole; a short one passes by.
+TEST(LongValues, ManyLongStatementsReachTheHostCompleteWithinTheMemoryLimit) {
+  Service service;
+  PgClient client(service.program->pg());
+  EXPECT_EQ(client.query(long_statement("whole", std::size_t{4} << 20U)).types, "TDCZ");
+  EXPECT_EQ(service.primary.seen(), std::vector<std::string>{"whole"});
+  EXPECT_EQ(service.primary.longest_statement(), long_statement("whole", std::size_t{4} << 20U).size());
+  // All clients begin a long statement before any completes it; a short one is served meanwhile.
   std::vector<std::unique_ptr<PgClient>> many;
   std::vector<std::string> bytes;
   for (int i = 0; i < 40; ++i) {
     bytes.push_back(pg_query(long_statement("m" + std::to_string(i), std::size_t{4} << 20U)));
-    many.push_back(std::make_unique<PgClient>(s.program->pg()));
+    many.push_back(std::make_unique<PgClient>(service.program->pg()));
     many.back()->socket.send(bytes.back().substr(0, 100));
   }
-  EXPECT_EQ(c.query(statement("short", "pay")).types, "TDCZ");
-  EXPECT_LT(s.program->resident_kb(), built_for_speed ? 96 * 1024 : 1 << 30);
+  EXPECT_EQ(client.query(statement("short", "pay")).types, "TDCZ");
+  EXPECT_LT(service.program->resident_kb(), memory_bounds_apply ? 96 * 1024 : 1 << 30);
   std::vector<std::thread> writers;
   std::atomic<int> served{0};
   for (std::size_t i = 0; i < many.size(); ++i)
@@ -597,153 +626,163 @@
     });
   for (auto& t : writers) t.join();
   EXPECT_EQ(served, 40);
-  EXPECT_EQ(s.primary.count(), 42U);
-  EXPECT_EQ(s.figure("app_ok{kind=\"pay\"}"), 42);
-  EXPECT_EQ(s.figure("app_tries{kind=\"pay\"}"), 42);
-}
-
-TEST(LongValues, AStatementThatIsRepeatedIsWholeEachTimeAndOneTooLongIsRefusedAtOnce) {
-  Service s;
-  PgClient c(s.program->pg());
-  s.primary.act = Act::reset_once;
-  EXPECT_EQ(c.query(long_statement("a", 1'000'000, "bid")).types, "TDCZ");
-  EXPECT_EQ(s.primary.seen(), (std::vector<std::string>{"a", "a"}));
-  c.socket.send(std::string("Q\x7f\xff\xff\xff", 5));
-  EXPECT_EQ(c.read_answer().code, "08P01");
-  PgClient gone(s.program->pg());  // leaves in the middle: nothing is kept, nobody notices
-  gone.socket.send(pg_query(long_statement("b", 1'000'000)).substr(0, 500'000));
-  gone.socket.reset();
-  PgClient next(s.program->pg());
+  EXPECT_EQ(service.primary.count(), 42U);
+  EXPECT_EQ(service.metric_value("app_ok{kind=\"pay\"}"), 42);
+  EXPECT_EQ(service.metric_value("app_tries{kind=\"pay\"}"), 42);
+}
+
+TEST(LongValues, RetriedStatementIsSentCompleteAndAnOversizedOneIsRejectedAtOnce) {
+  Service service;
+  PgClient client(service.program->pg());
+  service.primary.behavior = Behavior::reset_once;
+  EXPECT_EQ(client.query(long_statement("a", 1'000'000, "bid")).types, "TDCZ");
+  EXPECT_EQ(service.primary.seen(), (std::vector<std::string>{"a", "a"}));
+  client.socket.send(std::string("Q\x7f\xff\xff\xff", 5));
+  EXPECT_EQ(client.read_answer().code, "08P01");
+  PgClient leaving(service.program->pg());  // resets in the middle of a statement: the host never sees it
+  leaving.socket.send(pg_query(long_statement("b", 1'000'000)).substr(0, 500'000));
+  leaving.socket.reset();
+  PgClient next(service.program->pg());
   EXPECT_EQ(next.query(long_statement("c", std::size_t{8} << 20U)).types, "TDCZ");
-  EXPECT_EQ(s.primary.count(), 3U);
+  EXPECT_EQ(service.primary.count(), 3U);
 }
 
-/// A process that listens where the old one would, and is none.
-class Impostor {
+/// Listens on the handover socket in place of the old process and sends fixed packets to the first peer.
+class FakePredecessor {
  public:
-  Impostor(const std::string& path, std::vector<std::string> packets)
-      : says_(std::move(packets)), fd_(::socket(AF_UNIX, SOCK_SEQPACKET, 0)) {
+  FakePredecessor(const std::string& path, std::vector<std::string> packets)
+      : packets_(std::move(packets)), fd_(::socket(AF_UNIX, SOCK_SEQPACKET, 0)) {
     ::unlink(path.c_str());
-    sockaddr_un at{};
-    at.sun_family = AF_UNIX;
-    path.copy(at.sun_path, sizeof at.sun_path - 1);
-    EXPECT_EQ(::bind(fd_.get(), reinterpret_cast<sockaddr*>(&at), sizeof at), 0);
+    sockaddr_un address{};
+    address.sun_family = AF_UNIX;
+    path.copy(address.sun_path, sizeof address.sun_path - 1);
+    EXPECT_EQ(::bind(fd_.get(), reinterpret_cast<sockaddr*>(&address), sizeof address), 0);
     EXPECT_EQ(::listen(fd_.get(), 4), 0);
     thread_ = std::thread([this] {
       wire::Fd peer(::accept(fd_.get(), nullptr, nullptr));
       if (peer.get() < 0) return;
-      for (const auto& packet : says_) ::send(peer.get(), packet.data(), packet.size(), MSG_NOSIGNAL);
+      for (const auto& packet : packets_) ::send(peer.get(), packet.data(), packet.size(), MSG_NOSIGNAL);
       char byte = 0;
       while (::recv(peer.get(), &byte, 1, 0) > 0) {
-      }  // hangs until the other end goes
+      }  // stays silent until the peer closes
     });
   }
-  ~Impostor() {
+  ~FakePredecessor() {
     ::shutdown(fd_.get(), SHUT_RDWR);
     thread_.join();
   }
 
  private:
-  std::vector<std::string> says_;
+  std::vector<std::string> packets_;
   wire::Fd fd_;
   std::thread thread_;
 };
 
+/// Path of the handover socket in the directory of a process; empty if there is none.
 std::string handover_socket(const std::string& dir) {
-  auto* d = ::opendir(dir.c_str());
-  std::string found;
-  while (const auto* e = ::readdir(d))
-    if (std::string(e->d_name).rfind("cedarring-", 0) == 0) found = dir + "/" + e->d_name;
-  ::closedir(d);
-  return found;
+  auto* directory = ::opendir(dir.c_str());
+  std::string path;
+  while (const auto* entry = ::readdir(directory))
+    if (std::string(entry->d_name).rfind("cedarring-", 0) == 0) path = dir + "/" + entry->d_name;
+  ::closedir(directory);
+  return path;
 }
 
-TEST(Upgrade, NeitherGarbageNorSilenceNorAStaleFileKeepsTheNextFromStarting) {
-  Service s;
-  const auto path = handover_socket(s.program->dir());
+TEST(Upgrade, NextProcessStartsDespiteAGarbledSilentOrStaleHandoverSocket) {
+  Service service;
+  const auto path = handover_socket(service.program->dir());
   ASSERT_FALSE(path.empty());
-  const auto whole = wire::encode_packet("whole", "");
-  for (const auto& says : {std::string("garbage"), std::string(), wire::encode_packet("state", "[{]"),
-                           whole.substr(0, 20), wire::encode_packet("unheard-of", "")}) {
-    Impostor impostor(path, says.empty() ? std::vector<std::string>{} : std::vector{says});
+  const auto end_of_state = wire::encode_packet("whole", "");
+  for (const auto& packet : {std::string("garbage"), std::string(), wire::encode_packet("state", "[{]"),
+                             end_of_state.substr(0, 20), wire::encode_packet("unheard-of", "")}) {
+    FakePredecessor predecessor(path, packet.empty() ? std::vector<std::string>{} : std::vector{packet});
     const auto start = Clock::now();
-    Program next(*s.program, "");
+    GatewayProcess next(*service.program, "");
     EXPECT_LT(Clock::now() - start, 5s);
-    EXPECT_EQ(call(next.control(), "GET", "/-/ready").status, 200) << says;
-    PgClient c(next.pg());
-    EXPECT_EQ(c.query(statement("a", "pay")).types, "TDCZ");
+    EXPECT_EQ(call(next.control(), "GET", "/-/ready").status, 200) << packet;
+    PgClient client(next.pg());
+    EXPECT_EQ(client.query(statement("a", "pay")).types, "TDCZ");
   }
-  Program after(*s.program, "");  // the file of one that was killed
-  EXPECT_EQ(call(after.control(), "GET", "/-/ready").status, 200);
+  GatewayProcess last(*service.program, "");  // finds the socket file of a process that was killed
+  EXPECT_EQ(call(last.control(), "GET", "/-/ready").status, 200);
 }
 
-TEST(Upgrade, APartThatIsSpoiltIsDroppedAloneAndNamed) {
-  Service s;
-  const auto path = handover_socket(s.program->dir());
+TEST(Upgrade, UnreadableStateSectionIsDroppedAloneAndNamedInTheLog) {
+  Service service;
+  const auto path = handover_socket(service.program->dir());
   app::ServiceState state;
   state.front = "postgresql";
-  state.list = *wire::parse_members(list_of(1, s.members));
+  state.list = *wire::parse_members(list_of(1, service.members));
   state.disabled_hosts = {"r/1"};
   state.sections = {{"hosts", "[1,{\"hosts\":[{\"host\":7}]}]"},
                     {"sessions", "[1,{\"sessions\":[],\"more\":1}]"},
                     {"new", "?"}};
-  const std::map<std::string, app::StateSections> rest{
+  const std::map<std::string, app::StateSections> other_sections{
       {"postgresql", {{"tenants", "[2,{}]"}, {"contracts", "["}, {"levels", "[1,{}]"}}}};
-  Impostor impostor(path,
-                    {wire::encode_packet("state", app::to_json({state})), wire::encode_packet("whole", ""),
-                     wire::encode_packet("parts", handover::to_text(rest)), wire::encode_packet("yes", "")});
-  Program next(*s.program, "");
+  FakePredecessor predecessor(
+      path,
+      {wire::encode_packet("state", app::to_json({state})), wire::encode_packet("whole", ""),
+       wire::encode_packet("parts", handover::to_text(other_sections)), wire::encode_packet("yes", "")});
+  GatewayProcess next(*service.program, "");
   ASSERT_TRUE(next.wait_output("cannot be read", 3));  // hosts, then tenants and contracts
-  const auto dropped = [&](const std::string& part) { return next.output().find(part) != std::string::npos; };
+  const auto dropped = [&](const std::string& section) {
+    return next.output().find(section) != std::string::npos;
+  };
   EXPECT_TRUE(dropped("hosts") && dropped("tenants") && dropped("contracts"));
   EXPECT_FALSE(dropped("sessions") || dropped("levels") || dropped("new"));
   EXPECT_EQ(call(next.control(), "GET", "/-/ready").status, 200);
-  EXPECT_EQ(figure(call(next.control(), "GET", "/-/metrics").body, "app_pool_ejected"),
-            1);  // what could be read is used
+  // The readable state is used.
+  EXPECT_EQ(metric_value(call(next.control(), "GET", "/-/metrics").body, "app_pool_ejected"), 1);
 }
 
-/// One class, so that all its requests are alike; `from` what replaces the first in the configuration.
+/// The configuration with the class history alone, so that all requests are alike.
 std::string only_history(std::string config) {
-  const auto cut = [&](const std::string& from, const std::string& to, const std::string& with) {
-    const auto at = config.find(from) + from.size();
-    config.replace(at, config.find(to, at) - at, with);
+  const auto replace_between = [&](const std::string& begin, const std::string& end,
+                                   const std::string& text) {
+    const auto at = config.find(begin) + begin.size();
+    config.replace(at, config.find(end, at) - at, text);
   };
-  cut(R"("classes":[)", "]",
-      R"({"name":"history","aim":2000,"deadline":5000,"importance":1,"late_worth":0.5,)"
-      R"("effect":"read_like","group":"cell","window":3000})");
-  cut(R"("class_bound":[)", "]", "0");
-  cut(R"("needs_by_class":[)", "]", R"("eventual")");
+  replace_between(R"("classes":[)", "]",
+                  R"({"name":"history","aim":2000,"deadline":5000,"importance":1,"late_worth":0.5,)"
+                  R"("effect":"read_like","group":"cell","window":3000})");
+  replace_between(R"("class_bound":[)", "]", "0");
+  replace_between(R"("needs_by_class":[)", "]", R"("eventual")");
   return config;
 }
 
-/// Clients that ask for history one after the other, from their construction to stop().
-class Hammer {
+/// Clients that send requests of class history, each one after the other, from construction to stop().
+class LoadGenerator {
  public:
-  Hammer(const std::string& address, int clients) {
+  LoadGenerator(const std::string& address, int clients) {
     for (int t = 0; t < clients; ++t)
       threads_.emplace_back([this, address, t] {
-        PgClient c(address);
+        PgClient client(address);
         for (int i = 0; !stop_; ++i)
-          c.query(statement("h" + std::to_string(t) + "-" + std::to_string(i), "history")).types == "TDCZ"
+          client.query(statement("h" + std::to_string(t) + "-" + std::to_string(i), "history")).types ==
+                  "TDCZ"
               ? ++served
-              : ++others;
+              : ++failed;
       });
   }
   void stop() {
     stop_ = true;
-    for (auto& t : threads_) t.join();
+    for (auto& thread : threads_) thread.join();
     threads_.clear();
   }
-  ~Hammer() { stop(); }
-  std::atomic<int> served{0}, others{0};
+  ~LoadGenerator() { stop(); }
+  std::atomic<int> served{0};
+  std::atomic<int> failed{0};
 
  private:
   std::atomic<bool> stop_{false};
   std::vector<std::thread> threads_;
 };
 
-TEST(Upgrade, InTheMiddleOfAColdStartTheHostIsNotSentItsBoundTwice) {
-  PgStandIn primary, warm, cold;
+// If each process counted alone, a host in slow start would get its allowance twice.
+TEST(Upgrade, HostInSlowStartGetsItsAllowanceOnceAcrossBothProcesses) {
+  PgStandIn primary;
+  PgStandIn warm;
+  PgStandIn cold;
   primary.primary = true;
   const auto now_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
                           std::chrono::system_clock::now().time_since_epoch())
@@ -751,129 +790,139 @@
   const auto list = list_of(1, {member("p", primary.address(), true), member("w", warm.address(), false),
                                 member("c", cold.address(), false, "SERVING", now_ms)});
   Discovery discovery(list);
-  // Two seconds of what a host that is just starting can do, and a tenth of that.
+  // The cold host may get 0.5 times its cold capacity (0.17 of a warm host's) over the window of 2 s.
   const auto config = with_key(replaced(only_history(config_json(discovery.address(), list)),
                                         "\"tip_multiple\":2", "\"tip_multiple\":0.5"),
                                R"("control":"127.0.0.1:0")");
-  Program old(config);
-  Hammer hammer(old.pg(), 4);
-  const auto from = Clock::now();
-  std::this_thread::sleep_for(700ms);  // until the old one has spent it
+  GatewayProcess old(config);
+  LoadGenerator load(old.pg(), 4);
+  const auto start = Clock::now();
+  std::this_thread::sleep_for(700ms);  // until the old process has spent the allowance
   const auto before = cold.count();
-  Program next(old, old.pg());
+  GatewayProcess next(old, old.pg());
   ASSERT_TRUE(old.wait_output("followed", 1));
   old.signal(SIGTERM);
   EXPECT_EQ(old.wait_exit(), 0);
-  std::this_thread::sleep_until(from + 1900ms);
+  std::this_thread::sleep_until(start + 1900ms);
   const auto sent = cold.count();
-  const double passed = std::chrono::duration<double>(Clock::now() - from).count();
-  const double a_host = static_cast<double>(primary.count() + warm.count()) / passed / 2;
-  hammer.stop();
-  EXPECT_EQ(hammer.others, 0);
+  const double elapsed_s = std::chrono::duration<double>(Clock::now() - start).count();
+  const double rate_per_warm_host = static_cast<double>(primary.count() + warm.count()) / elapsed_s / 2;
+  load.stop();
+  EXPECT_EQ(load.failed, 0);
   RecordProperty("cold_before", static_cast<int>(before));
   RecordProperty("cold_in_all", static_cast<int>(sent));
   std::cout << "cold host: " << before << " before, " << sent << " in all; the bound "
-            << 0.5 * 0.17 * 2 * a_host << std::endl;
+            << 0.5 * 0.17 * 2 * rate_per_warm_host << std::endl;
   EXPECT_GT(before, 0U);
-  EXPECT_LE(static_cast<double>(sent), 0.5 * 0.17 * 2 * a_host);
+  EXPECT_LE(static_cast<double>(sent), 0.5 * 0.17 * 2 * rate_per_warm_host);
 }
 
-TEST(Upgrade, InTheMiddleOfAnEjectionTheHostIsLeftAlone) {
-  Service s;
-  s.replica.act = Act::reset;
-  PgClient c(s.program->pg());
-  // Errors at each trial make the ejection longer, to half a minute at the most.
+// The next process must take over the ejection of a host, or it would send requests to the failing host.
+TEST(Upgrade, EjectedHostStaysEjected) {
+  Service service;
+  service.replica.behavior = Behavior::reset;
+  PgClient client(service.program->pg());
+  // Each failed trial makes the ejection longer, up to 30 s.
   const auto until = Clock::now() + 3s;
   int asked = 0;
   while (Clock::now() < until)
-    EXPECT_EQ(c.query(statement("a" + std::to_string(++asked), "history")).types, "TDCZ");
-  const auto before = s.replica.count();
-  Program next(*s.program, s.program->pg());
-  ASSERT_TRUE(s.program->wait_output("followed", 1));
-  const auto came = s.replica.count();
+    EXPECT_EQ(client.query(statement("a" + std::to_string(++asked), "history")).types, "TDCZ");
+  const auto before = service.replica.count();
+  GatewayProcess next(*service.program, service.program->pg());
+  ASSERT_TRUE(service.program->wait_output("followed", 1));
+  const auto at_upgrade = service.replica.count();
   for (int i = 0; i < 40; ++i)
-    EXPECT_EQ(c.query(statement("b" + std::to_string(i), "history")).types, "TDCZ");
-  std::cout << "ejected host: " << before << " of " << asked << " before, " << s.replica.count() - came
-            << " of 40 after" << std::endl;
-  EXPECT_LE(s.replica.count() - came, 1U);  // its time may be up just then
+    EXPECT_EQ(client.query(statement("b" + std::to_string(i), "history")).types, "TDCZ");
+  std::cout << "ejected host: " << before << " of " << asked << " before, "
+            << service.replica.count() - at_upgrade << " of 40 after" << std::endl;
+  EXPECT_LE(service.replica.count() - at_upgrade, 1U);  // the ejection may end just then
 }
 
-TEST(Upgrade, InTheMiddleOfAContractsBurstItIsNotToBeHadTwice) {
-  Service s;
+// If the next process started with a full burst, a tenant could exceed its contract at each upgrade.
+TEST(Upgrade, BurstOfAContractIsNotGrantedTwice) {
+  Service service;
   const std::string contract =
       R"({"contracts":{"mode":"enforce","teams":[{"name":"desks","tenants":["acme"],)"
       R"("classes":{"history":{"rate":0.001,"burst":10,"beyond":"refuse"}}}]}})";
-  s.program = std::make_unique<Program>(s.config, "", contract);
-  PgClient c(s.program->pg());
-  int served = 0, refused = 0;
-  const auto ask = [&](int n) {
-    for (int i = 0; i < n; ++i) {
-      const auto a = c.query(statement("a" + std::to_string(served + refused), "history"));
-      a.types == "TDCZ" ? ++served : ++refused;
-      EXPECT_EQ(a.code, a.types == "TDCZ" ? "" : "53300");
+  service.program = std::make_unique<GatewayProcess>(service.config, "", contract);
+  PgClient client(service.program->pg());
+  int served = 0;
+  int refused = 0;
+  const auto send_requests = [&](int count) {
+    for (int i = 0; i < count; ++i) {
+      const auto answer = client.query(statement("a" + std::to_string(served + refused), "history"));
+      answer.types == "TDCZ" ? ++served : ++refused;
+      EXPECT_EQ(answer.code, answer.types == "TDCZ" ? "" : "53300");
     }
   };
-  ask(6);
+  send_requests(6);
   EXPECT_EQ(served, 6);
-  Program next(*s.program, s.program->pg());
-  ASSERT_TRUE(s.program->wait_output("followed", 1));
-  s.program->signal(SIGTERM);
-  EXPECT_EQ(s.program->wait_exit(), 0);
-  ask(20);
+  GatewayProcess next(*service.program, service.program->pg());
+  ASSERT_TRUE(service.program->wait_output("followed", 1));
+  service.program->signal(SIGTERM);
+  EXPECT_EQ(service.program->wait_exit(), 0);
+  send_requests(20);
   std::cout << "contract of 10: 6 before, " << served - 6 << " of 20 after" << std::endl;
-  EXPECT_EQ(served, 8);             // half of the four that were left was the old one's
-  c.query(statement("z", "gate"));  // and the rest of the service is not touched
-  EXPECT_EQ(c.query(statement("y", "gate")).types, "TDCZ");
+  // Half of the four remaining requests belonged to the share of the old process.
+  EXPECT_EQ(served, 8);
+  client.query(statement("z", "gate"));  // other classes are not affected
+  EXPECT_EQ(client.query(statement("y", "gate")).types, "TDCZ");
 }
 
-TEST(Upgrade, ASessionSeesItsWriteAtTheNextProcess) {
-  Service s;
+TEST(Upgrade, SessionReadsItsOwnWriteFromTheNextProcess) {
+  Service service;
   const auto config =
-      replaced(replaced(s.config, "\"brought\"", "\"kept\""), "[\"lag_bound\"", "[\"causal\"");
-  s.replica.behind_ms = 10'000;
-  s.program = std::make_unique<Program>(config);
-  PgClient c(s.program->pg());
-  EXPECT_EQ(c.query(statement("a", "pay")).types, "TDCZ");
-  Program next(*s.program, s.program->pg());
-  ASSERT_TRUE(s.program->wait_output("followed", 1));
-  const auto before = s.replica.count();
-  for (int i = 0; i < 10; ++i) EXPECT_EQ(c.query(statement("b" + std::to_string(i), "view")).types, "TDCZ");
-  EXPECT_EQ(s.replica.count(), before);
-}
-
-TEST(StandStill, WhatTheListTellsMeanwhileIsHeardBeforeWhatClientsAsk) {
-  Service s;
-  PgClient c(s.program->pg());
-  EXPECT_EQ(c.query(statement("a", "history")).types, "TDCZ");
-  EXPECT_EQ(s.replica.count(), 1U);
-  ASSERT_TRUE(s.discovery->wait_watches(1));
-  s.program->stand_still();
-  s.members[1] = member("r/1", s.replica.address(), false, "DRAINING");
-  s.discovery->tell(list_of(2, s.members));
-  c.socket.send(pg_query(statement("b", "history")));
-  s.program->signal(SIGCONT);
-  EXPECT_EQ(c.read_answer().types, "TDCZ");
-  EXPECT_EQ(s.replica.count(), 1U);
-}
-
-TEST(Upgrade, SettingsMayChangeWhileItRuns) {
-  Upgrading u;
-  ASSERT_TRUE(u.begun);
-  auto& s = u.service;
-  auto& busy = u.busy;
-  auto& next = *u.next;
-  s.program->configure(replaced(s.config, "\"effect\":\"non_idempotent\"", "\"effect\":\"idempotency_key\""));
-  s.program->signal(SIGHUP);
+      replaced(replaced(service.config, "\"brought\"", "\"kept\""), "[\"lag_bound\"", "[\"causal\"");
+  service.replica.replica_lag_ms = 10'000;
+  service.program = std::make_unique<GatewayProcess>(config);
+  PgClient client(service.program->pg());
+  EXPECT_EQ(client.query(statement("a", "pay")).types, "TDCZ");
+  GatewayProcess next(*service.program, service.program->pg());
+  ASSERT_TRUE(service.program->wait_output("followed", 1));
+  const auto before = service.replica.count();
+  for (int i = 0; i < 10; ++i)
+    EXPECT_EQ(client.query(statement("b" + std::to_string(i), "view")).types, "TDCZ");
+  EXPECT_EQ(service.replica.count(), before);
+}
+
+// After a pause the process finds a member list and a request waiting together; it must read the list first,
+// or the request would go to a host that is draining.
+TEST(Suspension, MemberListIsAppliedBeforeWaitingRequests) {
+  Service service;
+  PgClient client(service.program->pg());
+  EXPECT_EQ(client.query(statement("a", "history")).types, "TDCZ");
+  EXPECT_EQ(service.replica.count(), 1U);
+  ASSERT_TRUE(service.discovery->wait_watches(1));
+  service.program->suspend();
+  service.members[1] = member("r/1", service.replica.address(), false, "DRAINING");
+  service.discovery->send_list(list_of(2, service.members));
+  client.socket.send(pg_query(statement("b", "history")));
+  service.program->signal(SIGCONT);
+  EXPECT_EQ(client.read_answer().types, "TDCZ");
+  EXPECT_EQ(service.replica.count(), 1U);
+}
+
+TEST(Upgrade, BothProcessesReloadTheirSettingsDuringIt) {
+  UpgradeWithOpenRequest upgrade;
+  ASSERT_TRUE(upgrade.started);
+  auto& service = upgrade.service;
+  auto& busy = upgrade.busy;
+  auto& next = *upgrade.next;
+  service.program->configure(
+      replaced(service.config, "\"effect\":\"non_idempotent\"", "\"effect\":\"idempotency_key\""));
+  service.program->signal(SIGHUP);
   next.signal(SIGHUP);
-  ASSERT_TRUE(s.program->wait_output("reloaded, discovery", 1));
+  ASSERT_TRUE(service.program->wait_output("reloaded, discovery", 1));
   ASSERT_TRUE(next.wait_output("reloaded, discovery", 1));
-  s.primary.act = Act::reset_once;  // the open one came in as one that must not be repeated
+  // The open request arrived under a class that must not be retried.
+  service.primary.behavior = Behavior::reset_once;
   EXPECT_EQ(call(next.control(), "GET", "/-/ready").status, 200);
-  EXPECT_EQ(busy.read_answer().types, "TDCZ");  // it was let go, not reset: it had come before
-  EXPECT_EQ(figure(call(next.control(), "GET", "/-/metrics").body, "app_config_applied"), 1);
+  // The end of the hold serves it; the reset applies only to requests that arrive later.
+  EXPECT_EQ(busy.read_answer().types, "TDCZ");
+  EXPECT_EQ(metric_value(call(next.control(), "GET", "/-/metrics").body, "app_config_applied"), 1);
 }
 
-/// Many hosts that refuse further connections, or come back all at once, at the smallest size there is.
+/// Many hosts that lose all connections at once and come back, under the smallest resource limits.
 TEST(LargeFleet, SixtyHostsFitTheSmallestLimits) {
   std::vector<std::unique_ptr<PgStandIn>> hosts;
   std::vector<std::string> members;
@@ -886,93 +935,101 @@
   auto config =
       replaced(with_key(config_json(discovery.address(), list_of(1, members)), R"("control":"127.0.0.1:0")"),
                R"("memory_mb":192,"sockets":1024)", R"("memory_mb":32,"sockets":256)");
-  Program program(config);
+  GatewayProcess program(config);
   std::vector<std::unique_ptr<PgClient>> clients;
-  int n = 0;
-  const auto round = [&](const char* cls) {
-    for (auto& c : clients) c->socket.send(pg_query(statement("q" + std::to_string(++n), cls)));
+  int request_number = 0;
+  const auto send_round = [&](const char* class_name) {
+    for (auto& client : clients)
+      client->socket.send(pg_query(statement("q" + std::to_string(++request_number), class_name)));
     int served = 0;
-    for (auto& c : clients) {
-      auto types = c->read_answer().types;
-      if (types.empty()) {  // closed while it was idle, its places being so many: it comes again, once
-        c = std::make_unique<PgClient>(program.pg());
-        types = c->query(statement("q" + std::to_string(++n), cls)).types;
+    for (auto& client : clients) {
+      auto types = client->read_answer().types;
+      if (types.empty()) {  // closed while idle, to make room for other clients: reconnects once
+        client = std::make_unique<PgClient>(program.pg());
+        types = client->query(statement("q" + std::to_string(++request_number), class_name)).types;
       }
-      EXPECT_TRUE(types == "TDCZ" || types == "EZ") << types;  // each has its final answer
+      EXPECT_TRUE(types == "TDCZ" || types == "EZ") << types;  // each request has its final answer
       served += types == "TDCZ" ? 1 : 0;
     }
     return served;
   };
   for (int i = 0; i < 40; ++i) clients.push_back(std::make_unique<PgClient>(program.pg()));
-  for (int i = 0; i < 10; ++i) EXPECT_EQ(round("history"), 40) << i;
-  // More at once than there are connections: who finds no place waits for one.
+  for (int i = 0; i < 10; ++i) EXPECT_EQ(send_round("history"), 40) << i;
+  // More requests than connections to hosts: the others wait for a free connection.
   while (clients.size() < 100) clients.push_back(std::make_unique<PgClient>(program.pg()));
-  for (int i = 0; i < 5; ++i) EXPECT_EQ(round("history"), 100) << i;
-  // A cut: all connections to hosts break under requests; afterwards everybody comes at once.
-  for (auto& h : hosts) h->act = Act::reset;
-  round("history");
-  for (auto& h : hosts) h->act = Act::serve;
+  for (int i = 0; i < 5; ++i) EXPECT_EQ(send_round("history"), 100) << i;
+  // All connections to hosts break with requests open; afterwards all clients retry at once.
+  for (auto& host : hosts) host->behavior = Behavior::reset;
+  send_round("history");
+  for (auto& host : hosts) host->behavior = Behavior::serve;
   const auto start = Clock::now();
-  while (round("history") == 0) ASSERT_LT(Clock::now() - start, 10s);
-  EXPECT_LT(program.resident_kb(), built_for_speed ? 32 * 1024 : 1 << 30);
-  EXPECT_EQ(figure(call(program.control(), "GET", "/-/metrics").body, "app_active"), 0);
+  while (send_round("history") == 0) ASSERT_LT(Clock::now() - start, 10s);
+  EXPECT_LT(program.resident_kb(), memory_bounds_apply ? 32 * 1024 : 1 << 30);
+  EXPECT_EQ(metric_value(call(program.control(), "GET", "/-/metrics").body, "app_active"), 0);
 }
 
-TEST(LargeFleet, HostsThatRefuseBeyondTheirConnectionsLoseNobodysRequest) {
-  Service s;
-  s.primary.places = 2, s.replica.places = 2;
+TEST(LargeFleet, RequestsAreAnsweredWhenHostsRejectConnections) {
+  Service service;
+  service.primary.connection_limit = 2;
+  service.replica.connection_limit = 2;
   std::vector<std::unique_ptr<PgClient>> clients;
-  for (int i = 0; i < 24; ++i) clients.push_back(std::make_unique<PgClient>(s.program->pg()));
-  int served = 0, refused = 0, rounds = 0;
-  for (; s.primary.turned_away + s.replica.turned_away < 8 && rounds < 1000; ++rounds) {
-    for (auto& c : clients)
-      c->socket.send(pg_query(
-          statement("a" + std::to_string(rounds) + "-" + std::to_string(&c - clients.data()), "history")));
-    for (auto& c : clients) {
-      const auto answer = c->read_answer();
+  for (int i = 0; i < 24; ++i) clients.push_back(std::make_unique<PgClient>(service.program->pg()));
+  int served = 0;
+  int refused = 0;
+  int rounds = 0;
+  for (; service.primary.rejected_connections + service.replica.rejected_connections < 8 && rounds < 1000;
+       ++rounds) {
+    for (auto& client : clients)
+      client->socket.send(pg_query(statement(
+          "a" + std::to_string(rounds) + "-" + std::to_string(&client - clients.data()), "history")));
+    for (auto& client : clients) {
+      const auto answer = client->read_answer();
       served += answer.types == "TDCZ" ? 1 : 0;
       refused += answer.code == "53300" ? 1 : 0;
     }
   }
-  EXPECT_GE(s.primary.turned_away + s.replica.turned_away, 8);
+  EXPECT_GE(service.primary.rejected_connections + service.replica.rejected_connections, 8);
   EXPECT_GE(served, rounds);
   EXPECT_EQ(served + refused, 24 * rounds);
-  EXPECT_EQ(s.figure("app_errors{kind=\"history\"}"), 0);  // what found no place never ran
-  EXPECT_EQ(s.figure("app_active"), 0);
-}
-
-/// What waits for a connection that does not come up goes elsewhere in time; it was never sent.
-TEST(LargeFleet, AHostThatWelcomesNobodyCostsARequestLittleOfItsTime) {
-  Service s;
-  s.replica.act = Act::mute;
-  Program other(s.config);  // has no connection to it yet
-  PgClient c(other.pg());
-  EXPECT_EQ(c.query(statement("w", "bid")).types,
-            "TDCZ");  // the primary's connection tells how long one takes
+  // A request without a connection was never sent.
+  EXPECT_EQ(service.metric_value("app_errors{kind=\"history\"}"), 0);
+  EXPECT_EQ(service.metric_value("app_active"), 0);
+}
+
+/// A request that waits for a connection was never sent, so it can go to another host before its deadline.
+TEST(LargeFleet, RequestMovesOnWhenAHostDoesNotCompleteTheStartup) {
+  Service service;
+  service.replica.behavior = Behavior::withhold_greeting;
+  GatewayProcess other(service.config);  // has no connection to the replica yet
+  PgClient client(other.pg());
+  // From this connection to the primary it learns how long a connect takes.
+  EXPECT_EQ(client.query(statement("w", "bid")).types, "TDCZ");
   for (int i = 0; i < 30; ++i)
-    EXPECT_EQ(c.query(statement("a" + std::to_string(i), "history", 900)).types, "TDCZ") << i;
-  EXPECT_GE(s.replica.count(), 1U);
-  for (const auto& came : s.replica.seen()) EXPECT_EQ(came, "startup");
-}
-
-TEST(LargeFleet, DiscoveryThatAnswersLateIsAskedOnceAndHeardWhenItDoes) {
-  Service s;
-  ASSERT_TRUE(s.discovery->wait_watches(1));
-  s.discovery->answers = false;
-  Program other(
-      with_key(config_json(s.discovery->address(), list_of(1, s.members)), R"("control":"127.0.0.1:0")"));
-  PgClient c(other.pg());
-  while (s.discovery->calls < 2)
-    EXPECT_EQ(c.query(statement("a" + std::to_string(s.discovery->calls), "history")).types, "TDCZ");
-  for (int i = 0; i < 40; ++i)  // it serves from the list of its start meanwhile
-    EXPECT_EQ(c.query(statement("b" + std::to_string(i), "history")).types, "TDCZ");
-  EXPECT_EQ(s.discovery->calls, 2);
-  s.discovery->answers = true;
-  ASSERT_TRUE(s.discovery->wait_watches(2));
-  // The watch is told its first list behind our back; ours is told until it has come after that.
+    EXPECT_EQ(client.query(statement("a" + std::to_string(i), "history", 900)).types, "TDCZ") << i;
+  EXPECT_GE(service.replica.count(), 1U);
+  for (const auto& received : service.replica.seen()) EXPECT_EQ(received, "startup");
+}
+
+TEST(LargeFleet, SlowDiscoveryIsCalledOnceAndItsAnswerIsUsed) {
+  Service service;
+  ASSERT_TRUE(service.discovery->wait_watches(1));
+  service.discovery->answering = false;
+  GatewayProcess other(with_key(config_json(service.discovery->address(), list_of(1, service.members)),
+                                R"("control":"127.0.0.1:0")"));
+  PgClient client(other.pg());
+  while (service.discovery->call_count < 2)
+    EXPECT_EQ(client.query(statement("a" + std::to_string(service.discovery->call_count), "history")).types,
+              "TDCZ");
+  for (int i = 0; i < 40; ++i)  // served from the list in the configuration
+    EXPECT_EQ(client.query(statement("b" + std::to_string(i), "history")).types, "TDCZ");
+  EXPECT_EQ(service.discovery->call_count, 2);
+  service.discovery->answering = true;
+  ASSERT_TRUE(service.discovery->wait_watches(2));
+  // The stand-in sends the first list of the new watch itself, so the test repeats its own until that is
+  // applied last.
   int version = 2;
-  do s.discovery->tell(list_of(version++, {s.members[0]}));
-  while (figure(call(other.control(), "GET", "/-/metrics").body, "app_pool_size") != 1);
+  do service.discovery->send_list(list_of(version++, {service.members[0]}));
+  while (metric_value(call(other.control(), "GET", "/-/metrics").body, "app_pool_size") != 1);
 }
 
 }  // namespace
