--- a/tests/support/stand_in.cpp
+++ b/tests/support/stand_in.cpp
@@ -23,23 +23,24 @@
 
 Socket::Socket(wire::Fd fd) : fd_(std::move(fd)) {
   fcntl(fd_.get(), F_SETFL, fcntl(fd_.get(), F_GETFL) & ~O_NONBLOCK);
-  const timeval limit{std::chrono::seconds(patience).count(), 0};
-  setsockopt(fd_.get(), SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
+  const timeval read_timeout{std::chrono::seconds(response_timeout).count(), 0};
+  setsockopt(fd_.get(), SOL_SOCKET, SO_RCVTIMEO, &read_timeout, sizeof read_timeout);
 }
 
 Socket Socket::to(const std::string& address) {
   auto fd = wire::connect_to(address);
-  pollfd p{fd.get(), POLLOUT, 0};
-  poll(&p, 1, 5000);
+  constexpr int connect_timeout_ms = 5000;
+  pollfd connecting{fd.get(), POLLOUT, 0};
+  poll(&connecting, 1, connect_timeout_ms);
   return Socket(std::move(fd));
 }
 
 bool Socket::connect(const std::string& address) {
-  sockaddr_in to{};
-  to.sin_family = AF_INET;
-  to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  to.sin_port = htons(static_cast<std::uint16_t>(std::atoi(address.c_str() + address.rfind(':') + 1)));
-  return ::connect(fd_.get(), reinterpret_cast<sockaddr*>(&to), sizeof to) == 0;
+  sockaddr_in peer{};
+  peer.sin_family = AF_INET;
+  peer.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  peer.sin_port = htons(static_cast<std::uint16_t>(std::atoi(address.c_str() + address.rfind(':') + 1)));
+  return ::connect(fd_.get(), reinterpret_cast<sockaddr*>(&peer), sizeof peer) == 0;
 }
 
 bool Socket::send(std::string_view bytes, bool last) {
@@ -53,14 +54,14 @@
 }
 
 std::optional<std::string> Socket::read(std::size_t n) {
-  std::string out(n, '\0');
-  std::size_t got = 0;
-  while (got < n) {
-    const auto part = ::recv(fd_.get(), out.data() + got, n - got, 0);
+  std::string bytes(n, '\0');
+  std::size_t received = 0;
+  while (received < n) {
+    const auto part = ::recv(fd_.get(), bytes.data() + received, n - received, 0);
     if (part <= 0) return std::nullopt;
-    got += static_cast<std::size_t>(part);
+    received += static_cast<std::size_t>(part);
   }
-  return out;
+  return bytes;
 }
 
 bool Socket::ended() {
@@ -75,8 +76,8 @@
 }
 
 void Socket::reset() {
-  const linger now{1, 0};
-  setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+  const linger reset_on_close{1, 0};
+  setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
   fd_.reset();
 }
 
@@ -102,11 +103,11 @@
   {
     const std::lock_guard lock(mutex_);
     stopping_ = true;
-    for (auto& s : sockets_) s->shut_down();
+    for (auto& socket : sockets_) socket->shut_down();
   }
   ::shutdown(listener_.get(), SHUT_RDWR);
   accepting_.join();
-  for (auto& t : threads_) t.join();
+  for (auto& thread : threads_) thread.join();
 }
 
 std::vector<std::string> Host::seen() {
@@ -116,12 +117,12 @@
 
 bool Host::wait_for(std::size_t requests) {
   std::unique_lock lock(mutex_);
-  return changed_.wait_for(lock, patience, [&] { return seen_.size() >= requests; });
+  return changed_.wait_for(lock, response_timeout, [&] { return seen_.size() >= requests; });
 }
 
 bool Host::wait_ended(std::size_t connections) {
   std::unique_lock lock(mutex_);
-  return changed_.wait_for(lock, patience, [&] { return ended_ >= connections; });
+  return changed_.wait_for(lock, response_timeout, [&] { return ended_ >= connections; });
 }
 
 std::size_t Host::prepared() {
@@ -134,13 +135,13 @@
   ++prepared_;
 }
 
-Act Host::arrived(const std::string& id) {
+Behavior Host::arrived(const std::string& id) {
   const std::lock_guard lock(mutex_);
   seen_.push_back(id);
   changed_.notify_all();
-  const Act now = act;
-  if (now == Act::reset_once || now == Act::raw) act = Act::serve;
-  return now == Act::reset_once ? Act::reset : now;
+  const Behavior current = behavior;
+  if (current == Behavior::reset_once || current == Behavior::raw) behavior = Behavior::serve;
+  return current == Behavior::reset_once ? Behavior::reset : current;
 }
 
 void Host::hang(Socket& socket) {
@@ -150,10 +151,10 @@
   changed_.notify_all();
 }
 
-void Host::say_once(const std::string& bytes) {
+void Host::answer_once_with(const std::string& bytes) {
   const std::lock_guard lock(mutex_);
   raw_ = bytes;
-  act = Act::raw;
+  behavior = Behavior::raw;
 }
 
 std::string Host::raw() {
@@ -163,16 +164,17 @@
 
 std::string Host::health() const {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
-  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(now).count() - behind_ms;
+  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(now).count() - replica_lag_ms;
   return "x0=" + std::to_string(static_cast<double>(ms) / 1000) + ",x1=" + (primary ? "1" : "0") +
          ",pending=0";
 }
 
 namespace {
 
-std::string now_ms(int behind = 5) {
+/// The current time less `lag_ms`, in milliseconds since the epoch.
+std::string replayed_until_ms(int lag_ms = 5) {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
-  return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(now).count() - behind);
+  return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(now).count() - lag_ms);
 }
 
 std::string pg_message(char type, const std::string& body) {
@@ -184,31 +186,35 @@
 
 std::string pg_row(const std::string& value) {
   std::string row("\0\1", 2);
-  row += pg_message('x', value).substr(1);  // a length, but of the text alone
+  // A length as of a message, but in a row it counts the text alone: the last byte is corrected below.
+  row += pg_message('x', value).substr(1);
   row[5] = static_cast<char>(value.size());
   return pg_message('T', std::string("\0\1v\0", 4) + std::string(18, '\0')) + pg_message('D', row) +
          pg_message('C', std::string("SELECT 1\0", 9));
 }
 
-std::optional<std::pair<char, std::string>> pg_read(Socket& s) {
-  const auto head = s.read(5);
+/// Reads one message: its type and its body.
+std::optional<std::pair<char, std::string>> pg_read(Socket& socket) {
+  const auto head = socket.read(5);
   if (!head) return std::nullopt;
   std::uint32_t n = 0;
   for (int i = 1; i < 5; ++i) n = n << 8U | static_cast<unsigned char>((*head)[static_cast<std::size_t>(i)]);
-  const auto body = s.read(n - 4);
+  const auto body = socket.read(n - 4);
   if (!body) return std::nullopt;
   return std::pair((*head)[0], *body);
 }
 
-std::optional<std::string> my_read(Socket& s, std::uint8_t& sequence) {
-  const auto head = s.read(4);
+/// Reads the payload of one packet; `sequence` becomes the number of the next packet.
+std::optional<std::string> my_read(Socket& socket, std::uint8_t& sequence) {
+  const auto head = socket.read(4);
   if (!head) return std::nullopt;
-  my::Reader r(*head);
-  const auto n = r.fixed(3);
-  sequence = static_cast<std::uint8_t>(r.fixed(1) + 1);
-  return s.read(n);
+  my::Reader reader(*head);
+  const auto length = reader.fixed(3);
+  sequence = static_cast<std::uint8_t>(reader.fixed(1) + 1);
+  return socket.read(length);
 }
 
+/// The request id in the comment of a statement.
 std::string id_of(const std::string& sql) {
   wire::StatementInfo info;
   std::string missing;
@@ -221,132 +227,138 @@
 std::string PgStandIn::row(const std::string& value) { return pg_row(value); }
 std::string PgStandIn::message(char type, const std::string& body) { return pg_message(type, body); }
 
-void PgStandIn::serve(Socket& s) {
-  const auto length = s.read(4);
-  if (!length || !s.read(static_cast<unsigned char>((*length)[3]) - 4U)) return;
-  if (act == Act::mute) {
+void PgStandIn::serve(Socket& socket) {
+  const auto length = socket.read(4);
+  if (!length || !socket.read(static_cast<unsigned char>((*length)[3]) - 4U)) return;
+  if (behavior == Behavior::withhold_greeting) {
     arrived("startup");
-    return hang(s);
+    return hang(socket);
   }
   const std::string ready = pg_message('Z', "I");
   const auto error = [&](const std::string& code) {
     return pg_message('E', "C" + code + std::string(1, '\0') + "Mstand-in" + std::string(2, '\0')) + ready;
   };
-  struct Place {
-    std::atomic<int>& places;
-    bool had = places-- > 0;
-    ~Place() { ++places; }
-  } place{places};
-  if (!place.had) {
-    ++turned_away;
-    s.send(error("53300"), true);
+  struct ConnectionSlot {
+    std::atomic<int>& free_slots;
+    bool acquired = free_slots-- > 0;
+    ~ConnectionSlot() { ++free_slots; }
+  } slot{connection_limit};
+  if (!slot.acquired) {
+    ++rejected_connections;
+    socket.send(error("53300"), true);
     return;
   }
-  s.send(pg_message('R', std::string(4, '\0')) + ready);
-  while (const auto m = pg_read(s)) {
-    const std::string sql = m->second.substr(0, m->second.size() - 1);
-    longest_ = std::max<std::size_t>(longest_, sql.size());
+  socket.send(pg_message('R', std::string(4, '\0')) + ready);
+  while (const auto message = pg_read(socket)) {
+    const std::string sql = message->second.substr(0, message->second.size() - 1);
+    longest_statement_ = std::max<std::size_t>(longest_statement_, sql.size());
     if (sql == "SHOW health") {
-      s.send(pg_row(health()) + ready);
+      socket.send(pg_row(health()) + ready);
       continue;
     }
     const auto status = [&](const std::string& name, const std::string& value) {
       return pg_message('S', name + std::string(1, '\0') + value + std::string(1, '\0'));
     };
     const auto answer = [&] {
-      return pg_row("from " + address() + std::string(static_cast<std::size_t>(padding), 'x')) +
+      return pg_row("from " + address() + std::string(static_cast<std::size_t>(padding_bytes), 'x')) +
              status("recovery", primary ? "off" : "on") +
-             status("lsn_ms", now_ms(primary ? 5 : behind_ms.load())) + ready;
+             status("lsn_ms", replayed_until_ms(primary ? 5 : replica_lag_ms.load())) + ready;
     };
     switch (arrived(id_of(sql))) {
-      case Act::raw:
-        s.send(raw(), ends_after_raw);
-        if (ends_after_raw) return;
+      case Behavior::raw:
+        socket.send(raw(), close_after_raw);
+        if (close_after_raw) return;
         break;
-      case Act::hold:
-        while (act == Act::hold) std::this_thread::sleep_for(1ms);
-        s.send(answer());
+      case Behavior::hold:
+        while (behavior == Behavior::hold) std::this_thread::sleep_for(1ms);
+        socket.send(answer());
         break;
-      case Act::serve:
-        s.send(answer());
+      case Behavior::serve:
+        socket.send(answer());
         break;
-      case Act::serve_last:
-        s.send(answer(), true);
+      case Behavior::serve_and_close:
+        socket.send(answer(), true);
         return;
-      case Act::mute:
-      case Act::hang:
-        return hang(s);
-      case Act::reset:
-      case Act::reset_once:
-        return s.reset();
-      case Act::full:
-        s.send(error("53300"));
+      case Behavior::withhold_greeting:
+      case Behavior::hang:
+        return hang(socket);
+      case Behavior::reset:
+      case Behavior::reset_once:
+        return socket.reset();
+      case Behavior::reject_as_full:
+        socket.send(error("53300"));
         break;
-      case Act::miss:
-        s.send(error(sql[0] == 'I' ? "25006" : "72000"));
+      case Behavior::reject_as_stale:
+        socket.send(error(sql[0] == 'I' ? "25006" : "72000"));
         break;
-      case Act::error:
-        s.send(error("XX000"));
+      case Behavior::error:
+        socket.send(error("XX000"));
         break;
     }
   }
 }
 
-void MysqlStandIn::serve(Socket& s) {
+void MysqlStandIn::serve(Socket& socket) {
   std::uint8_t sequence = 0;
-  const auto say = [&](std::string_view payload) {
+  const auto send_packet = [&](std::string_view payload) {
     std::string out;
     my::put_packet(out, sequence, payload);
-    return s.send(out);
+    return socket.send(out);
   };
-  say(my::greeting(7, 0x0fffffff & ~my::ssl));
-  if (!my_read(s, sequence)) return;
-  say(my::ok_packet({}, 0, false));
+  send_packet(my::greeting(7, 0x0fffffff & ~my::ssl));
+  if (!my_read(socket, sequence)) return;
+  send_packet(my::ok_packet({}, 0, false));
   std::map<std::uint32_t, std::string> statements;
   const auto rows = [&](const std::string& row) {
-    const std::string at = now_ms();
+    const std::string at = replayed_until_ms();
     my::Ok ok;
     ok.variables = {{"recovery", primary ? "off" : "on"}, {"lsn_ms", at}};
     std::string column;
     for (const auto text : {"def", "main", "records", "records", "v", "v"}) my::put_lenenc_text(column, text);
     column += std::string("\x0c\x2d\0\0\1\0\0\xfd\0\0\0\0\0", 13);
-    say("\1"), say(column), say(row), say(my::ok_packet(ok, 0xfe, true));
+    send_packet("\1");
+    send_packet(column);
+    send_packet(row);
+    send_packet(my::ok_packet(ok, 0xfe, true));
   };
-  while (const auto p = my_read(s, sequence)) {
-    std::string sql, row;
+  while (const auto packet = my_read(socket, sequence)) {
+    std::string sql;
+    std::string row;
     my::put_lenenc_text(row, "from " + address());
-    my::Reader in(std::string_view(*p).substr(1));
+    my::Reader reader(std::string_view(*packet).substr(1));
     std::string attribute_id;
-    if ((*p)[0] == my::com_stmt_prepare) {
+    if ((*packet)[0] == my::com_stmt_prepare) {
       count_prepare();
       const auto id = static_cast<std::uint32_t>(statements.size() + 1);
-      statements[id] = p->substr(1);
+      statements[id] = packet->substr(1);
       std::string head(1, '\0');
-      my::put_fixed(head, id, 4), my::put_fixed(head, 0, 2);
+      my::put_fixed(head, id, 4);
+      my::put_fixed(head, 0, 2);
       const auto placeholders = my::shape_of(statements[id]).placeholders;
-      my::put_fixed(head, placeholders, 2), my::put_fixed(head, 0, 3);
-      say(head);
-      for (std::size_t i = 0; i < placeholders; ++i) say("a parameter");
+      my::put_fixed(head, placeholders, 2);
+      my::put_fixed(head, 0, 3);
+      send_packet(head);
+      for (std::size_t i = 0; i < placeholders; ++i) send_packet("a parameter");
       continue;
     }
-    if ((*p)[0] == my::com_stmt_execute) {
-      const auto id = static_cast<std::uint32_t>(in.fixed(4));
-      if (forget || statements.count(id) == 0) {
-        say(my::error_packet({1243, "HY000", "unknown statement"}));
+    if ((*packet)[0] == my::com_stmt_execute) {
+      const auto id = static_cast<std::uint32_t>(reader.fixed(4));
+      if (forget_statements || statements.count(id) == 0) {
+        send_packet(my::error_packet({1243, "HY000", "unknown statement"}));
         continue;
       }
       sql = statements[id];
-      my::Execute e;
-      my::parse_execute(*p, true, my::shape_of(sql).placeholders, {}, {}, e);
-      for (const auto& parameter : e.parameters)
+      my::Execute execute;
+      my::parse_execute(*packet, true, my::shape_of(sql).placeholders, {}, {}, execute);
+      for (const auto& parameter : execute.parameters)
         if (parameter.name == "id") attribute_id = my::text_of(parameter).value_or("");
-      row = std::string(2, '\0') + row;  // binary
-      if (!e.parameters.empty() && e.parameters[0].name.empty() && !e.parameters[0].null)
-        row = std::string(2, '\0') + e.parameters[0].value;  // echoes its first parameter
+      row = std::string(2, '\0') + row;  // header of a binary row
+      if (!execute.parameters.empty() && execute.parameters[0].name.empty() && !execute.parameters[0].null)
+        row = std::string(2, '\0') + execute.parameters[0].value;  // echoes the first parameter
     } else {
-      my::Query q;
-      my::parse_query(*p, true, q);
-      sql = q.sql;
+      my::Query query;
+      my::parse_query(*packet, true, query);
+      sql = query.sql;
     }
     if (sql == "SHOW health") {
       row.clear();
@@ -355,28 +367,28 @@
       continue;
     }
     switch (arrived(attribute_id.empty() ? id_of(sql) : attribute_id)) {
-      case Act::raw:
-        s.send(raw());
+      case Behavior::raw:
+        socket.send(raw());
         break;
-      case Act::hold:
-      case Act::serve_last:
-      case Act::serve:
+      case Behavior::hold:
+      case Behavior::serve_and_close:
+      case Behavior::serve:
         rows(row);
         break;
-      case Act::mute:
-      case Act::hang:
-        return hang(s);
-      case Act::reset:
-      case Act::reset_once:
-        return s.reset();
-      case Act::full:
-        say(my::error_packet({1040, "08004", "stand-in"}));
+      case Behavior::withhold_greeting:
+      case Behavior::hang:
+        return hang(socket);
+      case Behavior::reset:
+      case Behavior::reset_once:
+        return socket.reset();
+      case Behavior::reject_as_full:
+        send_packet(my::error_packet({1040, "08004", "stand-in"}));
         break;
-      case Act::miss:
-        say(my::error_packet({1290, "HY000", "stand-in"}));
+      case Behavior::reject_as_stale:
+        send_packet(my::error_packet({1290, "HY000", "stand-in"}));
         break;
-      case Act::error:
-        say(my::error_packet({1146, "42S02", "no such table"}));
+      case Behavior::error:
+        send_packet(my::error_packet({1146, "42S02", "no such table"}));
         break;
     }
   }
@@ -391,7 +403,7 @@
 
 std::string list_of(int version, const std::vector<std::string>& members, bool full) {
   std::string all;
-  for (const auto& m : members) all += (all.empty() ? "" : ",") + m;
+  for (const auto& entry : members) all += (all.empty() ? "" : ",") + entry;
   return R"({"version":)" + std::to_string(version) + R"(,"full":)" + (full ? "true" : "false") +
          R"(,"servers":[)" + all + "]}";
 }
@@ -425,59 +437,60 @@
       if (!byte) break;
       request += *byte;
     }
-    ++calls;
-    while (!answers) std::this_thread::sleep_for(1ms);
+    ++call_count;
+    while (!answering) std::this_thread::sleep_for(1ms);
     if (busy_ > 0) {
       --busy_;
       socket->send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", true);
       continue;
     }
     socket->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    // Under one lock: what a test tells once it has seen the watch comes behind the first list.
+    // Under one lock: a list that a test sends once it has seen the watch follows the first list.
     const std::lock_guard lock(mutex_);
     if (stopping_) return;
     watches_.push_back(socket);
-    tell_last(first_);
+    send_on_last_watch(first_);
     changed_.notify_all();
   }
 }
 
 bool Discovery::wait_watches(std::size_t n) {
   std::unique_lock lock(mutex_);
-  return changed_.wait_for(lock, patience, [&] { return watches_.size() >= n; });
+  return changed_.wait_for(lock, response_timeout, [&] { return watches_.size() >= n; });
 }
 
-void Discovery::tell(const std::string& list) {
+void Discovery::send_list(const std::string& list) {
   const std::lock_guard lock(mutex_);
-  tell_last(list);
+  send_on_last_watch(list);
 }
 
-void Discovery::tell_last(const std::string& list) {
-  char head[32];
-  std::snprintf(head, sizeof head, "%zx\r\n", list.size() + 1);
-  if (!watches_.empty()) watches_.back()->send(head + list + "\n\r\n");
+void Discovery::send_on_last_watch(const std::string& list) {
+  char chunk_header[32];
+  std::snprintf(chunk_header, sizeof chunk_header, "%zx\r\n", list.size() + 1);
+  if (!watches_.empty()) watches_.back()->send(chunk_header + list + "\n\r\n");
 }
 
-void Discovery::blurt(const std::string& bytes, bool end) {
+void Discovery::send_partial_chunk(const std::string& bytes, bool end) {
   const std::lock_guard lock(mutex_);
-  char head[32];
-  std::snprintf(head, sizeof head, "%zx\r\n", bytes.size() + 1000);
+  constexpr std::size_t missing_bytes = 1000;
+  char chunk_header[32];
+  std::snprintf(chunk_header, sizeof chunk_header, "%zx\r\n", bytes.size() + missing_bytes);
   if (watches_.empty()) return;
-  watches_.back()->send(head + bytes);
+  watches_.back()->send(chunk_header + bytes);
   if (end) watches_.back()->shut_down();
 }
 
-void Discovery::raw(const std::string& bytes) {
+void Discovery::send_raw(const std::string& bytes) {
   const std::lock_guard lock(mutex_);
   if (!watches_.empty()) watches_.back()->send(bytes);
 }
 
-void Discovery::drop() {
+void Discovery::reset_last_watch() {
   const std::lock_guard lock(mutex_);
   if (!watches_.empty()) watches_.back()->reset();
 }
 
-void Discovery::tell_first(const std::string& first) {
+void Discovery::set_first_list(const std::string& first) {
   const std::lock_guard lock(mutex_);
   first_ = first;
 }
@@ -487,17 +500,17 @@
   return watches_.size();
 }
 
-std::string Program::ctl(const std::string& words) const {
+std::string GatewayProcess::ctl(const std::string& words) const {
   const auto command = std::string(CEDARRING_GATEWAY) + " ctl -s " + dir_ + "/admin.sock " + words + " 2>&1";
   FILE* pipe = ::popen(command.c_str(), "r");
-  if (!pipe) throw std::runtime_error("popen");
+  if (!pipe) throw std::runtime_error("popen failed");
   std::string text;
   char bytes[512];
   for (std::size_t n = 0; (n = ::fread(bytes, 1, sizeof bytes, pipe)) > 0;) text.append(bytes, n);
   return text + "exit " + std::to_string(WEXITSTATUS(::pclose(pipe)));
 }
 
-void Program::configure_gateway(const std::string& gateway) const {
+void GatewayProcess::configure_gateway(const std::string& gateway) const {
   auto text = gateway;
   for (auto at = text.find("@DIR@"); at != std::string::npos; at = text.find("@DIR@"))
     text.replace(at, 5, dir_);
@@ -505,9 +518,10 @@
   ::rename((dir_ + "/next.json").c_str(), (dir_ + "/gateway.json").c_str());
 }
 
-Program::Program(const std::string& config, const std::string& mysql, const std::string& gateway) {
+GatewayProcess::GatewayProcess(const std::string& config, const std::string& mysql,
+                               const std::string& gateway) {
   char dir[] = "/tmp/cedarring-XXXXXX";
-  if (!mkdtemp(dir)) throw std::runtime_error("mkdtemp");
+  if (!mkdtemp(dir)) throw std::runtime_error("mkdtemp failed");
   dir_ = dir;
   std::ofstream(dir_ + "/config.json") << config;
   if (!mysql.empty()) std::ofstream(dir_ + "/mysql.json") << mysql;
@@ -515,31 +529,34 @@
   start(!mysql.empty(), !gateway.empty());
 }
 
-Program::Program(const Program& before, const std::string& listen) : second_(true), dir_(before.dir_) {
+GatewayProcess::GatewayProcess(const GatewayProcess& before, const std::string& listen)
+    : second_(true), dir_(before.dir_) {
   start(false, before.gateway_);
   if (pg_.empty()) pg_ = listen;
 }
 
-void Program::start(bool mysql, bool gateway) {
+void GatewayProcess::start(bool mysql, bool gateway) {
   gateway_ = gateway;
   int ends[2];
-  if (pipe(ends) != 0) throw std::runtime_error("pipe");
+  if (pipe(ends) != 0) throw std::runtime_error("pipe failed");
   out_ = wire::Fd(ends[0]);
-  const std::string config_at = dir_ + "/config.json", mysql_at = dir_ + "/mysql.json",
-                    gateway_at = dir_ + "/gateway.json";
-  // Not by fork: the child of a process with threads may hang in malloc before it starts the program.
-  std::vector<std::string> set = {"ROUTER_CONFIG=" + config_at, "CEDARRING_MYSQL=" + mysql_at,
-                                  "TMPDIR=" + dir_};
-  if (gateway) set.push_back("CEDARRING_GATEWAY=" + gateway_at);
-  std::vector<char*> env;
-  for (auto& v : set) env.push_back(v.data());
-  const auto replaced = [&](const std::string& v) {
-    return std::any_of(set.begin(), set.end(),
-                       [&](const auto& o) { return v.substr(0, v.find('=')) == o.substr(0, o.find('=')); });
+  const std::string config_path = dir_ + "/config.json";
+  const std::string mysql_path = dir_ + "/mysql.json";
+  const std::string gateway_path = dir_ + "/gateway.json";
+  // posix_spawn, not fork: the child of a process with threads may hang in malloc before it runs the program.
+  std::vector<std::string> variables = {"ROUTER_CONFIG=" + config_path, "CEDARRING_MYSQL=" + mysql_path,
+                                        "TMPDIR=" + dir_};
+  if (gateway) variables.push_back("CEDARRING_GATEWAY=" + gateway_path);
+  std::vector<char*> environment;
+  for (auto& variable : variables) environment.push_back(variable.data());
+  const auto name_of = [](const std::string& variable) { return variable.substr(0, variable.find('=')); };
+  const auto overridden = [&](const std::string& inherited) {
+    return std::any_of(variables.begin(), variables.end(),
+                       [&](const auto& variable) { return name_of(inherited) == name_of(variable); });
   };
-  for (char** v = environ; *v; ++v)
-    if (!replaced(*v)) env.push_back(*v);
-  env.push_back(nullptr);
+  for (char** inherited = environ; *inherited; ++inherited)
+    if (!overridden(*inherited)) environment.push_back(*inherited);
+  environment.push_back(nullptr);
   posix_spawn_file_actions_t files;
   posix_spawn_file_actions_init(&files);
   posix_spawn_file_actions_adddup2(&files, ends[1], 1);
@@ -548,9 +565,9 @@
   posix_spawn_file_actions_addclose(&files, ends[1]);
   std::string program = CEDARRING_GATEWAY;
   char* args[] = {program.data(), nullptr};
-  const int failed = posix_spawn(&pid_, program.c_str(), &files, nullptr, args, env.data());
+  const int failed = posix_spawn(&pid_, program.c_str(), &files, nullptr, args, environment.data());
   posix_spawn_file_actions_destroy(&files);
-  if (failed != 0) throw std::runtime_error("the program does not start");
+  if (failed != 0) throw std::runtime_error("cannot start the gateway program");
   ::close(ends[1]);
   std::string line;
   while ((mysql ? mysql_ : pg_).empty() && read_line(line)) {
@@ -562,7 +579,7 @@
   }
 }
 
-bool Program::read_line(std::string& line) {
+bool GatewayProcess::read_line(std::string& line) {
   line.clear();
   char c = 0;
   while (::read(out_.get(), &c, 1) == 1) {
@@ -573,28 +590,28 @@
   return false;
 }
 
-long Program::resident_kb() const {
+long GatewayProcess::resident_kb() const {
   std::ifstream status("/proc/" + std::to_string(pid_) + "/status");
   for (std::string line; std::getline(status, line);)
     if (line.rfind("VmRSS:", 0) == 0) return std::atol(line.c_str() + 6);
   return 0;
 }
 
-void Program::stand_still() const {
+void GatewayProcess::suspend() const {
   signal(SIGSTOP);
   int status = 0;
   while (::waitpid(pid_, &status, WUNTRACED) == pid_ && !WIFSTOPPED(status)) {
   }
 }
 
-void Program::signal(int number) const { ::kill(pid_, number); }
+void GatewayProcess::signal(int number) const { ::kill(pid_, number); }
 
-void Program::configure(const std::string& config) const {
+void GatewayProcess::configure(const std::string& config) const {
   std::ofstream(dir_ + "/next.json") << config;
   ::rename((dir_ + "/next.json").c_str(), (dir_ + "/config.json").c_str());
 }
 
-bool Program::wait_output(const std::string& text, int times) {
+bool GatewayProcess::wait_output(const std::string& text, int times) {
   const auto count = [&] {
     int n = 0;
     for (auto at = output_.find(text); at != std::string::npos; at = output_.find(text, at + 1)) ++n;
@@ -606,7 +623,7 @@
   return count() >= times;
 }
 
-int Program::wait_exit() {
+int GatewayProcess::wait_exit() {
   std::string line;
   while (read_line(line)) {
   }
@@ -618,16 +635,20 @@
   return *status_;
 }
 
-Program::~Program() {
-  if (!status_) signal(SIGKILL), wait_exit();
+GatewayProcess::~GatewayProcess() {
+  if (!status_) {
+    signal(SIGKILL);
+    wait_exit();
+  }
   if (second_) return;
-  if (auto* dir = ::opendir(dir_.c_str())) {  // sockets that it left for the next process
-    while (const auto* e = ::readdir(dir))
-      if (std::string(e->d_name).rfind("cedarring-", 0) == 0) ::unlink((dir_ + "/" + e->d_name).c_str());
+  if (auto* dir = ::opendir(dir_.c_str())) {  // remove sockets left for a successor process
+    while (const auto* entry = ::readdir(dir))
+      if (std::string(entry->d_name).rfind("cedarring-", 0) == 0)
+        ::unlink((dir_ + "/" + entry->d_name).c_str());
     ::closedir(dir);
   }
   for (const auto* file : {"/config.json", "/mysql.json"}) ::unlink((dir_ + file).c_str());
-  // What it wrote there itself, too.
+  // Files that the program itself may have written.
   for (const auto* file : {"/gateway.json", "/next.json", "/records.jsonl", "/admin.sock"})
     ::unlink((dir_ + file).c_str());
   ::rmdir(dir_.c_str());
@@ -662,25 +683,25 @@
   return "{" + key_and_value + "," + config.substr(1);
 }
 
-DoorReply read_reply(Socket& socket) {
+HttpReply read_reply(Socket& socket) {
   std::string all;
-  while (const auto c = socket.read(1)) all += *c;
-  DoorReply r;
+  while (const auto byte = socket.read(1)) all += *byte;
+  HttpReply reply;
   const auto end = all.find("\r\n\r\n");
-  if (end == std::string::npos || all.rfind("HTTP/1.1 ", 0) != 0) return r;
-  r.status = std::atoi(all.c_str() + 9);
-  r.head = all.substr(0, end);
-  r.body = all.substr(end + 4);
-  return r;
+  if (end == std::string::npos || all.rfind("HTTP/1.1 ", 0) != 0) return reply;
+  reply.status = std::atoi(all.c_str() + 9);
+  reply.head = all.substr(0, end);
+  reply.body = all.substr(end + 4);
+  return reply;
 }
 
-DoorReply call(const std::string& address, const std::string& method, const std::string& path) {
+HttpReply call(const std::string& address, const std::string& method, const std::string& path) {
   auto socket = Socket::to(address);
   socket.send(method + " " + path + " HTTP/1.1\r\nHost: door\r\n\r\n");
   return read_reply(socket);
 }
 
-long figure(const std::string& metrics, const std::string& name) {
+long metric_value(const std::string& metrics, const std::string& name) {
   const auto at = metrics.find("\n" + name + " ");
   return at == std::string::npos ? -1 : std::atol(metrics.c_str() + at + name.size() + 2);
 }
@@ -714,14 +735,15 @@
 
 PgAnswer PgClient::read_answer() {
   PgAnswer answer;
-  while (const auto m = pg_read(socket)) {
-    answer.types += m->first;
-    if (m->first == 'E') {
-      answer.code = wire::pg::error_field(m->second, 'C');
-      answer.detail = wire::pg::error_field(m->second, 'D');
+  while (const auto message = pg_read(socket)) {
+    const auto& [type, body] = *message;
+    answer.types += type;
+    if (type == 'E') {
+      answer.code = wire::pg::error_field(body, 'C');
+      answer.detail = wire::pg::error_field(body, 'D');
     }
-    if (m->first == 'D') answer.value = wire::pg::only_column(m->second).value_or("?");
-    if (m->first == 'Z') break;
+    if (type == 'D') answer.value = wire::pg::only_column(body).value_or("?");
+    if (type == 'Z') break;
   }
   return answer;
 }
@@ -759,16 +781,16 @@
 std::uint32_t MysqlRaw::prepare(const std::string& sql) {
   command(std::string(1, static_cast<char>(my::com_stmt_prepare)) + sql);
   const auto head = read_packet().value_or("");
-  my::Reader in(head);
-  in.fixed(1);
-  return static_cast<std::uint32_t>(in.fixed(4));
+  my::Reader reader(head);
+  reader.fixed(1);
+  return static_cast<std::uint32_t>(reader.fixed(4));
 }
 
 my::Error MysqlRaw::read_error() {
-  my::Error e;
-  const auto p = read_packet();
-  if (p) my::parse_error(*p, e);
-  return e;
+  my::Error error;
+  const auto packet = read_packet();
+  if (packet) my::parse_error(*packet, error);
+  return error;
 }
 
 }  // namespace cedarring::test
--- a/tests/support/stand_in.h
+++ b/tests/support/stand_in.h
@@ -1,5 +1,5 @@
-// Stand-ins for the tests: hosts of both protocols, discovery, clients, and the started program. Loopback
-// only.
+// Test doubles on the loopback interface: PostgreSQL and MySQL hosts, the discovery service and clients; and
+// the gateway program, started as a process.
 #pragma once
 
 #include <atomic>
@@ -22,63 +22,100 @@
 namespace cedarring::test {
 
 using namespace std::chrono_literals;
-inline constexpr auto patience = 20s;  // for what must come: only a failing test waits this long
 
-/// A blocking socket whose reads end after `patience`.
+/// How long the helpers wait for an expected event; only a failing test waits this long.
+inline constexpr auto response_timeout = 20s;
+
+/// A blocking socket whose reads fail after `response_timeout`.
 class Socket {
  public:
   explicit Socket(wire::Fd fd);
+  /// Opens a TCP connection to "ip:port".
   static Socket to(const std::string& address);
-  bool connect(const std::string& address);              // of a datagram socket
-  bool send(std::string_view bytes, bool last = false);  // last: the end comes in the same segment
-  /// Exactly n bytes; nothing at the end of the stream.
+  /// Sets the peer of a datagram socket; returns whether that succeeded.
+  bool connect(const std::string& address);
+  /// Sends all bytes; false if the connection broke. With `last`, the end of the stream is sent in the same
+  /// segment as the bytes.
+  bool send(std::string_view bytes, bool last = false);
+  /// Reads exactly `n` bytes; nullopt if the stream ended or timed out before.
   std::optional<std::string> read(std::size_t n);
-  /// True once the peer has closed or reset.
+  /// Waits for the peer; true if it has closed or reset the connection.
   bool ended();
-  bool ended_in_order();  // by an end, not a reset
-  void reset();           // with RST
-  void shut_down();       // wakes a reader of another thread
+  /// Like ended(), but true only for an orderly close, not for a reset.
+  bool ended_in_order();
+  /// Closes the connection with a reset.
+  void reset();
+  /// Shuts down both directions, which also wakes a thread that is reading.
+  void shut_down();
   [[nodiscard]] int fd() const { return fd_.get(); }
 
  private:
   wire::Fd fd_;
 };
 
-// serve_last: and closes; mute: welcomes nobody; reset_once: serves from then on
-// raw: what say_once() set; hold: serves once it is told another act
-enum class Act { raw, hold, serve, serve_last, mute, hang, reset, reset_once, full, miss, error };
+/// How a stand-in host treats the next request.
+enum class Behavior {
+  raw,                ///< sends the bytes given to answer_once_with(), then serves
+  hold,               ///< answers once another behavior has been set
+  serve,              ///< answers
+  serve_and_close,    ///< answers and closes the connection
+  withhold_greeting,  ///< accepts connections but never completes their startup
+  hang,               ///< never answers
+  reset,              ///< resets the connection
+  reset_once,         ///< resets the connection of one request, then serves
+  reject_as_full,     ///< answers that it has too many connections
+  reject_as_stale,    ///< answers that it cannot take the request: read-only, or its data is too old
+  error               ///< answers with an error of the statement
+};
 
-/// A host that counts what it is asked to run. One thread a connection; all are joined at the end.
+/// A host that records the requests it receives. It runs one thread for each connection and joins them all
+/// when it is destroyed.
 class Host {
  public:
   Host();
   virtual ~Host() = default;
   [[nodiscard]] const std::string& address() const { return address_; }
-  std::atomic<Act> act{Act::serve};
-  void say_once(const std::string& bytes);  // in place of its next answer
-  std::atomic<bool> ends_after_raw{false};  // closes behind that
+  std::atomic<Behavior> behavior{Behavior::serve};
+  /// Sends these bytes in place of the next answer.
+  void answer_once_with(const std::string& bytes);
+  /// Whether the connection is closed behind the bytes of answer_once_with() (PostgreSQL only).
+  std::atomic<bool> close_after_raw{false};
   std::atomic<bool> primary{false};
-  std::atomic<int> padding{0};     // bytes behind its value (PostgreSQL)
-  std::atomic<int> behind_ms{20};  // of what it says it holds
-  std::atomic<int> places{
-      1 << 20};  // connections that it holds; one beyond is told so and closed (PostgreSQL)
-  std::atomic<int> turned_away{0};
-  /// What came: the id of each request, in order of arrival.
+  /// Number of bytes that are appended to each value (PostgreSQL only).
+  std::atomic<int> padding_bytes{0};
+  /// Replication lag that the host reports, in milliseconds.
+  std::atomic<int> replica_lag_ms{20};
+  /// Number of further connections it accepts; beyond that it answers that it is full and closes (PostgreSQL
+  /// only).
+  std::atomic<int> connection_limit{1 << 20};
+  /// Number of connections that were rejected for `connection_limit`.
+  std::atomic<int> rejected_connections{0};
+  /// The id of each received request, in order of arrival.
   std::vector<std::string> seen();
   std::size_t count() { return seen().size(); }
-  [[nodiscard]] std::size_t longest() const { return longest_; }  // statement, in bytes
+  /// Length of the longest received statement, in bytes (PostgreSQL only).
+  [[nodiscard]] std::size_t longest_statement() const { return longest_statement_; }
+  /// Waits until this many requests have arrived; false on timeout.
   bool wait_for(std::size_t requests);
-  bool wait_ended(std::size_t connections);  // connections that the gateway closed while a request hung
+  /// Waits until the gateway has closed this many connections whose request hung; false on timeout.
+  bool wait_ended(std::size_t connections);
+  /// Number of statements that were prepared.
   std::size_t prepared();
 
  protected:
-  std::atomic<std::size_t> longest_{0};
-  void stop();  // by the most derived destructor
+  std::atomic<std::size_t> longest_statement_{0};
+  /// Ends all threads; the most derived destructor must call it.
+  void stop();
+  /// Serves one connection until it ends.
   virtual void serve(Socket& socket) = 0;
-  Act arrived(const std::string& id);
+  /// Records a request and returns how to treat it.
+  Behavior arrived(const std::string& id);
+  /// Waits for the end of the connection and counts it.
   void hang(Socket& socket);
+  /// The value of `SHOW health`.
   std::string health() const;
   void count_prepare();
+  /// The bytes given to answer_once_with().
   std::string raw();
 
  private:
@@ -88,7 +125,8 @@
   std::mutex mutex_;
   std::condition_variable changed_;
   std::vector<std::string> seen_;
-  std::size_t ended_ = 0, prepared_ = 0;
+  std::size_t ended_ = 0;
+  std::size_t prepared_ = 0;
   bool stopping_ = false;
   std::string raw_;
   std::list<std::shared_ptr<Socket>> sockets_;
@@ -96,52 +134,67 @@
   std::thread accepting_;
 };
 
+/// A stand-in for a PostgreSQL server.
 class PgStandIn : public Host {
  public:
-  /// The messages of an answer with this value.
+  /// The messages of an answer with this value, without ReadyForQuery.
   static std::string row(const std::string& value);
+  /// One message of the wire protocol.
   static std::string message(char type, const std::string& body);
   ~PgStandIn() override { stop(); }
 
  private:
   void serve(Socket& socket) override;
 };
+
+/// A stand-in for a MySQL server.
 class MysqlStandIn : public Host {
  public:
   ~MysqlStandIn() override { stop(); }
-  std::atomic<bool> forget{false};  // does not know its statements any more
+  /// Whether it answers that the statements it has prepared are unknown.
+  std::atomic<bool> forget_statements{false};
 
  private:
   void serve(Socket& socket) override;
 };
 
-/// One entry of a list in discovery's form.
+/// One entry of a member list, as the discovery service sends it.
 std::string member(const std::string& id, const std::string& address, bool primary,
                    const std::string& state = "SERVING", std::int64_t started_ms = 0);
+/// A member list; with `full` false only the changes since the last one.
 std::string list_of(int version, const std::vector<std::string>& members, bool full = true);
 
-/// Discovery: tells the same first list to each watch, then what tell() says.
+/// A stand-in for the discovery service. Each watch receives the same first list, then the lists that the
+/// test sends.
 class Discovery {
  public:
-  /// The first `busy` calls are answered with 503, as one that waited too long is.
+  /// The first `busy` calls are answered with 503, as the service does for a call that waited too long.
   explicit Discovery(std::string first, int busy = 0);
   ~Discovery();
   [[nodiscard]] const std::string& address() const { return address_; }
+  /// Waits until `n` watches have been opened; false on timeout.
   bool wait_watches(std::size_t n);
-  void tell(const std::string& list);
-  /// Sends the bytes inside an unfinished chunk of the last watch and, where told, ends its connection.
-  void blurt(const std::string& bytes, bool end);
-  void raw(const std::string& bytes);         // to the last watch, as they are
-  void drop();                                // resets the last watch
-  void tell_first(const std::string& first);  // to watches that come from now on
+  /// Sends a list on the last watch.
+  void send_list(const std::string& list);
+  /// Sends the bytes on the last watch inside a chunk that is never completed; with `end`, closes the
+  /// connection behind them.
+  void send_partial_chunk(const std::string& bytes, bool end);
+  /// Sends the bytes on the last watch as they are.
+  void send_raw(const std::string& bytes);
+  /// Resets the connection of the last watch.
+  void reset_last_watch();
+  /// Replaces the first list of all watches opened from now on.
+  void set_first_list(const std::string& first);
+  /// Number of watches opened so far.
   std::size_t watches();
-  /// From now on a call is heard and answered only when this says so.
-  std::atomic<bool> answers{true};
-  std::atomic<int> calls{0};
+  /// While false, calls are read but not answered.
+  std::atomic<bool> answering{true};
+  /// Number of calls read so far.
+  std::atomic<int> call_count{0};
 
  private:
   void run();
-  void tell_last(const std::string& list);
+  void send_on_last_watch(const std::string& list);
   std::string first_;
   int busy_;
   wire::Fd listener_;
@@ -153,81 +206,117 @@
   std::thread thread_;
 };
 
-/// The started program.
-class Program {
+/// The gateway program, running as a child process. The destructor kills it if it still runs.
+class GatewayProcess {
  public:
-  /// With a MySQL front if `mysql` (its file) is not empty, and with a gateway's file if that is not; in the
-  /// latter
-  /// @DIR@ stands for a folder that lasts as long as the program.
-  Program(const std::string& config, const std::string& mysql = "", const std::string& gateway = "");
-  /// A second process of the same gateway: the other's file and folder.
-  explicit Program(const Program& before, const std::string& listen);
-  ~Program();
+  /// Starts the program with this configuration. A `mysql` text that is not empty becomes its MySQL
+  /// configuration file, a `gateway` text that is not empty its gateway file; in the latter, @DIR@ stands for
+  /// a directory that exists as long as this object.
+  GatewayProcess(const std::string& config, const std::string& mysql = "", const std::string& gateway = "");
+  /// Starts a second process of the same gateway, in the directory of `before`; `listen` is the address of
+  /// the PostgreSQL listener if the process announces none.
+  explicit GatewayProcess(const GatewayProcess& before, const std::string& listen);
+  ~GatewayProcess();
+  /// Addresses of the listeners; empty where there is none.
   [[nodiscard]] const std::string& pg() const { return pg_; }
   [[nodiscard]] const std::string& mysql() const { return mysql_; }
   [[nodiscard]] const std::string& dns() const { return dns_; }
   [[nodiscard]] const std::string& control() const { return control_; }
+  /// Everything read from standard output and standard error so far.
   [[nodiscard]] const std::string& output() const { return output_; }
   void signal(int number) const;
-  void stand_still() const;                         // until SIGCONT; returns once it does
-  [[nodiscard]] long resident_kb() const;           // of its process, now
-  void configure(const std::string& config) const;  // replaces its file
+  /// Stops the process until it gets SIGCONT; returns once it is stopped.
+  void suspend() const;
+  /// Resident memory of the process now, in KiB.
+  [[nodiscard]] long resident_kb() const;
+  /// Replaces the configuration file.
+  void configure(const std::string& config) const;
+  /// Replaces the gateway file.
   void configure_gateway(const std::string& gateway) const;
   [[nodiscard]] const std::string& dir() const { return dir_; }
-  /// What `cedarring ctl` prints for these words; its exit code behind it.
+  /// Runs `cedarring ctl` with these arguments; returns its output, followed by "exit " and the exit code.
   std::string ctl(const std::string& words) const;
-  bool wait_output(const std::string& text, int times);  // until it has said it so often
+  /// Reads output until the text has occurred this often; false if the output ends before.
+  bool wait_output(const std::string& text, int times);
+  /// Waits for the end of the process; returns its exit code, or 128 plus the number of the signal.
   int wait_exit();
 
  private:
   bool read_line(std::string& line);
   void start(bool mysql, bool gateway);
-  bool second_ = false, gateway_ = false;
-  std::string dir_, pg_, mysql_, dns_, control_, output_;
+  bool second_ = false;
+  bool gateway_ = false;
+  std::string dir_;
+  std::string pg_;
+  std::string mysql_;
+  std::string dns_;
+  std::string control_;
+  std::string output_;
   wire::Fd out_;
   int pid_ = -1;
   std::optional<int> status_;
 };
+
+/// A configuration of the gateway with five request classes; `more` is appended to its settings.
 std::string config_json(const std::string& discovery, const std::string& known, const std::string& more = "");
+/// A configuration of the MySQL listener.
 std::string mysql_json(const std::string& known);
-/// The same configuration with a key put in front.
+/// The configuration with another key in front.
 std::string with_key(const std::string& config, const std::string& key_and_value);
 
-/// One call at the operators' door.
-struct DoorReply {
-  int status = 0;  // 0: no answer
-  std::string head, body;
+/// The answer to a call to the control endpoint.
+struct HttpReply {
+  int status = 0;  ///< 0 if there was no answer
+  std::string head;
+  std::string body;
 };
-DoorReply read_reply(Socket& socket);
-DoorReply call(const std::string& address, const std::string& method, const std::string& path);
-/// The value of a figure, such as app_ok{kind="view"}; -1 where it does not stand there.
-long figure(const std::string& metrics, const std::string& name);
+/// Reads an answer up to the end of the connection.
+HttpReply read_reply(Socket& socket);
+/// Makes one call to the control endpoint at this address.
+HttpReply call(const std::string& address, const std::string& method, const std::string& path);
+/// The value of a metric, such as app_ok{kind="view"}; -1 if the text has none of this name.
+long metric_value(const std::string& metrics, const std::string& name);
 
-/// A PostgreSQL client that reads whole answers: the types of the messages and the fields of interest.
+/// An answer of the PostgreSQL protocol.
 struct PgAnswer {
-  std::string types, code, detail, value;
+  std::string types;   ///< the types of its messages, in order
+  std::string code;    ///< SQLSTATE of the error, if any
+  std::string detail;  ///< detail field of the error, if any
+  std::string value;   ///< value of the only column, if there is a row
 };
+
+/// A PostgreSQL client that reads whole answers.
 class PgClient {
  public:
+  /// Connects; with `start`, completes the startup as well.
   explicit PgClient(const std::string& address, bool start = true);
   Socket socket;
-  PgAnswer read_answer();  // up to ReadyForQuery, or the end
+  /// Reads up to ReadyForQuery, or up to the end of the connection.
+  PgAnswer read_answer();
+  /// Sends a simple query and reads its answer.
   PgAnswer query(const std::string& sql);
 };
+/// The bytes of a startup message.
 std::string pg_startup();
+/// The bytes of a simple query.
 std::string pg_query(const std::string& sql);
-/// A statement in PROTOCOL's form.
+/// A statement with the routing comment that the gateway reads: request id, contract (request class), tenant,
+/// deadline in milliseconds.
 std::string statement(const std::string& id, const std::string& contract, int deadline_ms = 5000,
                       const std::string& more = "");
 
-/// A MySQL client that speaks raw packets, for what client libraries don't.
+/// A MySQL client that sends single packets, for requests that client libraries do not send.
 class MysqlRaw {
  public:
+  /// Connects and authenticates.
   explicit MysqlRaw(const std::string& address);
   Socket socket;
+  /// The payload of the next packet; nullopt at the end of the connection.
   std::optional<std::string> read_packet();
+  /// Sends a command packet.
   void command(std::string_view payload);
-  std::uint32_t prepare(const std::string& sql);  // of statements without parameters
+  /// Prepares a statement without parameters; returns its id.
+  std::uint32_t prepare(const std::string& sql);
   wire::mysql::Error read_error();
 };
 
