--- a/bench/levels_bench.cpp
+++ b/bench/levels_bench.cpp
@@ -1,5 +1,5 @@
-// What a gate's verdict costs, with eight levels of pressure and the default faults, and whether it
-// allocates.
+// Benchmarks of the levels gate: the cost of a verdict, of counting a request's end and of an evaluation,
+// with eight pressure levels and the default faults. Counts heap allocations per verdict run.
 #include <benchmark/benchmark.h>
 
 #include <atomic>
@@ -11,99 +11,109 @@
 namespace {
 std::atomic<std::uint64_t> allocations{0};
 }
-void* operator new(std::size_t n) {
+void* operator new(std::size_t size) {
   ++allocations;
-  if (void* p = std::malloc(n)) return p;
+  if (void* memory = std::malloc(size)) return memory;
   throw std::bad_alloc();
 }
-void operator delete(void* p) noexcept { std::free(p); }
-void operator delete(void* p, std::size_t) noexcept { std::free(p); }
+void operator delete(void* memory) noexcept { std::free(memory); }
+void operator delete(void* memory, std::size_t) noexcept { std::free(memory); }
 
 namespace {
 
 using namespace cedarring;
 
+constexpr Time start_time{1'000'000'000};
+constexpr Time warm_time{1'010'000'000};  // after 10 s of evaluations
+constexpr std::size_t pressure_level_count = 8;
+
 levels::ServiceInfo service() {
-  levels::ServiceInfo s;
+  levels::ServiceInfo info;
   for (const auto& [name, freshness] : {std::pair{"desk-view", Freshness::bounded},
                                         {"history", Freshness::any},
                                         {"gate-check", Freshness::fresh},
                                         {"bid-submit", Freshness::write}}) {
-    RequestClass c;
-    c.name = name, c.latency_target = std::chrono::milliseconds(300), c.deadline = std::chrono::seconds(1),
-    c.freshness = freshness, c.staleness_bound = std::chrono::milliseconds(200);
-    s.classes.push_back(c);
+    RequestClass request_class;
+    request_class.name = name;
+    request_class.latency_target = std::chrono::milliseconds(300);
+    request_class.deadline = std::chrono::seconds(1);
+    request_class.freshness = freshness;
+    request_class.staleness_bound = std::chrono::milliseconds(200);
+    info.classes.push_back(request_class);
   }
-  s.tenants = 3;
-  return s;
+  info.tenants = 3;
+  return info;
 }
 
-levels::Levels make(std::size_t groups, bool lost) {
-  auto c = levels::default_config(service());
-  c.mode = levels::Mode::on;
-  while (c.pressure.levels.size() < 8) {
-    auto more = c.pressure.levels.back();
-    more.name += "+";
-    c.pressure.levels.push_back(more);
+/// Levels pinned to `trim`, with that many groups, all with or all without a primary.
+levels::Levels make_levels(std::size_t groups, bool without_primary) {
+  auto config = levels::default_config(service());
+  config.mode = levels::Mode::on;
+  while (config.pressure.levels.size() < pressure_level_count) {
+    auto level = config.pressure.levels.back();
+    level.name += "+";
+    config.pressure.levels.push_back(level);
   }
-  levels::Levels l(c, service());
+  levels::Levels levels(config, service());
   levels::GatewayState state;
-  for (std::size_t g = 1; g <= groups; ++g)
-    state.groups.push_back({GroupId{static_cast<std::int64_t>(g)}, !lost, 0, 0});
-  std::vector<levels::AxisChange> events;
-  for (Time now{1'000'000'000}; now < Time{1'010'000'000}; now += std::chrono::milliseconds(100)) {
+  for (std::size_t group = 1; group <= groups; ++group)
+    state.groups.push_back({GroupId{static_cast<std::int64_t>(group)}, !without_primary, 0, 0});
+  std::vector<levels::AxisChange> changes;
+  for (Time now = start_time; now < warm_time; now += std::chrono::milliseconds(100)) {
     state.groups_at = now;
-    l.step(now, state, events);
+    levels.step(now, state, changes);
   }
-  l.pin(std::nullopt, "trim", Time{2'000'000'000}, Time{1'010'000'000});
-  l.step(Time{1'010'000'000}, state, events);
-  return l;
+  levels.pin(std::nullopt, "trim", Time{2'000'000'000}, warm_time);
+  levels.step(warm_time, state, changes);
+  return levels;
 }
 
-void verdict(benchmark::State& state, bool lost) {
-  auto l = make(static_cast<std::size_t>(state.range(0)), lost);
-  gates::GateRequest a;
-  a.tenant = 1;
-  a.time_left = std::chrono::milliseconds(100);
-  const auto before = allocations.load();
-  std::uint64_t n = 0;
+void run_verdicts(benchmark::State& state, bool without_primary) {
+  auto levels = make_levels(static_cast<std::size_t>(state.range(0)), without_primary);
+  gates::GateRequest request;
+  request.tenant = 1;
+  request.time_left = std::chrono::milliseconds(100);
+  const auto allocations_before = allocations.load();
+  std::uint64_t number = 0;
   for (auto _ : state) {
-    a.request = RequestId{++n};
-    a.caller = n * 0x9e3779b97f4a7c15ULL;
-    a.cls = ClassId{static_cast<std::int32_t>(n & 3U)};
-    a.group = GroupId{static_cast<std::int64_t>(n % static_cast<std::uint64_t>(state.range(0))) + 1};
-    benchmark::DoNotOptimize(l.admit(a, Time{1'010'000'000}));
+    request.request = RequestId{++number};
+    request.caller = number * 0x9e3779b97f4a7c15ULL;
+    request.cls = ClassId{static_cast<std::int32_t>(number & 3U)};
+    request.group =
+        GroupId{static_cast<std::int64_t>(number % static_cast<std::uint64_t>(state.range(0))) + 1};
+    benchmark::DoNotOptimize(levels.admit(request, warm_time));
   }
-  state.counters["allocations"] = static_cast<double>(allocations.load() - before);
+  state.counters["allocations"] = static_cast<double>(allocations.load() - allocations_before);
 }
-void admit(benchmark::State& state) { verdict(state, false); }
-void refuse_without_primary(benchmark::State& state) { verdict(state, true); }
+void admit(benchmark::State& state) { run_verdicts(state, false); }
+void refuse_without_primary(benchmark::State& state) { run_verdicts(state, true); }
 BENCHMARK(admit)->Arg(2)->Arg(1000);
 BENCHMARK(refuse_without_primary)->Arg(2)->Arg(1000);
 
 void ending(benchmark::State& state) {
-  auto l = make(2, false);
-  gates::GateRequest a;
-  gates::RequestResult e;
-  e.end = gates::RequestEnd::served;
-  e.elapsed = std::chrono::milliseconds(50);
-  Time now{1'010'000'000};
+  auto levels = make_levels(2, false);
+  gates::GateRequest request;
+  gates::RequestResult result;
+  result.end = gates::RequestEnd::served;
+  result.elapsed = std::chrono::milliseconds(50);
+  Time now = warm_time;
   for (auto _ : state) {
-    a.cls = ClassId{static_cast<std::int32_t>(now.count() & 3)};
-    l.on_request_end(a, e, now += std::chrono::microseconds(37));
+    request.cls = ClassId{static_cast<std::int32_t>(now.count() & 3)};
+    levels.on_request_end(request, result, now += std::chrono::microseconds(37));
   }
 }
 BENCHMARK(ending);
 
 void step(benchmark::State& state) {
-  auto l = make(static_cast<std::size_t>(state.range(0)), false);
-  levels::GatewayState s;
-  for (std::int64_t g = 1; g <= state.range(0); ++g) s.groups.push_back({GroupId{g}, true, 0, 0});
-  std::vector<levels::AxisChange> events;
-  Time now{1'010'000'000};
+  auto levels = make_levels(static_cast<std::size_t>(state.range(0)), false);
+  levels::GatewayState gateway_state;
+  for (std::int64_t group = 1; group <= state.range(0); ++group)
+    gateway_state.groups.push_back({GroupId{group}, true, 0, 0});
+  std::vector<levels::AxisChange> changes;
+  Time now = warm_time;
   for (auto _ : state) {
-    s.groups_at = now += std::chrono::milliseconds(100);
-    l.step(now, s, events);
+    gateway_state.groups_at = now += std::chrono::milliseconds(100);
+    levels.step(now, gateway_state, changes);
   }
 }
 BENCHMARK(step)->Arg(2)->Arg(1000);
--- a/models/ladder.pml
+++ b/models/ladder.pml
@@ -1,115 +1,126 @@
-/* The ladder of src/levels/ladder.cpp, two axes: pressure (levels 0 to 2) under a reading that swings as it likes, and
- * the faults of a group (levels 0 to 1), beside an operator who pins either. One step is one evaluation.
+/* Model of the ladder in src/levels/ladder.cpp with two axes: pressure (levels 0 to 2) under an arbitrary
+ * reading, and the faults of a group (levels 0 and 1), with an operator who may pin the pressure level. One
+ * step is one evaluation.
  *
- * What is checked:
- * - never two changes on an axis within APART steps;
- * - never stuck: once all has been well for long enough, with no pin, both axes are at normal;
- * - a pin never decides past its end;
- * - two faults, a lost primary and a silence in which nothing can be read: while it lasts the level is held;
- * - of the two axes the stricter decides what is shed.
+ * Properties checked:
+ * - two changes on an axis are at least MIN_CHANGE_INTERVAL steps apart;
+ * - no axis gets stuck: after CALM_LIMIT calm steps without a pin, both axes are at the normal level;
+ * - a pin has no effect after its end;
+ * - while no reading is usable, a level that is not pinned is held, also if the primary is lost at the same
+ *   time;
+ * - of the two axes, the stricter one decides how much is shed.
  *
- * tests/ladder_model_test.cpp replays every short sequence of inputs through this machine's twin and the code. */
-#define APART 3 /* least steps between two changes */
-#define HOLD 1  /* steps for which a condition holds before it counts */
-#define WELL 10 /* steps of calm after which everything has to be normal */
-#define LONG 4  /* counters stop here: longer than anything that is waited for */
+ * tests/ladder_model_test.cpp compares the C++ code with a copy of this model over every short sequence of
+ * inputs. */
+#define MIN_CHANGE_INTERVAL 3 /* minimum steps between two changes */
+#define HOLD_TIME 1           /* steps for which a condition has to hold before it counts */
+#define CALM_LIMIT 10         /* calm steps after which both axes have to be at the normal level */
+#define COUNTER_LIMIT 4       /* counters saturate here, above every value that they are compared with */
 
-#define more(x) x = (x < LONG -> x + 1 : x)
+#define increment(counter) counter = (counter < COUNTER_LIMIT -> counter + 1 : counter)
 
-/* axis 0 is pressure, axis 1 faults */
-byte level[2], top[2], since[2], pin_to[2], pin_left[2], exits[2];
-bool changed[2], pinned[2];
-byte enters1[2], enters2[2];
-byte input[2]; /* 0: the way out holds. 1: neither. 2: the entry of level 1. 3: of levels 1 and 2. 4: not to be read */
-byte pin_age[2], before;
-byte calm;
-byte shed_pressure, shed_fault, shed;
+/* Arrays are indexed by axis: 0 is pressure, 1 is faults. */
+byte level[2], max_level[2], since_change[2], pin_level[2], pin_remaining[2], exit_steps[2];
+bool has_changed[2], pinned[2];
+byte enter1_steps[2], enter2_steps[2];
+/* 0: the exit condition holds. 1: no condition holds. 2: the entry condition of level 1 holds. 3: the entry
+ * conditions of levels 1 and 2 hold. 4: the reading is unusable. */
+byte input[2];
+byte pin_age[2], previous_level;
+byte calm_steps;
+byte shed_by_pressure, shed_by_fault, shed;
 
-inline move(a, to) {
-  assert(!changed[a] || since[a] >= APART);
-  level[a] = to;
-  since[a] = 0;
-  changed[a] = true;
-  exits[a] = 0
+inline move(axis, to) {
+  assert(!has_changed[axis] || since_change[axis] >= MIN_CHANGE_INTERVAL);
+  level[axis] = to;
+  since_change[axis] = 0;
+  has_changed[axis] = true;
+  exit_steps[axis] = 0
 }
 
-inline evaluate(a) {
-  before = level[a];
-  more(since[a]);
+inline evaluate(axis) {
+  previous_level = level[axis];
+  increment(since_change[axis]);
   if
-  :: input[a] == 2 || input[a] == 3 -> more(enters1[a])
-  :: else -> enters1[a] = 0
+  :: input[axis] == 2 || input[axis] == 3 -> increment(enter1_steps[axis])
+  :: else -> enter1_steps[axis] = 0
   fi;
   if
-  :: input[a] == 3 -> more(enters2[a])
-  :: else -> enters2[a] = 0
+  :: input[axis] == 3 -> increment(enter2_steps[axis])
+  :: else -> enter2_steps[axis] = 0
   fi;
   if
-  :: input[a] == 0 && level[a] > 0 -> more(exits[a])
-  :: else -> exits[a] = 0
+  :: input[axis] == 0 && level[axis] > 0 -> increment(exit_steps[axis])
+  :: else -> exit_steps[axis] = 0
   fi;
-  /* a pin that has come to its end is gone before it can decide anything */
+  /* A pin that has ended is removed before it can decide anything. */
   if
-  :: pinned[a] && pin_left[a] == 0 -> pinned[a] = false
-  :: pinned[a] && pin_left[a] > 0 -> pin_left[a]--; pin_age[a]++; assert(pin_age[a] <= 3)
+  :: pinned[axis] && pin_remaining[axis] == 0 -> pinned[axis] = false
+  :: pinned[axis] && pin_remaining[axis] > 0 ->
+     pin_remaining[axis]--;
+     pin_age[axis]++;
+     assert(pin_age[axis] <= 3)
   :: else
   fi;
   if
-  :: changed[a] && since[a] < APART -> skip /* the bound holds for a pin as well */
+  :: has_changed[axis] && since_change[axis] < MIN_CHANGE_INTERVAL -> skip /* applies to pins as well */
   :: else ->
      if
-     :: pinned[a] && pin_to[a] != level[a] -> move(a, pin_to[a])
-     :: pinned[a] && pin_to[a] == level[a] -> skip
-     :: !pinned[a] && ((enters1[a] > HOLD && level[a] < 1) || (enters2[a] > HOLD && level[a] < 2 && top[a] == 2)) ->
-        move(a, level[a] + 1)
-     :: !pinned[a] && !((enters1[a] > HOLD && level[a] < 1) || (enters2[a] > HOLD && level[a] < 2 && top[a] == 2)) &&
-        exits[a] > HOLD ->
-        move(a, level[a] - 1)
+     :: pinned[axis] && pin_level[axis] != level[axis] -> move(axis, pin_level[axis])
+     :: pinned[axis] && pin_level[axis] == level[axis] -> skip
+     :: !pinned[axis] && ((enter1_steps[axis] > HOLD_TIME && level[axis] < 1) ||
+                          (enter2_steps[axis] > HOLD_TIME && level[axis] < 2 && max_level[axis] == 2)) ->
+        move(axis, level[axis] + 1)
+     :: !pinned[axis] && !((enter1_steps[axis] > HOLD_TIME && level[axis] < 1) ||
+                           (enter2_steps[axis] > HOLD_TIME && level[axis] < 2 && max_level[axis] == 2)) &&
+        exit_steps[axis] > HOLD_TIME ->
+        move(axis, level[axis] - 1)
      :: else
      fi
   fi;
-  assert(input[a] != 4 || pinned[a] || level[a] == before)
+  assert(input[axis] != 4 || pinned[axis] || level[axis] == previous_level)
 }
 
-inline choose(a) {
+inline choose_input(axis) {
   if
-  :: input[a] = 0
-  :: input[a] = 1
-  :: input[a] = 2
-  :: top[a] == 2 -> input[a] = 3
-  :: a == 1 -> input[a] = 4
+  :: input[axis] = 0
+  :: input[axis] = 1
+  :: input[axis] = 2
+  :: max_level[axis] == 2 -> input[axis] = 3
+  :: axis == 1 -> input[axis] = 4
   fi;
-  /* the operator: now and then, on the axis of pressure */
+  /* The operator may pin the pressure level. */
   if
-  :: a == 0 && !pinned[a] -> pinned[a] = true; pin_left[a] = 3; pin_age[a] = 0;
+  :: axis == 0 && !pinned[axis] -> pinned[axis] = true; pin_remaining[axis] = 3; pin_age[axis] = 0;
      if
-     :: pin_to[a] = 0
-     :: pin_to[a] = top[a]
+     :: pin_level[axis] = 0
+     :: pin_level[axis] = max_level[axis]
      fi
   :: skip
   fi
 }
 
 active proctype ladder() {
-  top[0] = 2;
-  top[1] = 1;
+  max_level[0] = 2;
+  max_level[1] = 1;
   do
   :: d_step { input[0] = 0; input[1] = 0 }
-     /* either all is well from here on, for as long as it takes, or anything happens */
+     /* Either a calm period begins or continues, or any input occurs. */
      if
-     :: calm > 0 || (!pinned[0] && !pinned[1]) -> calm = (calm < WELL -> calm + 1 : calm)
-     :: calm == 0 -> choose(0); choose(1)
-     :: calm > 0 -> calm = 0; choose(0); choose(1)
+     :: calm_steps > 0 || (!pinned[0] && !pinned[1]) ->
+        calm_steps = (calm_steps < CALM_LIMIT -> calm_steps + 1 : calm_steps)
+     :: calm_steps == 0 -> choose_input(0); choose_input(1)
+     :: calm_steps > 0 -> calm_steps = 0; choose_input(0); choose_input(1)
      fi;
      evaluate(0);
      evaluate(1);
-     /* what is shed of a class that both axes name */
+     /* How much is shed of a class that both axes shed. */
      d_step {
-       shed_pressure = level[0];
-       shed_fault = (level[1] > 0 -> 2 : 0);
-       shed = (shed_pressure > shed_fault -> shed_pressure : shed_fault);
+       shed_by_pressure = level[0];
+       shed_by_fault = (level[1] > 0 -> 2 : 0);
+       shed = (shed_by_pressure > shed_by_fault -> shed_by_pressure : shed_by_fault);
      }
-     assert(shed >= shed_pressure && shed >= shed_fault);
-     assert(calm < WELL || (level[0] == 0 && level[1] == 0))
+     assert(shed >= shed_by_pressure && shed >= shed_by_fault);
+     assert(calm_steps < CALM_LIMIT || (level[0] == 0 && level[1] == 0))
   od
 }
--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -327,7 +327,7 @@
   const auto read = [&](ServiceConfig& service, const char* front) {
     std::vector<std::string> tenants;
     for (const auto& b : service.budgets) tenants.push_back(b.tenant);
-    service.levels = levels_of(c.file, front, service.for_levels(), tenants);
+    service.levels = parse_levels(c.file, front, service.for_levels(), tenants);
     service.contracts = contracts_of(c.file, front, service.for_contracts(), tenants);
   };
   read(c.platform, "postgresql");
--- a/src/app/contracts_config.cpp
+++ b/src/app/contracts_config.cpp
@@ -28,15 +28,15 @@
   Calendar c;
   c.zone = v["zone"].GetString();
   if (!zone_known(c.zone))
-    throw flaw_at(file, "/contracts/calendar/zone", "a zone by its IANA name that this machine has",
-                  shown(v["zone"]));
+    throw config_error_at(file, "/contracts/calendar/zone", "a zone by its IANA name that this machine has",
+                          to_excerpt(v["zone"]));
   for (const auto& item : v["closures"].GetArray()) {
     Closure one;
     const std::string at = item["at"].GetString();
     one.hour = std::stoi(at.substr(0, 2)), one.minute = std::stoi(at.substr(3, 2));
     if (one.hour > 23)
-      throw flaw_at(file, "/contracts/calendar/closures/" + std::to_string(c.closures.size()) + "/at",
-                    "a time of day", shown(item["at"]));
+      throw config_error_at(file, "/contracts/calendar/closures/" + std::to_string(c.closures.size()) + "/at",
+                            "a time of day", to_excerpt(item["at"]));
     if (const auto* list = member(item, "days")) {
       one.days = 0;
       for (const auto& day : list->GetArray())
@@ -83,8 +83,8 @@
     for (rapidjson::SizeType k = 0; k < names.Size(); ++k) {
       const auto it = std::find(tenants.begin(), tenants.end(), std::string(names[k].GetString()));
       if (it == tenants.end())
-        throw flaw_at(file.name, at + "/tenants/" + std::to_string(k), "a tenant of the settings",
-                      shown(names[k]));
+        throw config_error_at(file.name, at + "/tenants/" + std::to_string(k), "a tenant of the settings",
+                              to_excerpt(names[k]));
       team.tenants.push_back(static_cast<std::int32_t>(it - tenants.begin()));
     }
     team.classes.resize(service.classes.size());
@@ -93,8 +93,8 @@
         const auto it = std::find_if(service.classes.begin(), service.classes.end(),
                                      [&](const RequestClass& k) { return k.name == m.name.GetString(); });
         if (it == service.classes.end())
-          throw flaw_at(file.name, at + "/classes/" + m.name.GetString(), "a class of the settings",
-                        "another name");
+          throw config_error_at(file.name, at + "/classes/" + m.name.GetString(), "a class of the settings",
+                                "another name");
         contracts::ClassTerms terms;
         contracts::Terms base;
         base.wanted = it->latency_target;
--- a/src/app/gateway_file.cpp
+++ b/src/app/gateway_file.cpp
@@ -6,167 +6,175 @@
 #include <algorithm>
 #include <map>
 
-#include "gateway_schema.h"  // made from deploy/gateway.schema.json by the build
+#include "gateway_schema.h"  // generated from deploy/gateway.schema.json by the build
 
 namespace cedarring::app {
 namespace {
 
 using Json = rapidjson::Value;
 
-Duration ms_of(const Json& object, const char* key, Duration fallback) {
-  const auto* v = member(object, key);
-  return v ? Duration(v->GetInt64() * 1000) : fallback;
+/// A member in milliseconds, or `fallback` if the object has none of that key.
+Duration milliseconds_or(const Json& object, const char* key, Duration fallback) {
+  const auto* value = member(object, key);
+  return value ? Duration(value->GetInt64() * 1000) : fallback;
 }
-double number_of(const Json& object, const char* key, double fallback) {
-  const auto* v = member(object, key);
-  return v ? v->GetDouble() : fallback;
+
+double number_or(const Json& object, const char* key, double fallback) {
+  const auto* value = member(object, key);
+  return value ? value->GetDouble() : fallback;
 }
-std::string text_of(const Json& object, const char* key, const std::string& fallback = "") {
-  const auto* v = member(object, key);
-  return v ? std::string(v->GetString(), v->GetStringLength()) : fallback;
+
+std::string text_or(const Json& object, const char* key, const std::string& fallback) {
+  const auto* value = member(object, key);
+  return value ? std::string(value->GetString(), value->GetStringLength()) : fallback;
 }
 
-constexpr std::pair<const char*, Freshness> need_words[] = {{"any", Freshness::any},
-                                                            {"bounded", Freshness::bounded},
-                                                            {"session", Freshness::session},
-                                                            {"fresh", Freshness::fresh},
-                                                            {"write", Freshness::write}};
+constexpr std::pair<const char*, Freshness> freshness_names[] = {{"any", Freshness::any},
+                                                                 {"bounded", Freshness::bounded},
+                                                                 {"session", Freshness::session},
+                                                                 {"fresh", Freshness::fresh},
+                                                                 {"write", Freshness::write}};
 
-/// Reads levels in the names of one service; knows where it is, for errors.
-class LadderReader {
+/// Parses ladders with the class and tenant names of one service. Tracks JSON pointers for error messages.
+class LadderParser {
  public:
-  LadderReader(const std::string& file, const levels::ServiceInfo& service,
+  LadderParser(const std::string& file, const levels::ServiceInfo& service,
                const std::vector<std::string>& tenants)
       : file_(file), service_(service), tenants_(tenants) {}
 
-  /// The levels in their order on the axis, from the normal one up. `where` gets each one's place in the
-  /// file.
-  std::vector<levels::Level> read(const Json& ladder, const std::string& pointer,
-                                  std::vector<std::string>& where) {
-    std::vector<levels::Level> all;
-    std::map<std::string, std::size_t> by_name;
+  /// The levels in the order of the axis, from the normal level upwards. Appends the JSON pointer of each
+  /// level to `pointers`, in the same order.
+  std::vector<levels::Level> parse(const Json& ladder, const std::string& pointer,
+                                   std::vector<std::string>& pointers) {
+    std::vector<levels::Level> in_file_order;
+    std::map<std::string, std::size_t> index_by_name;
     for (rapidjson::SizeType i = 0; i < ladder.Size(); ++i) {
-      all.push_back(level(ladder[i], pointer + "/" + std::to_string(i)));
-      if (!by_name.emplace(all.back().name, i).second)
-        throw flaw_at(file_, pointer + "/" + std::to_string(i) + "/name", "a name of its own",
-                      "'" + all.back().name + "' twice");
+      in_file_order.push_back(parse_level(ladder[i], pointer + "/" + std::to_string(i)));
+      if (!index_by_name.emplace(in_file_order.back().name, i).second)
+        throw config_error_at(file_, pointer + "/" + std::to_string(i) + "/name", "a unique name",
+                              "'" + in_file_order.back().name + "' twice");
     }
-    // `after` names the level below; without it that is the one before in the list.
-    std::map<std::size_t, std::size_t> above;  // by the one below
+    // `after` names the level below; its default is the previous level in the file.
+    std::map<std::size_t, std::size_t> level_above;  // index of a level -> index of the level above it
     for (rapidjson::SizeType i = 1; i < ladder.Size(); ++i) {
-      const auto after = text_of(ladder[i], "after", all[i - 1].name);
-      const auto at = pointer + "/" + std::to_string(i) + "/after";
-      const auto below = by_name.find(after);
-      if (below == by_name.end()) throw flaw_at(file_, at, "the name of a level", "'" + after + "'");
-      if (!above.emplace(below->second, i).second)
-        throw flaw_at(file_, at, "a level that no other one follows", "'" + after + "'");
+      const auto after = text_or(ladder[i], "after", in_file_order[i - 1].name);
+      const auto after_pointer = pointer + "/" + std::to_string(i) + "/after";
+      const auto below = index_by_name.find(after);
+      if (below == index_by_name.end())
+        throw config_error_at(file_, after_pointer, "the name of a level", "'" + after + "'");
+      if (!level_above.emplace(below->second, i).second)
+        throw config_error_at(file_, after_pointer, "a level that no other level follows", "'" + after + "'");
     }
     std::vector<levels::Level> ordered;
     for (std::size_t i = 0;;) {
-      ordered.push_back(std::move(all[i]));
-      where.push_back(pointer + "/" + std::to_string(i));
-      const auto next = above.find(i);
-      if (next == above.end()) break;
+      ordered.push_back(std::move(in_file_order[i]));
+      pointers.push_back(pointer + "/" + std::to_string(i));
+      const auto next = level_above.find(i);
+      if (next == level_above.end()) break;
       i = next->second;
     }
-    // Whoever is not on the way up from the first level stands on a ring of its own.
-    if (ordered.size() != all.size())
+    // A level that cannot be reached from the first level is part of a cycle.
+    if (ordered.size() != in_file_order.size())
       for (rapidjson::SizeType i = 1; i < ladder.Size(); ++i) {
-        const auto at = pointer + "/" + std::to_string(i);
-        if (std::find(where.begin(), where.end(), at) == where.end())
-          throw flaw_at(file_, at + "/after", "a way up from the first level", "a cycle");
+        const auto level_pointer = pointer + "/" + std::to_string(i);
+        if (std::find(pointers.begin(), pointers.end(), level_pointer) == pointers.end())
+          throw config_error_at(file_, level_pointer + "/after", "a path up from the first level", "a cycle");
       }
     return ordered;
   }
 
  private:
-  std::int32_t class_id(const Json& v, const std::string& pointer) {
-    const std::string name = v.GetString();
+  std::int32_t class_index(const Json& value, const std::string& pointer) {
+    const std::string name = value.GetString();
     for (std::size_t i = 0; i < service_.classes.size(); ++i)
       if (service_.classes[i].name == name) return static_cast<std::int32_t>(i);
-    throw flaw_at(file_, pointer, "a class of the settings", "'" + name + "'");
+    throw config_error_at(file_, pointer, "a class of the settings", "'" + name + "'");
   }
 
-  levels::Level level(const Json& v, const std::string& pointer) {
-    levels::Level l;
-    l.name = text_of(v, "name");
-    if (const auto* r = member(v, "enter")) l.enter = rule(*r, pointer + "/enter");
-    if (const auto* r = member(v, "exit")) l.exit = rule(*r, pointer + "/exit");
-    l.stay = ms_of(v, "stay_ms", Duration::zero());
-    if (const auto* sheds = member(v, "shed"))
-      for (rapidjson::SizeType i = 0; i < sheds->Size(); ++i)
-        l.sheds.push_back(shed((*sheds)[i], pointer + "/shed/" + std::to_string(i)));
-    if (const auto* c = member(v, "changes")) {
-      l.changes.probe_rate = number_of(*c, "probe_rate", 1);
-      l.changes.retry_budget = number_of(*c, "retry_budget", 1);
-      l.changes.pool_size = number_of(*c, "pool_size", 1);
-      l.changes.spill = number_of(*c, "spill", 1);
+  levels::Level parse_level(const Json& value, const std::string& pointer) {
+    levels::Level level;
+    level.name = text_or(value, "name", "");
+    if (const auto* rule = member(value, "enter")) level.enter = parse_rule(*rule, pointer + "/enter");
+    if (const auto* rule = member(value, "exit")) level.exit = parse_rule(*rule, pointer + "/exit");
+    level.min_dwell = milliseconds_or(value, "stay_ms", Duration::zero());
+    if (const auto* rules = member(value, "shed"))
+      for (rapidjson::SizeType i = 0; i < rules->Size(); ++i)
+        level.shed_rules.push_back(parse_shed_rule((*rules)[i], pointer + "/shed/" + std::to_string(i)));
+    if (const auto* changes = member(value, "changes")) {
+      level.adjustments.probe_rate = number_or(*changes, "probe_rate", 1);
+      level.adjustments.retry_budget = number_or(*changes, "retry_budget", 1);
+      level.adjustments.pool_size = number_or(*changes, "pool_size", 1);
+      level.adjustments.read_spillover = number_or(*changes, "spill", 1);
     }
-    return l;
+    return level;
   }
 
-  levels::Rule rule(const Json& v, const std::string& pointer) {
-    levels::Rule r;
-    r.all = v.HasMember("all");
-    const char* key = r.all ? "all" : "any";
-    const auto& list = v[key];
+  levels::Rule parse_rule(const Json& value, const std::string& pointer) {
+    levels::Rule rule;
+    rule.require_all = value.HasMember("all");
+    const char* key = rule.require_all ? "all" : "any";
+    const auto& list = value[key];
     for (rapidjson::SizeType i = 0; i < list.Size(); ++i)
-      r.conditions.push_back(condition(list[i], pointer + "/" + key + "/" + std::to_string(i)));
-    return r;
+      rule.conditions.push_back(parse_condition(list[i], pointer + "/" + key + "/" + std::to_string(i)));
+    return rule;
   }
 
-  levels::Condition condition(const Json& v, const std::string& pointer) {
-    levels::Condition c;
-    const auto name = text_of(v, "reading");
+  levels::Condition parse_condition(const Json& value, const std::string& pointer) {
+    levels::Condition condition;
+    const auto name = text_or(value, "reading", "");
     for (std::size_t i = 0; i < levels::reading_count; ++i)
-      if (name == levels::reading_table[i].name) c.reading = static_cast<levels::Reading>(i);
-    const bool of_class = levels::info(c.reading).scope == levels::Scope::cls;
-    const auto* cls = member(v, "class");
-    if (of_class && !cls) throw flaw_at(file_, pointer, "a class for the reading " + name, "none");
-    if (!of_class && cls)
-      throw flaw_at(file_, pointer + "/class", "no class: " + name + " is not of a class", shown(*cls));
-    if (cls) c.cls = class_id(*cls, pointer + "/class");
-    const auto* above = member(v, "above");
-    const auto* below = member(v, "below");
+      if (name == levels::reading_table[i].name) condition.reading = static_cast<levels::Reading>(i);
+    const bool of_class = levels::reading_info(condition.reading).scope == levels::Scope::request_class;
+    const auto* class_name = member(value, "class");
+    if (of_class && !class_name)
+      throw config_error_at(file_, pointer, "a class for the reading " + name, "none");
+    if (!of_class && class_name)
+      throw config_error_at(file_, pointer + "/class",
+                            "no class, since " + name + " is not a reading of a class",
+                            to_excerpt(*class_name));
+    if (class_name) condition.class_index = class_index(*class_name, pointer + "/class");
+    const auto* above = member(value, "above");
+    const auto* below = member(value, "below");
     if ((above != nullptr) == (below != nullptr))
-      throw flaw_at(file_, pointer, "either above or below", above ? "both" : "neither");
-    c.above = above != nullptr;
-    c.bound = (above ? above : below)->GetDouble();
-    c.hold = ms_of(v, "for_ms", Duration::zero());
-    return c;
+      throw config_error_at(file_, pointer, "either above or below", above ? "both" : "neither");
+    condition.above = above != nullptr;
+    condition.bound = (above ? above : below)->GetDouble();
+    condition.hold_time = milliseconds_or(value, "for_ms", Duration::zero());
+    return condition;
   }
 
-  levels::Shed shed(const Json& v, const std::string& pointer) {
-    levels::Shed s;
-    bool named = false;
-    if (const auto* classes = member(v, "classes")) {
-      named = true;
+  levels::ShedRule parse_shed_rule(const Json& value, const std::string& pointer) {
+    levels::ShedRule rule;
+    bool selects_classes = false;
+    if (const auto* classes = member(value, "classes")) {
+      selects_classes = true;
       for (rapidjson::SizeType i = 0; i < classes->Size(); ++i)
-        s.classes.push_back(class_id((*classes)[i], pointer + "/classes/" + std::to_string(i)));
+        rule.classes.push_back(class_index((*classes)[i], pointer + "/classes/" + std::to_string(i)));
     }
-    if (const auto* needs = member(v, "needs")) {
-      named = true;
+    if (const auto* needs = member(value, "needs")) {
+      selects_classes = true;
       for (const auto& need : needs->GetArray())
-        for (const auto& [word, freshness] : need_words)
-          for (std::size_t i = 0; word == std::string(need.GetString()) && i < service_.classes.size(); ++i)
-            if (service_.classes[i].freshness == freshness) s.classes.push_back(static_cast<std::int32_t>(i));
+        for (const auto& [name, freshness] : freshness_names)
+          for (std::size_t i = 0; name == std::string(need.GetString()) && i < service_.classes.size(); ++i)
+            if (service_.classes[i].freshness == freshness)
+              rule.classes.push_back(static_cast<std::int32_t>(i));
     }
-    // An empty list means every class: one that was named and has none must not come to mean that.
-    if (named && s.classes.empty())
-      throw flaw_at(file_, pointer + "/needs", "needs that some class has", "none");
-    if (const auto* tenant = member(v, "tenant")) {
-      const auto it = std::find(tenants_.begin(), tenants_.end(), std::string(tenant->GetString()));
-      if (it == tenants_.end())
-        throw flaw_at(file_, pointer + "/tenant", "a tenant of the settings", shown(*tenant));
-      s.tenant = static_cast<std::int32_t>(it - tenants_.begin());
+    // An empty list means every class; a selection that matches no class must not be taken for it.
+    if (selects_classes && rule.classes.empty())
+      throw config_error_at(file_, pointer + "/needs", "needs that some class has", "none");
+    if (const auto* tenant = member(value, "tenant")) {
+      const auto found = std::find(tenants_.begin(), tenants_.end(), std::string(tenant->GetString()));
+      if (found == tenants_.end())
+        throw config_error_at(file_, pointer + "/tenant", "a tenant of the settings", to_excerpt(*tenant));
+      rule.tenant = static_cast<std::int32_t>(found - tenants_.begin());
     }
-    s.only_beyond_budget = text_of(v, "budget", "any") == "beyond";
-    if (const auto* b = member(v, "without_primary")) s.only_without_primary = b->GetBool();
-    if (const auto* b = member(v, "only_hopeless")) s.only_hopeless = b->GetBool();
-    if (s.only_hopeless && !s.only_without_primary)
-      throw flaw_at(file_, pointer + "/only_hopeless", "without_primary beside it", "none");
-    s.share = number_of(v, "share", 1);
-    return s;
+    rule.only_beyond_budget = text_or(value, "budget", "any") == "beyond";
+    if (const auto* flag = member(value, "without_primary")) rule.only_without_primary = flag->GetBool();
+    if (const auto* flag = member(value, "only_hopeless")) rule.only_hopeless = flag->GetBool();
+    if (rule.only_hopeless && !rule.only_without_primary)
+      throw config_error_at(file_, pointer + "/only_hopeless", "without_primary beside it", "none");
+    rule.share = number_or(value, "share", 1);
+    return rule;
   }
 
   const std::string& file_;
@@ -177,159 +185,173 @@
 }  // namespace
 
 GatewayFile parse_gateway_file(const std::string& text, const std::string& name) {
-  GatewayFile f;
-  f.name = name;
-  f.json = parse_object(text, name);
-  check_schema(f.json, gateway_schema, name);
-  if (const auto* log = f.section("log")) {
-    const auto level = text_of(*log, "level", "info"), form = text_of(*log, "form", "auto");
-    f.log.least = level == "debug"     ? telemetry::Level::debug
-                  : level == "warning" ? telemetry::Level::warning
-                  : level == "error"   ? telemetry::Level::error
-                                       : telemetry::Level::info;
-    f.log.form = form == "json"    ? telemetry::LogConfig::Form::json
-                 : form == "plain" ? telemetry::LogConfig::Form::plain
-                                   : telemetry::LogConfig::Form::automatic;
-    if (const auto* n = member(*log, "per_cause")) f.log.per_cause = n->GetUint();
+  GatewayFile file;
+  file.name = name;
+  file.json = parse_object(text, name);
+  check_schema(file.json, gateway_schema, name);
+  if (const auto* log = file.section("log")) {
+    const auto level = text_or(*log, "level", "info");
+    const auto form = text_or(*log, "form", "auto");
+    file.log.least = level == "debug"     ? telemetry::Level::debug
+                     : level == "warning" ? telemetry::Level::warning
+                     : level == "error"   ? telemetry::Level::error
+                                          : telemetry::Level::info;
+    file.log.form = form == "json"    ? telemetry::LogConfig::Form::json
+                    : form == "plain" ? telemetry::LogConfig::Form::plain
+                                      : telemetry::LogConfig::Form::automatic;
+    if (const auto* value = member(*log, "per_cause")) file.log.per_cause = value->GetUint();
   }
-  if (const auto* records = f.section("records")) {
-    f.log.records_file = text_of(*records, "file");
-    if (const auto* n = member(*records, "bytes")) f.log.records_bytes = n->GetUint();
-    if (const auto* n = member(*records, "files")) f.log.records_files = n->GetUint();
-    if (const auto* n = member(*records, "kept")) f.log.records_kept = n->GetUint();
+  if (const auto* records = file.section("records")) {
+    file.log.records_file = text_or(*records, "file", "");
+    if (const auto* value = member(*records, "bytes")) file.log.records_bytes = value->GetUint();
+    if (const auto* value = member(*records, "files")) file.log.records_files = value->GetUint();
+    if (const auto* value = member(*records, "kept")) file.log.records_kept = value->GetUint();
   }
-  if (const auto* admin = f.section("admin")) f.admin_socket = text_of(*admin, "socket");
-  return f;
+  if (const auto* admin = file.section("admin")) file.admin_socket = text_or(*admin, "socket", "");
+  return file;
 }
 
-std::optional<levels::Config> levels_of(const GatewayFile& file, const std::string& front,
-                                        const levels::ServiceInfo& service,
-                                        const std::vector<std::string>& tenants) {
+std::optional<levels::Config> parse_levels(const GatewayFile& file, const std::string& front_end,
+                                           const levels::ServiceInfo& service,
+                                           const std::vector<std::string>& tenants) {
   const auto* section = file.section("levels");
   if (!section) return std::nullopt;
-  const auto mode = text_of(*section, "mode");
+  const auto mode = text_or(*section, "mode", "");
   if (mode == "off") return std::nullopt;
-  if (const auto* fronts = member(*section, "fronts")) {
-    bool here = false;
-    for (const auto& f : fronts->GetArray()) here |= front == f.GetString();
-    if (!here) return std::nullopt;
+  if (const auto* front_ends = member(*section, "fronts")) {
+    bool listed = false;
+    for (const auto& name : front_ends->GetArray()) listed |= front_end == name.GetString();
+    if (!listed) return std::nullopt;
   }
   auto config = levels::default_config(service);
   config.mode = mode == "on" ? levels::Mode::on : levels::Mode::watch;
-  config.pressure.apart = config.faults.apart = ms_of(*section, "apart_ms", config.pressure.apart);
-  config.pressure.damping = config.faults.damping = number_of(*section, "damping", config.pressure.damping);
-  config.takeover_hint = ms_of(*section, "takeover_hint_ms", config.takeover_hint);
-  config.memory = ms_of(*section, "memory_ms", config.memory);
-  std::map<std::string, std::vector<std::string>> where;
+  config.pressure.min_change_interval = config.faults.min_change_interval =
+      milliseconds_or(*section, "apart_ms", config.pressure.min_change_interval);
+  config.pressure.damping = config.faults.damping = number_or(*section, "damping", config.pressure.damping);
+  config.takeover_hint = milliseconds_or(*section, "takeover_hint_ms", config.takeover_hint);
+  config.reading_decay_time = milliseconds_or(*section, "memory_ms", config.reading_decay_time);
+  std::map<std::string, std::vector<std::string>> pointers_by_axis;
   for (const auto* axis : {"pressure", "faults"})
     if (const auto* ladder = member(*section, axis)) {
-      LadderReader reader(file.name, service, tenants);
-      auto& to = std::string(axis) == "pressure" ? config.pressure : config.faults;
-      to.levels = reader.read(*ladder, std::string("/levels/") + axis, where[axis]);
+      LadderParser parser(file.name, service, tenants);
+      auto& target = std::string(axis) == "pressure" ? config.pressure : config.faults;
+      target.levels = parser.parse(*ladder, std::string("/levels/") + axis, pointers_by_axis[axis]);
     }
-  if (const auto flaw = levels::find_config_issue(config, service)) {
-    // The flaw's path counts levels in the order of the axis; the file has them in its own.
-    auto at = "/levels" + flaw->where;
-    for (const auto& [axis, places] : where)
-      for (std::size_t i = 0; i < places.size(); ++i) {
+  if (const auto issue = levels::find_config_issue(config, service)) {
+    // The path of the issue counts levels in the order of the axis, which may differ from that of the file.
+    auto pointer = "/levels" + issue->path;
+    for (const auto& [axis, pointers] : pointers_by_axis)
+      for (std::size_t i = 0; i < pointers.size(); ++i) {
         const auto prefix = "/" + axis + "/" + std::to_string(i);
-        if (flaw->where.rfind(prefix, 0) == 0 &&
-            (flaw->where.size() == prefix.size() || flaw->where[prefix.size()] == '/')) {
-          at = places[i] + flaw->where.substr(prefix.size());
+        if (issue->path.rfind(prefix, 0) == 0 &&
+            (issue->path.size() == prefix.size() || issue->path[prefix.size()] == '/')) {
+          pointer = pointers[i] + issue->path.substr(prefix.size());
           break;
         }
       }
-    throw ConfigError(file.name + ": " + at + ": " + flaw->what);
+    throw ConfigError(file.name + ": " + pointer + ": " + issue->message);
   }
   return config;
 }
 
-std::string levels_json(const levels::Config& config, const levels::ServiceInfo& service,
-                        const std::vector<std::string>& tenants) {
+std::string levels_to_json(const levels::Config& config, const levels::ServiceInfo& service,
+                           const std::vector<std::string>& tenants) {
   rapidjson::StringBuffer buffer;
-  rapidjson::PrettyWriter<rapidjson::StringBuffer> w(buffer);
-  w.SetIndent(' ', 2);
-  w.SetFormatOptions(rapidjson::kFormatSingleLineArray);
-  const auto text = [&](const char* key, const std::string& value) {
-    w.Key(key);
-    w.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
+  rapidjson::PrettyWriter<rapidjson::StringBuffer> writer(buffer);
+  writer.SetIndent(' ', 2);
+  writer.SetFormatOptions(rapidjson::kFormatSingleLineArray);
+  const auto write_text = [&](const char* key, const std::string& value) {
+    writer.Key(key);
+    writer.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
+  };
+  const auto write_number = [&](const char* key, double value) {
+    writer.Key(key);
+    writer.Double(value);
   };
-  const auto ms = [&](const char* key, Duration d) {
-    w.Key(key);
-    w.Int64(d.count() / 1000);
+  const auto write_milliseconds = [&](const char* key, Duration duration) {
+    writer.Key(key);
+    writer.Int64(duration.count() / 1000);
   };
-  const auto rule = [&](const char* key, const levels::Rule& r) {
-    if (r.conditions.empty()) return;
-    w.Key(key);
-    w.StartObject();
-    w.Key(r.all ? "all" : "any");
-    w.StartArray();
-    for (const auto& c : r.conditions) {
-      w.StartObject();
-      text("reading", levels::info(c.reading).name);
-      if (c.cls >= 0) text("class", service.classes[static_cast<std::size_t>(c.cls)].name);
-      w.Key(c.above ? "above" : "below");
-      w.Double(c.bound);
-      ms("for_ms", c.hold);
-      w.EndObject();
+  const auto write_rule = [&](const char* key, const levels::Rule& rule) {
+    if (rule.conditions.empty()) return;
+    writer.Key(key);
+    writer.StartObject();
+    writer.Key(rule.require_all ? "all" : "any");
+    writer.StartArray();
+    for (const auto& condition : rule.conditions) {
+      writer.StartObject();
+      write_text("reading", levels::reading_info(condition.reading).name);
+      if (condition.class_index >= 0)
+        write_text("class", service.classes[static_cast<std::size_t>(condition.class_index)].name);
+      write_number(condition.above ? "above" : "below", condition.bound);
+      write_milliseconds("for_ms", condition.hold_time);
+      writer.EndObject();
     }
-    w.EndArray();
-    w.EndObject();
+    writer.EndArray();
+    writer.EndObject();
   };
-  const auto ladder = [&](const char* key, const levels::LadderConfig& ladder) {
-    w.Key(key);
-    w.StartArray();
-    for (const auto& l : ladder.levels) {
-      w.StartObject();
-      text("name", l.name);
-      rule("enter", l.enter);
-      rule("exit", l.exit);
-      if (l.stay > Duration::zero()) ms("stay_ms", l.stay);
-      if (!l.sheds.empty()) {
-        w.Key("shed");
-        w.StartArray();
-        for (const auto& s : l.sheds) {
-          w.StartObject();
-          if (!s.classes.empty()) {
-            w.Key("classes");
-            w.StartArray();
-            for (const auto c : s.classes)
-              w.String(service.classes[static_cast<std::size_t>(c)].name.c_str());
-            w.EndArray();
+  const auto write_ladder = [&](const char* key, const levels::LadderConfig& ladder) {
+    writer.Key(key);
+    writer.StartArray();
+    for (const auto& level : ladder.levels) {
+      writer.StartObject();
+      write_text("name", level.name);
+      write_rule("enter", level.enter);
+      write_rule("exit", level.exit);
+      if (level.min_dwell > Duration::zero()) write_milliseconds("stay_ms", level.min_dwell);
+      if (!level.shed_rules.empty()) {
+        writer.Key("shed");
+        writer.StartArray();
+        for (const auto& rule : level.shed_rules) {
+          writer.StartObject();
+          if (!rule.classes.empty()) {
+            writer.Key("classes");
+            writer.StartArray();
+            for (const auto class_index : rule.classes)
+              writer.String(service.classes[static_cast<std::size_t>(class_index)].name.c_str());
+            writer.EndArray();
+          }
+          if (rule.tenant >= 0) write_text("tenant", tenants[static_cast<std::size_t>(rule.tenant)]);
+          if (rule.only_beyond_budget) write_text("budget", "beyond");
+          if (rule.only_without_primary) {
+            writer.Key("without_primary");
+            writer.Bool(true);
+          }
+          if (rule.only_hopeless) {
+            writer.Key("only_hopeless");
+            writer.Bool(true);
           }
-          if (s.tenant >= 0) text("tenant", tenants[static_cast<std::size_t>(s.tenant)]);
-          if (s.only_beyond_budget) text("budget", "beyond");
-          if (s.only_without_primary) w.Key("without_primary"), w.Bool(true);
-          if (s.only_hopeless) w.Key("only_hopeless"), w.Bool(true);
-          w.Key("share");
-          w.Double(s.share);
-          w.EndObject();
+          write_number("share", rule.share);
+          writer.EndObject();
         }
-        w.EndArray();
+        writer.EndArray();
       }
-      if (l.changes.probe_rate != 1 || l.changes.retry_budget != 1 || l.changes.pool_size != 1 ||
-          l.changes.spill != 1) {
-        w.Key("changes");
-        w.StartObject();
-        w.Key("probe_rate"), w.Double(l.changes.probe_rate);
-        w.Key("retry_budget"), w.Double(l.changes.retry_budget);
-        w.Key("pool_size"), w.Double(l.changes.pool_size);
-        w.Key("spill"), w.Double(l.changes.spill);
-        w.EndObject();
+      const auto& adjustments = level.adjustments;
+      if (adjustments.probe_rate != 1 || adjustments.retry_budget != 1 || adjustments.pool_size != 1 ||
+          adjustments.read_spillover != 1) {
+        writer.Key("changes");
+        writer.StartObject();
+        write_number("probe_rate", adjustments.probe_rate);
+        write_number("retry_budget", adjustments.retry_budget);
+        write_number("pool_size", adjustments.pool_size);
+        write_number("spill", adjustments.read_spillover);
+        writer.EndObject();
       }
-      w.EndObject();
+      writer.EndObject();
     }
-    w.EndArray();
+    writer.EndArray();
   };
-  w.StartObject();
-  text("mode", config.mode == levels::Mode::on ? "on" : config.mode == levels::Mode::watch ? "watch" : "off");
-  ms("apart_ms", config.pressure.apart);
-  w.Key("damping"), w.Double(config.pressure.damping);
-  ms("takeover_hint_ms", config.takeover_hint);
-  ms("memory_ms", config.memory);
-  ladder("pressure", config.pressure);
-  ladder("faults", config.faults);
-  w.EndObject();
+  writer.StartObject();
+  write_text("mode", config.mode == levels::Mode::on      ? "on"
+                     : config.mode == levels::Mode::watch ? "watch"
+                                                          : "off");
+  write_milliseconds("apart_ms", config.pressure.min_change_interval);
+  write_number("damping", config.pressure.damping);
+  write_milliseconds("takeover_hint_ms", config.takeover_hint);
+  write_milliseconds("memory_ms", config.reading_decay_time);
+  write_ladder("pressure", config.pressure);
+  write_ladder("faults", config.faults);
+  writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
--- a/src/app/gateway_file.h
+++ b/src/app/gateway_file.h
@@ -1,4 +1,5 @@
-// deploy/gateway.json: what a gateway does beyond the platform's configuration. A section a subsystem.
+// The gateway's own configuration file, deploy/gateway.json: settings beyond the platform's configuration,
+// with one section for each subsystem.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -13,28 +14,29 @@
 
 namespace cedarring::app {
 
-/// The file's text against which sections are read: kept, since some need a service's classes to be
-/// understood.
+/// A parsed gateway file. The document is kept, since some sections can only be interpreted together with the
+/// classes and tenants of a service.
 struct GatewayFile {
   std::string name = "deploy/gateway.json";
   rapidjson::Document json{rapidjson::kObjectType};
   telemetry::LogConfig log;
-  std::string admin_socket;  // empty: off
+  std::string admin_socket;  // path; empty: no admin socket
 
+  /// The section with that key; null if absent.
   [[nodiscard]] const rapidjson::Value* section(const char* key) const { return member(json, key); }
 };
 
-/// Reads the text; throws ConfigError.
+/// Parses the text and validates it against the schema. Throws ConfigError.
 GatewayFile parse_gateway_file(const std::string& text, const std::string& name);
 
-/// The section `levels` for the service of a front (`postgresql` or `mysql`); nothing where it is off there.
-/// Throws ConfigError with the pointer of what does not fit.
-std::optional<levels::Config> levels_of(const GatewayFile& file, const std::string& front,
-                                        const levels::ServiceInfo& service,
-                                        const std::vector<std::string>& tenants);
+/// Interprets the section `levels` for the service behind a front end (`postgresql` or `mysql`). Nothing if
+/// levels are off there. Throws ConfigError with the JSON pointer of the invalid value.
+std::optional<levels::Config> parse_levels(const GatewayFile& file, const std::string& front_end,
+                                           const levels::ServiceInfo& service,
+                                           const std::vector<std::string>& tenants);
 
-/// The effective ladder as JSON, in the form of the file.
-std::string levels_json(const levels::Config& config, const levels::ServiceInfo& service,
-                        const std::vector<std::string>& tenants);
+/// The effective configuration as JSON, in the format of the section `levels`.
+std::string levels_to_json(const levels::Config& config, const levels::ServiceInfo& service,
+                           const std::vector<std::string>& tenants);
 
 }  // namespace cedarring::app
--- a/src/app/json_schema.h
+++ b/src/app/json_schema.h
@@ -1,4 +1,5 @@
-// JSON with a schema: reading, and errors that name file, pointer, what was expected and what was found.
+// Parsing of JSON documents and validation against a schema. Errors name the file, the JSON pointer, the
+// expected value and the value found.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -8,29 +9,29 @@
 
 namespace cedarring::app {
 
-/// A configuration that cannot be used; the text names where and what.
+/// A configuration that cannot be used; the message names the place and the error.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// What is wrong at a place of a file, in one line.
-[[nodiscard]] ConfigError flaw_at(const std::string& file, const std::string& pointer,
-                                  const std::string& expected, const std::string& found);
+/// The error for a value at `pointer` in `file`, as a one-line message.
+[[nodiscard]] ConfigError config_error_at(const std::string& file, const std::string& pointer,
+                                          const std::string& expected, const std::string& found);
 
-/// Reads an object; throws ConfigError, with the line where the text is no JSON.
+/// Parses a JSON object. Throws ConfigError, with the line number of a syntax error.
 rapidjson::Document parse_object(const std::string& text, const std::string& file);
 
-/// Throws ConfigError at the first thing that the schema does not allow.
+/// Throws ConfigError for the first violation of the schema.
 void check_schema(const rapidjson::Document& document, const char* schema, const std::string& file);
 
-/// A member of an object; null where it has none of that name.
+/// The member of an object with that key; null if there is none.
 inline const rapidjson::Value* member(const rapidjson::Value& object, const char* key) {
-  const auto it = object.FindMember(key);
-  return it == object.MemberEnd() ? nullptr : &it->value;
+  const auto found = object.FindMember(key);
+  return found == object.MemberEnd() ? nullptr : &found->value;
 }
 
-/// The value as text, cut to a length that fits a line.
-std::string shown(const rapidjson::Value& value);
+/// The value as JSON text, truncated to 80 characters for messages.
+std::string to_excerpt(const rapidjson::Value& value);
 
 }  // namespace cedarring::app
--- a/src/app/levels_runner.cpp
+++ b/src/app/levels_runner.cpp
@@ -8,57 +8,61 @@
 namespace cedarring::app {
 namespace {
 
-constexpr Duration longest_pin{24LL * 3600 * 1'000'000};
+constexpr Duration max_pin_length{24LL * 3600 * 1'000'000};  // 24 h
 
-std::string number(double v) {
+std::string format_number(double value) {
   char text[32];
-  std::snprintf(text, sizeof text, "%.4g", v);
+  std::snprintf(text, sizeof text, "%.4g", value);
   return text;
 }
 
-std::string subject_of(const levels::Condition& c, const levels::ServiceInfo& service) {
-  std::string text = levels::info(c.reading).name;
-  if (c.cls >= 0 && static_cast<std::size_t>(c.cls) < service.classes.size())
-    text += "(" + service.classes[static_cast<std::size_t>(c.cls)].name + ")";
+/// The name of a condition's reading, with its class in parentheses.
+std::string reading_label(const levels::Condition& condition, const levels::ServiceInfo& service) {
+  std::string text = levels::reading_info(condition.reading).name;
+  if (condition.class_index >= 0 && static_cast<std::size_t>(condition.class_index) < service.classes.size())
+    text += "(" + service.classes[static_cast<std::size_t>(condition.class_index)].name + ")";
   return text;
 }
 
 }  // namespace
 
-telemetry::Record record_of(const levels::AxisChange& event, const std::string& front,
+telemetry::Record to_record(const levels::AxisChange& axis_change, const std::string& front_end,
                             const levels::ServiceInfo& service) {
-  const auto& c = event.change;
-  telemetry::Record r;
-  r.at = c.at;
-  r.kind = "level";
-  r.subject = front + (event.group ? " group " + std::to_string(event.group->value) : " pressure");
-  r.from = c.from;
-  r.to = c.to;
-  r.rule = levels::name_of(c.cause);
-  for (const auto& read : c.reads) {
-    const auto subject = subject_of(read.condition, service);
-    r.readings.emplace_back(subject, read.value);
-    const bool holds =
-        read.use == levels::Use::usable && (read.value > read.condition.bound) == read.condition.above;
-    if (holds && c.cause != levels::Cause::held)
-      r.rule += (r.rule.find(':') == std::string::npos ? ": " : ", ") + subject +
-                (read.condition.above ? " above " : " not above ") + number(read.condition.bound) + " for " +
-                std::to_string(read.condition.hold.count() / 1000) + " ms";
-    if (read.use != levels::Use::usable)
-      r.note += (r.note.empty() ? "" : ", ") + subject + " is " + levels::name_of(read.use);
+  const auto& change = axis_change.change;
+  telemetry::Record record;
+  record.at = change.at;
+  record.kind = "level";
+  record.subject =
+      front_end + (axis_change.group ? " group " + std::to_string(axis_change.group->value) : " pressure");
+  record.from = change.from;
+  record.to = change.to;
+  record.rule = levels::name_of(change.cause);
+  for (const auto& observation : change.observations) {
+    const auto& condition = observation.condition;
+    const auto label = reading_label(condition, service);
+    record.readings.emplace_back(label, observation.value);
+    const bool holds = observation.usability == levels::Usability::usable &&
+                       (observation.value > condition.bound) == condition.above;
+    if (holds && change.cause != levels::Cause::held)
+      record.rule += (record.rule.find(':') == std::string::npos ? ": " : ", ") + label +
+                     (condition.above ? " above " : " not above ") + format_number(condition.bound) +
+                     " for " + std::to_string(condition.hold_time.count() / 1000) + " ms";
+    if (observation.usability != levels::Usability::usable)
+      record.note +=
+          (record.note.empty() ? "" : ", ") + label + " is " + levels::name_of(observation.usability);
   }
-  if (c.until)
-    r.note = "until " + std::to_string(c.until->count() / 1000);
-  else if (c.cause == levels::Cause::entered || c.cause == levels::Cause::left)
-    r.note += (r.note.empty() ? "" : "; ") +
-              ("stays " + std::to_string(c.stay.count() / 1000) + " ms at the least");
-  return r;
+  if (change.pinned_until)
+    record.note = "until " + std::to_string(change.pinned_until->count() / 1000);
+  else if (change.cause == levels::Cause::entered || change.cause == levels::Cause::left)
+    record.note += (record.note.empty() ? "" : "; ") +
+                   ("stays " + std::to_string(change.min_dwell.count() / 1000) + " ms at the least");
+  return record;
 }
 
-LevelsRunner::LevelsRunner(ev::loop_ref loop, std::string front, levels::Config config,
+LevelsRunner::LevelsRunner(ev::loop_ref loop, std::string front_end, levels::Config config,
                            levels::ServiceInfo service, broker::Broker& broker, broker::Broker::Clock clock,
                            Hooks hooks, telemetry::Log& log)
-    : front_(std::move(front)),
+    : front_end_(std::move(front_end)),
       service_(service),
       levels_(std::move(config), std::move(service)),
       broker_(broker),
@@ -66,55 +70,59 @@
       hooks_(std::move(hooks)),
       log_(log),
       timer_(loop) {
-  timer_.set<LevelsRunner, &LevelsRunner::beat>(this);
-  const double beat = static_cast<double>(levels_.config().beat.count()) / 1e6;
-  due_ = clock_() + levels_.config().beat;
-  timer_.start(beat, beat);
+  timer_.set<LevelsRunner, &LevelsRunner::on_timer>(this);
+  const double interval_seconds = static_cast<double>(levels_.config().evaluation_interval.count()) / 1e6;
+  next_evaluation_ = clock_() + levels_.config().evaluation_interval;
+  timer_.start(interval_seconds, interval_seconds);
   broker_.add_gate(levels_);
 }
 
-void LevelsRunner::beat(ev::timer&, int) {
+void LevelsRunner::on_timer(ev::timer&, int) {
   const Time now = clock_();
   state_.values.clear();
   state_.groups.clear();
   views_.clear();
   broker_.group_views(views_);
-  levels::tell_views(views_, now, state_);
-  const auto inputs = hooks_.inputs();
-  const auto tell = [&](levels::Reading r, double value) { state_.values.push_back({r, value, now}); };
-  tell(levels::Reading::descriptors, std::min(1.0, inputs.descriptors));
-  tell(levels::Reading::memory, inputs.memory);
-  tell(levels::Reading::loop_lag, std::max(0.0, static_cast<double>((now - due_).count()) / 1e6));
-  if (inputs.discovery_silence) tell(levels::Reading::discovery_silence, *inputs.discovery_silence);
-  due_ = now + levels_.config().beat;
-  std::vector<levels::AxisChange> events;
-  levels_.step(now, state_, events);
-  publish(events);
+  levels::add_group_views(views_, now, state_);
+  const auto inputs = hooks_.read_inputs();
+  const auto add_value = [&](levels::Reading reading, double value) {
+    state_.values.push_back({reading, value, now});
+  };
+  add_value(levels::Reading::descriptors, std::min(1.0, inputs.descriptors));
+  add_value(levels::Reading::memory, inputs.memory);
+  add_value(levels::Reading::loop_lag,
+            std::max(0.0, static_cast<double>((now - next_evaluation_).count()) / 1e6));
+  if (inputs.discovery_silence) add_value(levels::Reading::discovery_silence, *inputs.discovery_silence);
+  next_evaluation_ = now + levels_.config().evaluation_interval;
+  std::vector<levels::AxisChange> changes;
+  levels_.step(now, state_, changes);
+  publish(changes);
 }
 
-void LevelsRunner::publish(std::vector<levels::AxisChange>& events) {
-  if (events.empty()) return;
-  for (const auto& e : events) log_.record(record_of(e, front_, service_));
-  carry_out();
+/// Records the changes and puts the adjustments of the new levels into effect.
+void LevelsRunner::publish(std::vector<levels::AxisChange>& changes) {
+  if (changes.empty()) return;
+  for (const auto& change : changes) log_.record(to_record(change, front_end_, service_));
+  apply_adjustments();
 }
 
-/// Puts in force what the present levels change besides what they shed.
-void LevelsRunner::carry_out() {
-  const auto changes = levels_.changes();
-  broker_.set_tuning({changes.probe_rate, changes.retry_budget, changes.spill});
-  hooks_.pool_size(changes.pool_size);
+void LevelsRunner::apply_adjustments() {
+  const auto adjustments = levels_.adjustments();
+  broker_.set_tuning({adjustments.probe_rate, adjustments.retry_budget, adjustments.read_spillover});
+  hooks_.scale_pool_size(adjustments.pool_size);
 }
 
 void LevelsRunner::reload(levels::Config config) {
-  std::vector<levels::AxisChange> events;
-  levels_.reload(std::move(config), clock_(), events);
-  publish(events);
-  carry_out();  // the mode, or what a level of the same name changes, may be another
+  std::vector<levels::AxisChange> changes;
+  levels_.reload(std::move(config), clock_(), changes);
+  publish(changes);
+  // Also without a level change: the mode, or the adjustments of a level of the same name, may have changed.
+  apply_adjustments();
 }
 
 bool LevelsRunner::pin(std::optional<GroupId> group, const std::string& level, Duration length,
                        std::string& error) {
-  if (length <= Duration::zero() || length > longest_pin) {
+  if (length <= Duration::zero() || length > max_pin_length) {
     error = "a pin lasts up to 24 h";
     return false;
   }
@@ -128,64 +136,68 @@
 
 std::string LevelsRunner::status() const {
   rapidjson::StringBuffer buffer;
-  rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
-  const auto ms = [&](const char* key, Duration d) {
-    w.Key(key);
-    w.Int64(d.count() / 1000);
+  rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
+  const auto write_milliseconds = [&](const char* key, Duration duration) {
+    writer.Key(key);
+    writer.Int64(duration.count() / 1000);
+  };
+  const auto write_count = [&](const char* key, std::uint64_t count) {
+    writer.Key(key);
+    writer.Uint64(count);
   };
-  const auto ladder = [&](const levels::Ladder& l) {
-    w.Key("level");
-    w.String(l.present().name.c_str());
-    ms("since_ms", l.since());
-    ms("least_stay_ms", std::max(l.least_stay(), l.config().apart));
-    w.Key("held");
-    w.Bool(l.held());
-    if (const auto to = l.pinned_to()) {
-      w.Key("pinned_to");
-      w.String(to->c_str());
-      ms("pinned_until_ms", *l.pinned_until());
+  const auto write_ladder = [&](const levels::Ladder& ladder) {
+    writer.Key("level");
+    writer.String(ladder.current_level().name.c_str());
+    write_milliseconds("since_ms", ladder.since());
+    write_milliseconds("least_stay_ms", std::max(ladder.min_dwell(), ladder.config().min_change_interval));
+    writer.Key("held");
+    writer.Bool(ladder.is_held());
+    if (const auto pinned_level = ladder.pinned_level()) {
+      writer.Key("pinned_to");
+      writer.String(pinned_level->c_str());
+      write_milliseconds("pinned_until_ms", *ladder.pinned_until());
     }
   };
-  w.StartObject();
-  w.Key("front");
-  w.String(front_.c_str());
-  w.Key("mode");
+  writer.StartObject();
+  writer.Key("front");
+  writer.String(front_end_.c_str());
+  writer.Key("mode");
   const auto mode = levels_.config().mode;
-  w.String(mode == levels::Mode::on ? "on" : mode == levels::Mode::watch ? "watch" : "off");
-  w.Key("pressure");
-  w.StartObject();
-  ladder(levels_.pressure());
-  w.EndObject();
-  w.Key("groups");
-  w.StartArray();
-  for (const auto& [id, g] : levels_.groups()) {
-    w.StartObject();
-    w.Key("group");
-    w.Int64(id.value);
-    ladder(g.faults);
-    w.Key("primary");
-    w.Bool(g.primary);
-    if (!g.primary) ms("lost_ms", clock_() - g.lost);
-    ms("takeover_estimate_ms", g.takeover.estimate());
-    w.Key("takeovers_seen");
-    w.Int(g.takeover.count());
-    w.EndObject();
+  writer.String(mode == levels::Mode::on ? "on" : mode == levels::Mode::watch ? "watch" : "off");
+  writer.Key("pressure");
+  writer.StartObject();
+  write_ladder(levels_.pressure());
+  writer.EndObject();
+  writer.Key("groups");
+  writer.StartArray();
+  for (const auto& [id, group] : levels_.groups()) {
+    writer.StartObject();
+    writer.Key("group");
+    writer.Int64(id.value);
+    write_ladder(group.faults);
+    writer.Key("primary");
+    writer.Bool(group.has_primary);
+    if (!group.has_primary) write_milliseconds("lost_ms", clock_() - group.primary_lost_at);
+    write_milliseconds("takeover_estimate_ms", group.takeover.estimate());
+    writer.Key("takeovers_seen");
+    writer.Int(group.takeover.count());
+    writer.EndObject();
   }
-  w.EndArray();
-  w.Key("classes");
-  w.StartArray();
+  writer.EndArray();
+  writer.Key("classes");
+  writer.StartArray();
   for (std::size_t i = 0; i < service_.classes.size(); ++i) {
-    const auto& c = levels_.counters()[i];
-    w.StartObject();
-    w.Key("class");
-    w.String(service_.classes[i].name.c_str());
-    w.Key("asked"), w.Uint64(c.asked);
-    w.Key("shed"), w.Uint64(c.shed);
-    w.Key("refused_without_primary"), w.Uint64(c.refused_without_primary);
-    w.EndObject();
+    const auto& counters = levels_.counters()[i];
+    writer.StartObject();
+    writer.Key("class");
+    writer.String(service_.classes[i].name.c_str());
+    write_count("asked", counters.requests);
+    write_count("shed", counters.shed);
+    write_count("refused_without_primary", counters.refused_without_primary);
+    writer.EndObject();
   }
-  w.EndArray();
-  w.EndObject();
+  writer.EndArray();
+  writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
--- a/src/app/levels_runner.h
+++ b/src/app/levels_runner.h
@@ -1,5 +1,5 @@
-// Runs the levels of one front: takes their readings on a beat, carries out what they change, records each
-// change.
+// Runs the levels of reduced service of one front end: collects readings at a fixed interval, applies the
+// adjustments of the current levels and records each level change.
 #pragma once
 
 #include <ev++.h>
@@ -16,38 +16,49 @@
 
 namespace cedarring::app {
 
-/// The record of a change, in the words of the configuration.
-telemetry::Record record_of(const levels::AxisChange& event, const std::string& front,
+/// The record of a level change, with readings and classes under their configured names.
+telemetry::Record to_record(const levels::AxisChange& axis_change, const std::string& front_end,
                             const levels::ServiceInfo& service);
 
 class LevelsRunner {
  public:
+  /// Readings that only the surrounding service can take.
   struct Inputs {
-    double descriptors = 0, memory = 0;       // shares
-    std::optional<double> discovery_silence;  // seconds
+    double descriptors = 0;                   // share of the client connection limit in use
+    double memory = 0;                        // share of the buffer memory limit in use
+    std::optional<double> discovery_silence;  // seconds; absent without a discovery source
   };
   struct Hooks {
-    std::function<Inputs()> inputs;
-    std::function<void(double)> pool_size;  // a factor on the host connections
+    std::function<Inputs()> read_inputs;
+    std::function<void(double)> scale_pool_size;  // factor on the number of host connections
   };
-  LevelsRunner(ev::loop_ref loop, std::string front, levels::Config config, levels::ServiceInfo service,
+
+  /// Adds the levels to the broker's gates and starts the evaluation timer. `broker` and `log` have to
+  /// outlive the runner.
+  LevelsRunner(ev::loop_ref loop, std::string front_end, levels::Config config, levels::ServiceInfo service,
                broker::Broker& broker, broker::Broker::Clock clock, Hooks hooks, telemetry::Log& log);
   void reload(levels::Config config);
-  /// False, with why, where it cannot be.
+  /// Pins a level for `length`, on the faults axis of `group` or on pressure if absent. Returns false and
+  /// sets `error` if the length is out of range or the level or group is unknown.
   bool pin(std::optional<GroupId> group, const std::string& level, Duration length, std::string& error);
+  /// False for an unknown group.
   bool unpin(std::optional<GroupId> group);
-  /// What operators see: one JSON object.
+  /// The status for operators, as one JSON object.
   [[nodiscard]] std::string status() const;
   [[nodiscard]] const levels::Levels& levels() const { return levels_; }
-  /// Takes over the levels of the process before.
-  void take(const levels::Snapshot& told) { levels_.restore(told, clock_()), carry_out(); }
+  /// Adopts the levels of the previous process.
+  void restore(const levels::Snapshot& snapshot) {
+    levels_.restore(snapshot, clock_());
+    apply_adjustments();
+  }
   [[nodiscard]] const levels::ServiceInfo& service() const { return service_; }
 
  private:
-  void beat(ev::timer&, int);
-  void carry_out();
-  void publish(std::vector<levels::AxisChange>& events);
-  std::string front_;
+  void on_timer(ev::timer&, int);
+  void apply_adjustments();
+  void publish(std::vector<levels::AxisChange>& changes);
+
+  std::string front_end_;
   levels::ServiceInfo service_;
   levels::Levels levels_;
   broker::Broker& broker_;
@@ -55,7 +66,7 @@
   Hooks hooks_;
   telemetry::Log& log_;
   ev::timer timer_;
-  Time due_{};
+  Time next_evaluation_{};  // when the timer is due; its lateness is the reading `loop_lag`
   std::vector<GroupView> views_;
   levels::GatewayState state_;
 };
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -91,7 +91,7 @@
         if (contracts_) contracts_->contracts().restore(p, clock_());
       });
   read("levels", levels::Snapshot{}, [&](auto p) {
-    if (levels_) levels_->take(p);
+    if (levels_) levels_->restore(p);
   });
   // What cannot be read counts as spent.
   for (const auto& name : spoilt) {
@@ -144,7 +144,7 @@
 
 void Service::start_levels(const levels::Config& config) {
   LevelsRunner::Hooks hooks;
-  hooks.inputs = [this] {
+  hooks.read_inputs = [this] {
     LevelsRunner::Inputs in;
     in.descriptors = clients_.fullness();
     in.memory = static_cast<double>(wire::RingBuffer::total()) /
@@ -152,7 +152,7 @@
     if (discovery_) in.discovery_silence = discovery_->silence();
     return in;
   };
-  hooks.pool_size = [this](double factor) { upstream_.scale_most(factor); };
+  hooks.scale_pool_size = [this](double factor) { upstream_.scale_most(factor); };
   levels_.emplace(loop_, front_, config, for_levels_, broker_, clock_, std::move(hooks), log_);
 }
 
--- a/src/levels/ladder.cpp
+++ b/src/levels/ladder.cpp
@@ -6,124 +6,147 @@
 
 namespace cedarring::levels {
 
-Ladder::Ladder(LadderConfig config) : config_(std::move(config)) { reset_clocks(); }
+Ladder::Ladder(LadderConfig config) : config_(std::move(config)) { reset_level_states(); }
 
-void Ladder::reset_clocks() {
-  clocks_.clear();
-  for (const auto& l : config_.levels) {
-    clocks_.push_back({});
-    clocks_.back().enter.resize(l.enter.conditions.size());
-    clocks_.back().exit.resize(l.exit.conditions.size());
+void Ladder::reset_level_states() {
+  level_states_.clear();
+  for (const auto& level : config_.levels) {
+    level_states_.push_back({});
+    level_states_.back().enter.resize(level.enter.conditions.size());
+    level_states_.back().exit.resize(level.exit.conditions.size());
   }
 }
 
-/// Every condition's clock is kept, whatever the others say: a rule holds once enough of them have held for
-/// as long as each has to. A reading that cannot be used stops its clock: what is not known has not held.
-Ladder::State Ladder::evaluate(const Rule& rule, std::vector<Clock>& clocks, const Read& read,
-                               Change& change) {
-  std::size_t held = 0, unknown = 0;
+/// Updates the hold timer of every condition, independently of the others, and decides whether the rule
+/// holds. An unusable sample stops its timer: a condition that cannot be observed has not held.
+Ladder::RuleState Ladder::evaluate(const Rule& rule, std::vector<HoldTimer>& timers, const SampleReader& read,
+                                   LevelChange& change) {
+  std::size_t held = 0;
+  std::size_t unknown = 0;
   for (std::size_t i = 0; i < rule.conditions.size(); ++i) {
-    const auto& c = rule.conditions[i];
-    const auto sample = read(c);
-    const auto use = sample.use(info(c.reading), now_);
-    change.reads.push_back({c, sample.value, use});
-    if (use != Use::usable || (sample.value > c.bound) != c.above) {
-      clocks[i].runs = false;
-      unknown += use != Use::usable ? 1 : 0;
+    const auto& condition = rule.conditions[i];
+    const auto sample = read(condition);
+    const auto usability = sample.usability(reading_info(condition.reading), now_);
+    change.observations.push_back({condition, sample.value, usability});
+    if (usability != Usability::usable || (sample.value > condition.bound) != condition.above) {
+      timers[i].running = false;
+      unknown += usability != Usability::usable ? 1 : 0;
       continue;
     }
-    if (!clocks[i].runs) clocks[i] = {now_, true};
-    if (now_ - clocks[i].since >= c.hold) ++held;
+    if (!timers[i].running) timers[i] = {now_, true};
+    if (now_ - timers[i].since >= condition.hold_time) ++held;
   }
-  if (rule.conditions.empty()) return State::no;
-  if (rule.all) return held == rule.conditions.size() ? State::yes : unknown > 0 ? State::unknown : State::no;
-  return held > 0 ? State::yes : unknown > 0 ? State::unknown : State::no;
+  if (rule.conditions.empty()) return RuleState::no;
+  if (rule.require_all)
+    return held == rule.conditions.size() ? RuleState::yes : unknown > 0 ? RuleState::unknown : RuleState::no;
+  return held > 0 ? RuleState::yes : unknown > 0 ? RuleState::unknown : RuleState::no;
 }
 
-bool Ladder::may_change() const { return !changed_ || now_ - since_ >= std::max(config_.apart, stay_); }
+bool Ladder::may_change() const {
+  return !has_changed_ || now_ - since_ >= std::max(config_.min_change_interval, min_dwell_);
+}
 
-void Ladder::move(std::size_t to, Cause cause, Change change, std::vector<Change>& out) {
+void Ladder::move(std::size_t to, Cause cause, LevelChange change, std::vector<LevelChange>& out) {
   change.at = now_;
   change.cause = cause;
-  change.from = present().name;
+  change.from = current_level().name;
   change.to = config_.levels[to].name;
-  // A level left not long ago and wanted again was left too soon: it stays longer this time, within a bound.
-  // Without this a load that the level itself relieves would swing it for ever at the least distance.
-  auto& left = clocks_[level_];
-  if (to < level_) left.left = now_, left.was_left = true, left.stay = stay_;
-  stay_ = config_.levels[to].stay;
-  const auto& again = clocks_[to];
-  if (to > level_ && again.was_left && now_ - again.left < std::max(again.stay, config_.apart) * 2) {
-    const auto longer = Duration(static_cast<std::int64_t>(
-        static_cast<double>(std::max({again.stay, stay_, config_.apart}).count()) * config_.damping));
-    stay_ = std::max(stay_, std::min(longer, config_.longest_stay));
+  // A level that is needed again shortly after it was left was left too early: its dwell time is extended, up
+  // to a limit. Without this, a load that the level itself relieves would make it oscillate for ever at the
+  // minimum change interval.
+  auto& left = level_states_[level_];
+  if (to < level_) {
+    left.left_at = now_;
+    left.was_left = true;
+    left.dwell_when_left = min_dwell_;
+  }
+  min_dwell_ = config_.levels[to].min_dwell;
+  const auto& entered = level_states_[to];
+  if (to > level_ && entered.was_left &&
+      now_ - entered.left_at < std::max(entered.dwell_when_left, config_.min_change_interval) * 2) {
+    const auto extended = Duration(static_cast<std::int64_t>(
+        static_cast<double>(
+            std::max({entered.dwell_when_left, min_dwell_, config_.min_change_interval}).count()) *
+        config_.damping));
+    min_dwell_ = std::max(min_dwell_, std::min(extended, config_.max_damped_dwell));
   }
-  change.stay = stay_;
+  change.min_dwell = min_dwell_;
   level_ = to;
   since_ = now_;
-  changed_ = true;
-  told_held_ = false;
-  for (auto& c : clocks_)
-    for (auto& clock : c.exit) clock.runs = false;  // the way out counts from the entry
+  has_changed_ = true;
+  hold_reported_ = false;
+  // Exit conditions have to hold from the entry on.
+  for (auto& state : level_states_)
+    for (auto& timer : state.exit) timer.running = false;
   out.push_back(std::move(change));
 }
 
-void Ladder::hold(Change change, std::vector<Change>& out) {
-  if (std::exchange(told_held_, true)) return;  // once, until it changes or all can be read again
+/// Reports once that the level is held, until the level changes or every sample is usable again.
+void Ladder::report_hold(LevelChange change, std::vector<LevelChange>& out) {
+  if (std::exchange(hold_reported_, true)) return;
   change.at = now_;
   change.cause = Cause::held;
-  change.from = change.to = present().name;
+  change.from = change.to = current_level().name;
   out.push_back(std::move(change));
 }
 
-void Ladder::step(Time now, const Read& read, std::vector<Change>& out) {
-  now = begun_ ? std::max(now, now_) : now;
-  // After a gap nobody knows whether a condition has held all the while: a stopped loop or a clock that leapt
-  // must not stand for time that was watched.
-  if (begun_ && now - now_ > config_.max_gap)
-    for (auto& c : clocks_)
-      for (auto* clocks : {&c.enter, &c.exit})
-        for (auto& clock : *clocks) clock.runs = false;
+void Ladder::step(Time now, const SampleReader& read, std::vector<LevelChange>& out) {
+  now = started_ ? std::max(now, now_) : now;
+  // After a gap it is unknown whether a condition has held throughout: time in which the event loop was
+  // blocked or by which the clock jumped must not count towards a hold time.
+  if (started_ && now - now_ > config_.max_evaluation_gap)
+    for (auto& state : level_states_)
+      for (auto* timers : {&state.enter, &state.exit})
+        for (auto& timer : *timers) timer.running = false;
   now_ = now;
-  if (!std::exchange(begun_, true)) since_ = now;
+  if (!std::exchange(started_, true)) since_ = now;
 
   bool unknown = false;
-  Change why_unknown;
-  const auto look = [&](const Rule& rule, std::vector<Clock>& clocks, Change& change) {
-    const auto state = evaluate(rule, clocks, read, change);
-    if (state == State::unknown && !std::exchange(unknown, true)) why_unknown = change;
-    return state == State::yes;
+  LevelChange unknown_change;
+  const auto holds = [&](const Rule& rule, std::vector<HoldTimer>& timers, LevelChange& change) {
+    const auto state = evaluate(rule, timers, read, change);
+    if (state == RuleState::unknown && !std::exchange(unknown, true)) unknown_change = change;
+    return state == RuleState::yes;
   };
-  // All clocks run on, also below and above the present level and while a pin holds.
+  // All timers are updated, also those of levels below and above the current one and while a pin applies.
   std::size_t up = level_;
-  Change up_change, down_change, scratch;
+  LevelChange up_change;
+  LevelChange down_change;
+  LevelChange discarded;
   for (std::size_t i = 1; i < config_.levels.size(); ++i) {
-    Change change;
-    const bool entered =
-        i > level_ ? look(config_.levels[i].enter, clocks_[i].enter, change)
-                   : evaluate(config_.levels[i].enter, clocks_[i].enter, read, scratch) == State::yes;
-    if (entered && i > up) up = i, up_change = std::move(change);
+    LevelChange change;
+    const bool entered = i > level_ ? holds(config_.levels[i].enter, level_states_[i].enter, change)
+                                    : evaluate(config_.levels[i].enter, level_states_[i].enter, read,
+                                               discarded) == RuleState::yes;
+    if (entered && i > up) {
+      up = i;
+      up_change = std::move(change);
+    }
   }
-  const bool down = level_ > 0 && look(present().exit, clocks_[level_].exit, down_change);
+  const bool down = level_ > 0 && holds(current_level().exit, level_states_[level_].exit, down_change);
 
   if (pin_ && now_ >= pin_->until) {
-    if (pin_->told) {
-      Change change;
-      change.at = now_, change.cause = Cause::pin_ended, change.from = change.to = present().name;
+    if (pin_->reported) {
+      LevelChange change;
+      change.at = now_;
+      change.cause = Cause::pin_ended;
+      change.from = change.to = current_level().name;
       out.push_back(std::move(change));
     }
     pin_.reset();
   }
   if (pin_) {
     if (!may_change() && pin_->level != level_) return;
-    Change change;
-    change.until = pin_->until;
+    LevelChange change;
+    change.pinned_until = pin_->until;
     if (pin_->level != level_) {
-      pin_->told = true;
+      pin_->reported = true;
       return move(pin_->level, Cause::pinned, std::move(change), out);
     }
-    if (std::exchange(pin_->told, true)) return;
-    change.at = now_, change.cause = Cause::pinned, change.from = change.to = present().name;
+    if (std::exchange(pin_->reported, true)) return;
+    change.at = now_;
+    change.cause = Cause::pinned;
+    change.from = change.to = current_level().name;
     out.push_back(std::move(change));
     return;
   }
@@ -133,16 +156,17 @@
     if (down) return move(level_ - 1, Cause::left, std::move(down_change), out);
   }
   if (unknown && level_ > 0)
-    hold(std::move(why_unknown), out);
+    report_hold(std::move(unknown_change), out);
   else if (!unknown)
-    told_held_ = false;
+    hold_reported_ = false;
 }
 
 bool Ladder::pin(const std::string& level, Time until, Time now) {
-  const auto& all = config_.levels;
-  const auto it = std::find_if(all.begin(), all.end(), [&](const Level& l) { return l.name == level; });
-  if (it == all.end() || until <= std::max(now, now_)) return false;
-  pin_ = Pin{static_cast<std::size_t>(it - all.begin()), until};
+  const auto& levels = config_.levels;
+  const auto found = std::find_if(levels.begin(), levels.end(),
+                                  [&](const Level& candidate) { return candidate.name == level; });
+  if (found == levels.end() || until <= std::max(now, now_)) return false;
+  pin_ = Pin{static_cast<std::size_t>(found - levels.begin()), until};
   return true;
 }
 
@@ -151,119 +175,142 @@
 }
 
 LadderSnapshot Ladder::snapshot(Time now) const {
-  LadderSnapshot c;
-  c.level = present().name;
-  c.since = begun_ ? std::max(Duration::zero(), now - since_) : Duration::zero();
-  c.stay = stay_, c.changed = changed_;
-  if (pin_) c.pinned = config_.levels[pin_->level].name, c.pinned_for = pin_->until - now;
-  return c;
+  LadderSnapshot snapshot;
+  snapshot.level = current_level().name;
+  snapshot.time_in_level = started_ ? std::max(Duration::zero(), now - since_) : Duration::zero();
+  snapshot.min_dwell = min_dwell_;
+  snapshot.has_changed = has_changed_;
+  if (pin_) {
+    snapshot.pinned_level = config_.levels[pin_->level].name;
+    snapshot.pin_remaining = pin_->until - now;
+  }
+  return snapshot;
 }
 
-/// Holds begin anew: nobody has watched in between.
-void Ladder::restore(const LadderSnapshot& told, Time now) {
-  const auto& all = config_.levels;
-  const auto it = std::find_if(all.begin(), all.end(), [&](const Level& l) { return l.name == told.level; });
-  if (it == all.end()) return;
-  level_ = static_cast<std::size_t>(it - all.begin());
-  now_ = begun_ ? std::max(now, now_) : now;
-  begun_ = true;
-  since_ = now_ - std::max(Duration::zero(), told.since);
-  stay_ = std::clamp(told.stay, Duration::zero(), std::max(config_.longest_stay, it->stay));
-  changed_ = told.changed;
-  if (!told.pinned.empty() && told.pinned_for > Duration::zero() &&
-      pin(told.pinned, now_ + told.pinned_for, now_))
-    pin_->told = true;
+void Ladder::restore(const LadderSnapshot& snapshot, Time now) {
+  const auto& levels = config_.levels;
+  const auto found = std::find_if(levels.begin(), levels.end(),
+                                  [&](const Level& candidate) { return candidate.name == snapshot.level; });
+  if (found == levels.end()) return;
+  level_ = static_cast<std::size_t>(found - levels.begin());
+  now_ = started_ ? std::max(now, now_) : now;
+  started_ = true;
+  since_ = now_ - std::max(Duration::zero(), snapshot.time_in_level);
+  min_dwell_ =
+      std::clamp(snapshot.min_dwell, Duration::zero(), std::max(config_.max_damped_dwell, found->min_dwell));
+  has_changed_ = snapshot.has_changed;
+  if (!snapshot.pinned_level.empty() && snapshot.pin_remaining > Duration::zero() &&
+      pin(snapshot.pinned_level, now_ + snapshot.pin_remaining, now_))
+    pin_->reported = true;
 }
 
 std::optional<Time> Ladder::pinned_until() const {
   return pin_ ? std::optional<Time>(pin_->until) : std::nullopt;
 }
-std::optional<std::string> Ladder::pinned_to() const {
+
+std::optional<std::string> Ladder::pinned_level() const {
   return pin_ ? std::optional<std::string>(config_.levels[pin_->level].name) : std::nullopt;
 }
 
-void Ladder::reload(LadderConfig config, Time now, std::vector<Change>& out) {
-  const auto old = std::move(config_);
+void Ladder::reload(LadderConfig config, Time now, std::vector<LevelChange>& out) {
+  const auto previous = std::move(config_);
   const auto find = [&](const std::string& name) -> std::optional<std::size_t> {
     for (std::size_t i = 0; i < config.levels.size(); ++i)
       if (config.levels[i].name == name) return i;
     return std::nullopt;
   };
-  // The nearest level below that is still there; `normal` always is.
+  // The nearest remaining level at or below the current one; `normal` always remains.
   std::size_t to = 0;
   for (std::size_t i = level_ + 1; i-- > 0;)
-    if (const auto at = find(old.levels[i].name)) {
-      to = *at;
+    if (const auto index = find(previous.levels[i].name)) {
+      to = *index;
       break;
     }
-  const auto from = old.levels[level_].name;
-  const auto pinned = pin_ ? find(old.levels[pin_->level].name) : std::nullopt;
+  const auto from = previous.levels[level_].name;
+  const auto pinned = pin_ ? find(previous.levels[pin_->level].name) : std::nullopt;
   if (pinned)
     pin_->level = *pinned;
   else
     pin_.reset();
   config_ = std::move(config);
-  reset_clocks();
+  reset_level_states();
   level_ = to;
-  now_ = begun_ ? std::max(now, now_) : now;
-  told_held_ = false;
+  now_ = started_ ? std::max(now, now_) : now;
+  hold_reported_ = false;
   if (config_.levels[to].name == from) return;
-  Change change;
-  change.at = now_, change.cause = Cause::reloaded, change.from = from, change.to = config_.levels[to].name;
-  stay_ = change.stay = config_.levels[to].stay;
-  since_ = now_, changed_ = true;
+  LevelChange change;
+  change.at = now_;
+  change.cause = Cause::reloaded;
+  change.from = from;
+  change.to = config_.levels[to].name;
+  min_dwell_ = change.min_dwell = config_.levels[to].min_dwell;
+  since_ = now_;
+  has_changed_ = true;
   out.push_back(std::move(change));
 }
 
 namespace {
 
-/// The values of a reading that a condition allows.
+constexpr std::size_t max_levels = 16;
+
+/// The values of a reading for which a condition holds: from < x <= to, or from <= x <= to if `closed`.
 struct Range {
-  double from = 0, to = 0;  // from < x <= to, or 0 <= x where `closed`
+  double from = 0;
+  double to = 0;
   bool closed = false;
 };
 
-Range range_of(const Condition& c) {
-  const double most = info(c.reading).most;
-  return c.above ? Range{c.bound, most, c.bound < 0} : Range{0, std::min(c.bound, most), true};
+Range range_of(const Condition& condition) {
+  const double max_value = reading_info(condition.reading).max_value;
+  return condition.above ? Range{condition.bound, max_value, condition.bound < 0}
+                         : Range{0, std::min(condition.bound, max_value), true};
+}
+
+bool is_empty(const Range& range) { return range.closed ? range.to < range.from : range.to <= range.from; }
+
+bool same_reading(const Condition& a, const Condition& b) {
+  return a.reading == b.reading && a.class_index == b.class_index;
 }
-bool empty(const Range& r) { return r.closed ? r.to < r.from : r.to <= r.from; }
-bool same(const Condition& a, const Condition& b) { return a.reading == b.reading && a.cls == b.cls; }
 
-/// Whether two sets of conditions can hold at once.
+/// Whether all conditions of both sets can hold at the same time.
 bool overlap(const std::vector<Condition>& a, const std::vector<Condition>& b) {
   for (const auto& x : a)
     for (const auto& y : b) {
-      if (!same(x, y)) continue;
-      const auto p = range_of(x), q = range_of(y);
-      const Range both{std::max(p.from, q.from), std::min(p.to, q.to),
-                       p.from > q.from   ? p.closed
-                       : q.from > p.from ? q.closed
-                                         : p.closed && q.closed};
-      if (empty(both)) return false;
+      if (!same_reading(x, y)) continue;
+      const auto p = range_of(x);
+      const auto q = range_of(y);
+      const Range intersection{std::max(p.from, q.from), std::min(p.to, q.to),
+                               p.from > q.from   ? p.closed
+                               : q.from > p.from ? q.closed
+                                                 : p.closed && q.closed};
+      if (is_empty(intersection)) return false;
     }
   return true;
 }
 
-/// The ways in which a rule can hold: one set of conditions each.
-std::vector<std::vector<Condition>> ways(const Rule& rule) {
-  if (rule.all) return {rule.conditions};
-  std::vector<std::vector<Condition>> each;
-  for (const auto& c : rule.conditions) each.push_back({c});
-  return each;
+/// The sets of conditions that are each sufficient for a rule to hold.
+std::vector<std::vector<Condition>> sufficient_sets(const Rule& rule) {
+  if (rule.require_all) return {rule.conditions};
+  std::vector<std::vector<Condition>> sets;
+  for (const auto& condition : rule.conditions) sets.push_back({condition});
+  return sets;
 }
 
-std::optional<ConfigIssue> flaw_of(const Rule& rule, Scope scope, const std::string& where) {
+std::optional<ConfigIssue> find_rule_issue(const Rule& rule, Scope scope, const std::string& path) {
   for (std::size_t i = 0; i < rule.conditions.size(); ++i) {
-    const auto& c = rule.conditions[i];
-    const auto at = where + "/" + std::to_string(i);
-    if (!std::isfinite(c.bound)) return ConfigIssue{at, "a bound that is no number"};
-    if ((info(c.reading).scope == Scope::group) != (scope == Scope::group))
-      return ConfigIssue{at + "/reading",
-                         std::string("reading ") + info(c.reading).name + " is not of this axis"};
-    if (empty(range_of(c))) return ConfigIssue{at, "can never hold: no value of the reading is there"};
+    const auto& condition = rule.conditions[i];
+    const auto condition_path = path + "/" + std::to_string(i);
+    if (!std::isfinite(condition.bound))
+      return ConfigIssue{condition_path, "the bound is not a finite number"};
+    if ((reading_info(condition.reading).scope == Scope::group) != (scope == Scope::group))
+      return ConfigIssue{
+          condition_path + "/reading",
+          std::string("reading ") + reading_info(condition.reading).name + " does not belong to this axis"};
+    if (is_empty(range_of(condition)))
+      return ConfigIssue{condition_path, "can never hold: no value of the reading satisfies it"};
   }
-  if (rule.all && !overlap(rule.conditions, rule.conditions)) return ConfigIssue{where, "can never hold"};
+  if (rule.require_all && !overlap(rule.conditions, rule.conditions))
+    return ConfigIssue{path, "can never hold: its conditions exclude each other"};
   return std::nullopt;
 }
 
@@ -271,31 +318,36 @@
 
 std::optional<ConfigIssue> find_config_issue(const LadderConfig& config, Scope scope) {
   if (config.levels.empty()) return ConfigIssue{"", "no level"};
-  if (config.levels.size() > 16) return ConfigIssue{"", "more than 16 levels"};
+  if (config.levels.size() > max_levels) return ConfigIssue{"", "more than 16 levels"};
   std::set<std::string> names;
   for (std::size_t i = 0; i < config.levels.size(); ++i) {
-    const auto& l = config.levels[i];
-    const auto at = "/" + std::to_string(i);
-    if (l.name.empty() || !names.insert(l.name).second) return ConfigIssue{at + "/name", "empty or taken"};
+    const auto& level = config.levels[i];
+    const auto path = "/" + std::to_string(i);
+    if (level.name.empty() || !names.insert(level.name).second)
+      return ConfigIssue{path + "/name", "empty, or used by another level"};
     if (i == 0) {
-      if (!l.enter.conditions.empty() || !l.exit.conditions.empty() || !l.sheds.empty())
-        return ConfigIssue{at, "the first level is the normal one: it has no conditions and sheds nothing"};
+      if (!level.enter.conditions.empty() || !level.exit.conditions.empty() || !level.shed_rules.empty())
+        return ConfigIssue{path,
+                           "the first level is the normal level: it has no conditions and sheds nothing"};
       continue;
     }
-    if (l.enter.conditions.empty()) return ConfigIssue{at + "/enter", "unreachable: no condition to enter"};
-    if (l.exit.conditions.empty()) return ConfigIssue{at + "/exit", "no way out: no condition to leave"};
-    if (auto flaw = flaw_of(l.enter, scope, at + "/enter")) return flaw;
-    if (auto flaw = flaw_of(l.exit, scope, at + "/exit")) return flaw;
-    for (const auto& in : ways(l.enter))
-      for (const auto& out : ways(l.exit))
-        if (overlap(in, out))
-          return ConfigIssue{at + "/exit",
-                             "overlaps the level's own entry: it would be left and entered at once"};
-    for (std::size_t j = 0; j < l.sheds.size(); ++j)
-      if (!(l.sheds[j].share >= 0 && l.sheds[j].share <= 1))
-        return ConfigIssue{at + "/shed/" + std::to_string(j) + "/share", "not between 0 and 1"};
+    if (level.enter.conditions.empty())
+      return ConfigIssue{path + "/enter", "unreachable: no condition to enter the level"};
+    if (level.exit.conditions.empty())
+      return ConfigIssue{path + "/exit", "no exit: no condition to leave the level"};
+    if (auto issue = find_rule_issue(level.enter, scope, path + "/enter")) return issue;
+    if (auto issue = find_rule_issue(level.exit, scope, path + "/exit")) return issue;
+    for (const auto& entry : sufficient_sets(level.enter))
+      for (const auto& exit : sufficient_sets(level.exit))
+        if (overlap(entry, exit))
+          return ConfigIssue{path + "/exit",
+                             "overlaps the entry rule: the level would be left and entered at the same time"};
+    for (std::size_t j = 0; j < level.shed_rules.size(); ++j)
+      if (!(level.shed_rules[j].share >= 0 && level.shed_rules[j].share <= 1))
+        return ConfigIssue{path + "/shed/" + std::to_string(j) + "/share", "not between 0 and 1"};
   }
-  if (config.apart <= Duration::zero()) return ConfigIssue{"", "the time between changes has to be positive"};
+  if (config.min_change_interval <= Duration::zero())
+    return ConfigIssue{"", "the minimum time between changes has to be positive"};
   return std::nullopt;
 }
 
--- a/src/levels/ladder.h
+++ b/src/levels/ladder.h
@@ -1,5 +1,6 @@
-// One axis of levels: a ladder from `normal` upwards, its conditions, hysteresis, least stay and bound on
-// changes. A state machine: readings and times in, level changes out. Equal input gives equal output.
+// One axis of degradation: an ordered ladder of levels, from `normal` upwards, with entry and exit
+// conditions, hysteresis, minimum dwell times and a minimum interval between changes. A deterministic state
+// machine: samples and times in, level changes out; equal input gives equal output.
 #pragma once
 
 #include <cstddef>
@@ -13,60 +14,64 @@
 
 namespace cedarring::levels {
 
-/// A reading on one side of a bound, without a break for `hold`.
+/// Holds once a reading has been on one side of a bound for `hold_time` without interruption.
 struct Condition {
   Reading reading = Reading::latency;
-  std::int32_t cls = -1;  // of readings of a class: its index
-  bool above = true;      // above the bound, else below or at it
+  std::int32_t class_index = -1;  // for readings of a class, else -1
+  bool above = true;              // true: holds above the bound; false: holds at or below it
   double bound = 0;
-  Duration hold{};
+  Duration hold_time{};
 };
 
-/// Conditions of which all or any have to hold. Without conditions it never holds.
+/// Holds if all or any of its conditions hold. A rule without conditions never holds.
 struct Rule {
-  bool all = false;
+  bool require_all = false;
   std::vector<Condition> conditions;
 };
 
-/// What a level gives up. Of what several entries name, the largest share counts.
-struct Shed {
+/// Requests that a level refuses. If several rules match a request, the largest share applies.
+struct ShedRule {
   std::vector<std::int32_t> classes;  // empty: every class
   std::int32_t tenant = -1;           // -1: every tenant
-  bool only_beyond_budget = false;
-  bool only_without_primary = false;  // while the group has none that can be used
-  bool only_hopeless = false;         // whose time ends before a primary is expected
-  double share = 1;                   // of the callers, 0 to 1
+  bool only_beyond_budget = false;    // only requests beyond their tenant's budget
+  bool only_without_primary = false;  // only while the group has no usable primary
+  bool only_hopeless = false;         // only requests whose deadline passes before a primary is expected
+  double share = 1;                   // share of the callers whose requests are refused, 0 to 1
 };
 
-/// What a level changes besides: factors on the usual figures.
-struct Changes {
+/// Factors that a level applies to the gateway's normal operating values.
+struct Adjustments {
   double probe_rate = 1;    // 0.1 to 10
   double retry_budget = 1;  // 0 to 1: attempts after the first
-  double pool_size = 1;     // 0.1 to 1: host connections
-  double spill = 1;  // 0 to 1: of the primary's window that reads may fill while replicas are only busy
+  double pool_size = 1;     // 0.1 to 1: connections to hosts
+  // 0 to 1: share of the primary's concurrency limit that reads may use while all replicas are merely busy.
+  double read_spillover = 1;
 };
 
 struct Level {
   std::string name;
-  Rule enter, exit;
-  Duration stay{};  // least time in it
-  std::vector<Shed> sheds;
-  Changes changes;
+  Rule enter;
+  Rule exit;
+  Duration min_dwell{};  // minimum time in the level
+  std::vector<ShedRule> shed_rules;
+  Adjustments adjustments;
 };
 
 struct LadderConfig {
-  std::vector<Level> levels;    // from normal (no conditions) upwards
-  Duration apart{10'000'000};   // least time between two changes
-  Duration max_gap{1'000'000};  // evaluations further apart than this start all `hold` times anew
-  bool step_by_step = true;     // up by one level at a time, else at once to the highest whose entry holds
-  double damping = 2;           // factor on the stay of a level that is entered again soon after it was left
-  Duration longest_stay{120'000'000};
+  std::vector<Level> levels;                 // from normal (no conditions) upwards
+  Duration min_change_interval{10'000'000};  // 10 s: minimum time between two changes
+  Duration max_evaluation_gap{1'000'000};    // 1 s: evaluations further apart restart every hold time
+  bool step_by_step = true;  // up by one level at a time, else to the highest that may be entered
+  double damping = 2;        // factor on the dwell time of a level re-entered soon after it was left
+  Duration max_damped_dwell{120'000'000};  // 120 s: limit of the dwell time that damping extends
 };
 
-/// Why a level has changed or was kept.
+/// The reason for a level change, or for a record without one.
 enum class Cause : std::uint8_t { entered, left, pinned, pin_ended, reloaded, held };
-constexpr const char* name_of(Cause c) {
-  switch (c) {
+
+/// The text written to records.
+constexpr const char* name_of(Cause cause) {
+  switch (cause) {
     case Cause::entered:
       return "entered";
     case Cause::left:
@@ -83,89 +88,103 @@
   return "held";
 }
 
-/// One record of a decision. What an operator sees of it is made from this and nothing else.
-struct Change {
-  struct Read {
+/// A decision on a level with the samples behind it. Records for operators are made from this alone.
+struct LevelChange {
+  struct Observation {
     Condition condition;
     double value = 0;
-    Use use = Use::usable;
+    Usability usability = Usability::usable;
   };
   Time at{};
   Cause cause = Cause::entered;
-  std::string from, to;       // names; equal where the level is held
-  std::vector<Read> reads;    // of the rule that decided, as they were
-  Duration stay{};            // least time in the new level
-  std::optional<Time> until;  // of a pin
+  std::string from;  // level names; equal if the level was kept
+  std::string to;
+  std::vector<Observation> observations;  // for the rule that decided, at the time of the decision
+  Duration min_dwell{};                   // minimum time in the new level
+  std::optional<Time> pinned_until;       // end of a pin
 };
 
 class Ladder {
  public:
-  using Read = std::function<Sample(const Condition&)>;
+  using SampleReader = std::function<Sample(const Condition&)>;
   explicit Ladder(LadderConfig config);
 
-  /// Looks at the readings at `now` (a time before the last one counts as the last one) and appends at most
-  /// one change, beside one word on what holds the level where a reading that it needs cannot be used.
-  void step(Time now, const Read& read, std::vector<Change>& out);
+  /// Evaluates all conditions at `now` (an earlier time than the previous one counts as the previous one).
+  /// Appends at most one change, or, where a sample that the current level depends on cannot be used, one
+  /// record of cause `held` for each such period.
+  void step(Time now, const SampleReader& read, std::vector<LevelChange>& out);
 
-  /// Holds the level from when the bound on changes allows it to `until`. False for a level that is not there
-  /// or an end that is not ahead.
+  /// Pins the level until `until`, as soon as the minimum change interval allows. False if there is no level
+  /// of that name or `until` is not in the future.
   bool pin(const std::string& level, Time until, Time now);
   void unpin();
-  /// Other levels from now on. Where the present one is not among them, the nearest one below it is taken:
-  /// the change is the reload's and is recorded as such.
-  void reload(LadderConfig config, Time now, std::vector<Change>& out);
+  /// Replaces the levels. If the current level no longer exists, the nearest remaining level below it becomes
+  /// current, recorded with cause `reloaded`.
+  void reload(LadderConfig config, Time now, std::vector<LevelChange>& out);
 
-  /// For the process that follows, and taken over by it: the level of that name, where there is one, with its
-  /// time.
+  /// The state for a successor process.
   [[nodiscard]] LadderSnapshot snapshot(Time now) const;
-  void restore(const LadderSnapshot& told, Time now);
+  /// Adopts the state of a previous process if this ladder has a level of that name. Hold times start anew,
+  /// since no process has evaluated the conditions in between.
+  void restore(const LadderSnapshot& snapshot, Time now);
 
-  [[nodiscard]] std::size_t level() const { return level_; }
-  [[nodiscard]] const Level& present() const { return config_.levels[level_]; }
+  [[nodiscard]] std::size_t level_index() const { return level_; }
+  [[nodiscard]] const Level& current_level() const { return config_.levels[level_]; }
   [[nodiscard]] const LadderConfig& config() const { return config_; }
   [[nodiscard]] std::optional<Time> pinned_until() const;
-  [[nodiscard]] std::optional<std::string> pinned_to() const;
+  [[nodiscard]] std::optional<std::string> pinned_level() const;
+  /// When the current level was reached.
   [[nodiscard]] Time since() const { return since_; }
-  [[nodiscard]] Duration least_stay() const { return stay_; }
-  [[nodiscard]] bool held() const { return told_held_; }
+  /// Minimum time in the current level, with damping.
+  [[nodiscard]] Duration min_dwell() const { return min_dwell_; }
+  /// Whether the level is kept because samples that it depends on cannot be used.
+  [[nodiscard]] bool is_held() const { return hold_reported_; }
 
  private:
-  enum class State : std::uint8_t { no, yes, unknown };
-  struct Clock {
+  enum class RuleState : std::uint8_t { no, yes, unknown };
+  /// How long a condition has been on its side of the bound.
+  struct HoldTimer {
     Time since{};
-    bool runs = false;
+    bool running = false;
   };
-  struct Clocks {
-    std::vector<Clock> enter, exit;
-    Time left{};  // when the level was last left
+  struct LevelState {
+    std::vector<HoldTimer> enter;  // by condition
+    std::vector<HoldTimer> exit;   // by condition
+    Time left_at{};                // when the level was last left downwards
     bool was_left = false;
-    Duration stay{};  // that it had then
+    Duration dwell_when_left{};  // the minimum dwell time that applied then
   };
-  State evaluate(const Rule& rule, std::vector<Clock>& clocks, const Read& read, Change& change);
-  void move(std::size_t to, Cause cause, Change change, std::vector<Change>& out);
-  void hold(Change change, std::vector<Change>& out);
+  RuleState evaluate(const Rule& rule, std::vector<HoldTimer>& timers, const SampleReader& read,
+                     LevelChange& change);
+  void move(std::size_t to, Cause cause, LevelChange change, std::vector<LevelChange>& out);
+  void report_hold(LevelChange change, std::vector<LevelChange>& out);
   [[nodiscard]] bool may_change() const;
-  void reset_clocks();
+  void reset_level_states();
 
   LadderConfig config_;
-  std::vector<Clocks> clocks_;
+  std::vector<LevelState> level_states_;
   std::size_t level_ = 0;
-  Time now_{}, since_{};
-  Duration stay_{};
-  bool begun_ = false, changed_ = false, told_held_ = false;
+  Time now_{};  // time of the last evaluation
+  Time since_{};
+  Duration min_dwell_{};
+  bool started_ = false;  // an evaluation has taken place
+  bool has_changed_ = false;
+  bool hold_reported_ = false;
   struct Pin {
     std::size_t level;
     Time until;
-    bool told = false;
+    bool reported = false;
   };
   std::optional<Pin> pin_;
 };
 
-/// What is wrong with a ladder: where (a path of keys below the ladder's own) and what. None if it can be
-/// used.
+/// A configuration error: the path of JSON keys below the ladder's own, and a message.
 struct ConfigIssue {
-  std::string where, what;
+  std::string path;
+  std::string message;
 };
+
+/// The first error of a ladder on an axis of this scope; nothing if the ladder can be used.
 std::optional<ConfigIssue> find_config_issue(const LadderConfig& config, Scope scope);
 
 }  // namespace cedarring::levels
--- a/src/levels/levels.cpp
+++ b/src/levels/levels.cpp
@@ -7,8 +7,9 @@
 namespace cedarring::levels {
 namespace {
 
-constexpr Duration settle{
-    1'000'000};  // after a primary's return, until what its absence has held up is through
+// 1 s: requests that began before or within this time after a primary's return may have been delayed by its
+// absence.
+constexpr Duration primary_settle_time{1'000'000};
 
 }  // namespace
 
@@ -18,411 +19,468 @@
       pressure_(config_.pressure),
       meter_(
           [this] {
-            std::vector<Duration> aims;
-            for (const auto& c : service_.classes) aims.push_back(c.latency_target);
-            return aims;
+            std::vector<Duration> latency_targets;
+            for (const auto& request_class : service_.classes)
+              latency_targets.push_back(request_class.latency_target);
+            return latency_targets;
           }(),
-          config_.memory),
+          config_.reading_decay_time),
       samples_(reading_count),
       counters_(service_.classes.size()),
       random_(service_.seed) {
   compile_all();
 }
 
-/// The shares that a level sheds, by class, budget and whether the group has a primary: a verdict is one
-/// look-up.
-void Levels::compile(const Level& level, std::vector<Cell>& table, std::vector<TenantShed>* tenants) const {
-  table.assign(service_.classes.size() * 4, Cell{});
+/// Precomputes the shares that a level sheds by class, budget and primary state, so that a verdict is a
+/// single table look-up. Rules for a tenant go to `tenants`, or are ignored if it is null.
+void Levels::compile(const Level& level, std::vector<ShedCell>& table,
+                     std::vector<TenantShed>* tenants) const {
+  table.assign(service_.classes.size() * 4, ShedCell{});
   if (tenants) tenants->clear();
-  const auto classes = static_cast<std::int32_t>(service_.classes.size());
-  for (const auto& s : level.sheds) {
-    const auto share = static_cast<float>(s.share);
-    if (s.tenant >= 0) {
+  const auto class_count = static_cast<std::int32_t>(service_.classes.size());
+  for (const auto& rule : level.shed_rules) {
+    const auto share = static_cast<float>(rule.share);
+    if (rule.tenant >= 0) {
       if (!tenants) continue;
-      if (s.classes.empty()) tenants->push_back({-1, s.tenant, s.only_beyond_budget, share});
-      for (const auto cls : s.classes) tenants->push_back({cls, s.tenant, s.only_beyond_budget, share});
+      if (rule.classes.empty()) tenants->push_back({-1, rule.tenant, rule.only_beyond_budget, share});
+      for (const auto class_index : rule.classes)
+        tenants->push_back({class_index, rule.tenant, rule.only_beyond_budget, share});
       continue;
     }
-    for (std::int32_t cls = 0; cls < classes; ++cls) {
-      if (!s.classes.empty() && std::find(s.classes.begin(), s.classes.end(), cls) == s.classes.end())
+    for (std::int32_t class_index = 0; class_index < class_count; ++class_index) {
+      if (!rule.classes.empty() &&
+          std::find(rule.classes.begin(), rule.classes.end(), class_index) == rule.classes.end())
         continue;
-      for (const bool beyond : {false, true})
-        for (const bool lost : {false, true}) {
-          if ((s.only_beyond_budget && !beyond) || (s.only_without_primary && !lost)) continue;
-          auto& at = table[cell(cls, beyond, lost)];
-          // Of equal shares the one without a condition is the stricter.
-          if (share > at.share || (share == at.share && !s.only_hopeless)) at = {share, s.only_hopeless};
+      for (const bool beyond_budget : {false, true})
+        for (const bool without_primary : {false, true}) {
+          if ((rule.only_beyond_budget && !beyond_budget) || (rule.only_without_primary && !without_primary))
+            continue;
+          auto& cell = table[cell_index(class_index, beyond_budget, without_primary)];
+          // Of two rules with equal shares, the unconditional rule is the stricter.
+          if (share > cell.share || (share == cell.share && !rule.only_hopeless))
+            cell = {share, rule.only_hopeless};
         }
     }
   }
 }
 
 void Levels::compile_all() {
-  compile(pressure_.present(), table_, &tenants_);
-  for (auto& [id, g] : groups_) compile(g.faults.present(), g.table, nullptr);
+  compile(pressure_.current_level(), shed_table_, &tenant_sheds_);
+  for (auto& [id, group] : groups_) compile(group.faults.current_level(), group.shed_table, nullptr);
 }
 
-/// The caller's place in [0, 1): the same for all its requests while the episode lasts, so that the same
-/// callers are shed, a retry meets the same answer, and a larger share sheds those of a smaller one and more.
-double Levels::place(const gates::GateRequest& ask) const {
-  const auto who = ask.caller != 0 ? ask.caller : ask.request.value;
-  return static_cast<double>(XXH3_64bits_withSeed(&who, sizeof who, episode_) >> 11U) * 0x1p-53;
+/// Maps the caller to [0, 1), constant for all its requests during a pressure episode. A caller is shed if
+/// its rank is below the shed share: the same callers are shed throughout, a retry gets the same answer, and
+/// a larger share sheds the callers of a smaller share and more.
+double Levels::caller_rank(const gates::GateRequest& request) const {
+  const auto caller = request.caller != 0 ? request.caller : request.request.value;
+  return static_cast<double>(XXH3_64bits_withSeed(&caller, sizeof caller, episode_) >> 11U) * 0x1p-53;
 }
 
-gates::Verdict Levels::admit(const gates::GateRequest& ask, Time now) {
-  if (ask.cls.value < 0 || static_cast<std::size_t>(ask.cls.value) >= counters_.size()) return {};
-  auto& counter = counters_[static_cast<std::size_t>(ask.cls.value)];
-  ++counter.asked;
-  asks_ += 1, retries_ += ask.retry ? 1 : 0;
-  const auto group = groups_.find(ask.group);
-  const bool lost = group != groups_.end() && !group->second.primary;
-  const auto at = cell(ask.cls.value, ask.beyond_budget, lost);
-  const auto remaining = [&] {
-    return group->second.takeover.remaining(std::max(Duration::zero(), now - group->second.lost));
+gates::Verdict Levels::admit(const gates::GateRequest& request, Time now) {
+  if (request.cls.value < 0 || static_cast<std::size_t>(request.cls.value) >= counters_.size()) return {};
+  auto& counter = counters_[static_cast<std::size_t>(request.cls.value)];
+  ++counter.requests;
+  recent_requests_ += 1;
+  recent_retries_ += request.retry ? 1 : 0;
+  const auto group = groups_.find(request.group);
+  const bool without_primary = group != groups_.end() && !group->second.has_primary;
+  const auto index = cell_index(request.cls.value, request.beyond_budget, without_primary);
+  const auto takeover_remaining = [&] {
+    return group->second.takeover.remaining(std::max(Duration::zero(), now - group->second.primary_lost_at));
   };
-  double fault = 0;
+  double fault_share = 0;
   if (group != groups_.end()) {
-    const auto& c = group->second.table[at];
-    // One that the router can hold until the primary is there is better served late than refused.
-    if (c.share > 0 && !(c.only_hopeless && remaining() < ask.time_left))
-      fault = static_cast<double>(c.share);
+    const auto& cell = group->second.shed_table[index];
+    // A request that the router can hold until a primary is expected is better served late than refused.
+    if (cell.share > 0 && !(cell.only_hopeless && takeover_remaining() < request.time_left))
+      fault_share = static_cast<double>(cell.share);
   }
-  double share = static_cast<double>(table_[at].share);
-  auto why = gates::Reason::class_shed;
-  if (ask.beyond_budget && share > static_cast<double>(table_[cell(ask.cls.value, false, lost)].share))
-    why = gates::Reason::budget_shed;
-  for (const auto& t : tenants_)
-    if (t.tenant == ask.tenant && (t.cls < 0 || t.cls == ask.cls.value) &&
-        (!t.only_beyond_budget || ask.beyond_budget) && static_cast<double>(t.share) > share)
-      share = static_cast<double>(t.share), why = gates::Reason::tenant_shed;
-  if (fault > share) share = fault, why = lost ? gates::Reason::no_primary : gates::Reason::class_shed;
-  if (share <= 0 || (share < 1 && place(ask) >= share)) return {};
+  double share = static_cast<double>(shed_table_[index].share);
+  auto reason = gates::Reason::class_shed;
+  if (request.beyond_budget &&
+      share > static_cast<double>(shed_table_[cell_index(request.cls.value, false, without_primary)].share))
+    reason = gates::Reason::budget_shed;
+  for (const auto& shed : tenant_sheds_)
+    if (shed.tenant == request.tenant && (shed.class_index < 0 || shed.class_index == request.cls.value) &&
+        (!shed.only_beyond_budget || request.beyond_budget) && static_cast<double>(shed.share) > share) {
+      share = static_cast<double>(shed.share);
+      reason = gates::Reason::tenant_shed;
+    }
+  if (fault_share > share) {
+    share = fault_share;
+    reason = without_primary ? gates::Reason::no_primary : gates::Reason::class_shed;
+  }
+  if (share <= 0 || (share < 1 && caller_rank(request) >= share)) return {};
   if (config_.mode != Mode::on) return {};
-  gates::Verdict v;
-  v.admitted = false;
-  v.decided_by = gates::Decider::levels;
-  v.reason = why;
-  if (why == gates::Reason::no_primary)
+  gates::Verdict verdict;
+  verdict.admitted = false;
+  verdict.decided_by = gates::Decider::levels;
+  verdict.reason = reason;
+  if (reason == gates::Reason::no_primary)
     ++counter.refused_without_primary;
   else
     ++counter.shed;
-  if (!service_.pauses) return v;
-  // Until a primary is expected, or as long as a level stays at the least.
+  if (!service_.pauses) return verdict;
+  // Until a primary is expected, or until the pressure level may change at the earliest.
   const auto expected =
-      why == gates::Reason::no_primary
-          ? remaining()
-          : pressure_.since() + std::max(pressure_.least_stay(), config_.pressure.apart) - now;
-  v.retry_after = spread_pause(expected, service_.max_pause, draw());
-  return v;
+      reason == gates::Reason::no_primary
+          ? takeover_remaining()
+          : pressure_.since() + std::max(pressure_.min_dwell(), config_.pressure.min_change_interval) - now;
+  verdict.retry_after = spread_retry_after(expected, service_.max_pause, random_fraction());
+  return verdict;
 }
 
-void Levels::on_request_end(const gates::GateRequest& ask, const gates::RequestResult& ending, Time now) {
-  // What a lost primary brings about is the other axis's: it must not be taken for pressure as well.
-  if (const auto it = groups_.find(ask.group); it != groups_.end())
-    if (!it->second.primary || (it->second.back && now - ending.elapsed < it->second.found + settle)) return;
-  meter_.add(ask.cls, ending, now);
+void Levels::on_request_end(const gates::GateRequest& request, const gates::RequestResult& result, Time now) {
+  // The effects of a lost primary belong to the faults axis and must not count as pressure as well.
+  if (const auto found = groups_.find(request.group); found != groups_.end()) {
+    const auto& group = found->second;
+    if (!group.has_primary || (group.primary_has_returned &&
+                               now - result.elapsed < group.primary_returned_at + primary_settle_time))
+      return;
+  }
+  meter_.add(request.cls, result, now);
 }
 
-Sample Levels::sample(const Condition& c, const Group* group, Time now) {
-  switch (info(c.reading).scope) {
-    case Scope::cls:
-      return {meter_.read(c.reading, c.cls, now), now, true};
+Sample Levels::sample(const Condition& condition, const Group* group, Time now) {
+  switch (reading_info(condition.reading).scope) {
+    case Scope::request_class:
+      return {meter_.read(condition.reading, condition.class_index, now), now, true};
     case Scope::gateway:
-      return samples_[static_cast<std::size_t>(c.reading)];
+      return samples_[static_cast<std::size_t>(condition.reading)];
     case Scope::group:
       break;
   }
   if (!group) return {};
-  return c.reading == Reading::primary_lost ? group->primary_lost
-         : c.reading == Reading::group_out  ? group->out
-                                            : group->lagging;
+  return condition.reading == Reading::primary_lost ? group->primary_lost
+         : condition.reading == Reading::group_out  ? group->unavailable
+                                                    : group->lagging;
 }
 
-/// Null: there are as many as may be watched.
-Levels::Group* Levels::watched(GroupId id) {
-  auto it = groups_.find(id);
-  if (it == groups_.end()) {
-    if (groups_.size() >= config_.groups_most) return nullptr;
-    it = groups_
-             .emplace(id, Group{Ladder(config_.faults),
-                                Takeover(config_.takeover_hint),
-                                true,
-                                {},
-                                false,
-                                {},
-                                {},
-                                {},
-                                {},
-                                {}})
-             .first;
-    compile(it->second.faults.present(), it->second.table, nullptr);
+/// The tracked group of that id, added if new; null if `max_groups` others are tracked.
+Levels::Group* Levels::find_or_add_group(GroupId id) {
+  auto found = groups_.find(id);
+  if (found == groups_.end()) {
+    if (groups_.size() >= config_.max_groups) return nullptr;
+    found = groups_
+                .emplace(id, Group{Ladder(config_.faults),
+                                   TakeoverEstimator(config_.takeover_hint),
+                                   true,
+                                   {},
+                                   false,
+                                   {},
+                                   {},
+                                   {},
+                                   {},
+                                   {}})
+                .first;
+    compile(found->second.faults.current_level(), found->second.shed_table, nullptr);
   }
-  return &it->second;
+  return &found->second;
 }
 
 void Levels::step(Time now, const GatewayState& state, std::vector<AxisChange>& out) {
-  for (const auto& v : state.values)
-    if (info(v.reading).scope == Scope::gateway)
-      samples_[static_cast<std::size_t>(v.reading)] = {v.value, v.at, true};
-  samples_[static_cast<std::size_t>(Reading::retries)] = {asks_ < 1 ? 0 : retries_ / asks_, now, true};
-  const double keep =
-      1 - static_cast<double>(config_.beat.count()) / static_cast<double>(config_.memory.count());
-  asks_ *= std::max(0.0, keep), retries_ *= std::max(0.0, keep);
-  std::vector<Change> changes;
-  const auto before = pressure_.level();
+  for (const auto& value : state.values)
+    if (reading_info(value.reading).scope == Scope::gateway)
+      samples_[static_cast<std::size_t>(value.reading)] = {value.value, value.at, true};
+  samples_[static_cast<std::size_t>(Reading::retries)] = {
+      recent_requests_ < 1 ? 0 : recent_retries_ / recent_requests_, now, true};
+  const double decay = 1 - static_cast<double>(config_.evaluation_interval.count()) /
+                               static_cast<double>(config_.reading_decay_time.count());
+  recent_requests_ *= std::max(0.0, decay);
+  recent_retries_ *= std::max(0.0, decay);
+  std::vector<LevelChange> changes;
+  const auto previous_level = pressure_.level_index();
   pressure_.step(
-      now, [&](const Condition& c) { return sample(c, nullptr, now); }, changes);
-  if (before == 0 && pressure_.level() > 0) ++episode_;
-  if (before != pressure_.level()) compile(pressure_.present(), table_, &tenants_);
-  for (auto& c : changes) out.push_back({std::nullopt, std::move(c)});
+      now, [&](const Condition& condition) { return sample(condition, nullptr, now); }, changes);
+  if (previous_level == 0 && pressure_.level_index() > 0) ++episode_;
+  if (previous_level != pressure_.level_index())
+    compile(pressure_.current_level(), shed_table_, &tenant_sheds_);
+  for (auto& change : changes) out.push_back({std::nullopt, std::move(change)});
 
-  // A group that is told no more is forgotten once it is back to normal: its state is bounded by those there
-  // are.
-  const Time at = state.groups_at;
-  for (const auto& told : state.groups) {
-    auto* known = watched(told.group);
-    if (!known) continue;
-    auto& g = *known;
-    if (!told.primary && g.primary) g.lost = at;
-    if (told.primary && !g.primary) g.takeover.seen(at - g.lost), g.back = true, g.found = at;
-    g.primary = told.primary;
-    g.primary_lost = {g.primary ? 0.0 : static_cast<double>((at - g.lost).count()) / 1e6, at, true};
-    g.out = {told.out, at, true};
-    g.lagging = {told.lagging, at, true};
+  const Time observed_at = state.groups_at;
+  for (const auto& observed : state.groups) {
+    auto* tracked = find_or_add_group(observed.group);
+    if (!tracked) continue;
+    auto& group = *tracked;
+    if (!observed.has_primary && group.has_primary) group.primary_lost_at = observed_at;
+    if (observed.has_primary && !group.has_primary) {
+      group.takeover.record(observed_at - group.primary_lost_at);
+      group.primary_has_returned = true;
+      group.primary_returned_at = observed_at;
+    }
+    group.has_primary = observed.has_primary;
+    group.primary_lost = {
+        group.has_primary ? 0.0 : static_cast<double>((observed_at - group.primary_lost_at).count()) / 1e6,
+        observed_at, true};
+    group.unavailable = {observed.unavailable_share, observed_at, true};
+    group.lagging = {observed.lagging_share, observed_at, true};
   }
+  // A group that is no longer reported is dropped once it is back on the normal level, so that state is kept
+  // for existing groups only.
   for (auto it = groups_.begin(); it != groups_.end();) {
-    auto& g = it->second;
-    const auto at_most = std::lower_bound(state.groups.begin(), state.groups.end(), it->first,
-                                          [](const GroupState& s, GroupId id) { return s.group < id; });
-    const bool told = at_most != state.groups.end() && at_most->group == it->first;
-    if (!told && g.faults.level() == 0 && !g.faults.pinned_until()) {
+    auto& group = it->second;
+    const auto reported =
+        std::lower_bound(state.groups.begin(), state.groups.end(), it->first,
+                         [](const GroupState& candidate, GroupId id) { return candidate.group < id; });
+    const bool is_reported = reported != state.groups.end() && reported->group == it->first;
+    if (!is_reported && group.faults.level_index() == 0 && !group.faults.pinned_until()) {
       it = groups_.erase(it);
       continue;
     }
     changes.clear();
-    g.faults.step(
-        now, [&](const Condition& c) { return sample(c, &g, now); }, changes);
-    if (!changes.empty()) compile(g.faults.present(), g.table, nullptr);
-    for (auto& c : changes) out.push_back({it->first, std::move(c)});
+    group.faults.step(
+        now, [&](const Condition& condition) { return sample(condition, &group, now); }, changes);
+    if (!changes.empty()) compile(group.faults.current_level(), group.shed_table, nullptr);
+    for (auto& change : changes) out.push_back({it->first, std::move(change)});
     ++it;
   }
 }
 
 Snapshot Levels::snapshot(Time now) const {
-  Snapshot c;
-  c.pressure = pressure_.snapshot(now);
-  for (const auto& [id, g] : groups_) {
-    GroupSnapshot k;
-    k.group = id, k.ladder = g.faults.snapshot(now);
-    k.takeover = g.takeover.estimate(), k.takeovers = g.takeover.count();
-    if (!g.primary) k.lost = now - g.lost;
-    c.groups.push_back(std::move(k));
+  Snapshot snapshot;
+  snapshot.pressure = pressure_.snapshot(now);
+  for (const auto& [id, group] : groups_) {
+    GroupSnapshot group_snapshot;
+    group_snapshot.group = id;
+    group_snapshot.ladder = group.faults.snapshot(now);
+    group_snapshot.takeover_estimate = group.takeover.estimate();
+    group_snapshot.takeover_count = group.takeover.count();
+    if (!group.has_primary) group_snapshot.primary_lost_for = now - group.primary_lost_at;
+    snapshot.groups.push_back(std::move(group_snapshot));
   }
   for (std::size_t i = 0; i < counters_.size(); ++i)
-    c.counters.push_back({service_.classes[i].name, counters_[i].asked, counters_[i].shed,
-                          counters_[i].refused_without_primary});
-  return c;
+    snapshot.counters.push_back({service_.classes[i].name, counters_[i].requests, counters_[i].shed,
+                                 counters_[i].refused_without_primary});
+  return snapshot;
 }
 
-/// Counts are added: the other process books no more, or this one would have begun at nothing.
-void Levels::restore(const Snapshot& told, Time now) {
-  pressure_.restore(told.pressure, now);
-  for (const auto& k : told.groups) {
-    auto* known = watched(k.group);
-    if (!known) continue;
-    auto& g = *known;
-    g.faults.restore(k.ladder, now);
-    g.takeover.take(k.takeover, k.takeovers);
-    if (k.lost && *k.lost >= Duration::zero()) g.primary = false, g.lost = now - *k.lost;
+/// Counters are added up: the previous process counts no further requests, and this process may already have
+/// counted some.
+void Levels::restore(const Snapshot& snapshot, Time now) {
+  pressure_.restore(snapshot.pressure, now);
+  for (const auto& group_snapshot : snapshot.groups) {
+    auto* tracked = find_or_add_group(group_snapshot.group);
+    if (!tracked) continue;
+    auto& group = *tracked;
+    group.faults.restore(group_snapshot.ladder, now);
+    group.takeover.restore(group_snapshot.takeover_estimate, group_snapshot.takeover_count);
+    if (group_snapshot.primary_lost_for && *group_snapshot.primary_lost_for >= Duration::zero()) {
+      group.has_primary = false;
+      group.primary_lost_at = now - *group_snapshot.primary_lost_for;
+    }
   }
-  for (const auto& k : told.counters)
+  for (const auto& previous : snapshot.counters)
     for (std::size_t i = 0; i < counters_.size(); ++i)
-      if (service_.classes[i].name == k.cls) {
-        auto& mine = counters_[i];
-        mine.asked += k.asked, mine.shed += k.shed, mine.refused_without_primary += k.refused_without_primary;
+      if (service_.classes[i].name == previous.class_name) {
+        auto& own = counters_[i];
+        own.requests += previous.requests;
+        own.shed += previous.shed;
+        own.refused_without_primary += previous.refused_without_primary;
       }
   compile_all();
 }
 
 bool Levels::pin(std::optional<GroupId> group, const std::string& level, Time until, Time now) {
   if (!group) return pressure_.pin(level, until, now);
-  const auto it = groups_.find(*group);
-  return it != groups_.end() && it->second.faults.pin(level, until, now);
+  const auto found = groups_.find(*group);
+  return found != groups_.end() && found->second.faults.pin(level, until, now);
 }
 
 bool Levels::unpin(std::optional<GroupId> group) {
-  if (!group) return pressure_.unpin(), true;
-  const auto it = groups_.find(*group);
-  if (it == groups_.end()) return false;
-  it->second.faults.unpin();
+  if (!group) {
+    pressure_.unpin();
+    return true;
+  }
+  const auto found = groups_.find(*group);
+  if (found == groups_.end()) return false;
+  found->second.faults.unpin();
   return true;
 }
 
 void Levels::reload(Config config, Time now, std::vector<AxisChange>& out) {
   config_ = std::move(config);
-  std::vector<Change> changes;
+  std::vector<LevelChange> changes;
   pressure_.reload(config_.pressure, now, changes);
-  for (auto& c : changes) out.push_back({std::nullopt, std::move(c)});
-  for (auto& [id, g] : groups_) {
+  for (auto& change : changes) out.push_back({std::nullopt, std::move(change)});
+  for (auto& [id, group] : groups_) {
     changes.clear();
-    g.faults.reload(config_.faults, now, changes);
-    for (auto& c : changes) out.push_back({id, std::move(c)});
+    group.faults.reload(config_.faults, now, changes);
+    for (auto& change : changes) out.push_back({id, std::move(change)});
   }
   compile_all();
 }
 
-void tell_views(const std::vector<GroupView>& views, Time now, GatewayState& state) {
-  double hosts = 0, out = 0, replicas = 0, lagging = 0, in_flight = 0, window = 0, waiting = 0;
-  const auto share = [](double part, double of) { return of <= 0 ? 0.0 : part / of; };
-  for (const auto& v : views) {
-    hosts += v.hosts, out += v.unavailable, replicas += v.replicas, lagging += v.lagging;
-    in_flight += v.in_flight, window += v.concurrency_limit, waiting += v.waiting;
-    state.groups.push_back(
-        {v.group, v.has_primary, share(v.unavailable, v.hosts), share(v.lagging, v.replicas)});
+void add_group_views(const std::vector<GroupView>& views, Time now, GatewayState& state) {
+  double hosts = 0;
+  double unavailable = 0;
+  double replicas = 0;
+  double lagging = 0;
+  double in_flight = 0;
+  double concurrency_limit = 0;
+  double waiting = 0;
+  const auto share = [](double part, double total) { return total <= 0 ? 0.0 : part / total; };
+  for (const auto& view : views) {
+    hosts += view.hosts;
+    unavailable += view.unavailable;
+    replicas += view.replicas;
+    lagging += view.lagging;
+    in_flight += view.in_flight;
+    concurrency_limit += view.concurrency_limit;
+    waiting += view.waiting;
+    state.groups.push_back({view.group, view.has_primary, share(view.unavailable, view.hosts),
+                            share(view.lagging, view.replicas)});
   }
   state.groups_at = now;
-  for (const auto& [reading, value] : {std::pair{Reading::hosts_out, share(out, hosts)},
+  for (const auto& [reading, value] : {std::pair{Reading::hosts_out, share(unavailable, hosts)},
                                        {Reading::lagging, share(lagging, replicas)},
-                                       {Reading::in_flight, share(in_flight, window)},
+                                       {Reading::in_flight, share(in_flight, concurrency_limit)},
                                        {Reading::waiting, share(waiting, std::max(1.0, in_flight))}})
     state.values.push_back({reading, value, now});
 }
 
-Changes Levels::changes() const {
-  Changes all;
-  if (config_.mode != Mode::on) return all;
-  const auto take = [&](const Changes& c) {
-    // A rate that is stretched on one axis and raised on another: the hosts' relief comes first.
-    all.probe_rate = c.probe_rate < 1     ? std::min(all.probe_rate, c.probe_rate)
-                     : all.probe_rate < 1 ? all.probe_rate
-                                          : std::max(all.probe_rate, c.probe_rate);
-    all.retry_budget = std::min(all.retry_budget, c.retry_budget);
-    all.pool_size = std::min(all.pool_size, c.pool_size);
-    all.spill = std::min(all.spill, c.spill);
+Adjustments Levels::adjustments() const {
+  Adjustments combined;
+  if (config_.mode != Mode::on) return combined;
+  const auto combine = [&](const Adjustments& level) {
+    // If one axis lowers the probe rate and another raises it, relief for the hosts takes precedence.
+    combined.probe_rate = level.probe_rate < 1      ? std::min(combined.probe_rate, level.probe_rate)
+                          : combined.probe_rate < 1 ? combined.probe_rate
+                                                    : std::max(combined.probe_rate, level.probe_rate);
+    combined.retry_budget = std::min(combined.retry_budget, level.retry_budget);
+    combined.pool_size = std::min(combined.pool_size, level.pool_size);
+    combined.read_spillover = std::min(combined.read_spillover, level.read_spillover);
   };
-  take(pressure_.present().changes);
-  for (const auto& [id, g] : groups_) take(g.faults.present().changes);
-  return all;
+  combine(pressure_.current_level().adjustments);
+  for (const auto& [id, group] : groups_) combine(group.faults.current_level().adjustments);
+  return combined;
 }
 
 namespace {
 
-bool needs_primary(const RequestClass& c) {
-  return c.freshness == Freshness::write || c.freshness == Freshness::fresh;
+bool needs_primary(const RequestClass& request_class) {
+  return request_class.freshness == Freshness::write || request_class.freshness == Freshness::fresh;
 }
 
-std::optional<ConfigIssue> with_axis(std::optional<ConfigIssue> flaw, const char* axis) {
-  if (flaw) flaw->where = axis + flaw->where;
-  return flaw;
+std::optional<ConfigIssue> with_axis(std::optional<ConfigIssue> issue, const char* axis) {
+  if (issue) issue->path = axis + issue->path;
+  return issue;
 }
 
 }  // namespace
 
 std::optional<ConfigIssue> find_config_issue(const Config& config, const ServiceInfo& service) {
-  if (auto flaw = with_axis(find_config_issue(config.pressure, Scope::gateway), "/pressure")) return flaw;
-  if (auto flaw = with_axis(find_config_issue(config.faults, Scope::group), "/faults")) return flaw;
+  if (auto issue = with_axis(find_config_issue(config.pressure, Scope::gateway), "/pressure")) return issue;
+  if (auto issue = with_axis(find_config_issue(config.faults, Scope::group), "/faults")) return issue;
   for (std::size_t i = 0; i < config.faults.levels.size(); ++i)
-    for (std::size_t j = 0; j < config.faults.levels[i].sheds.size(); ++j)
-      if (config.faults.levels[i].sheds[j].tenant >= 0)
+    for (std::size_t j = 0; j < config.faults.levels[i].shed_rules.size(); ++j)
+      if (config.faults.levels[i].shed_rules[j].tenant >= 0)
         return ConfigIssue{"/faults/" + std::to_string(i) + "/shed/" + std::to_string(j) + "/tenant",
-                           "a fault strikes all tenants of a group alike"};
-  // Writes within their budget are the last that pressure may give up.
-  const auto classes = service.classes.size();
+                           "not allowed here: a fault affects all tenants of a group alike"};
+  // Writes within their budget are the last requests that pressure may shed.
+  const auto class_count = service.classes.size();
   for (std::size_t i = 0; i < config.pressure.levels.size(); ++i) {
-    std::vector<double> share(classes, 0);
-    for (const auto& s : config.pressure.levels[i].sheds) {
-      if (s.only_beyond_budget || s.tenant >= 0) continue;
-      for (std::size_t c = 0; c < classes; ++c)
-        if (s.classes.empty() ||
-            std::find(s.classes.begin(), s.classes.end(), static_cast<std::int32_t>(c)) != s.classes.end())
-          share[c] = std::max(share[c], s.share);
+    std::vector<double> share(class_count, 0);
+    for (const auto& rule : config.pressure.levels[i].shed_rules) {
+      if (rule.only_beyond_budget || rule.tenant >= 0) continue;
+      for (std::size_t c = 0; c < class_count; ++c)
+        if (rule.classes.empty() || std::find(rule.classes.begin(), rule.classes.end(),
+                                              static_cast<std::int32_t>(c)) != rule.classes.end())
+          share[c] = std::max(share[c], rule.share);
     }
-    bool all_others = true, some_write = false;
-    for (std::size_t c = 0; c < classes; ++c)
+    bool sheds_all_others = true;
+    bool sheds_some_write = false;
+    for (std::size_t c = 0; c < class_count; ++c)
       if (service.classes[c].freshness == Freshness::write)
-        some_write |= share[c] > 0;
+        sheds_some_write |= share[c] > 0;
       else
-        all_others &= share[c] >= 1;
-    if (some_write && !all_others)
+        sheds_all_others &= share[c] >= 1;
+    if (sheds_some_write && !sheds_all_others)
       return ConfigIssue{"/pressure/" + std::to_string(i) + "/shed",
-                         "writes within their budget are shed before everything else is"};
+                         "writes within their budget are shed before all other requests are"};
   }
   return std::nullopt;
 }
 
 Config default_config(const ServiceInfo& service) {
-  constexpr double slack = 0.6;  // of the hosts' windows in use, at which a level may be left
-  Config c;
-  std::vector<std::int32_t> any, reads, current;
+  // Share of the hosts' concurrency limits in use at or below which a pressure level may be left.
+  constexpr double exit_utilization = 0.6;
+  Config config;
+  std::vector<std::int32_t> any_reads;
+  std::vector<std::int32_t> bounded_reads;
+  std::vector<std::int32_t> primary_requests;
   for (std::size_t i = 0; i < service.classes.size(); ++i) {
-    const auto id = static_cast<std::int32_t>(i);
-    const auto& k = service.classes[i];
-    if (needs_primary(k))
-      current.push_back(id);
-    else if (k.freshness == Freshness::any)
-      any.push_back(id);
+    const auto class_index = static_cast<std::int32_t>(i);
+    const auto& request_class = service.classes[i];
+    if (needs_primary(request_class))
+      primary_requests.push_back(class_index);
+    else if (request_class.freshness == Freshness::any)
+      any_reads.push_back(class_index);
     else
-      reads.push_back(id);
+      bounded_reads.push_back(class_index);
   }
-  const auto ms = [](std::int64_t n) { return Duration(n * 1000); };
-  // Pressure is told by what matters most: by how those that need the primary fare. The way out asks for
-  // slack at the hosts as well: what a level relieves looks well for as long as the level lasts.
-  const auto rule = [&](bool all, double refused, double late, Duration hold, bool above) {
-    Rule r;
-    r.all = all;
-    for (const auto cls : current) {
-      r.conditions.push_back({Reading::refused, cls, above, refused, hold});
-      r.conditions.push_back({Reading::late, cls, above, late, hold});
+  const auto milliseconds = [](std::int64_t count) { return Duration(count * 1000); };
+  // Pressure is measured by the most important requests: those that need the primary. The exit rule requires
+  // spare capacity at the hosts as well, since the requests fare well for as long as the level relieves them.
+  const auto rule = [&](bool require_all, double refused, double late, Duration hold_time, bool above) {
+    Rule result;
+    result.require_all = require_all;
+    for (const auto class_index : primary_requests) {
+      result.conditions.push_back({Reading::refused, class_index, above, refused, hold_time});
+      result.conditions.push_back({Reading::late, class_index, above, late, hold_time});
     }
-    if (all) r.conditions.push_back({Reading::in_flight, -1, false, slack, hold});
-    return r;
+    if (require_all)
+      result.conditions.push_back({Reading::in_flight, -1, false, exit_utilization, hold_time});
+    return result;
   };
-  // Heavier pressure is believed sooner: the bound on changes would hold the first level reached for ten
-  // seconds.
-  const auto level = [&](const char* name, double refused, double late, Duration hold) {
-    Level l;
-    l.name = name;
-    l.enter = rule(false, refused, late, hold, true);
-    l.exit = rule(true, refused / 3, late / 3, ms(5000), false);
-    l.stay = ms(10000);
-    l.changes.spill = 0;
-    // What comes beyond a tenant's budget is the first to go: it is what the others' promises are kept from.
-    l.sheds.push_back({{}, -1, true, false, false, 1});
-    return l;
+  // Heavier pressure has a shorter hold time: the minimum change interval keeps the first level reached for
+  // ten seconds.
+  const auto make_level = [&](const char* name, double refused, double late, Duration hold_time) {
+    Level level;
+    level.name = name;
+    level.enter = rule(false, refused, late, hold_time, true);
+    level.exit = rule(true, refused / 3, late / 3, milliseconds(5000), false);
+    level.min_dwell = milliseconds(10000);
+    level.adjustments.read_spillover = 0;
+    // Requests beyond a tenant's budget are shed first: they take capacity promised to other tenants.
+    level.shed_rules.push_back({{}, -1, true, false, false, 1});
+    return level;
   };
-  c.pressure.levels.push_back({"normal", {}, {}, {}, {}, {}});
-  if (!current.empty()) {
-    auto relief = level("relief", 0.08, 0.10, ms(2500));
-    relief.changes.spill = 0.2;  // measured: docs/levels.md
-    c.pressure.levels.push_back(std::move(relief));
-    auto trim = level("trim", 0.15, 0.25, ms(1500));
-    auto shed = level("shed-history", 0.25, 0.35, ms(1500));
-    auto protect = level("protect-gate", 0.40, 0.50, ms(1000));
-    auto survive = level("survive", 0.60, 0.70, ms(500));
-    if (!any.empty()) {
-      trim.sheds.push_back({any, -1, false, false, false, 0.5});
-      for (auto* l : {&shed, &protect, &survive}) l->sheds.push_back({any, -1, false, false, false, 1});
+  config.pressure.levels.push_back({"normal", {}, {}, {}, {}, {}});
+  if (!primary_requests.empty()) {
+    auto relief = make_level("relief", 0.08, 0.10, milliseconds(2500));
+    relief.adjustments.read_spillover = 0.2;  // see docs/levels.md
+    config.pressure.levels.push_back(std::move(relief));
+    auto trim = make_level("trim", 0.15, 0.25, milliseconds(1500));
+    auto shed_history = make_level("shed-history", 0.25, 0.35, milliseconds(1500));
+    auto protect_gate = make_level("protect-gate", 0.40, 0.50, milliseconds(1000));
+    auto survive = make_level("survive", 0.60, 0.70, milliseconds(500));
+    if (!any_reads.empty()) {
+      trim.shed_rules.push_back({any_reads, -1, false, false, false, 0.5});
+      for (auto* level : {&shed_history, &protect_gate, &survive})
+        level->shed_rules.push_back({any_reads, -1, false, false, false, 1});
     }
-    if (!reads.empty()) {
-      protect.sheds.push_back({reads, -1, false, false, false, 0.5});
-      survive.sheds.push_back({reads, -1, false, false, false, 1});
+    if (!bounded_reads.empty()) {
+      protect_gate.shed_rules.push_back({bounded_reads, -1, false, false, false, 0.5});
+      survive.shed_rules.push_back({bounded_reads, -1, false, false, false, 1});
     }
-    shed.changes.retry_budget = 0.5;
-    protect.changes.retry_budget = 0.25;
-    survive.changes.retry_budget = 0;
-    for (auto* l : {&trim, &shed, &protect, &survive}) c.pressure.levels.push_back(std::move(*l));
+    shed_history.adjustments.retry_budget = 0.5;
+    protect_gate.adjustments.retry_budget = 0.25;
+    survive.adjustments.retry_budget = 0;
+    for (auto* level : {&trim, &shed_history, &protect_gate, &survive})
+      config.pressure.levels.push_back(std::move(*level));
   }
-  c.faults.levels.push_back({"normal", {}, {}, {}, {}, {}});
-  if (!current.empty()) {
-    Level l;
-    l.name = "no-writes";
-    l.enter = {false, {{Reading::primary_lost, -1, true, 0.3, {}}}};
-    l.exit = {true, {{Reading::primary_lost, -1, false, 0, ms(2000)}}};
-    l.stay = ms(10000);
-    l.sheds.push_back({current, -1, false, true, true, 1});
-    c.faults.levels.push_back(l);
+  config.faults.levels.push_back({"normal", {}, {}, {}, {}, {}});
+  if (!primary_requests.empty()) {
+    Level no_writes;
+    no_writes.name = "no-writes";
+    no_writes.enter = {false, {{Reading::primary_lost, -1, true, 0.3, {}}}};
+    no_writes.exit = {true, {{Reading::primary_lost, -1, false, 0, milliseconds(2000)}}};
+    no_writes.min_dwell = milliseconds(10000);
+    no_writes.shed_rules.push_back({primary_requests, -1, false, true, true, 1});
+    config.faults.levels.push_back(no_writes);
   }
-  return c;
+  return config;
 }
 
 }  // namespace cedarring::levels
--- a/src/levels/levels.h
+++ b/src/levels/levels.h
@@ -1,6 +1,6 @@
-// Levels of reduced service: two axes, pressure (of the gateway) and faults (of each group), never mixed into
-// one number. For a request the stricter of the two counts. The gate of requests, and the state machine
-// behind it.
+// Levels of reduced service (graceful degradation) on two independent axes: pressure, one ladder for the
+// gateway, and faults, one ladder for each replica group. A request is subject to the stricter of the two.
+// `Levels` is the gate that sheds requests and drives the ladders behind it.
 #pragma once
 
 #include <map>
@@ -15,26 +15,30 @@
 
 namespace cedarring::levels {
 
-enum class Mode : std::uint8_t { off, watch, on };  // watch: levels change and are recorded, nothing is shed
+/// In `watch`, levels change and are recorded, but nothing is shed or adjusted.
+enum class Mode : std::uint8_t { off, watch, on };
 
 struct Config {
   Mode mode = Mode::off;
-  LadderConfig pressure, faults;
-  Duration takeover_hint{5'000'000};  // until a take-over has been seen
-  Duration memory{2'000'000};         // of the readings of classes
-  Duration beat{100'000};             // between evaluations
-  std::size_t groups_most = 1024;     // groups watched; the others are on the normal level
+  LadderConfig pressure;
+  LadderConfig faults;
+  Duration takeover_hint{5'000'000};       // 5 s: estimate until a takeover has been seen
+  Duration reading_decay_time{2'000'000};  // 2 s: time constant of the smoothed class readings
+  Duration evaluation_interval{100'000};   // 100 ms
+  std::size_t max_groups = 1024;           // groups tracked; further groups stay on the normal level
 };
 
 using gates::ServiceInfo;
 
-/// What is known of a group at an evaluation.
+/// State of a replica group at an evaluation.
 struct GroupState {
   GroupId group;
-  bool primary = true;  // one is known that can be used
-  double out = 0, lagging = 0;
+  bool has_primary = true;  // a usable primary is known
+  double unavailable_share = 0;
+  double lagging_share = 0;
 };
-/// What is known of the gateway at an evaluation. Readings that the caller cannot give are left out.
+
+/// State of the gateway at an evaluation. Readings that the caller cannot provide are left out.
 struct GatewayState {
   struct Value {
     Reading reading;
@@ -42,100 +46,113 @@
     Time at;
   };
   std::vector<Value> values;
-  std::vector<GroupState> groups;  // by id
-  Time groups_at{};
+  std::vector<GroupState> groups;  // sorted by id
+  Time groups_at{};                // when the state of the groups was taken
 };
 
-/// Fills in what a router's view tells: the groups, and the readings that are sums over them.
-void tell_views(const std::vector<GroupView>& views, Time now, GatewayState& state);
+/// Adds the groups of a router's view to the state, and the gateway readings that are sums over them.
+void add_group_views(const std::vector<GroupView>& views, Time now, GatewayState& state);
 
-/// A change of level, and on which axis: a group's, or the gateway's pressure where there is none.
+/// A level change and its axis: the faults of `group`, or the gateway's pressure if absent.
 struct AxisChange {
   std::optional<GroupId> group;
-  Change change;
+  LevelChange change;
 };
 
+/// Requests of one class since the start, including those counted by previous processes.
 struct Counters {
-  std::uint64_t asked = 0, shed = 0, refused_without_primary = 0;
+  std::uint64_t requests = 0;
+  std::uint64_t shed = 0;
+  std::uint64_t refused_without_primary = 0;
 };
 
 class Levels : public gates::Gate {
  public:
   Levels(Config config, ServiceInfo service);
 
-  gates::Verdict admit(const gates::GateRequest& ask, Time now) override;
-  void on_request_end(const gates::GateRequest& ask, const gates::RequestResult& ending, Time now) override;
+  gates::Verdict admit(const gates::GateRequest& request, Time now) override;
+  void on_request_end(const gates::GateRequest& request, const gates::RequestResult& result,
+                      Time now) override;
 
-  /// Takes in what is known and evaluates both axes. To be called every `beat`.
+  /// Updates the readings and evaluates both axes. To be called every `evaluation_interval`.
   void step(Time now, const GatewayState& state, std::vector<AxisChange>& out);
 
-  /// See Ladder. Axis: a group's, or pressure. False: no such level, group or end.
+  /// See Ladder::pin. Axis: the faults of `group`, or pressure if absent. Also false for an unknown group.
   bool pin(std::optional<GroupId> group, const std::string& level, Time until, Time now);
+  /// False for an unknown group.
   bool unpin(std::optional<GroupId> group);
   void reload(Config config, Time now, std::vector<AxisChange>& out);
 
-  /// For the process that follows, and taken over by it.
+  /// The state for a successor process.
   [[nodiscard]] Snapshot snapshot(Time now) const;
-  void restore(const Snapshot& told, Time now);
+  /// Adopts the state of a previous process.
+  void restore(const Snapshot& snapshot, Time now);
 
   [[nodiscard]] const Config& config() const { return config_; }
   [[nodiscard]] const Ladder& pressure() const { return pressure_; }
-  /// What a level sheds of one class, with or beyond the budget, with or without a primary.
-  struct Cell {
+
+  /// The part of a class that a level sheds, for one combination of budget and primary state.
+  struct ShedCell {
     float share = 0;
-    bool only_hopeless = false;
+    bool only_hopeless = false;  // see ShedRule
   };
   struct Group {
     Ladder faults;
-    Takeover takeover;
-    bool primary = true;
-    Time lost{};        // when its primary was, while it is
-    bool back = false;  // it has been lost and is back
-    Time found{};       // since when
-    Sample primary_lost, out, lagging;
-    std::vector<Cell> table;
+    TakeoverEstimator takeover;
+    bool has_primary = true;
+    Time primary_lost_at{};             // valid while there is no primary
+    bool primary_has_returned = false;  // a primary was lost and has come back
+    Time primary_returned_at{};         // valid if primary_has_returned
+    Sample primary_lost;
+    Sample unavailable;
+    Sample lagging;
+    std::vector<ShedCell> shed_table;  // of the current level of `faults`, by cell_index
   };
   [[nodiscard]] const std::map<GroupId, Group>& groups() const { return groups_; }
   [[nodiscard]] const std::vector<Counters>& counters() const { return counters_; }
-  /// What the present levels change besides: the stricter of all axes.
-  [[nodiscard]] Changes changes() const;
-  /// What a reading is now, as the ladder sees it.
-  [[nodiscard]] Sample sample(const Condition& c, const Group* group, Time now);
+  /// The adjustments of the current levels: the strictest of all axes. Neutral unless the mode is `on`.
+  [[nodiscard]] Adjustments adjustments() const;
+  /// The sample that a condition is compared with. `group`: for readings of a group, else null.
+  [[nodiscard]] Sample sample(const Condition& condition, const Group* group, Time now);
 
  private:
   struct TenantShed {
-    std::int32_t cls, tenant;  // cls -1: every class
+    std::int32_t class_index;  // -1: every class
+    std::int32_t tenant;
     bool only_beyond_budget;
     float share;
   };
-  void compile(const Level& level, std::vector<Cell>& table, std::vector<TenantShed>* tenants) const;
+  void compile(const Level& level, std::vector<ShedCell>& table, std::vector<TenantShed>* tenants) const;
   void compile_all();
-  Group* watched(GroupId id);
-  [[nodiscard]] std::size_t cell(std::int32_t cls, bool beyond, bool lost) const {
-    return static_cast<std::size_t>(cls) * 4 + (beyond ? 2 : 0) + (lost ? 1 : 0);
+  Group* find_or_add_group(GroupId id);
+  [[nodiscard]] std::size_t cell_index(std::int32_t class_index, bool beyond_budget,
+                                       bool without_primary) const {
+    return static_cast<std::size_t>(class_index) * 4 + (beyond_budget ? 2 : 0) + (without_primary ? 1 : 0);
   }
-  [[nodiscard]] double draw() { return static_cast<double>(random_()) * 0x1p-32; }
-  [[nodiscard]] double place(const gates::GateRequest& ask) const;
+  /// Uniform in [0, 1).
+  [[nodiscard]] double random_fraction() { return static_cast<double>(random_()) * 0x1p-32; }
+  [[nodiscard]] double caller_rank(const gates::GateRequest& request) const;
 
   Config config_;
   ServiceInfo service_;
   Ladder pressure_;
   std::map<GroupId, Group> groups_;
-  Meter meter_;
-  std::vector<Sample> samples_;  // of the gateway, by reading
-  std::vector<Cell> table_;      // of the pressure level
-  std::vector<TenantShed> tenants_;
+  ClassMeter meter_;
+  std::vector<Sample> samples_;       // of the gateway, by reading
+  std::vector<ShedCell> shed_table_;  // of the current pressure level, by cell_index
+  std::vector<TenantShed> tenant_sheds_;
   std::vector<Counters> counters_;  // by class
-  double asks_ = 0, retries_ = 0;   // since the last evaluation, and faded before
-  std::uint64_t episode_ = 1;       // of pressure: which callers are shed is drawn anew in each
+  double recent_requests_ = 0;      // since the last evaluation, plus earlier ones with decay
+  double recent_retries_ = 0;
+  std::uint64_t episode_ = 1;  // number of the pressure episode; seeds the choice of callers to shed
   pcg32 random_;
 };
 
-/// See find_config_issue in ladder.h; the path begins with the axis. Also that what matters most is given up
-/// last.
+/// The first error of a configuration; see find_config_issue in ladder.h. The path begins with the axis. Also
+/// checks that writes within their budget are the last requests that pressure sheds.
 std::optional<ConfigIssue> find_config_issue(const Config& config, const ServiceInfo& service);
 
-/// The ladder that is used where the file names none.
+/// The configuration that applies where the file names no ladder.
 Config default_config(const ServiceInfo& service);
 
 }  // namespace cedarring::levels
--- a/src/levels/meter.h
+++ b/src/levels/meter.h
@@ -1,4 +1,4 @@
-// How each class fares, as smoothed readings: from the endings of its requests, forgotten with time.
+// Smoothed readings of each request class: latency, lateness and refusals of its recent requests.
 #pragma once
 
 #include <cmath>
@@ -9,60 +9,75 @@
 
 namespace cedarring::levels {
 
-/// Sums that fade with `memory`; what is asked of them is a share or a mean, so the fading cancels out.
-class Meter {
+/// Keeps sums per class that decay exponentially with time constant `decay_time`. Readings are quotients of
+/// two such sums, so that the decay cancels out.
+class ClassMeter {
  public:
-  struct Class {
-    double latency = 0, late = 0, served = 0, refused = 0, asked = 0;
-    Time at{};
+  struct ClassSums {
+    double relative_latency = 0;  // sum of latency / latency target over served requests
+    double late = 0;              // served requests that exceeded the latency target
+    double served = 0;
+    double refused = 0;  // refused or failed requests
+    double requests = 0;
+    Time updated_at{};
   };
-  Meter(std::vector<Duration> aims, Duration memory)
-      : aims_(std::move(aims)), by_(aims_.size()), memory_(memory) {}
 
-  /// Requests that a gate has turned away do not count: a level must not be kept up by what it sheds itself.
-  void add(ClassId cls, const gates::RequestResult& e, Time now) {
-    if (cls.value < 0 || static_cast<std::size_t>(cls.value) >= by_.size() ||
-        e.end == gates::RequestEnd::abandoned)
+  /// `latency_targets`: one for each class, by class id.
+  ClassMeter(std::vector<Duration> latency_targets, Duration decay_time)
+      : latency_targets_(std::move(latency_targets)),
+        classes_(latency_targets_.size()),
+        decay_time_(decay_time) {}
+
+  /// Counts a request that has ended. Abandoned requests do not count, and neither do requests that a gate
+  /// has refused: what a level sheds itself must not keep the level in force.
+  void add(ClassId class_id, const gates::RequestResult& result, Time now) {
+    if (class_id.value < 0 || static_cast<std::size_t>(class_id.value) >= classes_.size() ||
+        result.end == gates::RequestEnd::abandoned)
       return;
-    if (e.end == gates::RequestEnd::refused && e.by != gates::Decider::router &&
-        e.by != gates::Decider::nobody)
+    if (result.end == gates::RequestEnd::refused && result.by != gates::Decider::router &&
+        result.by != gates::Decider::nobody)
       return;
-    auto& c = by_[static_cast<std::size_t>(cls.value)];
-    fade(c, now);
-    c.asked += 1;
-    if (e.end != gates::RequestEnd::served) {
-      c.refused += 1;
+    auto& sums = classes_[static_cast<std::size_t>(class_id.value)];
+    decay(sums, now);
+    sums.requests += 1;
+    if (result.end != gates::RequestEnd::served) {
+      sums.refused += 1;
       return;
     }
-    const auto aim = aims_[static_cast<std::size_t>(cls.value)];
-    c.served += 1;
-    c.latency +=
-        static_cast<double>(e.elapsed.count()) / static_cast<double>(std::max<std::int64_t>(aim.count(), 1));
-    c.late += e.elapsed > aim ? 1 : 0;
+    const auto target = latency_targets_[static_cast<std::size_t>(class_id.value)];
+    sums.served += 1;
+    sums.relative_latency += static_cast<double>(result.elapsed.count()) /
+                             static_cast<double>(std::max<std::int64_t>(target.count(), 1));
+    sums.late += result.elapsed > target ? 1 : 0;
   }
 
-  /// A class that nobody asks for any more is under no pressure: below one request it reads zero.
-  [[nodiscard]] double read(Reading r, std::int32_t cls, Time now) {
-    if (cls < 0 || static_cast<std::size_t>(cls) >= by_.size()) return 0;
-    auto& c = by_[static_cast<std::size_t>(cls)];
-    fade(c, now);
-    const auto share = [](double part, double of) { return of < 1 ? 0.0 : std::min(1.0, part / of); };
-    if (r == Reading::refused) return share(c.refused, c.asked);
-    if (r == Reading::late) return share(c.late, c.served);
-    return c.served < 1 ? 0 : c.latency / c.served;
+  /// The reading of a class at `now`. Zero if less than one request remains in the sums: a class without
+  /// traffic is under no pressure.
+  [[nodiscard]] double read(Reading reading, std::int32_t class_index, Time now) {
+    if (class_index < 0 || static_cast<std::size_t>(class_index) >= classes_.size()) return 0;
+    auto& sums = classes_[static_cast<std::size_t>(class_index)];
+    decay(sums, now);
+    const auto share = [](double part, double total) {
+      return total < 1 ? 0.0 : std::min(1.0, part / total);
+    };
+    if (reading == Reading::refused) return share(sums.refused, sums.requests);
+    if (reading == Reading::late) return share(sums.late, sums.served);
+    return sums.served < 1 ? 0 : sums.relative_latency / sums.served;
   }
 
  private:
-  void fade(Class& c, Time now) const {
-    if (now <= c.at) return;
-    const double keep =
-        std::exp(-static_cast<double>((now - c.at).count()) / static_cast<double>(memory_.count()));
-    for (auto* x : {&c.latency, &c.late, &c.served, &c.refused, &c.asked}) *x *= keep;
-    c.at = now;
+  void decay(ClassSums& sums, Time now) const {
+    if (now <= sums.updated_at) return;
+    const double factor = std::exp(-static_cast<double>((now - sums.updated_at).count()) /
+                                   static_cast<double>(decay_time_.count()));
+    for (auto* sum : {&sums.relative_latency, &sums.late, &sums.served, &sums.refused, &sums.requests})
+      *sum *= factor;
+    sums.updated_at = now;
   }
-  std::vector<Duration> aims_;
-  std::vector<Class> by_;
-  Duration memory_;
+
+  std::vector<Duration> latency_targets_;
+  std::vector<ClassSums> classes_;
+  Duration decay_time_;
 };
 
 }  // namespace cedarring::levels
--- a/src/levels/readings.h
+++ b/src/levels/readings.h
@@ -1,4 +1,5 @@
-// What the ladder reads: numbers about the gateway, about classes and about groups, each with its age.
+// Readings that level conditions compare with bounds: figures of request classes, of the gateway and of
+// replica groups, each with the time at which it was taken.
 #pragma once
 
 #include <array>
@@ -12,43 +13,48 @@
 namespace cedarring::levels {
 
 enum class Reading : std::uint8_t {
-  // of a class
-  latency,  // smoothed time of served answers over the class's aim
-  late,     // share of served answers that came after the aim
+  // Of a request class.
+  latency,  // smoothed latency of served answers, divided by the latency target of the class
+  late,     // share of served answers that exceeded the latency target
   refused,  // share of requests refused or failed by the router and the hosts, not by a gate
-  // of the gateway
-  hosts_out,          // share of listed hosts that are ejected or silent
-  lagging,            // share of replicas whose known position is past the tightest bound
-  in_flight,          // requests at hosts over the sum of their windows
-  waiting,            // requests held by the router over those at hosts
+  // Of the gateway.
+  hosts_out,          // share of listed hosts that are ejected or do not answer
+  lagging,            // share of replicas known to be behind the tightest staleness bound of any class
+  in_flight,          // requests at hosts, divided by the sum of the hosts' concurrency limits
+  waiting,            // requests held by the router, divided by those at hosts
   retries,            // share of requests that clients mark as retries
-  discovery_silence,  // seconds since the list's source was last heard
-  descriptors,        // share of the places for clients that are taken
-  memory,             // share of the buffers' bound that is in use
+  discovery_silence,  // seconds since the discovery source last answered
+  descriptors,        // share of the client connection limit that is in use
+  memory,             // share of the buffer memory limit that is in use
   loop_lag,           // seconds by which the event loop is late
-  // of a group
-  primary_lost,   // seconds since the group has had no primary that can be used; 0 while it has one
-  group_out,      // share of the group's hosts that are ejected or silent
-  group_lagging,  // share of the group's replicas past the bound
+  // Of a replica group.
+  primary_lost,   // seconds since the group last had a usable primary; 0 while it has one
+  group_out,      // share of the group's hosts that are ejected or do not answer
+  group_lagging,  // share of the group's replicas that are behind the staleness bound
 };
 inline constexpr std::size_t reading_count = 15;
-enum class Scope : std::uint8_t { cls, gateway, group };
+
+/// The kind of object that a reading describes.
+enum class Scope : std::uint8_t { request_class, gateway, group };
 
 struct ReadingInfo {
-  const char* name;
+  const char* name;  // as written in configuration and records
   Scope scope;
-  double most;       // larger ones are absurd
-  Duration max_age;  // older ones are not used
+  double max_value;  // a larger value is implausible and not used
+  Duration max_age;  // an older sample is not used
 };
 
-inline constexpr Duration seconds_of(double s) { return Duration(static_cast<std::int64_t>(s * 1e6)); }
+inline constexpr Duration seconds_of(double seconds) {
+  return Duration(static_cast<std::int64_t>(seconds * 1e6));
+}
 
-/// By the order of `Reading`. A level is evaluated ten times a second; readings are as fresh as that, unless
-/// their source has stopped: two seconds without one is a fault of the source and no news about the hosts.
+/// Properties of each reading, in the order of `Reading`. Levels are evaluated ten times a second and sources
+/// deliver at the same rate. Two seconds without a sample mean that the source has failed, and say nothing
+/// about the hosts.
 inline constexpr std::array<ReadingInfo, reading_count> reading_table{{
-    {"latency", Scope::cls, 1e4, seconds_of(2)},
-    {"late", Scope::cls, 1, seconds_of(2)},
-    {"refused", Scope::cls, 1, seconds_of(2)},
+    {"latency", Scope::request_class, 1e4, seconds_of(2)},
+    {"late", Scope::request_class, 1, seconds_of(2)},
+    {"refused", Scope::request_class, 1, seconds_of(2)},
     {"hosts_out", Scope::gateway, 1, seconds_of(2)},
     {"lagging", Scope::gateway, 1, seconds_of(2)},
     {"in_flight", Scope::gateway, 1e6, seconds_of(2)},
@@ -62,35 +68,43 @@
     {"group_out", Scope::group, 1, seconds_of(2)},
     {"group_lagging", Scope::group, 1, seconds_of(2)},
 }};
-inline constexpr const ReadingInfo& info(Reading r) { return reading_table[static_cast<std::size_t>(r)]; }
 
-/// Whether a reading may be used, and if not, why.
-enum class Use : std::uint8_t { usable, missing, stale, absurd, ahead };
-constexpr const char* name_of(Use u) {
-  switch (u) {
-    case Use::usable:
+inline constexpr const ReadingInfo& reading_info(Reading reading) {
+  return reading_table[static_cast<std::size_t>(reading)];
+}
+
+/// Whether a sample may be used for a decision, and if not, the reason.
+enum class Usability : std::uint8_t { usable, missing, stale, out_of_range, in_future };
+
+/// The text written to records.
+constexpr const char* name_of(Usability usability) {
+  switch (usability) {
+    case Usability::usable:
       return "usable";
-    case Use::missing:
+    case Usability::missing:
       return "never read";
-    case Use::stale:
+    case Usability::stale:
       return "too old";
-    case Use::absurd:
+    case Usability::out_of_range:
       return "absurd";
-    case Use::ahead:
+    case Usability::in_future:
       return "from the future";
   }
   return "usable";
 }
 
+/// The last known value of a reading.
 struct Sample {
   double value = 0;
-  Time at{};
-  bool read = false;
-  [[nodiscard]] Use use(const ReadingInfo& i, Time now) const {
-    if (!read) return Use::missing;
-    if (!std::isfinite(value) || value < 0 || value > i.most) return Use::absurd;
-    if (at > now) return Use::ahead;
-    return now - at > i.max_age ? Use::stale : Use::usable;
+  Time at{};               // when the value was taken
+  bool available = false;  // false until a first value has been taken
+
+  /// Whether the sample may be used at `now` under the limits of its reading.
+  [[nodiscard]] Usability usability(const ReadingInfo& limits, Time now) const {
+    if (!available) return Usability::missing;
+    if (!std::isfinite(value) || value < 0 || value > limits.max_value) return Usability::out_of_range;
+    if (at > now) return Usability::in_future;
+    return now - at > limits.max_age ? Usability::stale : Usability::usable;
   }
 };
 
--- a/src/levels/snapshot.h
+++ b/src/levels/snapshot.h
@@ -1,5 +1,5 @@
-// The present levels of one process, for the process that follows it. Plain records; ages in place of times.
-// See handover/json_archive.h for how they become text.
+// State of the levels that a process hands over to its successor: plain records in which times are ages.
+// handover/json_archive.h converts them to and from JSON.
 #pragma once
 
 #include <cstdint>
@@ -12,24 +12,29 @@
 namespace cedarring::levels {
 
 struct LadderSnapshot {
-  std::string level;      // its name
-  Duration since{};       // how long it has been in it
-  Duration stay{};        // least time in it
-  bool changed = false;   // it has changed before
-  std::string pinned;     // level of a pin; empty: none
-  Duration pinned_for{};  // for how much longer
+  std::string level;         // name of the current level
+  Duration time_in_level{};  // time since the level was reached
+  Duration min_dwell{};      // minimum time in the level
+  bool has_changed = false;  // whether the ladder has ever changed its level
+  std::string pinned_level;  // level of an operator's pin; empty: no pin
+  Duration pin_remaining{};  // time until the pin ends
 };
+
 struct GroupSnapshot {
   GroupId group;
   LadderSnapshot ladder;
-  Duration takeover{};  // as estimated, from so many
-  std::int32_t takeovers = 0;
-  std::optional<Duration> lost;  // how long it has been without a primary
+  Duration takeover_estimate{};
+  std::int32_t takeover_count = 0;           // takeovers that the estimate is based on
+  std::optional<Duration> primary_lost_for;  // time without a usable primary; absent while there is one
 };
+
 struct CountersSnapshot {
-  std::string cls;
-  std::uint64_t asked = 0, shed = 0, refused_without_primary = 0;
+  std::string class_name;
+  std::uint64_t requests = 0;
+  std::uint64_t shed = 0;
+  std::uint64_t refused_without_primary = 0;
 };
+
 struct Snapshot {
   LadderSnapshot pressure;
   std::vector<GroupSnapshot> groups;
@@ -37,25 +42,37 @@
 };
 
 template <class Archive>
-void serialize(Archive& archive, LadderSnapshot& l) {
-  archive("level", l.level), archive("since_us", l.since), archive("stay_us", l.stay),
-      archive("changed", l.changed);
-  archive("pinned", l.pinned), archive("pinned_for_us", l.pinned_for);
+void serialize(Archive& archive, LadderSnapshot& ladder) {
+  archive("level", ladder.level);
+  archive("since_us", ladder.time_in_level);
+  archive("stay_us", ladder.min_dwell);
+  archive("changed", ladder.has_changed);
+  archive("pinned", ladder.pinned_level);
+  archive("pinned_for_us", ladder.pin_remaining);
 }
+
 template <class Archive>
-void serialize(Archive& archive, GroupSnapshot& g) {
-  archive("group", g.group), archive("ladder", g.ladder), archive("takeover_us", g.takeover),
-      archive("takeovers", g.takeovers);
-  archive("lost_us", g.lost);
+void serialize(Archive& archive, GroupSnapshot& group) {
+  archive("group", group.group);
+  archive("ladder", group.ladder);
+  archive("takeover_us", group.takeover_estimate);
+  archive("takeovers", group.takeover_count);
+  archive("lost_us", group.primary_lost_for);
 }
+
 template <class Archive>
-void serialize(Archive& archive, CountersSnapshot& c) {
-  archive("class", c.cls), archive("asked", c.asked), archive("shed", c.shed),
-      archive("refused_without_primary", c.refused_without_primary);
+void serialize(Archive& archive, CountersSnapshot& counters) {
+  archive("class", counters.class_name);
+  archive("asked", counters.requests);
+  archive("shed", counters.shed);
+  archive("refused_without_primary", counters.refused_without_primary);
 }
+
 template <class Archive>
-void serialize(Archive& archive, Snapshot& c) {
-  archive("pressure", c.pressure), archive("groups", c.groups), archive("counters", c.counters);
+void serialize(Archive& archive, Snapshot& snapshot) {
+  archive("pressure", snapshot.pressure);
+  archive("groups", snapshot.groups);
+  archive("counters", snapshot.counters);
 }
 
 }  // namespace cedarring::levels
--- a/src/levels/takeover.h
+++ b/src/levels/takeover.h
@@ -1,5 +1,5 @@
-// When a lost primary will have a successor: learnt from the take-overs seen, and told to those who are
-// refused.
+// Estimates when a replica group that has lost its primary will have a new one, and the retry-after time of
+// requests that are refused until then.
 #pragma once
 
 #include <algorithm>
@@ -8,47 +8,56 @@
 
 namespace cedarring::levels {
 
-class Takeover {
+/// Moving average of the takeover durations seen in one group.
+class TakeoverEstimator {
  public:
-  /// `hint`: how long a take-over takes before any has been seen.
-  explicit Takeover(Duration hint) : estimate_(hint) {}
-
-  /// One that took this long; of those seen the last few count. One that is absurdly short was none: the
-  /// primary itself came back.
-  void seen(Duration took) {
-    if (took < shortest) return;
-    estimate_ += Duration(static_cast<std::int64_t>(static_cast<double>((took - estimate_).count()) * gain));
+  /// `hint`: the estimate until a takeover has been seen.
+  explicit TakeoverEstimator(Duration hint) : estimate_(hint) {}
+
+  /// Adds the duration of a takeover; recent takeovers weigh most. An absence shorter than `min_duration` is
+  /// ignored: it is no takeover, the primary itself came back.
+  void record(Duration duration) {
+    if (duration < min_duration) return;
+    estimate_ +=
+        Duration(static_cast<std::int64_t>(static_cast<double>((duration - estimate_).count()) * gain));
     ++count_;
   }
-  /// What is left of one that began `since` ago. One that is overdue is expected after as long again as it is
-  /// overdue: callers come back ever more seldom to a primary that never comes.
-  [[nodiscard]] Duration remaining(Duration since) const {
-    return since < estimate_ ? estimate_ - since : since - estimate_;
+
+  /// Expected time until a takeover that began `elapsed` ago completes. An overdue takeover is expected after
+  /// as much time again as it is overdue, so that callers retry less and less often if it never completes.
+  [[nodiscard]] Duration remaining(Duration elapsed) const {
+    return elapsed < estimate_ ? estimate_ - elapsed : elapsed - estimate_;
   }
+
   [[nodiscard]] Duration estimate() const { return estimate_; }
+  /// Number of takeovers behind the estimate.
   [[nodiscard]] int count() const { return count_; }
-  /// What another process has learnt from `count` of them.
-  void take(Duration estimate, int count) {
-    if (count > count_ && estimate > Duration::zero()) estimate_ = estimate, count_ = count;
+
+  /// Adopts the estimate of a previous process if it is based on more takeovers than this one.
+  void restore(Duration estimate, int count) {
+    if (count > count_ && estimate > Duration::zero()) {
+      estimate_ = estimate;
+      count_ = count;
+    }
   }
 
-  static constexpr Duration shortest{100'000};
-  static constexpr double gain = 0.3;
+  static constexpr Duration min_duration{100'000};  // 100 ms
+  static constexpr double gain = 0.3;               // weight of a new duration in the moving average
 
  private:
   Duration estimate_;
   int count_ = 0;
 };
 
-/// A pause for one of many that are refused for the same cause, so that they do not come back together.
-/// `expected` is when the cause ends, `most` the longest pause that clients keep; `draw` is even in [0, 1).
-/// Pauses spread over half of `most`: behind the cause's end where that is near, up to `most` where it is
-/// not.
-inline Duration spread_pause(Duration expected, Duration most, double draw) {
-  if (most <= Duration::zero()) return Duration::zero();
-  const auto width = most / 2;
-  const auto from = std::clamp(expected, Duration::zero(), most - width);
-  return from + Duration(static_cast<std::int64_t>(static_cast<double>(width.count()) * draw));
+/// The retry-after time of one of many requests that are refused for the same cause, spread so that their
+/// clients do not all return at once. `expected` is the time until the cause ends, `max_retry_after` the
+/// longest time that clients honour, `fraction` is uniform in [0, 1). The times spread over half of
+/// `max_retry_after`: starting at the expected end if it is near, else ending at `max_retry_after`.
+inline Duration spread_retry_after(Duration expected, Duration max_retry_after, double fraction) {
+  if (max_retry_after <= Duration::zero()) return Duration::zero();
+  const auto width = max_retry_after / 2;
+  const auto from = std::clamp(expected, Duration::zero(), max_retry_after - width);
+  return from + Duration(static_cast<std::int64_t>(static_cast<double>(width.count()) * fraction));
 }
 
 }  // namespace cedarring::levels
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -38,7 +38,7 @@
       std::cout << front << " listens at " << s.listen << ", " << s.settings.classes.size() << " classes, "
                 << tenants.size() << " tenants\n"
                 << front
-                << " levels: " << (s.levels ? levels_json(*s.levels, s.for_levels(), tenants) : "off")
+                << " levels: " << (s.levels ? levels_to_json(*s.levels, s.for_levels(), tenants) : "off")
                 << '\n';
     };
     show("postgresql", c.platform);
--- a/src/tools/lab/world.cpp
+++ b/src/tools/lab/world.cpp
@@ -370,11 +370,11 @@
         g->contracts->step(timeline.now(), contracts::scarcity(views), breaches);
       }
       if (!g->levels) continue;
-      levels::tell_views(views, timeline.now(), state);
+      levels::add_group_views(views, timeline.now(), state);
       std::vector<levels::AxisChange> events;
       g->levels->step(timeline.now(), state, events);
-      const auto changes = g->levels->changes();
-      g->broker->set_tuning({changes.probe_rate, changes.retry_budget, changes.spill});
+      const auto adjustments = g->levels->adjustments();
+      g->broker->set_tuning({adjustments.probe_rate, adjustments.retry_budget, adjustments.read_spillover});
       if (g->number == 0) result.changes.insert(result.changes.end(), events.begin(), events.end());
     }
     timeline.after(std::chrono::milliseconds(100), [this] { beat(); });
--- a/src/tools/plan/main.cpp
+++ b/src/tools/plan/main.cpp
@@ -78,7 +78,7 @@
       const auto& cls = service.classes[c];
       const auto cost = d["cost_ms"].FindMember(cls.name.c_str());
       if (cost == d["cost_ms"].MemberEnd())
-        throw app::flaw_at(fleet_file, "/cost_ms", "a cost of the class " + cls.name, "none");
+        throw app::config_error_at(fleet_file, "/cost_ms", "a cost of the class " + cls.name, "none");
       for (const bool closure : {false, true}) {
         const auto& terms =
             closure && team.classes[c]->closure ? *team.classes[c]->closure : team.classes[c]->usual;
--- a/src/tools/rig/scenario.cpp
+++ b/src/tools/rig/scenario.cpp
@@ -78,7 +78,7 @@
   if (const auto* z = app::member(v, "zone")) {
     p.zone = z->GetString();
     if (std::find(s.zones.begin(), s.zones.end(), p.zone) == s.zones.end())
-      throw app::flaw_at(file, at + "/zone", "one of the zones", app::shown(*z));
+      throw app::config_error_at(file, at + "/zone", "one of the zones", app::to_excerpt(*z));
   }
   if (const auto* n = app::member(v, "numbers")) {
     const int most = p.kind == Pick::Kind::gateways ? s.gateways
@@ -86,7 +86,8 @@
                                                     : s.groups;
     for (const auto& x : n->GetArray()) {
       if (x.GetInt() >= most)
-        throw app::flaw_at(file, at + "/numbers", "numbers below " + std::to_string(most), app::shown(x));
+        throw app::config_error_at(file, at + "/numbers", "numbers below " + std::to_string(most),
+                                   app::to_excerpt(x));
       p.numbers.push_back(x.GetInt());
     }
   }
@@ -159,7 +160,8 @@
   s.probe_price = number("probe_price", s.probe_price);
   s.served_least = number("served_least", 0);
   if (s.warm_up >= s.length)
-    throw app::flaw_at(file, "/warm_up_s", "less than seconds", std::to_string(number("warm_up_s", 2)));
+    throw app::config_error_at(file, "/warm_up_s", "less than seconds",
+                               std::to_string(number("warm_up_s", 2)));
   if (const auto* g = app::member(d, "gateway_file")) {
     rapidjson::StringBuffer b;
     rapidjson::Writer<rapidjson::StringBuffer> w(b);
@@ -177,20 +179,22 @@
                           std::begin(words));
       f.on = pick_of(v["on"], file, at + "/on", s);
       if (!fits(f.what, f.on.kind))
-        throw app::flaw_at(file, at + "/on/of",
-                           "what '" + std::string(v["do"].GetString()) + "' can be done to",
-                           app::shown(v["on"]["of"]));
+        throw app::config_error_at(file, at + "/on/of",
+                                   "what '" + std::string(v["do"].GetString()) + "' can be done to",
+                                   app::to_excerpt(v["on"]["of"]));
       const bool datagrams = f.what == Do::loss || f.what == Do::twice || f.what == Do::disorder;
       const bool link = f.what == Do::cut || f.what == Do::delay || datagrams;
       if (link != v.HasMember("to"))
-        throw app::flaw_at(file, at + "/to", link ? "the hosts of the link" : "none", link ? "none" : "one");
+        throw app::config_error_at(file, at + "/to", link ? "the hosts of the link" : "none",
+                                   link ? "none" : "one");
       if (link) {
         f.to = pick_of(v["to"], file, at + "/to", s);
         if (datagrams && f.to.kind != Pick::Kind::gateways)
-          throw app::flaw_at(file, at + "/to/of", "gateways, as only they send datagrams",
-                             app::shown(v["to"]["of"]));
+          throw app::config_error_at(file, at + "/to/of", "gateways, as only they send datagrams",
+                                     app::to_excerpt(v["to"]["of"]));
         if (f.to.kind == Pick::Kind::gateways && !s.peers)
-          throw app::flaw_at(file, "/peers", "true, where links between gateways have faults", "none");
+          throw app::config_error_at(file, "/peers", "true, where links between gateways have faults",
+                                     "none");
       }
       if (const auto* x = app::member(v, "for_s")) f.lasts = seconds(x->GetDouble());
       if (const auto* x = app::member(v, "factor")) f.factor = x->GetDouble();
@@ -199,7 +203,8 @@
         const std::string way = x->GetString();
         f.there = way != "back", f.back = way != "there";
       }
-      if (f.at >= s.length) throw app::flaw_at(file, at + "/at_s", "before the end", app::shown(v["at_s"]));
+      if (f.at >= s.length)
+        throw app::config_error_at(file, at + "/at_s", "before the end", app::to_excerpt(v["at_s"]));
       s.faults.push_back(f);
     }
   return s;
