--- a/tests/levels_test.cpp
+++ b/tests/levels_test.cpp
@@ -1,4 +1,5 @@
-// The ladder and both axes in simulated time: no sockets, a clock set by hand.
+// Levels of reduced service in simulated time: the ladder and both axes, without sockets, with the clock
+// advanced by the tests.
 #include "levels/levels.h"
 
 #include <gtest/gtest.h>
@@ -13,76 +14,77 @@
 using namespace levels;
 using namespace std::chrono_literals;
 
-constexpr Duration beat = 100ms;
+constexpr Duration evaluation_interval = 100ms;
 
-RequestClass cls(const char* name, Freshness freshness) {
-  RequestClass c;
-  c.name = name;
-  c.latency_target = 300ms;
-  c.deadline = 1s;
-  c.freshness = freshness;
-  c.staleness_bound = 200ms;
-  return c;
+RequestClass make_class(const char* name, Freshness freshness) {
+  RequestClass request_class;
+  request_class.name = name;
+  request_class.latency_target = 300ms;
+  request_class.deadline = 1s;
+  request_class.freshness = freshness;
+  request_class.staleness_bound = 200ms;
+  return request_class;
 }
 
 ServiceInfo service() {
-  ServiceInfo s;
-  s.classes = {cls("desk-view", Freshness::bounded), cls("history", Freshness::any),
-               cls("gate-check", Freshness::fresh), cls("bid-submit", Freshness::write)};
-  s.tenants = 3;
-  s.seed = 7;
-  return s;
+  ServiceInfo info;
+  info.classes = {make_class("desk-view", Freshness::bounded), make_class("history", Freshness::any),
+                  make_class("gate-check", Freshness::fresh), make_class("bid-submit", Freshness::write)};
+  info.tenants = 3;
+  info.seed = 7;
+  return info;
 }
-enum : std::int32_t { desk, history, gate, bid };
+/// Indexes of the classes of `service`.
+enum : std::int32_t { desk_view, history, gate_check, bid_submit };
 
-Config config() {
-  auto c = default_config(service());
-  c.mode = Mode::on;
-  return c;
+Config make_config() {
+  auto config = default_config(service());
+  config.mode = Mode::on;
+  return config;
 }
 
-/// Both axes under hand-made readings; keeps every change.
-struct Rig {
+/// Both axes under artificial readings. Records every change.
+struct LevelsHarness {
   Levels levels;
   Time now{1'000'000'000'000};
   std::vector<AxisChange> events;
-  std::map<std::int64_t, bool> primary{{1, true}, {2, true}};
-  bool groups_told = true;
-  std::uint64_t asked = 0;
-  explicit Rig(Config c = config()) : levels(std::move(c), service()) {}
+  std::map<std::int64_t, bool> primary{{1, true}, {2, true}};  // by group: whether it has a primary
+  bool groups_reported = true;
+  std::uint64_t request_count = 0;
+  explicit LevelsHarness(Config config = make_config()) : levels(std::move(config), service()) {}
 
-  gates::GateRequest ask(std::int32_t c, std::int64_t group = 1, std::uint64_t caller = 0,
-                         bool beyond = false) {
-    gates::GateRequest a;
-    a.request = RequestId{++asked};
-    a.cls = ClassId{c};
-    a.group = GroupId{group};
-    a.caller = caller;
-    a.beyond_budget = beyond;
-    a.tenant = 0;
-    a.time_left = 800ms;
-    return a;
+  gates::GateRequest make_request(std::int32_t class_index, std::int64_t group = 1, std::uint64_t caller = 0,
+                                  bool beyond_budget = false) {
+    gates::GateRequest request;
+    request.request = RequestId{++request_count};
+    request.cls = ClassId{class_index};
+    request.group = GroupId{group};
+    request.caller = caller;
+    request.beyond_budget = beyond_budget;
+    request.tenant = 0;
+    request.time_left = 800ms;
+    return request;
   }
-  gates::Verdict admit(std::int32_t c, std::int64_t group = 1, std::uint64_t caller = 0,
-                       bool beyond = false) {
-    return levels.admit(ask(c, group, caller, beyond), now);
+  gates::Verdict admit(std::int32_t class_index, std::int64_t group = 1, std::uint64_t caller = 0,
+                       bool beyond_budget = false) {
+    return levels.admit(make_request(class_index, group, caller, beyond_budget), now);
   }
-  /// `refused` of 20 gate-checks a beat fail at the hosts, for `length`.
+  /// Runs for `length`; at each evaluation the share `refused` of 20 gate-check requests fails at the hosts.
+  /// They go to the second group, since tests take the primary of the first group away.
   void run(Duration length, double refused) {
     for (const Time end = now + length; now < end;) {
-      now += beat;
+      now += evaluation_interval;
       for (int i = 0; i < 20; ++i) {
-        gates::RequestResult e;
-        e.end = i < refused * 20 ? gates::RequestEnd::refused : gates::RequestEnd::served;
-        e.by = gates::Decider::router;
-        e.elapsed = 50ms;
-        levels.on_request_end(ask(gate, 2), e,
-                              now);  // the second group: tests take the first one's primary away
+        gates::RequestResult result;
+        result.end = i < refused * 20 ? gates::RequestEnd::refused : gates::RequestEnd::served;
+        result.by = gates::Decider::router;
+        result.elapsed = 50ms;
+        levels.on_request_end(make_request(gate_check, 2), result, now);
       }
       step();
     }
   }
-  /// Runs until that level is reached, or for two minutes.
+  /// Runs until the pressure level is reached, for at most two minutes.
   void reach(const std::string& level, double refused) {
     for (int i = 0; i < 120 && pressure() != level; ++i) run(1s, refused);
     ASSERT_EQ(pressure(), level);
@@ -91,485 +93,517 @@
     GatewayState state;
     state.groups_at = now;
     state.values.push_back({Reading::in_flight, 0.1, now});
-    if (groups_told)
-      for (const auto& [id, p] : primary) state.groups.push_back({GroupId{id}, p, 0, 0});
+    if (groups_reported)
+      for (const auto& [id, has_primary] : primary) state.groups.push_back({GroupId{id}, has_primary, 0, 0});
     levels.step(now, state, events);
   }
-  void quiet(Duration length) {
-    for (const Time end = now + length; now < end;) now += beat, step();
+  /// Runs for `length` without requests.
+  void run_idle(Duration length) {
+    for (const Time end = now + length; now < end;) {
+      now += evaluation_interval;
+      step();
+    }
   }
-  [[nodiscard]] std::string pressure() const { return levels.pressure().present().name; }
+  [[nodiscard]] std::string pressure() const { return levels.pressure().current_level().name; }
   [[nodiscard]] std::string faults(std::int64_t group) const {
-    return levels.groups().at(GroupId{group}).faults.present().name;
+    return levels.groups().at(GroupId{group}).faults.current_level().name;
   }
-  /// Changes of one axis, without words on what holds it.
-  [[nodiscard]] std::vector<Change> changes(std::optional<GroupId> group = std::nullopt) const {
-    std::vector<Change> all;
-    for (const auto& e : events)
-      if (e.group == group && e.change.from != e.change.to) all.push_back(e.change);
-    return all;
+  /// The level changes of one axis, without records that keep the level.
+  [[nodiscard]] std::vector<LevelChange> changes(std::optional<GroupId> group = std::nullopt) const {
+    std::vector<LevelChange> result;
+    for (const auto& event : events)
+      if (event.group == group && event.change.from != event.change.to) result.push_back(event.change);
+    return result;
   }
-  [[nodiscard]] Duration closest(std::optional<GroupId> group = std::nullopt) const {
+  /// The shortest time between two changes of one axis.
+  [[nodiscard]] Duration shortest_interval(std::optional<GroupId> group = std::nullopt) const {
     const auto all = changes(group);
-    Duration least = Duration::max();
-    for (std::size_t i = 1; i < all.size(); ++i) least = std::min(least, all[i].at - all[i - 1].at);
-    return least;
+    Duration shortest = Duration::max();
+    for (std::size_t i = 1; i < all.size(); ++i) shortest = std::min(shortest, all[i].at - all[i - 1].at);
+    return shortest;
   }
 };
 
-// ---- hard case 1 ----
-TEST(Levels, ALoadThatSwingsEverySecondForTenMinutesChangesAtMostOncePerTenSeconds) {
-  Rig r;
-  for (int i = 0; i < 600; ++i) r.run(1s, i % 2 == 0 ? 0.9 : 0.0);
-  const auto all = r.changes();
-  ASSERT_GE(all.size(), 1U);
-  EXPECT_GE(r.closest(), 10s);
-  for (const auto& c : all) {
-    EXPECT_FALSE(c.reads.empty());  // each tells what it was decided on
-    EXPECT_TRUE(c.cause == Cause::entered || c.cause == Cause::left);
+// ---- oscillating load ----
+TEST(Levels, LoadOscillatingEverySecondChangesLevelAtMostOncePerTenSeconds) {
+  LevelsHarness harness;
+  for (int i = 0; i < 600; ++i) harness.run(1s, i % 2 == 0 ? 0.9 : 0.0);
+  const auto changes = harness.changes();
+  ASSERT_GE(changes.size(), 1U);
+  EXPECT_GE(harness.shortest_interval(), 10s);
+  for (const auto& change : changes) {
+    EXPECT_FALSE(change.observations.empty());  // each change names the samples it was based on
+    EXPECT_TRUE(change.cause == Cause::entered || change.cause == Cause::left);
   }
 }
 
-TEST(Levels, TheBoundAloneHoldsWhereALadderHasNothingElse) {
-  auto c = config();
-  c.memory = 50ms, c.pressure.damping = 1;
-  for (auto& l : c.pressure.levels) {
-    l.stay = 0ms;
-    for (auto* rule : {&l.enter, &l.exit})
-      for (auto& condition : rule->conditions) condition.hold = 0ms;
+TEST(Levels, MinimumChangeIntervalHoldsWithoutAnyOtherDamping) {
+  auto config = make_config();
+  config.reading_decay_time = 50ms;
+  config.pressure.damping = 1;
+  for (auto& level : config.pressure.levels) {
+    level.min_dwell = 0ms;
+    for (auto* rule : {&level.enter, &level.exit})
+      for (auto& condition : rule->conditions) condition.hold_time = 0ms;
   }
-  Rig r(c);
-  for (int i = 0; i < 600; ++i) r.run(1s, i % 2 == 0 ? 0.9 : 0.0);
-  EXPECT_GE(r.closest(), 10s);
-  EXPECT_GE(r.changes().size(), 30U);  // without the bound it would be one a second
-  EXPECT_LE(r.changes().size(), 60U);
+  LevelsHarness harness(config);
+  for (int i = 0; i < 600; ++i) harness.run(1s, i % 2 == 0 ? 0.9 : 0.0);
+  EXPECT_GE(harness.shortest_interval(), 10s);
+  EXPECT_GE(harness.changes().size(), 30U);  // without the interval there would be one change a second
+  EXPECT_LE(harness.changes().size(), 60U);
 }
 
-TEST(Levels, ASwingSlowEnoughToLeaveEachTimeIsDampedNotFollowed) {
-  Rig r;
-  for (int i = 0; i < 30; ++i) r.run(10s, 0.9), r.run(10s, 0.0);
-  EXPECT_GE(r.closest(), 10s);
-  EXPECT_LE(r.changes().size(), 24U);  // 600 s: half of what the bound alone would let through, or less
+TEST(Levels, LoadOscillatingSlowlyEnoughToLeaveLevelsIsDamped) {
+  LevelsHarness harness;
+  for (int i = 0; i < 30; ++i) {
+    harness.run(10s, 0.9);
+    harness.run(10s, 0.0);
+  }
+  EXPECT_GE(harness.shortest_interval(), 10s);
+  // At most half of what the minimum interval alone would allow in 600 s.
+  EXPECT_LE(harness.changes().size(), 24U);
 }
 
-TEST(Levels, EachLevelShedsItsPartAndTheSameCallersOfIt) {
-  Rig r;
-  EXPECT_TRUE(r.admit(history).admitted);
-  r.reach("trim", 0.2);
+TEST(Levels, EachLevelShedsItsShareAndAlwaysTheSameCallers) {
+  LevelsHarness harness;
+  EXPECT_TRUE(harness.admit(history).admitted);
+  harness.reach("trim", 0.2);
   int shed = 0;
   for (std::uint64_t caller = 1; caller <= 2000; ++caller) {
-    const auto first = r.admit(history, 1, caller);
+    const auto first = harness.admit(history, 1, caller);
     shed += first.admitted ? 0 : 1;
-    EXPECT_EQ(r.admit(history, 1, caller).admitted, first.admitted)
-        << caller;  // a retry meets the same answer
+    EXPECT_EQ(harness.admit(history, 1, caller).admitted, first.admitted)
+        << caller;  // a retry gets the same answer
     if (!first.admitted) {
       EXPECT_EQ(first.decided_by, gates::Decider::levels);
       EXPECT_EQ(first.reason, gates::Reason::class_shed);
     }
-    EXPECT_TRUE(r.admit(desk, 1, caller).admitted);
-    EXPECT_TRUE(r.admit(bid, 1, caller).admitted);
+    EXPECT_TRUE(harness.admit(desk_view, 1, caller).admitted);
+    EXPECT_TRUE(harness.admit(bid_submit, 1, caller).admitted);
   }
   EXPECT_NEAR(shed, 1000, 100);
-  r.reach("survive", 0.8);
-  EXPECT_FALSE(r.admit(history).admitted);
-  EXPECT_FALSE(r.admit(desk).admitted);
-  EXPECT_TRUE(r.admit(gate).admitted);
-  EXPECT_TRUE(r.admit(bid).admitted);
-  EXPECT_EQ(r.admit(bid, 1, 0, true).reason, gates::Reason::budget_shed);  // beyond its tenant's budget
-  for (int i = 0; i < 60; ++i) r.run(10s, 0.0);
-  EXPECT_EQ(r.pressure(), "normal");  // never stuck once all is well
-  EXPECT_TRUE(r.admit(history).admitted);
-  EXPECT_GE(r.closest(), 10s);
+  harness.reach("survive", 0.8);
+  EXPECT_FALSE(harness.admit(history).admitted);
+  EXPECT_FALSE(harness.admit(desk_view).admitted);
+  EXPECT_TRUE(harness.admit(gate_check).admitted);
+  EXPECT_TRUE(harness.admit(bid_submit).admitted);
+  EXPECT_EQ(harness.admit(bid_submit, 1, 0, true).reason,
+            gates::Reason::budget_shed);  // beyond its tenant's budget
+  for (int i = 0; i < 60; ++i) harness.run(10s, 0.0);
+  EXPECT_EQ(harness.pressure(), "normal");  // returns to normal once the load is gone
+  EXPECT_TRUE(harness.admit(history).admitted);
+  EXPECT_GE(harness.shortest_interval(), 10s);
 }
 
-TEST(Levels, WhatALevelShedsItselfDoesNotKeepItUp) {
-  Rig r;
-  r.reach("trim", 0.2);
+TEST(Levels, RequestsShedByALevelDoNotKeepItInForce) {
+  LevelsHarness harness;
+  harness.reach("trim", 0.2);
   for (int i = 0; i < 400; ++i) {
-    r.now += beat;
-    gates::RequestResult e;
-    e.end = gates::RequestEnd::refused, e.by = gates::Decider::levels;
-    for (int k = 0; k < 20; ++k) r.levels.on_request_end(r.ask(gate), e, r.now);
-    r.step();
+    harness.now += evaluation_interval;
+    gates::RequestResult result;
+    result.end = gates::RequestEnd::refused;
+    result.by = gates::Decider::levels;
+    for (int k = 0; k < 20; ++k)
+      harness.levels.on_request_end(harness.make_request(gate_check), result, harness.now);
+    harness.step();
   }
-  EXPECT_EQ(r.pressure(), "normal");
+  EXPECT_EQ(harness.pressure(), "normal");
 }
 
-TEST(Levels, WatchingChangesLevelsAndShedsNothing) {
-  auto c = config();
-  c.mode = Mode::watch;
-  Rig r(c);
-  r.primary[1] = false;
-  r.quiet(5s);
-  EXPECT_EQ(r.faults(1), "no-writes");
-  r.primary[1] = true;
-  r.reach("survive", 0.9);
-  r.primary[1] = false;
-  r.quiet(1s);
-  for (const auto what : {history, desk, gate, bid}) EXPECT_TRUE(r.admit(what).admitted);
-  EXPECT_EQ(r.levels.changes().retry_budget, 1);
+TEST(Levels, WatchModeChangesLevelsAndShedsNothing) {
+  auto config = make_config();
+  config.mode = Mode::watch;
+  LevelsHarness harness(config);
+  harness.primary[1] = false;
+  harness.run_idle(5s);
+  EXPECT_EQ(harness.faults(1), "no-writes");
+  harness.primary[1] = true;
+  harness.reach("survive", 0.9);
+  harness.primary[1] = false;
+  harness.run_idle(1s);
+  for (const auto class_index : {history, desk_view, gate_check, bid_submit})
+    EXPECT_TRUE(harness.admit(class_index).admitted);
+  EXPECT_EQ(harness.levels.adjustments().retry_budget, 1);
 }
 
-// ---- hard case 2 ----
-TEST(Levels, APrimaryLostWhileHistoryIsShedAndThenSilenceEndInEitherOrder) {
+// ---- two faults at once ----
+// Guards against one axis disturbing the other: a primary is lost under pressure, then no group is reported
+// any more, and both conditions end in either order.
+TEST(Levels, PrimaryLostUnderPressureThenNoGroupReportsRecoversInEitherOrder) {
   for (const bool primary_first : {true, false}) {
-    Rig r;
-    r.reach("shed-history", 0.3);
-    r.primary[1] = false;
-    r.run(1s, 0.3);
-    EXPECT_EQ(r.faults(1), "no-writes");
-    EXPECT_EQ(r.pressure(), "shed-history");  // the other axis is untouched
-    EXPECT_EQ(r.admit(history).reason, gates::Reason::class_shed);
-    EXPECT_EQ(r.admit(bid).reason, gates::Reason::no_primary);
-    EXPECT_TRUE(r.admit(desk).admitted);
-    EXPECT_TRUE(r.admit(bid, 2).admitted);  // the other group has its primary
-    r.groups_told = false;                  // nothing is heard of the groups any more
-    r.run(15s, 0.3);
-    EXPECT_EQ(r.faults(1), "no-writes");  // held, and why is said
-    EXPECT_TRUE(std::any_of(r.events.begin(), r.events.end(), [](const AxisChange& e) {
-      return e.group && e.change.cause == Cause::held && !e.change.reads.empty() &&
-             e.change.reads[0].use == Use::stale;
+    LevelsHarness harness;
+    harness.reach("shed-history", 0.3);
+    harness.primary[1] = false;
+    harness.run(1s, 0.3);
+    EXPECT_EQ(harness.faults(1), "no-writes");
+    EXPECT_EQ(harness.pressure(), "shed-history");  // the other axis is unaffected
+    EXPECT_EQ(harness.admit(history).reason, gates::Reason::class_shed);
+    EXPECT_EQ(harness.admit(bid_submit).reason, gates::Reason::no_primary);
+    EXPECT_TRUE(harness.admit(desk_view).admitted);
+    EXPECT_TRUE(harness.admit(bid_submit, 2).admitted);  // the other group has its primary
+    harness.groups_reported = false;
+    harness.run(15s, 0.3);
+    EXPECT_EQ(harness.faults(1), "no-writes");  // held, with the reason recorded
+    EXPECT_TRUE(std::any_of(harness.events.begin(), harness.events.end(), [](const AxisChange& event) {
+      return event.group && event.change.cause == Cause::held && !event.change.observations.empty() &&
+             event.change.observations[0].usability == Usability::stale;
     }));
     if (primary_first) {
-      r.groups_told = true, r.primary[1] = true;
-      r.run(15s, 0.3);
-      EXPECT_EQ(r.faults(1), "normal");
-      EXPECT_NE(r.pressure(), "normal");
-      EXPECT_FALSE(r.admit(history).admitted);
-      r.run(120s, 0);
+      harness.groups_reported = true;
+      harness.primary[1] = true;
+      harness.run(15s, 0.3);
+      EXPECT_EQ(harness.faults(1), "normal");
+      EXPECT_NE(harness.pressure(), "normal");
+      EXPECT_FALSE(harness.admit(history).admitted);
+      harness.run(120s, 0);
     } else {
-      r.run(120s, 0);
-      EXPECT_EQ(r.pressure(), "normal");
-      EXPECT_EQ(r.faults(1), "no-writes");
-      EXPECT_EQ(r.admit(bid).reason, gates::Reason::no_primary);
-      r.groups_told = true, r.primary[1] = true;
-      r.run(15s, 0);
+      harness.run(120s, 0);
+      EXPECT_EQ(harness.pressure(), "normal");
+      EXPECT_EQ(harness.faults(1), "no-writes");
+      EXPECT_EQ(harness.admit(bid_submit).reason, gates::Reason::no_primary);
+      harness.groups_reported = true;
+      harness.primary[1] = true;
+      harness.run(15s, 0);
     }
-    EXPECT_EQ(r.pressure(), "normal");
-    EXPECT_EQ(r.faults(1), "normal");
-    for (const auto what : {history, desk, gate, bid}) EXPECT_TRUE(r.admit(what).admitted);
-    EXPECT_GE(r.closest(), 10s);
-    EXPECT_GE(r.closest(GroupId{1}), 10s);
+    EXPECT_EQ(harness.pressure(), "normal");
+    EXPECT_EQ(harness.faults(1), "normal");
+    for (const auto class_index : {history, desk_view, gate_check, bid_submit})
+      EXPECT_TRUE(harness.admit(class_index).admitted);
+    EXPECT_GE(harness.shortest_interval(), 10s);
+    EXPECT_GE(harness.shortest_interval(GroupId{1}), 10s);
   }
 }
 
-// ---- hard case 3 ----
-TEST(Levels, APrimaryThatFlapsEveryThreeSecondsChangesOncePerTenSecondsAndServesWhileItIsThere) {
-  Rig r;
-  int admitted_without = 0, refused_with = 0;
+// ---- takeovers ----
+TEST(Levels, FlappingPrimaryChangesLevelOncePerTenSecondsAndIsUsedWhilePresent) {
+  LevelsHarness harness;
+  int admitted_without_primary = 0;
+  int refused_with_primary = 0;
   for (int i = 0; i < 100; ++i) {
-    r.primary[1] = i % 2 == 0;
-    r.run(500ms, 0);
+    harness.primary[1] = i % 2 == 0;
+    harness.run(500ms, 0);
     for (int k = 0; k < 5; ++k) {
-      r.run(500ms, 0);
-      const bool admitted = r.admit(bid).admitted;
-      if (r.primary[1])
-        refused_with += admitted ? 0 : 1;
-      else if (r.faults(1) == "no-writes")
-        admitted_without += admitted ? 1 : 0;
+      harness.run(500ms, 0);
+      const bool admitted = harness.admit(bid_submit).admitted;
+      if (harness.primary[1])
+        refused_with_primary += admitted ? 0 : 1;
+      else if (harness.faults(1) == "no-writes")
+        admitted_without_primary += admitted ? 1 : 0;
     }
   }
-  EXPECT_GE(r.closest(GroupId{1}), 10s);
-  EXPECT_EQ(refused_with, 0);  // the level refuses only while there is no primary
-  EXPECT_LT(admitted_without, 150);
+  EXPECT_GE(harness.shortest_interval(GroupId{1}), 10s);
+  EXPECT_EQ(refused_with_primary, 0);  // the level refuses only while there is no primary
+  EXPECT_LT(admitted_without_primary, 150);
 }
 
-TEST(Levels, ATakeoverThatNeverComesIsWaitedForEverMoreSeldom) {
-  Takeover t(5s);
-  EXPECT_EQ(t.remaining(0s), 5s);
-  EXPECT_EQ(t.remaining(2s), 3s);
-  Duration last{};
-  for (const auto since : {6s, 10s, 30s, 100s}) {
-    EXPECT_GT(t.remaining(since), last);
-    last = t.remaining(since);
+TEST(Levels, OverdueTakeoverIsExpectedLaterAndLater) {
+  TakeoverEstimator takeover(5s);
+  EXPECT_EQ(takeover.remaining(0s), 5s);
+  EXPECT_EQ(takeover.remaining(2s), 3s);
+  Duration previous{};
+  for (const auto elapsed : {6s, 10s, 30s, 100s}) {
+    EXPECT_GT(takeover.remaining(elapsed), previous);
+    previous = takeover.remaining(elapsed);
   }
-  Rig r;
-  r.primary[1] = false;
-  r.quiet(600s);
-  EXPECT_EQ(r.faults(1), "no-writes");
-  EXPECT_EQ(r.changes(GroupId{1}).size(), 1U);
-  EXPECT_EQ(r.admit(gate).reason, gates::Reason::no_primary);
-  EXPECT_GT(r.admit(gate).retry_after, 0ms);
+  LevelsHarness harness;
+  harness.primary[1] = false;
+  harness.run_idle(600s);
+  EXPECT_EQ(harness.faults(1), "no-writes");
+  EXPECT_EQ(harness.changes(GroupId{1}).size(), 1U);
+  EXPECT_EQ(harness.admit(gate_check).reason, gates::Reason::no_primary);
+  EXPECT_GT(harness.admit(gate_check).retry_after, 0ms);
 }
 
-TEST(Levels, TwoGroupsThatLoseTheirsASecondApartAreEachTheirOwn) {
-  Rig r;
-  r.quiet(1s);
-  r.primary[1] = false;
-  r.quiet(1s);
-  r.primary[2] = false;
-  r.quiet(1s);
-  EXPECT_EQ(r.admit(bid, 1).reason, gates::Reason::no_primary);
-  EXPECT_EQ(r.admit(bid, 2).reason, gates::Reason::no_primary);
-  r.primary[1] = true;
-  r.quiet(20s);
-  EXPECT_EQ(r.faults(1), "normal");
-  EXPECT_EQ(r.faults(2), "no-writes");
-  EXPECT_TRUE(r.admit(bid, 1).admitted);
-  EXPECT_FALSE(r.admit(bid, 2).admitted);
-  EXPECT_EQ(r.levels.groups().at(GroupId{1}).takeover.count(), 1);
+TEST(Levels, GroupsThatLoseTheirPrimariesASecondApartRecoverIndependently) {
+  LevelsHarness harness;
+  harness.run_idle(1s);
+  harness.primary[1] = false;
+  harness.run_idle(1s);
+  harness.primary[2] = false;
+  harness.run_idle(1s);
+  EXPECT_EQ(harness.admit(bid_submit, 1).reason, gates::Reason::no_primary);
+  EXPECT_EQ(harness.admit(bid_submit, 2).reason, gates::Reason::no_primary);
+  harness.primary[1] = true;
+  harness.run_idle(20s);
+  EXPECT_EQ(harness.faults(1), "normal");
+  EXPECT_EQ(harness.faults(2), "no-writes");
+  EXPECT_TRUE(harness.admit(bid_submit, 1).admitted);
+  EXPECT_FALSE(harness.admit(bid_submit, 2).admitted);
+  EXPECT_EQ(harness.levels.groups().at(GroupId{1}).takeover.count(), 1);
 }
 
-TEST(Levels, TheEstimateLearnsFromTakeoversSeen) {
-  Rig r;
+TEST(Levels, TakeoverEstimateConvergesToTheDurationsSeen) {
+  LevelsHarness harness;
   for (int i = 0; i < 20; ++i) {
-    r.primary[1] = false;
-    r.quiet(2s);
-    r.primary[1] = true;
-    r.quiet(13s);
+    harness.primary[1] = false;
+    harness.run_idle(2s);
+    harness.primary[1] = true;
+    harness.run_idle(13s);
   }
-  const auto& t = r.levels.groups().at(GroupId{1}).takeover;
-  EXPECT_EQ(t.count(), 20);
-  EXPECT_GE(t.estimate(), 1900ms);
-  EXPECT_LE(t.estimate(), 2200ms);
+  const auto& takeover = harness.levels.groups().at(GroupId{1}).takeover;
+  EXPECT_EQ(takeover.count(), 20);
+  EXPECT_GE(takeover.estimate(), 1900ms);
+  EXPECT_LE(takeover.estimate(), 2200ms);
 }
 
-TEST(Levels, AWriteThatThePrimaryWillBeThereForIsNotRefused) {
-  Rig r;
-  r.quiet(1s);
-  r.primary[1] = false;
-  r.quiet(4500ms);  // of an expected 5 s
-  ASSERT_EQ(r.faults(1), "no-writes");
-  auto a = r.ask(bid);
-  a.time_left = 2s;
-  EXPECT_TRUE(r.levels.admit(a, r.now).admitted);  // the router holds it: the primary is due in half a second
-  a.time_left = 300ms;
-  EXPECT_FALSE(r.levels.admit(a, r.now).admitted);
+TEST(Levels, WriteWhoseDeadlineIsAfterTheExpectedTakeoverIsAdmitted) {
+  LevelsHarness harness;
+  harness.run_idle(1s);
+  harness.primary[1] = false;
+  harness.run_idle(4500ms);  // of an expected 5 s
+  ASSERT_EQ(harness.faults(1), "no-writes");
+  auto request = harness.make_request(bid_submit);
+  request.time_left = 2s;
+  // The router holds the request: a primary is expected within half a second.
+  EXPECT_TRUE(harness.levels.admit(request, harness.now).admitted);
+  request.time_left = 300ms;
+  EXPECT_FALSE(harness.levels.admit(request, harness.now).admitted);
 }
 
-// ---- hard case 4 ----
-TEST(Levels, AbsurdOrOldReadingsHoldTheLevelAndSayWhy) {
-  auto c = config();
-  // In the place of the default ladder one that reads a figure which the test can spoil.
-  c.pressure.levels.resize(1);
-  Level l;
-  l.name = "tight";
-  l.enter = {false, {{Reading::memory, -1, true, 0.9, 300ms}}};
-  l.exit = {true, {{Reading::memory, -1, false, 0.5, 300ms}}};
-  c.pressure.levels.push_back(l);
-  ASSERT_FALSE(find_config_issue(c, service()));
-  Rig r(c);
-  const auto tell = [&](double value, Duration length, Duration age = 0ms, bool told = true) {
-    for (const Time end = r.now + length; r.now < end;) {
-      r.now += beat;
+// ---- unusable readings ----
+TEST(Levels, UnusableReadingHoldsTheLevelAndTheReasonIsRecorded) {
+  auto config = make_config();
+  // Replaces the default ladder by a level on a reading that the test can corrupt.
+  config.pressure.levels.resize(1);
+  Level tight;
+  tight.name = "tight";
+  tight.enter = {false, {{Reading::memory, -1, true, 0.9, 300ms}}};
+  tight.exit = {true, {{Reading::memory, -1, false, 0.5, 300ms}}};
+  config.pressure.levels.push_back(tight);
+  ASSERT_FALSE(find_config_issue(config, service()));
+  LevelsHarness harness(config);
+  const auto report = [&](double value, Duration length, Duration age = 0ms, bool available = true) {
+    for (const Time end = harness.now + length; harness.now < end;) {
+      harness.now += evaluation_interval;
       GatewayState state;
-      if (told) state.values.push_back({Reading::memory, value, r.now - age});
-      r.levels.step(r.now, state, r.events);
+      if (available) state.values.push_back({Reading::memory, value, harness.now - age});
+      harness.levels.step(harness.now, state, harness.events);
     }
   };
-  const auto why = [&] { return r.events.back().change.reads.at(0).use; };
-  const double nan = std::numeric_limits<double>::quiet_NaN(), inf = std::numeric_limits<double>::infinity();
-  for (const auto spoilt : {nan, inf, -1.0, 1e9}) {
-    tell(spoilt, 5s);  // on the way up it is no reason to go there
-    EXPECT_EQ(r.pressure(), "normal") << spoilt;
+  const auto last_usability = [&] { return harness.events.back().change.observations.at(0).usability; };
+  const double nan = std::numeric_limits<double>::quiet_NaN();
+  const double infinity = std::numeric_limits<double>::infinity();
+  for (const auto invalid : {nan, infinity, -1.0, 1e9}) {
+    report(invalid, 5s);  // must not enter a level
+    EXPECT_EQ(harness.pressure(), "normal") << invalid;
   }
-  tell(0.95, 11s);
-  ASSERT_EQ(r.pressure(), "tight");
-  std::size_t words = 0;
-  for (const auto& [value, use] : {std::pair{nan, Use::absurd}, {-0.1, Use::absurd}, {1e9, Use::absurd}}) {
-    tell(value, 15s);
-    EXPECT_EQ(r.pressure(), "tight");
-    EXPECT_EQ(r.events.back().change.cause, Cause::held);
-    EXPECT_EQ(why(), use);
-    tell(0.95, 1s);
-    EXPECT_GT(r.events.size(), std::exchange(words, r.events.size()));  // once for each time, no more
-    EXPECT_EQ(r.events.size(), words);
+  report(0.95, 11s);
+  ASSERT_EQ(harness.pressure(), "tight");
+  std::size_t event_count = 0;
+  for (const auto& [value, usability] : {std::pair{nan, Usability::out_of_range},
+                                         {-0.1, Usability::out_of_range},
+                                         {1e9, Usability::out_of_range}}) {
+    report(value, 15s);
+    EXPECT_EQ(harness.pressure(), "tight");
+    EXPECT_EQ(harness.events.back().change.cause, Cause::held);
+    EXPECT_EQ(last_usability(), usability);
+    report(0.95, 1s);
+    // Recorded once for each period.
+    EXPECT_GT(harness.events.size(), std::exchange(event_count, harness.events.size()));
+    EXPECT_EQ(harness.events.size(), event_count);
   }
-  tell(0.1, 15s, 5s);  // too old
-  EXPECT_EQ(r.pressure(), "tight");
-  EXPECT_EQ(why(), Use::stale);
-  tell(0.95, 1s);
-  tell(0.1, 15s, -1h);  // a clock that stepped back since: from the future
-  EXPECT_EQ(r.pressure(), "tight");
-  EXPECT_EQ(why(), Use::ahead);
-  tell(0.95, 1s);
-  tell(0, 15s, 0ms, false);  // none at all any more
-  EXPECT_EQ(r.pressure(), "tight");
-  EXPECT_EQ(why(), Use::stale);
-  tell(0.1, 1s);
-  EXPECT_EQ(r.pressure(), "normal");
-  EXPECT_EQ(r.changes().size(), 2U);
+  report(0.1, 15s, 5s);  // stale
+  EXPECT_EQ(harness.pressure(), "tight");
+  EXPECT_EQ(last_usability(), Usability::stale);
+  report(0.95, 1s);
+  report(0.1, 15s, -1h);  // from the future, as after a clock that was set back
+  EXPECT_EQ(harness.pressure(), "tight");
+  EXPECT_EQ(last_usability(), Usability::in_future);
+  report(0.95, 1s);
+  report(0, 15s, 0ms, false);  // no samples any more
+  EXPECT_EQ(harness.pressure(), "tight");
+  EXPECT_EQ(last_usability(), Usability::stale);
+  report(0.1, 1s);
+  EXPECT_EQ(harness.pressure(), "normal");
+  EXPECT_EQ(harness.changes().size(), 2U);
 }
 
-TEST(Levels, AClockThatLeapsDoesNotStandForTimeThatWasWatched) {
-  Rig r;
-  r.run(500ms, 0.9);  // not yet for as long as any level asks
-  ASSERT_EQ(r.pressure(), "normal");
-  r.now += 1h;
-  r.run(200ms, 0.9);
-  EXPECT_EQ(r.pressure(), "normal");
-  r.now -= 2h;  // back: counts as the last time that was seen
-  r.step();
-  EXPECT_EQ(r.pressure(), "normal");
-  EXPECT_TRUE(r.changes().empty());
+TEST(Levels, ClockJumpDoesNotCountTowardsHoldTimes) {
+  LevelsHarness harness;
+  harness.run(500ms, 0.9);  // shorter than the hold time of any level
+  ASSERT_EQ(harness.pressure(), "normal");
+  harness.now += 1h;
+  harness.run(200ms, 0.9);
+  EXPECT_EQ(harness.pressure(), "normal");
+  harness.now -= 2h;  // a step back counts as the time of the last evaluation
+  harness.step();
+  EXPECT_EQ(harness.pressure(), "normal");
+  EXPECT_TRUE(harness.changes().empty());
 }
 
-// ---- hard case 5 ----
-TEST(Levels, AReloadThatRemovesThePresentLevelFallsToTheNearestBelow) {
-  Rig r;
-  r.reach("shed-history", 0.3);
-  auto c = config();
-  c.pressure.levels.erase(c.pressure.levels.begin() + 3);
-  r.levels.reload(c, r.now, r.events);
-  EXPECT_EQ(r.pressure(), "trim");
-  EXPECT_EQ(r.events.back().change.cause, Cause::reloaded);
-  EXPECT_EQ(r.events.back().change.from, "shed-history");
-  c.pressure.levels.resize(1);
-  r.levels.reload(c, r.now, r.events);
-  EXPECT_EQ(r.pressure(), "normal");
-  EXPECT_TRUE(r.admit(history).admitted);
+// ---- configuration ----
+TEST(Levels, ReloadWithoutTheCurrentLevelFallsToTheNearestLevelBelow) {
+  LevelsHarness harness;
+  harness.reach("shed-history", 0.3);
+  auto config = make_config();
+  config.pressure.levels.erase(config.pressure.levels.begin() + 3);
+  harness.levels.reload(config, harness.now, harness.events);
+  EXPECT_EQ(harness.pressure(), "trim");
+  EXPECT_EQ(harness.events.back().change.cause, Cause::reloaded);
+  EXPECT_EQ(harness.events.back().change.from, "shed-history");
+  config.pressure.levels.resize(1);
+  harness.levels.reload(config, harness.now, harness.events);
+  EXPECT_EQ(harness.pressure(), "normal");
+  EXPECT_TRUE(harness.admit(history).admitted);
 }
 
-TEST(Levels, WrongLaddersAreRefusedWithTheirPlace) {
+TEST(Levels, InvalidLadderIsRejectedWithThePathOfTheError) {
   struct Case {
-    const char* what;
-    std::function<void(Config&)> spoil;
-    std::string where;
+    const char* description;
+    std::function<void(Config&)> corrupt;
+    std::string path;
   };
   const std::vector<Case> cases = {
       {"no level", [](Config& c) { c.pressure.levels.clear(); }, "/pressure"},
-      {"two of a name", [](Config& c) { c.pressure.levels[3].name = "trim"; }, "/pressure/3/name"},
-      {"no way in", [](Config& c) { c.pressure.levels[1].enter.conditions.clear(); }, "/pressure/1/enter"},
-      {"no way out", [](Config& c) { c.pressure.levels[1].exit.conditions.clear(); }, "/pressure/1/exit"},
-      {"a share over one is never",
+      {"duplicate name", [](Config& c) { c.pressure.levels[3].name = "trim"; }, "/pressure/3/name"},
+      {"no entry condition", [](Config& c) { c.pressure.levels[1].enter.conditions.clear(); },
+       "/pressure/1/enter"},
+      {"no exit condition", [](Config& c) { c.pressure.levels[1].exit.conditions.clear(); },
+       "/pressure/1/exit"},
+      {"a share is never above one",
        [](Config& c) {
-         c.pressure.levels[1].enter = {false, {{Reading::refused, gate, true, 1.0, {}}}};
+         c.pressure.levels[1].enter = {false, {{Reading::refused, gate_check, true, 1.0, {}}}};
        },
        "/pressure/1/enter/0"},
-      {"below nothing is never",
+      {"a share is never below zero",
        [](Config& c) {
-         c.pressure.levels[1].exit = {true, {{Reading::refused, gate, false, -0.1, {}}}};
+         c.pressure.levels[1].exit = {true, {{Reading::refused, gate_check, false, -0.1, {}}}};
        },
        "/pressure/1/exit/0"},
-      {"both sides at once is never",
+      {"conditions that exclude each other",
        [](Config& c) {
          c.pressure.levels[1].enter = {
-             true, {{Reading::late, gate, true, 0.6, {}}, {Reading::late, gate, false, 0.5, {}}}};
+             true, {{Reading::late, gate_check, true, 0.6, {}}, {Reading::late, gate_check, false, 0.5, {}}}};
        },
        "/pressure/1/enter"},
-      {"the way out overlaps the way in",
+      {"exit rule overlaps the entry rule",
        [](Config& c) {
-         c.pressure.levels[1].exit = {true, {{Reading::refused, gate, false, 0.5, {}}}};
+         c.pressure.levels[1].exit = {true, {{Reading::refused, gate_check, false, 0.5, {}}}};
        },
        "/pressure/1/exit"},
-      {"the way out does not look at what let it in",
+      {"exit rule ignores the readings of the entry rule",
        [](Config& c) {
          c.pressure.levels[1].exit = {true, {{Reading::loop_lag, -1, false, 0.5, {}}}};
        },
        "/pressure/1/exit"},
-      {"a group's reading on the gateway's axis",
+      {"a reading of a group on the gateway's axis",
        [](Config& c) {
          c.pressure.levels[1].enter = {false, {{Reading::primary_lost, -1, true, 1, {}}}};
        },
        "/pressure/1/enter/0/reading"},
-      {"a gateway's reading on a group's axis",
+      {"a reading of the gateway on the axis of groups",
        [](Config& c) {
          c.faults.levels[1].enter = {false, {{Reading::memory, -1, true, 0.5, {}}}};
        },
        "/faults/1/enter/0/reading"},
-      {"a bound that is no number",
+      {"a bound that is not a number",
        [](Config& c) {
          c.pressure.levels[1].enter.conditions[0].bound = std::numeric_limits<double>::quiet_NaN();
        },
        "/pressure/1/enter/0"},
-      {"a share over one", [](Config& c) { c.pressure.levels[1].sheds[0].share = 1.5; },
+      {"a shed share above one", [](Config& c) { c.pressure.levels[1].shed_rules[0].share = 1.5; },
        "/pressure/1/shed/0/share"},
-      {"writes before the rest",
+      {"writes shed before other requests",
        [](Config& c) {
-         c.pressure.levels[1].sheds.push_back({{bid}, -1, false, false, false, 0.1});
+         c.pressure.levels[1].shed_rules.push_back({{bid_submit}, -1, false, false, false, 0.1});
        },
        "/pressure/1/shed"},
-      {"a tenant on the faults' axis", [](Config& c) { c.faults.levels[1].sheds[0].tenant = 1; },
+      {"a tenant on the faults axis", [](Config& c) { c.faults.levels[1].shed_rules[0].tenant = 1; },
        "/faults/1/shed/0/tenant"},
-      {"the normal level sheds", [](Config& c) { c.pressure.levels[0].sheds.push_back({}); }, "/pressure/0"},
+      {"the normal level sheds", [](Config& c) { c.pressure.levels[0].shed_rules.push_back({}); },
+       "/pressure/0"},
   };
-  EXPECT_FALSE(find_config_issue(config(), service()));
-  for (const auto& k : cases) {
-    auto c = config();
-    k.spoil(c);
-    const auto flaw = find_config_issue(c, service());
-    ASSERT_TRUE(flaw) << k.what;
-    EXPECT_EQ(flaw->where, k.where) << k.what;
-    EXPECT_FALSE(flaw->what.empty());
+  EXPECT_FALSE(find_config_issue(make_config(), service()));
+  for (const auto& test_case : cases) {
+    auto config = make_config();
+    test_case.corrupt(config);
+    const auto issue = find_config_issue(config, service());
+    ASSERT_TRUE(issue) << test_case.description;
+    EXPECT_EQ(issue->path, test_case.path) << test_case.description;
+    EXPECT_FALSE(issue->message.empty());
   }
 }
 
-// ---- hard case 6 ----
-TEST(Levels, AThousandRefusedAtOnceComeBackSpreadOut) {
-  for (const auto lost_for : {500ms, 4900ms}) {  // long before the take-over's expected end, and close to it
-    Rig r;
-    r.primary[1] = false;
-    r.quiet(lost_for);
-    ASSERT_EQ(r.faults(1), "no-writes");
-    std::map<std::int64_t, int> back;  // by 50 ms
+// ---- retry-after ----
+// Guards against a thundering herd: clients that are refused at the same time must not all retry together.
+TEST(Levels, RetryAfterOfAThousandSimultaneousRefusalsIsSpread) {
+  // Long before the expected end of the takeover, and shortly before it.
+  for (const auto lost_for : {500ms, 4900ms}) {
+    LevelsHarness harness;
+    harness.primary[1] = false;
+    harness.run_idle(lost_for);
+    ASSERT_EQ(harness.faults(1), "no-writes");
+    std::map<std::int64_t, int> retries_by_slot;  // slots of 50 ms
     int refused = 0;
     for (std::uint64_t caller = 1; caller <= 1000; ++caller) {
-      auto a = r.ask(gate, 1, caller);
-      a.time_left = 100ms;
-      const auto v = r.levels.admit(a, r.now);
-      if (v.admitted) continue;
+      auto request = harness.make_request(gate_check, 1, caller);
+      request.time_left = 100ms;
+      const auto verdict = harness.levels.admit(request, harness.now);
+      if (verdict.admitted) continue;
       ++refused;
-      EXPECT_LE(v.retry_after, 500ms);  // clients keep to no longer one
-      for (std::int64_t slot = v.retry_after.count() / 50'000, i = slot; i <= slot; ++i) ++back[i];
+      EXPECT_LE(verdict.retry_after, 500ms);  // the longest time that clients honour
+      for (std::int64_t slot = verdict.retry_after.count() / 50'000, i = slot; i <= slot; ++i)
+        ++retries_by_slot[i];
     }
     EXPECT_EQ(refused, 1000);
-    int most = 0;
-    for (const auto& [slot, n] : back) most = std::max(most, n);
-    EXPECT_LE(most, 260) << lost_for.count();  // 1,000 over 250 ms; without the spread all 1,000 in one
-    EXPECT_GE(back.size(), 5U);
+    int max_retries = 0;
+    for (const auto& [slot, retries] : retries_by_slot) max_retries = std::max(max_retries, retries);
+    // 1,000 retries over 250 ms; without the spread all 1,000 would fall into one slot.
+    EXPECT_LE(max_retries, 260) << lost_for.count();
+    EXPECT_GE(retries_by_slot.size(), 5U);
   }
 }
 
 // ---- an operator's pin ----
-TEST(Levels, APinHoldsToItsEndAndNoLongerAndKeepsTheBound) {
-  Rig r;
-  r.quiet(1s);
-  const Time until = r.now + 30s;
-  EXPECT_FALSE(r.levels.pin(std::nullopt, "no such level", until, r.now));
-  EXPECT_FALSE(r.levels.pin(std::nullopt, "trim", r.now, r.now));
-  ASSERT_TRUE(r.levels.pin(std::nullopt, "shed-history", until, r.now));
-  r.quiet(1s);
-  EXPECT_EQ(r.pressure(), "shed-history");
-  EXPECT_EQ(r.events.back().change.cause, Cause::pinned);
-  EXPECT_EQ(r.events.back().change.until, until);
-  ASSERT_TRUE(
-      r.levels.pin(std::nullopt, "normal", until, r.now));  // at once would be two changes in a second
-  r.quiet(1s);
-  EXPECT_EQ(r.pressure(), "shed-history");
-  ASSERT_TRUE(r.levels.pin(std::nullopt, "shed-history", until, r.now));
-  r.run(27s, 0.9);
-  EXPECT_EQ(r.pressure(), "shed-history");  // whatever the readings say
-  r.run(2s, 0.9);
-  EXPECT_EQ(r.pressure(), "protect-gate");  // from there on the readings decide again, a step at a time
-  EXPECT_TRUE(std::any_of(r.events.begin(), r.events.end(), [&](const AxisChange& e) {
-    return e.change.cause == Cause::pin_ended && e.change.at >= until;
+TEST(Levels, PinAppliesUntilItsEndAndRespectsTheMinimumChangeInterval) {
+  LevelsHarness harness;
+  harness.run_idle(1s);
+  const Time until = harness.now + 30s;
+  EXPECT_FALSE(harness.levels.pin(std::nullopt, "no such level", until, harness.now));
+  EXPECT_FALSE(harness.levels.pin(std::nullopt, "trim", harness.now, harness.now));
+  ASSERT_TRUE(harness.levels.pin(std::nullopt, "shed-history", until, harness.now));
+  harness.run_idle(1s);
+  EXPECT_EQ(harness.pressure(), "shed-history");
+  EXPECT_EQ(harness.events.back().change.cause, Cause::pinned);
+  EXPECT_EQ(harness.events.back().change.pinned_until, until);
+  // Applied at once, this pin would make two changes within a second.
+  ASSERT_TRUE(harness.levels.pin(std::nullopt, "normal", until, harness.now));
+  harness.run_idle(1s);
+  EXPECT_EQ(harness.pressure(), "shed-history");
+  ASSERT_TRUE(harness.levels.pin(std::nullopt, "shed-history", until, harness.now));
+  harness.run(27s, 0.9);
+  EXPECT_EQ(harness.pressure(), "shed-history");  // regardless of the readings
+  harness.run(2s, 0.9);
+  EXPECT_EQ(harness.pressure(), "protect-gate");  // the readings decide again, one level at a time
+  EXPECT_TRUE(std::any_of(harness.events.begin(), harness.events.end(), [&](const AxisChange& event) {
+    return event.change.cause == Cause::pin_ended && event.change.at >= until;
   }));
-  EXPECT_GE(r.closest(), 10s);
+  EXPECT_GE(harness.shortest_interval(), 10s);
 }
 
-TEST(Levels, APinOfAGroupAndTakingItBack) {
-  Rig r;
-  r.quiet(1s);
-  ASSERT_TRUE(r.levels.pin(GroupId{2}, "no-writes", r.now + 1h, r.now));
-  EXPECT_FALSE(r.levels.pin(GroupId{9}, "no-writes", r.now + 1h, r.now));
-  r.quiet(1s);
-  EXPECT_EQ(r.faults(2), "no-writes");
-  EXPECT_EQ(r.faults(1), "normal");
-  EXPECT_TRUE(r.levels.unpin(GroupId{2}));
-  r.quiet(15s);
-  EXPECT_EQ(r.faults(2), "normal");
+TEST(Levels, PinOfAGroupLeavesOtherGroupsAloneAndCanBeRemoved) {
+  LevelsHarness harness;
+  harness.run_idle(1s);
+  ASSERT_TRUE(harness.levels.pin(GroupId{2}, "no-writes", harness.now + 1h, harness.now));
+  EXPECT_FALSE(harness.levels.pin(GroupId{9}, "no-writes", harness.now + 1h, harness.now));
+  harness.run_idle(1s);
+  EXPECT_EQ(harness.faults(2), "no-writes");
+  EXPECT_EQ(harness.faults(1), "normal");
+  EXPECT_TRUE(harness.levels.unpin(GroupId{2}));
+  harness.run_idle(15s);
+  EXPECT_EQ(harness.faults(2), "normal");
 }
 
-TEST(Levels, GroupsAreBoundedAndForgotten) {
-  auto c = config();
-  c.groups_most = 10;
-  Rig r(c);
-  for (std::int64_t g = 1; g <= 100; ++g) r.primary[g] = true;
-  r.quiet(1s);
-  EXPECT_EQ(r.levels.groups().size(), 10U);
-  r.primary.clear();
-  r.quiet(1s);
-  EXPECT_EQ(r.levels.groups().size(), 0U);
+TEST(Levels, TrackedGroupsAreLimitedAndDroppedWhenNoLongerReported) {
+  auto config = make_config();
+  config.max_groups = 10;
+  LevelsHarness harness(config);
+  for (std::int64_t group = 1; group <= 100; ++group) harness.primary[group] = true;
+  harness.run_idle(1s);
+  EXPECT_EQ(harness.levels.groups().size(), 10U);
+  harness.primary.clear();
+  harness.run_idle(1s);
+  EXPECT_EQ(harness.levels.groups().size(), 0U);
 }
 
 }  // namespace
--- a/tests/reduced_test.cpp
+++ b/tests/reduced_test.cpp
@@ -1,4 +1,5 @@
-// Levels of reduced service, the operators' socket and records over real sockets against the started program.
+// End-to-end tests over real sockets against a started gateway: levels of reduced service, contracts, the
+// admin socket and the records file.
 #include <gtest/gtest.h>
 #include <rapidjson/document.h>
 #include <signal.h>
@@ -17,22 +18,25 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr const char* levels_on =
+constexpr const char* gateway_with_levels =
     R"({"admin":{"socket":"@DIR@/admin.sock"},"records":{"file":"@DIR@/records.jsonl"},)"
     R"("log":{"form":"json"},"levels":{"mode":"on"}})";
 
-struct Reduced {
-  PgStandIn primary, left, right;
+/// A gateway in front of one group: a primary and two replicas.
+struct GatewayFixture {
+  PgStandIn primary;
+  PgStandIn left;
+  PgStandIn right;
   std::unique_ptr<Discovery> discovery;
   std::unique_ptr<Program> program;
-  explicit Reduced(const std::string& gateway = levels_on) {
+  explicit GatewayFixture(const std::string& gateway = gateway_with_levels) {
     primary.primary = true;
     const auto list = list_of(1, {member("p", primary.address(), true), member("l", left.address(), false),
                                   member("r", right.address(), false)});
     discovery = std::make_unique<Discovery>(list);
     program = std::make_unique<Program>(config_json(discovery->address(), list), "", gateway);
   }
-  /// Waits until `ctl levels` says so.
+  /// Waits until the output of `ctl --json levels` contains the text; false after the response timeout.
   bool wait_levels(const std::string& text) {
     for (const auto end = Clock::now() + patience; Clock::now() < end;) {
       if (program->ctl("--json levels").find(text) != std::string::npos) return true;
@@ -41,145 +45,153 @@
     return false;
   }
   std::string records() const {
-    std::ifstream in(program->dir() + "/records.jsonl");
+    std::ifstream file(program->dir() + "/records.jsonl");
     std::stringstream text;
-    text << in.rdbuf();
+    text << file.rdbuf();
     return text.str();
   }
 };
 
-TEST(Reduced, AWriteWithoutAPrimaryIsRefusedAtOnceWithWhoAndWhyAndReadsGoOn) {
-  Reduced r;
-  PgClient c(r.program->pg());
-  EXPECT_EQ(c.query(statement("a0", "bid")).types, "TDCZ");
-  // The primary is no more: it drains, and nobody has taken over.
-  ASSERT_TRUE(r.discovery->wait_watches(1));
-  r.discovery->tell(list_of(2, {member("p", r.primary.address(), false, "DRAINING")}, false));
-  ASSERT_TRUE(r.wait_levels("no-writes"));
+TEST(ReducedService, WriteWithoutAPrimaryIsRefusedAtOnceAndReadsAreStillServed) {
+  GatewayFixture gateway;
+  PgClient client(gateway.program->pg());
+  EXPECT_EQ(client.query(statement("a0", "bid")).types, "TDCZ");
+  // The primary drains, and no replica has taken over.
+  ASSERT_TRUE(gateway.discovery->wait_watches(1));
+  gateway.discovery->tell(list_of(2, {member("p", gateway.primary.address(), false, "DRAINING")}, false));
+  ASSERT_TRUE(gateway.wait_levels("no-writes"));
   const auto start = Clock::now();
-  const auto refused = c.query(statement("a1", "bid", 4000));
-  EXPECT_LT(Clock::now() - start, 1500ms);  // at once: the router would hold it for 1.8 s
+  const auto refused = client.query(statement("a1", "bid", 4000));
+  EXPECT_LT(Clock::now() - start, 1500ms);  // the router alone would hold the write for 1.8 s
   EXPECT_EQ(refused.code, "53300");
   EXPECT_GT(std::atoi(refused.detail.c_str()), 0);
   EXPECT_LE(std::atoi(refused.detail.c_str()), 500);
-  EXPECT_EQ(c.query(statement("a2", "history")).types, "TDCZ");
-  // Its return lets writes through at once, though the level is kept for its least stay.
-  r.left.primary = true;
-  r.discovery->tell(list_of(3, {member("l", r.left.address(), true)}, false));
+  EXPECT_EQ(client.query(statement("a2", "history")).types, "TDCZ");
+  // With a new primary, writes are served at once, although the level lasts for its minimum dwell time.
+  gateway.left.primary = true;
+  gateway.discovery->tell(list_of(3, {member("l", gateway.left.address(), true)}, false));
   std::string types;
   for (int i = 0; i < 200 && types != "TDCZ"; ++i) {
-    types = c.query(statement("b" + std::to_string(i), "bid")).types;
+    types = client.query(statement("b" + std::to_string(i), "bid")).types;
     if (types != "TDCZ") std::this_thread::sleep_for(20ms);
   }
   EXPECT_EQ(types, "TDCZ");
-  const auto said = r.records();
-  EXPECT_NE(said.find(R"("subject":"postgresql group 1","from":"normal","to":"no-writes")"),
+  const auto records = gateway.records();
+  EXPECT_NE(records.find(R"("subject":"postgresql group 1","from":"normal","to":"no-writes")"),
             std::string::npos)
-      << said;
-  EXPECT_NE(said.find("primary_lost"), std::string::npos);
-  std::istringstream lines(said);
+      << records;
+  EXPECT_NE(records.find("primary_lost"), std::string::npos);
+  std::istringstream lines(records);
   for (std::string line; std::getline(lines, line);) {
-    rapidjson::Document d;
-    d.Parse(line.c_str());
-    EXPECT_FALSE(d.HasParseError()) << line;
+    rapidjson::Document record;
+    record.Parse(line.c_str());
+    EXPECT_FALSE(record.HasParseError()) << line;
   }
 }
 
-TEST(Reduced, AnOperatorsPinShedsAndEndsAndIsRecorded) {
-  Reduced r(R"({"admin":{"socket":"@DIR@/admin.sock"},"levels":{"mode":"on","apart_ms":1000,"pressure":[)"
-            R"({"name":"normal"},{"name":"no-history","shed":[{"classes":["history"]}],)"
-            R"("enter":{"any":[{"reading":"refused","class":"gate","above":0.5}]},)"
-            R"("exit":{"all":[{"reading":"refused","class":"gate","below":0.1}]}}]}})");
-  PgClient c(r.program->pg());
-  EXPECT_EQ(c.query(statement("a0", "history")).types, "TDCZ");
-  EXPECT_EQ(r.program->ctl("set-level postgresql pressure nowhere 30").substr(0, 5), "error");
-  EXPECT_NE(r.program->ctl("set-level mysql pressure survive 30").find("no front"), std::string::npos);
-  EXPECT_NE(r.program->ctl("set-level postgresql pressure no-history 2").find("exit 0"), std::string::npos);
-  ASSERT_TRUE(r.wait_levels(R"("pressure":{"level":"no-history")"));
-  const auto refused = c.query(statement("a1", "history"));
+TEST(ReducedService, PinByAnOperatorShedsUntilItsEndAndIsRecorded) {
+  GatewayFixture gateway(
+      R"({"admin":{"socket":"@DIR@/admin.sock"},"levels":{"mode":"on","apart_ms":1000,"pressure":[)"
+      R"({"name":"normal"},{"name":"no-history","shed":[{"classes":["history"]}],)"
+      R"("enter":{"any":[{"reading":"refused","class":"gate","above":0.5}]},)"
+      R"("exit":{"all":[{"reading":"refused","class":"gate","below":0.1}]}}]}})");
+  PgClient client(gateway.program->pg());
+  EXPECT_EQ(client.query(statement("a0", "history")).types, "TDCZ");
+  EXPECT_EQ(gateway.program->ctl("set-level postgresql pressure nowhere 30").substr(0, 5), "error");
+  EXPECT_NE(gateway.program->ctl("set-level mysql pressure survive 30").find("no front"), std::string::npos);
+  EXPECT_NE(gateway.program->ctl("set-level postgresql pressure no-history 2").find("exit 0"),
+            std::string::npos);
+  ASSERT_TRUE(gateway.wait_levels(R"("pressure":{"level":"no-history")"));
+  const auto refused = client.query(statement("a1", "history"));
   EXPECT_EQ(refused.code, "53300");
   EXPECT_GT(std::atoi(refused.detail.c_str()), 0);
-  EXPECT_EQ(c.query(statement("a2", "gate")).types, "TDCZ");
-  ASSERT_TRUE(r.wait_levels(
-      R"("pressure":{"level":"normal")"));  // past its end, and past the least time between changes
-  EXPECT_EQ(c.query(statement("a3", "history")).types, "TDCZ");
-  const auto said = r.program->ctl("records");
-  for (const auto* word : {"pinned", "pin ended", "left"})
-    EXPECT_NE(said.find(word), std::string::npos) << said;
+  EXPECT_EQ(client.query(statement("a2", "gate")).types, "TDCZ");
+  // After the end of the pin and the minimum time between changes.
+  ASSERT_TRUE(gateway.wait_levels(R"("pressure":{"level":"normal")"));
+  EXPECT_EQ(client.query(statement("a3", "history")).types, "TDCZ");
+  const auto records = gateway.program->ctl("records");
+  for (const auto* cause : {"pinned", "pin ended", "left"})
+    EXPECT_NE(records.find(cause), std::string::npos) << records;
 }
 
-TEST(Reduced, ALoadThatSwingsChangesNoMoreOftenThanTheBoundAndEachChangeIsExplained) {
-  Reduced r(
+TEST(ReducedService, OscillatingLoadKeepsTheMinimumChangeIntervalAndEachChangeIsRecordedWithItsReasons) {
+  GatewayFixture gateway(
       R"({"admin":{"socket":"@DIR@/admin.sock"},"records":{"file":"@DIR@/records.jsonl"},"levels":{"mode":"watch",)"
       R"("apart_ms":1000,"damping":1,"memory_ms":100,"pressure":[{"name":"normal"},{"name":"less",)"
       R"("enter":{"any":[{"reading":"retries","above":0.7}]},)"
       R"("exit":{"all":[{"reading":"retries","below":0.3}]}}]}})");
-  PgClient c(r.program->pg());
-  const auto changes = [&] {
-    std::vector<std::int64_t> at;
-    std::istringstream lines(r.records());
+  PgClient client(gateway.program->pg());
+  const auto change_times_ms = [&] {
+    std::vector<std::int64_t> times;
+    std::istringstream lines(gateway.records());
     for (std::string line; std::getline(lines, line);) {
-      rapidjson::Document d;
-      d.Parse(line.c_str());
-      EXPECT_TRUE(d.IsObject() && d.HasMember("rule") && d.HasMember("readings") && d.HasMember("at_ms"))
+      rapidjson::Document record;
+      record.Parse(line.c_str());
+      EXPECT_TRUE(record.IsObject() && record.HasMember("rule") && record.HasMember("readings") &&
+                  record.HasMember("at_ms"))
           << line;
-      if (d.IsObject() && std::string(d["from"].GetString()) != d["to"].GetString())
-        at.push_back(d["at_ms"].GetInt64());
+      if (record.IsObject() && std::string(record["from"].GetString()) != record["to"].GetString())
+        times.push_back(record["at_ms"].GetInt64());
     }
-    return at;
+    return times;
   };
-  int asked = 0;
-  // All requests are retries, then none, by turns of 400 ms, until five changes have been seen.
-  for (const auto end = Clock::now() + patience; Clock::now() < end && changes().size() < 5;)
-    for (const auto* more : {",r=1", ""})
-      for (const auto swing = Clock::now() + 400ms; Clock::now() < swing;)
-        c.query(statement("s" + std::to_string(++asked), "history", 2000, more));
-  const auto at = changes();
-  ASSERT_GE(at.size(), 5U);
-  for (std::size_t i = 1; i < at.size(); ++i) EXPECT_GE(at[i] - at[i - 1], 999);  // each is cut to whole ms
+  int request_count = 0;
+  // Alternates every 400 ms between retries only and no retries, until five changes have been recorded.
+  for (const auto end = Clock::now() + patience; Clock::now() < end && change_times_ms().size() < 5;)
+    for (const auto* fields : {",r=1", ""})
+      for (const auto phase_end = Clock::now() + 400ms; Clock::now() < phase_end;)
+        client.query(statement("s" + std::to_string(++request_count), "history", 2000, fields));
+  const auto times = change_times_ms();
+  ASSERT_GE(times.size(), 5U);
+  // 999 ms, since recorded times are truncated to milliseconds.
+  for (std::size_t i = 1; i < times.size(); ++i) EXPECT_GE(times[i] - times[i - 1], 999);
 }
 
-TEST(Reduced, AReloadTakesOtherLevelsAndAWrongFileChangesNothing) {
-  Reduced r;
-  PgClient c(r.program->pg());
-  r.program->configure_gateway(R"({"admin":{"socket":"@DIR@/admin.sock"},"levels":{"mode":"sometimes"}})");
-  r.program->signal(SIGHUP);
-  ASSERT_TRUE(r.program->wait_output("not reloaded: ", 1));
-  EXPECT_NE(r.program->output().find("/levels/mode"), std::string::npos);
-  ASSERT_TRUE(r.wait_levels(R"("mode":"on")"));
-  r.program->configure_gateway(R"({"admin":{"socket":"@DIR@/admin.sock"},"levels":{"mode":"watch"}})");
-  r.program->signal(SIGHUP);
-  ASSERT_TRUE(r.program->wait_output("reloaded, discovery", 1));
-  ASSERT_TRUE(r.wait_levels(R"("mode":"watch")"));
-  r.program->configure_gateway(R"({"admin":{"socket":"@DIR@/admin.sock"}})");
-  r.program->signal(SIGHUP);
-  ASSERT_TRUE(r.wait_levels(R"("mode":"off")"));
-  EXPECT_EQ(c.query(statement("a1", "history")).types, "TDCZ");
+TEST(ReducedService, ReloadAppliesNewLevelsAndAnInvalidFileChangesNothing) {
+  GatewayFixture gateway;
+  PgClient client(gateway.program->pg());
+  gateway.program->configure_gateway(
+      R"({"admin":{"socket":"@DIR@/admin.sock"},"levels":{"mode":"sometimes"}})");
+  gateway.program->signal(SIGHUP);
+  ASSERT_TRUE(gateway.program->wait_output("not reloaded: ", 1));
+  EXPECT_NE(gateway.program->output().find("/levels/mode"), std::string::npos);
+  ASSERT_TRUE(gateway.wait_levels(R"("mode":"on")"));
+  gateway.program->configure_gateway(R"({"admin":{"socket":"@DIR@/admin.sock"},"levels":{"mode":"watch"}})");
+  gateway.program->signal(SIGHUP);
+  ASSERT_TRUE(gateway.program->wait_output("reloaded, discovery", 1));
+  ASSERT_TRUE(gateway.wait_levels(R"("mode":"watch")"));
+  gateway.program->configure_gateway(R"({"admin":{"socket":"@DIR@/admin.sock"}})");
+  gateway.program->signal(SIGHUP);
+  ASSERT_TRUE(gateway.wait_levels(R"("mode":"off")"));
+  EXPECT_EQ(client.query(statement("a1", "history")).types, "TDCZ");
 }
 
-TEST(ContractsOverSockets, BeyondTheContractIsRefusedWithWhoAndWhyAndBooked) {
-  Reduced r(R"({"admin":{"socket":"@DIR@/admin.sock"},"records":{"file":"@DIR@/records.jsonl"},"contracts":{)"
-            R"("mode":"enforce","window_ms":1000,"teams":[{"name":"desks","tenants":["acme"],)"
-            R"("classes":{"history":{"rate":0.001,"burst":3,"beyond":"refuse"}}}]}})");
-  PgClient c(r.program->pg());
-  for (int i = 0; i < 3; ++i) EXPECT_EQ(c.query(statement("a" + std::to_string(i), "history")).types, "TDCZ");
-  const auto refused = c.query(statement("b", "history"));
+TEST(ContractsOverSockets, RequestBeyondTheContractIsRefusedAndCounted) {
+  GatewayFixture gateway(
+      R"({"admin":{"socket":"@DIR@/admin.sock"},"records":{"file":"@DIR@/records.jsonl"},"contracts":{)"
+      R"("mode":"enforce","window_ms":1000,"teams":[{"name":"desks","tenants":["acme"],)"
+      R"("classes":{"history":{"rate":0.001,"burst":3,"beyond":"refuse"}}}]}})");
+  PgClient client(gateway.program->pg());
+  for (int i = 0; i < 3; ++i)
+    EXPECT_EQ(client.query(statement("a" + std::to_string(i), "history")).types, "TDCZ");
+  const auto refused = client.query(statement("b", "history"));
   EXPECT_EQ(refused.code, "53300");
   EXPECT_GT(std::atoi(refused.detail.c_str()), 0);
-  EXPECT_EQ(c.query(statement("c", "gate")).types, "TDCZ");  // without a contract: nobody's matter
-  const auto status = r.program->ctl("--json contracts");
+  EXPECT_EQ(client.query(statement("c", "gate")).types, "TDCZ");  // a class without a contract
+  const auto status = gateway.program->ctl("--json contracts");
   EXPECT_NE(status.find(R"("team":"desks","class":"history","asked":4,"within":3,"beyond":1,"in_time":3)"),
             std::string::npos)
       << status;
-  for (const auto end = Clock::now() + patience; Clock::now() < end && r.records().empty();)
+  for (const auto end = Clock::now() + patience; Clock::now() < end && gateway.records().empty();)
     std::this_thread::sleep_for(20ms);
-  EXPECT_NE(r.records().find("the team asked beyond its contract"), std::string::npos) << r.records();
-  EXPECT_EQ(r.records().find("the gateway missed"), std::string::npos);
-  // The report of the same records twice, as of two gateways, with a torn line at their end.
-  const auto copy = r.program->dir() + "/next.json";
-  std::ofstream(copy) << r.records() << "{\"record\":\"led";
+  EXPECT_NE(gateway.records().find("the team asked beyond its contract"), std::string::npos)
+      << gateway.records();
+  EXPECT_EQ(gateway.records().find("the gateway missed"), std::string::npos);
+  // The report on the same records twice, as if from two gateways, with a truncated last line.
+  const auto copy = gateway.program->dir() + "/next.json";
+  std::ofstream(copy) << gateway.records() << "{\"record\":\"led";
   FILE* pipe = ::popen((std::string(CEDARRING_GATEWAY) + " report contracts --csv " + copy + " " +
-                        r.program->dir() + "/records.jsonl 2>&1")
+                        gateway.program->dir() + "/records.jsonl 2>&1")
                            .c_str(),
                        "r");
   std::string report;
@@ -188,18 +200,19 @@
   EXPECT_EQ(::pclose(pipe), 0);
   EXPECT_NE(report.find("postgresql desks history,8,6,2,6,0,0,0,2,0,0,0,6,6,"), std::string::npos) << report;
   EXPECT_NE(report.find("1 of "), std::string::npos) << report;
-  // Another file takes the contract away; what was refused before is served now.
-  r.program->configure_gateway(R"({"admin":{"socket":"@DIR@/admin.sock"}})");
-  r.program->signal(SIGHUP);
-  ASSERT_TRUE(r.program->wait_output("reloaded, discovery", 1));
-  EXPECT_EQ(c.query(statement("d", "history")).types, "TDCZ");
+  // After a reload without contracts, the request that was refused before is served.
+  gateway.program->configure_gateway(R"({"admin":{"socket":"@DIR@/admin.sock"}})");
+  gateway.program->signal(SIGHUP);
+  ASSERT_TRUE(gateway.program->wait_output("reloaded, discovery", 1));
+  EXPECT_EQ(client.query(statement("d", "history")).types, "TDCZ");
 }
 
-TEST(ContractsOverSockets, ABatchOf500ConnectionsThatPipelinesAndComesBackAtOnceLeavesTheDesksAlone) {
-  Reduced r;  // only for its hosts and discovery
-  const auto list = list_of(1, {member("p", r.primary.address(), true), member("l", r.left.address(), false),
-                                member("r", r.right.address(), false)});
-  auto config = config_json(r.discovery->address(), list);
+TEST(ContractsOverSockets, FiveHundredPipeliningConnectionsOfOneTeamDoNotAffectAnotherTeam) {
+  GatewayFixture gateway;  // provides the hosts and the discovery source
+  const auto list =
+      list_of(1, {member("p", gateway.primary.address(), true), member("l", gateway.left.address(), false),
+                  member("r", gateway.right.address(), false)});
+  auto config = config_json(gateway.discovery->address(), list);
   const std::string realm = R"({"name":"acme","quota_per_s":100})";
   config.insert(config.find(realm) + realm.size(), R"(,{"name":"batch","quota_per_s":100})");
   Program program(config, "",
@@ -207,102 +220,106 @@
                   R"({"name":"settlement","tenants":["batch"],)"
                   R"("classes":{"history":{"rate":0.01,"burst":20,"beyond":"refuse"}}}]}})");
   PgClient desk(program.pg());
-  int asked = 0, refused = 0, served = 0;
-  const auto pipelined = [&] {
-    std::string all;
+  int request_count = 0;
+  int refused = 0;
+  int served = 0;
+  const auto pipelined_queries = [&] {
+    std::string bytes;
     for (int i = 0; i < 4; ++i) {
-      auto one = statement("batch" + std::to_string(++asked), "history");
-      one.replace(one.find("t=acme"), 6, "t=batch");
-      all += pg_query(one);
+      auto query = statement("batch" + std::to_string(++request_count), "history");
+      query.replace(query.find("t=acme"), 6, "t=batch");
+      bytes += pg_query(query);
     }
-    return all;
+    return bytes;
   };
   std::vector<std::unique_ptr<PgClient>> batch;
   for (int i = 0; i < 500; ++i) {
     batch.push_back(std::make_unique<PgClient>(program.pg()));
-    batch.back()->socket.send(pipelined());
+    batch.back()->socket.send(pipelined_queries());
     if (i % 50 != 0) continue;
     EXPECT_EQ(desk.query(statement("desk" + std::to_string(i), "history")).types, "TDCZ") << i;
   }
-  // Each comes back at once with as many, on its own connection; one that has been closed meanwhile stays
-  // away.
+  // Each client repeats its queries at once on its own connection, unless the connection has been closed.
   for (int round = 0; round < 2; ++round)
-    for (auto& c : batch) {
-      bool there = true;
-      for (int i = 0; i < 4 && there; ++i) {
-        const auto answer = c->read_answer();
-        there = !answer.types.empty();
-        refused += answer.code == "53300" ? 1 : 0, served += answer.types == "TDCZ" ? 1 : 0;
+    for (auto& client : batch) {
+      bool connected = true;
+      for (int i = 0; i < 4 && connected; ++i) {
+        const auto answer = client->read_answer();
+        connected = !answer.types.empty();
+        refused += answer.code == "53300" ? 1 : 0;
+        served += answer.types == "TDCZ" ? 1 : 0;
       }
-      if (there && round == 0) c->socket.send(pipelined());
+      if (connected && round == 0) client->socket.send(pipelined_queries());
     }
   EXPECT_EQ(desk.query(statement("last", "gate")).types, "TDCZ");
-  EXPECT_LE(served, 21);  // its burst, and what the rate has earned since
+  EXPECT_LE(served, 21);  // the burst of the contract, and the tokens earned since at its rate
   EXPECT_GE(served, 20);
-  EXPECT_GE(refused, 1980);  // all else, at once
+  EXPECT_GE(refused, 1980);  // all other requests of the first round
 }
 
-TEST(Admin, AStuckClientHoldsNothingUpAndItsPlaceComesBack) {
-  Reduced r;
-  const auto path = r.program->dir() + "/admin.sock";
-  const auto local = [&] {
-    sockaddr_un at{};
-    at.sun_family = AF_UNIX;
-    std::copy(path.begin(), path.end(), at.sun_path);
+TEST(Admin, StalledAdminClientsDoNotBlockRequestsAndAreClosedAfterTheTimeout) {
+  GatewayFixture gateway;
+  const auto path = gateway.program->dir() + "/admin.sock";
+  const auto connect_admin = [&] {
+    sockaddr_un address{};
+    address.sun_family = AF_UNIX;
+    std::copy(path.begin(), path.end(), address.sun_path);
     wire::Fd fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
-    EXPECT_EQ(::connect(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at), 0);
+    EXPECT_EQ(::connect(fd.get(), reinterpret_cast<sockaddr*>(&address), sizeof address), 0);
     return fd;
   };
-  struct stat there {};
-  ASSERT_EQ(::stat(path.c_str(), &there), 0);
-  EXPECT_EQ(there.st_mode & 0077U, 0U);  // nobody else's business
-  std::vector<wire::Fd> stuck;
+  struct stat status {};
+  ASSERT_EQ(::stat(path.c_str(), &status), 0);
+  EXPECT_EQ(status.st_mode & 0077U, 0U);  // accessible to the owner only
+  std::vector<wire::Fd> stalled;
   for (std::size_t i = 0; i < wire::AdminSocket::clients_most; ++i) {
-    stuck.push_back(local());
-    ASSERT_GT(::send(stuck.back().get(), "lev", 3, MSG_NOSIGNAL), 0);  // half a line, and nothing more
+    stalled.push_back(connect_admin());
+    ASSERT_GT(::send(stalled.back().get(), "lev", 3, MSG_NOSIGNAL), 0);  // an incomplete line
   }
-  PgClient c(r.program->pg());
-  EXPECT_EQ(c.query(statement("a1", "history")).types, "TDCZ");           // requests do not notice
-  EXPECT_NE(r.program->ctl("levels").find("exit 1"), std::string::npos);  // the places are taken
+  PgClient client(gateway.program->pg());
+  EXPECT_EQ(client.query(statement("a1", "history")).types, "TDCZ");            // requests are unaffected
+  EXPECT_NE(gateway.program->ctl("levels").find("exit 1"), std::string::npos);  // all connections are taken
   char byte = 0;
-  for (auto& fd : stuck) EXPECT_EQ(::recv(fd.get(), &byte, 1, 0), 0);  // closed after their time
-  EXPECT_NE(r.program->ctl("levels").find("exit 0"), std::string::npos);
+  for (auto& fd : stalled) EXPECT_EQ(::recv(fd.get(), &byte, 1, 0), 0);  // closed after the timeout
+  EXPECT_NE(gateway.program->ctl("levels").find("exit 0"), std::string::npos);
 }
 
-TEST(Admin, ClearErrorsForWhatIsNotACommand) {
-  Reduced r;
-  const auto path = r.program->dir() + "/admin.sock";
-  const auto ask = [&](const std::string& line) {
-    std::string answer, error;
+TEST(Admin, InvalidCommandIsAnsweredWithASpecificError) {
+  GatewayFixture gateway;
+  const auto path = gateway.program->dir() + "/admin.sock";
+  const auto send_command = [&](const std::string& line) {
+    std::string answer;
+    std::string error;
     EXPECT_TRUE(wire::ask_admin(path, line, answer, error)) << error;
     return answer;
   };
-  EXPECT_NE(ask("frobnicate").find("unknown command"), std::string::npos);
-  EXPECT_NE(ask("help").find("set-level"), std::string::npos);
-  EXPECT_NE(ask("").find("commands"), std::string::npos);
-  EXPECT_NE(ask("set-level postgresql").find("error"), std::string::npos);
-  EXPECT_NE(ask("set-level postgresql x normal 5").find("number of a group"), std::string::npos);
-  EXPECT_NE(ask("set-level postgresql pressure normal 100000").find("86400"), std::string::npos);
-  EXPECT_NE(ask(std::string(2000, 'x')).find("too long"), std::string::npos);
-  EXPECT_NE(ask("hosts").find("\"group\":1"), std::string::npos);
-  std::string answer, error;
+  EXPECT_NE(send_command("frobnicate").find("unknown command"), std::string::npos);
+  EXPECT_NE(send_command("help").find("set-level"), std::string::npos);
+  EXPECT_NE(send_command("").find("commands"), std::string::npos);
+  EXPECT_NE(send_command("set-level postgresql").find("error"), std::string::npos);
+  EXPECT_NE(send_command("set-level postgresql x normal 5").find("number of a group"), std::string::npos);
+  EXPECT_NE(send_command("set-level postgresql pressure normal 100000").find("86400"), std::string::npos);
+  EXPECT_NE(send_command(std::string(2000, 'x')).find("too long"), std::string::npos);
+  EXPECT_NE(send_command("hosts").find("\"group\":1"), std::string::npos);
+  std::string answer;
+  std::string error;
   EXPECT_FALSE(wire::ask_admin(path + "x", "levels", answer, error));
   EXPECT_FALSE(error.empty());
 }
 
-TEST(Admin, AFileInItsPlaceIsNotTakenAway) {
-  char dir[] = "/tmp/cedarring-XXXXXX";
-  ASSERT_TRUE(mkdtemp(dir));
-  const auto path = std::string(dir) + "/precious";
+TEST(Admin, ExistingFileAtTheSocketPathIsKeptAndTheStartFails) {
+  char directory[] = "/tmp/cedarring-XXXXXX";
+  ASSERT_TRUE(mkdtemp(directory));
+  const auto path = std::string(directory) + "/existing";
   std::ofstream(path) << "kept";
-  Program p(config_json("127.0.0.1:1", list_of(1, {})), "", R"({"admin":{"socket":")" + path + "\"}}");
-  EXPECT_EQ(p.wait_exit(), 1);
-  EXPECT_NE(p.output().find(path), std::string::npos);
-  std::string word;
-  std::ifstream(path) >> word;
-  EXPECT_EQ(word, "kept");
+  Program program(config_json("127.0.0.1:1", list_of(1, {})), "", R"({"admin":{"socket":")" + path + "\"}}");
+  EXPECT_EQ(program.wait_exit(), 1);
+  EXPECT_NE(program.output().find(path), std::string::npos);
+  std::string content;
+  std::ifstream(path) >> content;
+  EXPECT_EQ(content, "kept");
   ::unlink(path.c_str());
-  ::rmdir(dir);
+  ::rmdir(directory);
 }
 
 }  // namespace
