--- a/src/app/gateway_file.cpp
+++ b/src/app/gateway_file.cpp
@@ -264,10 +264,6 @@
     writer.Key(key);
     writer.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
   };
-  const auto write_number = [&](const char* key, double value) {
-    writer.Key(key);
-    writer.Double(value);
-  };
   const auto write_milliseconds = [&](const char* key, Duration duration) {
     writer.Key(key);
     writer.Int64(duration.count() / 1000);
@@ -283,7 +279,8 @@
       write_text("reading", levels::reading_info(condition.reading).name);
       if (condition.class_index >= 0)
         write_text("class", service.classes[static_cast<std::size_t>(condition.class_index)].name);
-      write_number(condition.above ? "above" : "below", condition.bound);
+      writer.Key(condition.above ? "above" : "below");
+      writer.Double(condition.bound);
       write_milliseconds("for_ms", condition.hold_time);
       writer.EndObject();
     }
@@ -321,7 +318,8 @@
             writer.Key("only_hopeless");
             writer.Bool(true);
           }
-          write_number("share", rule.share);
+          writer.Key("share");
+          writer.Double(rule.share);
           writer.EndObject();
         }
         writer.EndArray();
@@ -331,10 +329,14 @@
           adjustments.read_spillover != 1) {
         writer.Key("changes");
         writer.StartObject();
-        write_number("probe_rate", adjustments.probe_rate);
-        write_number("retry_budget", adjustments.retry_budget);
-        write_number("pool_size", adjustments.pool_size);
-        write_number("spill", adjustments.read_spillover);
+        writer.Key("probe_rate");
+        writer.Double(adjustments.probe_rate);
+        writer.Key("retry_budget");
+        writer.Double(adjustments.retry_budget);
+        writer.Key("pool_size");
+        writer.Double(adjustments.pool_size);
+        writer.Key("spill");
+        writer.Double(adjustments.read_spillover);
         writer.EndObject();
       }
       writer.EndObject();
@@ -346,7 +348,8 @@
                      : config.mode == levels::Mode::watch ? "watch"
                                                           : "off");
   write_milliseconds("apart_ms", config.pressure.min_change_interval);
-  write_number("damping", config.pressure.damping);
+  writer.Key("damping");
+  writer.Double(config.pressure.damping);
   write_milliseconds("takeover_hint_ms", config.takeover_hint);
   write_milliseconds("memory_ms", config.reading_decay_time);
   write_ladder("pressure", config.pressure);
--- a/src/app/levels_runner.cpp
+++ b/src/app/levels_runner.cpp
@@ -141,10 +141,6 @@
     writer.Key(key);
     writer.Int64(duration.count() / 1000);
   };
-  const auto write_count = [&](const char* key, std::uint64_t count) {
-    writer.Key(key);
-    writer.Uint64(count);
-  };
   const auto write_ladder = [&](const levels::Ladder& ladder) {
     writer.Key("level");
     writer.String(ladder.current_level().name.c_str());
@@ -191,9 +187,12 @@
     writer.StartObject();
     writer.Key("class");
     writer.String(service_.classes[i].name.c_str());
-    write_count("asked", counters.requests);
-    write_count("shed", counters.shed);
-    write_count("refused_without_primary", counters.refused_without_primary);
+    writer.Key("asked");
+    writer.Uint64(counters.requests);
+    writer.Key("shed");
+    writer.Uint64(counters.shed);
+    writer.Key("refused_without_primary");
+    writer.Uint64(counters.refused_without_primary);
     writer.EndObject();
   }
   writer.EndArray();
