--- a/src/app/gateway_file.cpp
+++ b/src/app/gateway_file.cpp
@@ -192,13 +192,13 @@
   if (const auto* log = file.section("log")) {
     const auto level = text_or(*log, "level", "info");
     const auto form = text_or(*log, "form", "auto");
-    file.log.least = level == "debug"     ? telemetry::Level::debug
-                     : level == "warning" ? telemetry::Level::warning
-                     : level == "error"   ? telemetry::Level::error
-                                          : telemetry::Level::info;
-    file.log.form = form == "json"    ? telemetry::LogConfig::Form::json
-                    : form == "plain" ? telemetry::LogConfig::Form::plain
-                                      : telemetry::LogConfig::Form::automatic;
+    file.log.min_level = level == "debug"     ? telemetry::Level::debug
+                         : level == "warning" ? telemetry::Level::warning
+                         : level == "error"   ? telemetry::Level::error
+                                              : telemetry::Level::info;
+    file.log.format = form == "json"    ? telemetry::LogConfig::Format::json
+                      : form == "plain" ? telemetry::LogConfig::Format::plain
+                                        : telemetry::LogConfig::Format::automatic;
     if (const auto* value = member(*log, "per_cause")) file.log.per_cause = value->GetUint();
   }
   if (const auto* records = file.section("records")) {
--- a/src/app/levels_runner.h
+++ b/src/app/levels_runner.h
@@ -20,6 +20,7 @@
 telemetry::Record to_record(const levels::AxisChange& axis_change, const std::string& front_end,
                             const levels::ServiceInfo& service);
 
+/// Evaluates the levels of one front end on a timer of the event loop.
 class LevelsRunner {
  public:
   /// Readings that only the surrounding service can take.
--- a/src/levels/ladder.h
+++ b/src/levels/ladder.h
@@ -48,6 +48,7 @@
   double read_spillover = 1;
 };
 
+/// One level of a ladder: the rules to enter and leave it, and its effects.
 struct Level {
   std::string name;
   Rule enter;
@@ -104,6 +105,7 @@
   std::optional<Time> pinned_until;       // end of a pin
 };
 
+/// The state of one ladder: current level, hold timers of all conditions and an operator's pin.
 class Ladder {
  public:
   using SampleReader = std::function<Sample(const Condition&)>;
--- a/src/levels/levels.h
+++ b/src/levels/levels.h
@@ -66,6 +66,7 @@
   std::uint64_t refused_without_primary = 0;
 };
 
+/// The gate of both axes. Sheds requests by precomputed tables; `step` evaluates the ladders.
 class Levels : public gates::Gate {
  public:
   Levels(Config config, ServiceInfo service);
@@ -96,6 +97,7 @@
     float share = 0;
     bool only_hopeless = false;  // see ShedRule
   };
+  /// A tracked replica group.
   struct Group {
     Ladder faults;
     TakeoverEstimator takeover;
--- a/tests/gateway_file_test.cpp
+++ b/tests/gateway_file_test.cpp
@@ -262,8 +262,7 @@
   EXPECT_EQ(levels_to_json(*parsed, service(), {"acme"}), text);
 }
 
-/// Output and exit code of the gateway program. `prefix` goes before it on the command line: an environment
-/// assignment.
+/// Output and exit code of the gateway program. `prefix` precedes the command, to set its environment.
 std::pair<std::string, int> run_program(const std::string& arguments, const std::string& prefix = "") {
   FILE* pipe = ::popen((prefix + std::string(CEDARRING_GATEWAY) + " " + arguments + " 2>&1").c_str(), "r");
   std::string text;
