--- a/bench/levels_bench.cpp
+++ b/bench/levels_bench.cpp
@@ -78,7 +78,7 @@
   for (auto _ : state) {
     request.request = RequestId{++number};
     request.caller = number * 0x9e3779b97f4a7c15ULL;
-    request.cls = ClassId{static_cast<std::int32_t>(number & 3U)};
+    request.class_id = ClassId{static_cast<std::int32_t>(number & 3U)};
     request.group =
         GroupId{static_cast<std::int64_t>(number % static_cast<std::uint64_t>(state.range(0))) + 1};
     benchmark::DoNotOptimize(levels.admit(request, warm_time));
@@ -98,7 +98,7 @@
   result.elapsed = std::chrono::milliseconds(50);
   Time now = warm_time;
   for (auto _ : state) {
-    request.cls = ClassId{static_cast<std::int32_t>(now.count() & 3)};
+    request.class_id = ClassId{static_cast<std::int32_t>(now.count() & 3)};
     levels.on_request_end(request, result, now += std::chrono::microseconds(37));
   }
 }
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -53,7 +53,7 @@
   const Time now = clock_();
   std::vector<bool> in_use(classes_.size(), false), kept(classes_.size(), false);
   for (const auto& [id, request] : requests_)
-    in_use[static_cast<std::size_t>(request.gate_request.cls.value)] = true;
+    in_use[static_cast<std::size_t>(request.gate_request.class_id.value)] = true;
   std::vector<RequestClass> added;
   for (const auto& configured : settings.classes) {
     const auto request_class = with_attempts(configured, settings);
@@ -148,7 +148,7 @@
   request.accepted_at = now;
   request.deadline = deadline;
   request.gate_request.request = id;
-  request.gate_request.cls = class_id;
+  request.gate_request.class_id = class_id;
   request.gate_request.group = client_request.group;
   request.gate_request.retry = client_request.retry;
   request.gate_request.time_left = deadline - now;
@@ -171,7 +171,7 @@
   }
   RequestArrived event;
   event.request = id;
-  event.class_id = request.gate_request.cls;
+  event.class_id = request.gate_request.class_id;
   event.group = client_request.group;
   event.time_left = deadline - now;
   event.session = client_request.session;
@@ -185,7 +185,7 @@
 gates::Verdict Broker::pass_gates(Request& request, Time now) {
   // Gates know the classes and tenants of the start. Requests of those added by a reload bypass the gates
   // until the next restart.
-  if (static_cast<std::size_t>(request.gate_request.cls.value) >= gated_classes_ ||
+  if (static_cast<std::size_t>(request.gate_request.class_id.value) >= gated_classes_ ||
       (request.gate_request.tenant >= 0 &&
        static_cast<std::size_t>(request.gate_request.tenant) >= gated_tenants_))
     return {};
@@ -258,7 +258,7 @@
 void Broker::attempt_written(AttemptKey key) {
   const auto it = requests_.find(key.request.value);
   if (it != requests_.end())
-    ++classes_[static_cast<std::size_t>(it->second.gate_request.cls.value)].counts->tries;
+    ++classes_[static_cast<std::size_t>(it->second.gate_request.class_id.value)].counts->tries;
 }
 
 void Broker::collect_metrics(telemetry::Metrics& out) {
@@ -296,7 +296,7 @@
   request.message = std::move(result.message);
   // The position of a write is its commit, which only its primary is known to have.
   const bool commit =
-      classes_[static_cast<std::size_t>(request.gate_request.cls.value)].request_class.freshness ==
+      classes_[static_cast<std::size_t>(request.gate_request.class_id.value)].request_class.freshness ==
           Freshness::write &&
       result.metadata.role != Role::replica;
   observe_host(attempt.host, result.metadata.role, commit ? std::nullopt : result.metadata.position);
@@ -517,7 +517,7 @@
                                 now);
   }
   if (end == gates::RequestEnd::abandoned) return;
-  auto& counts = *classes_[static_cast<std::size_t>(request.gate_request.cls.value)].counts;
+  auto& counts = *classes_[static_cast<std::size_t>(request.gate_request.class_id.value)].counts;
   ++(end == gates::RequestEnd::served    ? counts.ok
      : end == gates::RequestEnd::refused ? counts.shed
                                          : counts.errors);
@@ -558,7 +558,7 @@
 void Broker::report_trace(const Request& request) const {
   RequestTrace trace;
   trace.name = request.name;
-  trace.contract = classes_[static_cast<std::size_t>(request.gate_request.cls.value)].request_class.name;
+  trace.contract = classes_[static_cast<std::size_t>(request.gate_request.class_id.value)].request_class.name;
   trace.group = request.gate_request.group;
   trace.retry = request.gate_request.retry;
   trace.elapsed = request.ended_at - request.accepted_at;
--- a/src/levels/levels.cpp
+++ b/src/levels/levels.cpp
@@ -78,14 +78,15 @@
 }
 
 gates::Verdict Levels::admit(const gates::GateRequest& request, Time now) {
-  if (request.cls.value < 0 || static_cast<std::size_t>(request.cls.value) >= counters_.size()) return {};
-  auto& counter = counters_[static_cast<std::size_t>(request.cls.value)];
+  if (request.class_id.value < 0 || static_cast<std::size_t>(request.class_id.value) >= counters_.size())
+    return {};
+  auto& counter = counters_[static_cast<std::size_t>(request.class_id.value)];
   ++counter.requests;
   recent_requests_ += 1;
   recent_retries_ += request.retry ? 1 : 0;
   const auto group = groups_.find(request.group);
   const bool without_primary = group != groups_.end() && !group->second.has_primary;
-  const auto index = cell_index(request.cls.value, request.beyond_budget, without_primary);
+  const auto index = cell_index(request.class_id.value, request.beyond_budget, without_primary);
   const auto takeover_remaining = [&] {
     return group->second.takeover.remaining(std::max(Duration::zero(), now - group->second.primary_lost_at));
   };
@@ -99,10 +100,12 @@
   double share = static_cast<double>(shed_table_[index].share);
   auto reason = gates::Reason::class_shed;
   if (request.beyond_budget &&
-      share > static_cast<double>(shed_table_[cell_index(request.cls.value, false, without_primary)].share))
+      share >
+          static_cast<double>(shed_table_[cell_index(request.class_id.value, false, without_primary)].share))
     reason = gates::Reason::budget_shed;
   for (const auto& shed : tenant_sheds_)
-    if (shed.tenant == request.tenant && (shed.class_index < 0 || shed.class_index == request.cls.value) &&
+    if (shed.tenant == request.tenant &&
+        (shed.class_index < 0 || shed.class_index == request.class_id.value) &&
         (!shed.only_beyond_budget || request.beyond_budget) && static_cast<double>(shed.share) > share) {
       share = static_cast<double>(shed.share);
       reason = gates::Reason::tenant_shed;
@@ -121,13 +124,13 @@
     ++counter.refused_without_primary;
   else
     ++counter.shed;
-  if (!service_.pauses) return verdict;
+  if (!service_.retry_after_allowed) return verdict;
   // Until a primary is expected, or until the pressure level may change at the earliest.
   const auto expected =
       reason == gates::Reason::no_primary
           ? takeover_remaining()
           : pressure_.since() + std::max(pressure_.min_dwell(), config_.pressure.min_change_interval) - now;
-  verdict.retry_after = spread_retry_after(expected, service_.max_pause, random_fraction());
+  verdict.retry_after = spread_retry_after(expected, service_.max_retry_after, random_fraction());
   return verdict;
 }
 
@@ -139,7 +142,7 @@
                                now - result.elapsed < group.primary_returned_at + primary_settle_time))
       return;
   }
-  meter_.add(request.cls, result, now);
+  meter_.add(request.class_id, result, now);
 }
 
 Sample Levels::sample(const Condition& condition, const Group* group, Time now) {
--- a/src/levels/meter.h
+++ b/src/levels/meter.h
@@ -34,8 +34,8 @@
     if (class_id.value < 0 || static_cast<std::size_t>(class_id.value) >= classes_.size() ||
         result.end == gates::RequestEnd::abandoned)
       return;
-    if (result.end == gates::RequestEnd::refused && result.by != gates::Decider::router &&
-        result.by != gates::Decider::nobody)
+    if (result.end == gates::RequestEnd::refused && result.decided_by != gates::Decider::router &&
+        result.decided_by != gates::Decider::nobody)
       return;
     auto& sums = classes_[static_cast<std::size_t>(class_id.value)];
     decay(sums, now);
--- a/tests/levels_test.cpp
+++ b/tests/levels_test.cpp
@@ -57,7 +57,7 @@
                                   bool beyond_budget = false) {
     gates::GateRequest request;
     request.request = RequestId{++request_count};
-    request.cls = ClassId{class_index};
+    request.class_id = ClassId{class_index};
     request.group = GroupId{group};
     request.caller = caller;
     request.beyond_budget = beyond_budget;
@@ -77,7 +77,7 @@
       for (int i = 0; i < 20; ++i) {
         gates::RequestResult result;
         result.end = i < refused * 20 ? gates::RequestEnd::refused : gates::RequestEnd::served;
-        result.by = gates::Decider::router;
+        result.decided_by = gates::Decider::router;
         result.elapsed = 50ms;
         levels.on_request_end(make_request(gate_check, 2), result, now);
       }
@@ -202,7 +202,7 @@
     harness.now += evaluation_interval;
     gates::RequestResult result;
     result.end = gates::RequestEnd::refused;
-    result.by = gates::Decider::levels;
+    result.decided_by = gates::Decider::levels;
     for (int k = 0; k < 20; ++k)
       harness.levels.on_request_end(harness.make_request(gate_check), result, harness.now);
     harness.step();
