--- a/src/app/gateway_file.cpp
+++ b/src/app/gateway_file.cpp
@@ -249,7 +249,7 @@
           break;
         }
       }
-    throw ConfigError(file.name + ": " + pointer + ": " + issue->message);
+    throw ConfigError(file.name + ": " + pointer + ": " + issue->problem);
   }
   return config;
 }
--- a/src/levels/ladder.h
+++ b/src/levels/ladder.h
@@ -180,10 +180,10 @@
   std::optional<Pin> pin_;
 };
 
-/// A configuration error: the path of JSON keys below the ladder's own, and a message.
+/// A configuration error: the path of JSON keys below the ladder's own, and a description of the problem.
 struct ConfigIssue {
   std::string path;
-  std::string message;
+  std::string problem;
 };
 
 /// The first error of a ladder on an axis of this scope; nothing if the ladder can be used.
--- a/tests/gateway_file_test.cpp
+++ b/tests/gateway_file_test.cpp
@@ -124,8 +124,8 @@
   info.classes = service().classes;
   info.tenants = 2;
   try {
-    contracts_of(parse_gateway_file("{\"contracts\":" + section + "}", "g.json"), "postgresql", info,
-                 {"acme", "batch"});
+    parse_contracts(parse_gateway_file("{\"contracts\":" + section + "}", "g.json"), "postgresql", info,
+                    {"acme", "batch"});
     return "";
   } catch (const ConfigError& error) {
     return error.what();
@@ -219,9 +219,9 @@
                        {9, 5, 0x7f, std::chrono::seconds(600), {}}};
   EXPECT_EQ(closures_around(calendar, std::chrono::seconds(base), 0).size(),
             2U);  // overlapping closures merge into one a day
-  EXPECT_FALSE(zone_known("Asia/Nowhere"));
-  EXPECT_FALSE(zone_known("/etc/localtime"));
-  EXPECT_TRUE(zone_known("Asia/Tokyo"));
+  EXPECT_FALSE(has_zone_data("Asia/Nowhere"));
+  EXPECT_FALSE(has_zone_data("/etc/localtime"));
+  EXPECT_TRUE(has_zone_data("Asia/Tokyo"));
 }
 
 TEST(GatewayFile, AbsentSectionsAreOff) {
--- a/tests/levels_test.cpp
+++ b/tests/levels_test.cpp
@@ -520,7 +520,7 @@
     const auto issue = find_config_issue(config, service());
     ASSERT_TRUE(issue) << test_case.description;
     EXPECT_EQ(issue->path, test_case.path) << test_case.description;
-    EXPECT_FALSE(issue->message.empty());
+    EXPECT_FALSE(issue->problem.empty());
   }
 }
 
