--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -349,7 +349,7 @@
   const auto read = [&](ServiceConfig& service, const char* front) {
     std::vector<std::string> tenants;
     for (const auto& budget : service.budgets) tenants.push_back(budget.tenant);
-    service.levels = levels_of(config.file, front, service.levels_service_info(), tenants);
+    service.levels = parse_levels(config.file, front, service.levels_service_info(), tenants);
     service.contracts = parse_contracts(config.file, front, service.contracts_service_info(), tenants);
   };
   read(config.platform, "postgresql");
--- a/src/tools/plan/main.cpp
+++ b/src/tools/plan/main.cpp
@@ -88,7 +88,8 @@
       const auto& request_class = service.classes[c];
       const auto cost = fleet_json["cost_ms"].FindMember(request_class.name.c_str());
       if (cost == fleet_json["cost_ms"].MemberEnd())
-        throw app::flaw_at(fleet_file, "/cost_ms", "a cost of the class " + request_class.name, "none");
+        throw app::config_error_at(fleet_file, "/cost_ms", "a cost of the class " + request_class.name,
+                                   "none");
       for (const bool closure : {false, true}) {
         const auto& terms =
             closure && team.classes[c]->closure ? *team.classes[c]->closure : team.classes[c]->usual;
