--- a/src/app/contracts_config.cpp
+++ b/src/app/contracts_config.cpp
@@ -33,16 +33,17 @@
   Calendar calendar;
   calendar.zone = json["zone"].GetString();
   if (!has_zone_data(calendar.zone))
-    throw flaw_at(file, "/contracts/calendar/zone", "a zone by its IANA name that this machine has",
-                  shown(json["zone"]));
+    throw config_error_at(file, "/contracts/calendar/zone", "a zone by its IANA name that this machine has",
+                          to_excerpt(json["zone"]));
   for (const auto& item : json["closures"].GetArray()) {
     DailyClosure closure;
     const std::string time_of_day = item["at"].GetString();  // HH:MM, as the schema requires
     closure.hour = std::stoi(time_of_day.substr(0, 2));
     closure.minute = std::stoi(time_of_day.substr(3, 2));
     if (closure.hour > max_hour)
-      throw flaw_at(file, "/contracts/calendar/closures/" + std::to_string(calendar.closures.size()) + "/at",
-                    "a time of day", shown(item["at"]));
+      throw config_error_at(
+          file, "/contracts/calendar/closures/" + std::to_string(calendar.closures.size()) + "/at",
+          "a time of day", to_excerpt(item["at"]));
     if (const auto* list = member(item, "days")) {
       closure.days = 0;
       for (const auto& day : list->GetArray())
@@ -91,8 +92,8 @@
     for (rapidjson::SizeType k = 0; k < names.Size(); ++k) {
       const auto it = std::find(tenants.begin(), tenants.end(), std::string(names[k].GetString()));
       if (it == tenants.end())
-        throw flaw_at(file.name, path + "/tenants/" + std::to_string(k), "a tenant of the settings",
-                      shown(names[k]));
+        throw config_error_at(file.name, path + "/tenants/" + std::to_string(k), "a tenant of the settings",
+                              to_excerpt(names[k]));
       team.tenants.push_back(static_cast<std::int32_t>(it - tenants.begin()));
     }
     team.classes.resize(service.classes.size());
@@ -102,8 +103,8 @@
             service.classes.begin(), service.classes.end(),
             [&](const RequestClass& request_class) { return request_class.name == entry.name.GetString(); });
         if (it == service.classes.end())
-          throw flaw_at(file.name, path + "/classes/" + entry.name.GetString(), "a class of the settings",
-                        "another name");
+          throw config_error_at(file.name, path + "/classes/" + entry.name.GetString(),
+                                "a class of the settings", "another name");
         contracts::ClassTerms terms;
         contracts::Terms base;
         base.latency_target = it->latency_target;
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -109,7 +109,7 @@
         if (contracts_) contracts_->contracts().restore(section, clock_());
       });
   restore_if_present("levels", levels::Snapshot{}, [&](auto section) {
-    if (levels_) levels_->take(section);
+    if (levels_) levels_->restore(section);
   });
   // Budgets that cannot be read count as spent.
   for (const auto& name : unreadable) {
@@ -169,7 +169,7 @@
 
 void Service::start_levels(const levels::Config& config) {
   LevelsRunner::Hooks hooks;
-  hooks.inputs = [this] {
+  hooks.read_inputs = [this] {
     LevelsRunner::Inputs inputs;
     inputs.descriptors = clients_.utilization();
     inputs.memory = static_cast<double>(wire::RingBuffer::total_capacity()) /
@@ -177,7 +177,7 @@
     if (discovery_) inputs.discovery_silence = discovery_->silence();
     return inputs;
   };
-  hooks.pool_size = [this](double factor) { upstream_.scale_limit(factor); };
+  hooks.scale_pool_size = [this](double factor) { upstream_.scale_limit(factor); };
   levels_.emplace(loop_, front_, config, levels_service_info_, broker_, clock_, std::move(hooks), log_);
 }
 
