--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -266,7 +266,7 @@
 TEST(Gateway, DeltaThatChangesSixtyPercentOfSixtyHostsIsApplied) {
   Fleet fleet;
   ASSERT_TRUE(fleet.discovery->wait_watches(1));
-  // 57 more hosts in other groups, at an address without a listener; 36 of the 60 hosts change at once.
+  // 57 more hosts in 15 other groups, at an address without a listener; 36 of the 60 hosts change at once.
   std::vector<std::string> others;
   std::vector<std::string> changed;
   for (int i = 0; i < 57; ++i) {
@@ -513,11 +513,11 @@
   Fleet fleet;
   PgClient complete(fleet.program->pg());
   PgClient silent(fleet.program->pg(), false);
-  PgClient half(fleet.program->pg());
+  PgClient incomplete(fleet.program->pg());
   EXPECT_EQ(complete.query("").types, "IZ");
-  half.socket.send(pg_query(statement("a", "pay")).substr(0, 40));
+  incomplete.socket.send(pg_query(statement("a", "pay")).substr(0, 40));
   EXPECT_TRUE(silent.socket.ended());
-  EXPECT_TRUE(half.socket.ended());
+  EXPECT_TRUE(incomplete.socket.ended());
   EXPECT_EQ(complete.query(statement("b", "pay")).types, "TDCZ");
 }
 
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -593,7 +593,7 @@
   budget->close();
 }
 
-/// A write whose value is `value` bytes longer than that of statement().
+/// A write whose value is `extra_bytes` longer than that of statement().
 std::string long_statement(const std::string& id, std::size_t extra_bytes,
                            const std::string& contract = "pay") {
   const auto base = statement(id, contract, 9000);
