--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -286,7 +286,7 @@
     if (!wire::dns::parse_zone(read_file(need_text(dns->value, "zone_file").c_str()),
                                need_text(dns->value, "origin"), c.zone, error))
       throw ConfigError("mysql.dns.zone_file: " + error);
-    c.known = wire::dns::members_of(c.zone, 1);
+    c.known = wire::dns::member_list_of(c.zone, 1);
     c.discovery.clear();
   }
   read_service(d, platform.settings.seed + 1, "mysql.", c);
--- a/src/tools/rig/links.cpp
+++ b/src/tools/rig/links.cpp
@@ -45,7 +45,7 @@
   put_message(out, 'T', description);
   put_int(row, 1, 2), put_int(row, value.size(), 4);
   put_message(out, 'D', row + value);
-  wire::pg::put_complete(out, "SELECT 1");
+  wire::pg::put_command_complete(out, "SELECT 1");
 }
 void put_status(std::string& out, const std::string& name, const std::string& value) {
   put_message(out, 'S', name + '\0' + value + '\0');
@@ -108,7 +108,7 @@
 void HostLink::welcome() {
   welcomed_ = true;
   std::string out;
-  wire::pg::put_welcome(out);
+  wire::pg::put_startup_response(out);
   say(out);
   if (!closed()) rests();
   if (!closed()) on_input();
@@ -139,8 +139,8 @@
   std::string out;
   switch (rig_.draws_() % 7) {
     case 0:
-      wire::pg::put_complete(out, "SELECT 1");
-      wire::pg::put_ready(out);
+      wire::pg::put_command_complete(out, "SELECT 1");
+      wire::pg::put_ready_for_query(out);
       return say(out);
     case 1:
       return say(answer.substr(0, answer.size() / 2));
@@ -153,7 +153,7 @@
       say(answer.substr(0, answer.size() / 3));
       return drop(false);
     case 5:
-      wire::pg::put_complete(out, "SELECT 1");
+      wire::pg::put_command_complete(out, "SELECT 1");
       return say(out + answer);
     default:
       return drip();
@@ -174,8 +174,9 @@
     if (!welcomed_) {
       wire::pg::Startup startup;
       const auto frame = wire::pg::next_startup(in, startup);
-      if (frame == wire::pg::Frame::partial) return;
-      if (frame == wire::pg::Frame::bad || startup.kind != wire::pg::StartupKind::startup) return drop(false);
+      if (frame == wire::pg::FrameStatus::partial) return;
+      if (frame == wire::pg::FrameStatus::malformed || startup.kind != wire::pg::StartupKind::startup)
+        return drop(false);
       in_.consume(startup.size);
       started_ = true;
       const auto& h = rig_.hosts_[static_cast<std::size_t>(host_)];
@@ -185,14 +186,14 @@
       };
       if (counts_ = h.model->connect(up); counts_) return;
       std::string out;
-      wire::pg::put_error(out, true, "53300", "too many connections");
+      wire::pg::put_error_response(out, true, "53300", "too many connections");
       write(out);
       return drop(false);
     }
     wire::pg::Message m;
     const auto frame = wire::pg::next_message(in, message_most, m);
-    if (frame == wire::pg::Frame::partial) return;
-    if (frame == wire::pg::Frame::bad || m.type == 'X') return drop(false);
+    if (frame == wire::pg::FrameStatus::partial) return;
+    if (frame == wire::pg::FrameStatus::malformed || m.type == 'X') return drop(false);
     std::string sql(m.body.substr(0, m.body.empty() ? 0 : m.body.size() - 1));
     const char type = m.type;
     in_.consume(m.size);
@@ -218,13 +219,13 @@
                   static_cast<double>(r.position->count()) / 1e6, r.role == Role::primary ? 1 : 0,
                   static_cast<int>(*r.queue_length));
     put_row(out, text);
-    wire::pg::put_ready(out);
+    wire::pg::put_ready_for_query(out);
     return say(out);
   }
   wire::StatementInfo info;
   std::string missing;
   if (!wire::parse_statement(sql, info, missing) || info.id.empty() || !request_.empty()) {
-    wire::pg::put_error(out, true, "08P01", "not a statement that a client sent");
+    wire::pg::put_error_response(out, true, "08P01", "not a statement that a client sent");
     say(out);
     return drop(false);
   }
@@ -266,7 +267,7 @@
   const auto status = [&] {
     put_status(out, "recovery", note.role == Role::primary ? "off" : "on");
     if (note.position) put_status(out, "lsn_ms", std::to_string(note.position->count() / 1000));
-    wire::pg::put_ready(out);
+    wire::pg::put_ready_for_query(out);
   };
   const auto it = rig_.tries_.find(request_);
   const auto& h = rig_.hosts_[static_cast<std::size_t>(host_)];
@@ -280,15 +281,15 @@
       if (!spoils) over(breaks_ ? Over::closed : Over::served, note.position);
       break;
     case Outcome::too_stale:
-      wire::pg::put_error(out, false, write ? "25006" : "72000", "not here");
+      wire::pg::put_error_response(out, false, write ? "25006" : "72000", "not here");
       over(Over::miss, {});
       break;
     case Outcome::full:
-      wire::pg::put_error(out, false, "53300", "full");
+      wire::pg::put_error_response(out, false, "53300", "full");
       over(Over::full, {});
       break;
     case Outcome::error:
-      wire::pg::put_error(out, false, "XX000", "failed");
+      wire::pg::put_error_response(out, false, "XX000", "failed");
       over(Over::error, {});
       break;
     default:
@@ -452,8 +453,8 @@
     const auto in = in_.view();
     wire::pg::Message m;
     const auto frame = wire::pg::next_message(in, message_most, m);
-    if (frame == wire::pg::Frame::partial) return;
-    if (frame == wire::pg::Frame::bad) return drop();
+    if (frame == wire::pg::FrameStatus::partial) return;
+    if (frame == wire::pg::FrameStatus::malformed) return drop();
     if (m.type == 'D') {
       row_ = true;
       // One column; what a host gives is the request's own name.
@@ -461,7 +462,8 @@
     }
     if (m.type == 'I' && probe_) rig_.gateways_[static_cast<std::size_t>(gateway_)].in = true;
     if (m.type == 'E')
-      code_ = wire::pg::error_field(m.body, 'C'), detail_ = wire::pg::error_field(m.body, 'D');
+      code_ = wire::pg::error_response_field(m.body, 'C'),
+      detail_ = wire::pg::error_response_field(m.body, 'D');
     const char type = m.type;
     in_.consume(m.size);
     if (type != 'Z') continue;
--- a/src/wire/client.cpp
+++ b/src/wire/client.cpp
@@ -227,7 +227,7 @@
   ask.group = GroupId{*info.cluster};
   ask.time_left = std::chrono::milliseconds(*info.deadline_ms);
   ask.arrived = arrival();
-  if (!info.session.empty()) ask.session = session_of(info.session);
+  if (!info.session.empty()) ask.session = session_id_of(info.session);
   ask.retry = info.retry;
   if (info.after_ms) ask.after = std::chrono::milliseconds(*info.after_ms);
   ask.payload = std::move(work);
--- a/src/wire/dns.cpp
+++ b/src/wire/dns.cpp
@@ -12,19 +12,44 @@
 namespace cedarring::wire::dns {
 namespace {
 
-constexpr std::size_t name_most = 255, label_most = 63;
-
-void put16(std::string& out, std::uint32_t v) {
-  out += static_cast<char>(v >> 8U & 0xffU), out += static_cast<char>(v & 0xffU);
+// Sizes in bytes.
+constexpr std::size_t max_name_size = 255;
+constexpr std::size_t max_label_size = 63;
+constexpr std::size_t max_text_size = 255;  // of one string of a TXT record
+constexpr std::size_t message_header_size = 12;
+constexpr std::size_t soa_numbers_size = 20;  // serial, refresh, retry, expire, minimum: the end of SOA data
+constexpr std::size_t srv_numbers_size = 6;   // priority, weight, port: the start of SRV data
+constexpr std::size_t srv_weight_offset = 2;
+constexpr std::size_t srv_port_offset = 4;
+
+constexpr unsigned char pointer_mark = 0xc0;    // the top bits of a compression pointer
+constexpr std::uint32_t pointer_mask = 0x3fff;  // its offset into the message
+constexpr unsigned opcode_update = 5;
+constexpr unsigned char response_flag = 0x80;  // in the third byte of a message
+constexpr unsigned char opcode_mask = 0x78;    // in the same byte
+constexpr std::int64_t max_ttl = 0x7fffffff;   // seconds
+constexpr std::int64_t max_u16 = 0xffff;
+constexpr std::int64_t max_u32 = 0xffffffff;
+constexpr std::uint16_t first_meta_type = 249;
+constexpr std::uint16_t last_meta_type = 254;
+constexpr std::int64_t started_limit_ms = 10'000'000'000'000;  // larger times do not fit the router's clock
+
+void put16(std::string& out, std::uint32_t value) {
+  out += static_cast<char>(value >> 8U & 0xffU);
+  out += static_cast<char>(value & 0xffU);
+}
+void put32(std::string& out, std::uint32_t value) {
+  put16(out, value >> 16U);
+  put16(out, value & 0xffffU);
 }
-void put32(std::string& out, std::uint32_t v) { put16(out, v >> 16U), put16(out, v & 0xffffU); }
 std::uint32_t get16(std::string_view in, std::size_t at) {
   return static_cast<std::uint32_t>(static_cast<unsigned char>(in[at])) << 8U |
          static_cast<unsigned char>(in[at + 1]);
 }
 std::uint32_t get32(std::string_view in, std::size_t at) { return get16(in, at) << 16U | get16(in, at + 2); }
-char small(char c) { return static_cast<char>(std::tolower(static_cast<unsigned char>(c))); }
+char to_lower(char c) { return static_cast<char>(std::tolower(static_cast<unsigned char>(c))); }
 
+/// Whether `name` is `origin` or below it.
 bool in_zone(std::string_view name, std::string_view origin) {
   while (name.size() > origin.size()) name.remove_prefix(1U + static_cast<unsigned char>(name[0]));
   return name == origin;
@@ -32,69 +57,84 @@
 
 // ---- messages ----
 
-/// Reads a message; after a read past its end ok() is false and all reads give nothing.
-class Cursor {
+/// Reads a message. After a read past its end or an invalid name ok() is false and all reads return zero or
+/// empty values.
+class MessageReader {
  public:
-  explicit Cursor(std::string_view message) : in_(message) {}
+  explicit MessageReader(std::string_view message) : in_(message) {}
   [[nodiscard]] bool ok() const { return ok_; }
   [[nodiscard]] std::size_t at() const { return at_; }
-  std::uint32_t u16() { return have(2) ? (at_ += 2, get16(in_, at_ - 2)) : 0; }
-  std::uint32_t u32() { return have(4) ? (at_ += 4, get32(in_, at_ - 4)) : 0; }
-  std::string_view bytes(std::size_t n) {
-    return have(n) ? (at_ += n, in_.substr(at_ - n, n)) : std::string_view();
+  std::uint32_t u16() {
+    if (!available(2)) return 0;
+    at_ += 2;
+    return get16(in_, at_ - 2);
+  }
+  std::uint32_t u32() {
+    if (!available(4)) return 0;
+    at_ += 4;
+    return get32(in_, at_ - 4);
   }
+  std::string_view bytes(std::size_t count) {
+    if (!available(count)) return {};
+    at_ += count;
+    return in_.substr(at_ - count, count);
+  }
+  /// A name, uncompressed and in lower case.
   std::string name() {
     std::string out;
-    std::size_t at = at_, furthest = at_;
-    bool jumped = false;
+    std::size_t at = at_;
+    std::size_t lowest_target = at_;
+    bool pointer_followed = false;
     while (ok_) {
       if (at >= in_.size()) return fail();
       const auto length = static_cast<unsigned char>(in_[at]);
-      if (length >= 0xc0) {
+      if (length >= pointer_mark) {
         if (at + 2 > in_.size()) return fail();
-        const auto to = get16(in_, at) & 0x3fffU;
-        if (!jumped) at_ = at + 2;
-        jumped = true;
-        // Pointers only lead backwards: guards against loops.
-        if (to >= furthest) return fail();
-        at = furthest = to;
+        const auto target = get16(in_, at) & pointer_mask;
+        if (!pointer_followed) at_ = at + 2;
+        pointer_followed = true;
+        // Each pointer has to lead further back than all before it: rejects loops.
+        if (target >= lowest_target) return fail();
+        at = target;
+        lowest_target = target;
         continue;
       }
-      if (length > label_most || at + 1 + length > in_.size() || out.size() + 1 + length > name_most)
+      if (length > max_label_size || at + 1 + length > in_.size() || out.size() + 1 + length > max_name_size)
         return fail();
       out += static_cast<char>(length);
-      for (std::size_t i = 1; i <= length; ++i) out += small(in_[at + i]);
+      for (std::size_t i = 1; i <= length; ++i) out += to_lower(in_[at + i]);
       at += 1U + length;
       if (length == 0) break;
     }
-    if (!jumped) at_ = at;
+    if (!pointer_followed) at_ = at;
     return out;
   }
-  /// A record with its data in the kept form; of records without data, as in deletions, it stays empty.
+  /// A record, with the names in its data uncompressed. The data of a deletion or a prerequisite may be
+  /// empty.
   Record record() {
-    Record r;
-    r.name = name();
-    r.type = static_cast<std::uint16_t>(u16());
-    r.cls = static_cast<std::uint16_t>(u16());
-    r.ttl = u32();
+    Record record;
+    record.name = name();
+    record.type = static_cast<std::uint16_t>(u16());
+    record.class_code = static_cast<std::uint16_t>(u16());
+    record.ttl = u32();
     const auto length = u16();
-    if (!have(length)) return r;
+    if (!available(length)) return record;
     const auto end = at_ + length;
-    if (length > 0) r.data = data(r.type, end);
+    if (length > 0) record.data = data(record.type, end);
     if (at_ != end) ok_ = false;
-    return r;
+    return record;
   }
 
  private:
   std::string data(std::uint16_t type, std::size_t end) {
     std::string out;
-    const auto fixed = [&](std::size_t n) { out += bytes(n); };
+    const auto copy = [&](std::size_t count) { out += bytes(count); };
     switch (type) {
       case type_a:
-        fixed(4);
+        copy(4);
         break;
       case type_aaaa:
-        fixed(16);
+        copy(16);
         break;
       case type_ns:
       case type_cname:
@@ -102,27 +142,31 @@
         out += name();
         break;
       case type_mx:
-        fixed(2), out += name();
+        copy(2);
+        out += name();
         break;
       case type_srv:
-        fixed(6), out += name();
+        copy(srv_numbers_size);
+        out += name();
         break;
       case type_soa:
-        out += name(), out += name(), fixed(20);
+        out += name();
+        out += name();
+        copy(soa_numbers_size);
         break;
       case type_txt:
         while (ok_ && at_ < end) {
-          const auto n = static_cast<unsigned char>(in_[at_]);
-          fixed(1U + n);
+          const auto length = static_cast<unsigned char>(in_[at_]);
+          copy(1U + length);
         }
         break;
       default:
-        fixed(end - at_);
+        copy(end - at_);
     }
     return out;
   }
-  bool have(std::size_t n) {
-    if (in_.size() - at_ < n) ok_ = false;
+  bool available(std::size_t count) {
+    if (in_.size() - at_ < count) ok_ = false;
     return ok_;
   }
   std::string fail() {
@@ -136,37 +180,43 @@
 
 // ---- master files ----
 
+/// A word of a master file.
 struct Token {
   std::string text;
   bool quoted = false;
 };
-struct Line {
+/// A record or directive of a master file.
+struct Entry {
   std::vector<Token> tokens;
-  bool blank_owner = false;
-  int number = 0;
+  bool blank_owner = false;  // begins with white space: the owner is that of the entry before
+  int line = 0;              // where it begins, from 1
 };
 
-/// Cuts a master file into entries: parentheses join lines, comments go, quotes hold blanks.
-bool split(std::string_view text, std::vector<Line>& lines, int& number) {
-  Line line;
+/// Splits a master file into entries: parentheses join lines, comments are dropped, quoted tokens may hold
+/// white space. Returns false and sets `line` to the line at fault if a quote or parenthesis is unbalanced.
+bool split_entries(std::string_view text, std::vector<Entry>& entries, int& line) {
+  Entry entry;
   Token token;
-  bool open = false, in_token = false;
-  int depth = 0;
-  number = 1;
-  line.number = 1;
+  bool in_quotes = false;
+  bool in_token = false;
+  int depth = 0;  // of parentheses
+  line = 1;
+  entry.line = 1;
   const auto end_token = [&] {
-    if (in_token) line.tokens.push_back(std::move(token));
+    if (in_token) entry.tokens.push_back(std::move(token));
     token = {};
     in_token = false;
   };
   for (std::size_t i = 0; i <= text.size(); ++i) {
     const char c = i < text.size() ? text[i] : '\n';
-    if (open) {
+    if (in_quotes) {
       if (c == '\n') return false;
-      if (c == '"')
-        open = false, end_token();
-      else
+      if (c == '"') {
+        in_quotes = false;
+        end_token();
+      } else {
         token.text += c;
+      }
       if (c == '\\' && i + 1 < text.size() && text[i + 1] != '\n') token.text += text[++i];
       continue;
     }
@@ -174,23 +224,29 @@
       while (i + 1 < text.size() && text[i + 1] != '\n') ++i;
     } else if (c == '"') {
       end_token();
-      open = in_token = token.quoted = true;
+      in_quotes = true;
+      in_token = true;
+      token.quoted = true;
     } else if (c == '(') {
-      end_token(), ++depth;
+      end_token();
+      ++depth;
     } else if (c == ')') {
       end_token();
       if (--depth < 0) return false;
     } else if (c == ' ' || c == '\t' || c == '\r' || c == '\n') {
       end_token();
-      if (c != '\n' && line.tokens.empty() && depth == 0 && (i == 0 || text[i - 1] == '\n'))
-        line.blank_owner = true;
+      if (c != '\n' && entry.tokens.empty() && depth == 0 && (i == 0 || text[i - 1] == '\n'))
+        entry.blank_owner = true;
       if (c != '\n') continue;
-      ++number;
+      ++line;
       if (depth > 0 && i < text.size()) continue;
-      if (depth > 0) return number = line.number, false;  // where it was opened
-      if (!line.tokens.empty()) lines.push_back(std::move(line));
-      line = {};
-      line.number = number;
+      if (depth > 0) {
+        line = entry.line;  // where the parenthesis was opened
+        return false;
+      }
+      if (!entry.tokens.empty()) entries.push_back(std::move(entry));
+      entry = {};
+      entry.line = line;
     } else {
       in_token = true;
       token.text += c;
@@ -200,7 +256,7 @@
   return true;
 }
 
-/// Undoes \X and \DDD; false for a number over 255.
+/// Replaces the escapes \X and \DDD; false for a number over 255.
 bool unescape(std::string_view text, std::string& out) {
   for (std::size_t i = 0; i < text.size(); ++i) {
     if (text[i] != '\\') {
@@ -208,9 +264,9 @@
       continue;
     }
     const auto digits = text.substr(i + 1, 3);
-    if (const auto n = to_int(digits); n && digits.size() == 3) {
-      if (*n > 255) return false;
-      out += static_cast<char>(*n);
+    if (const auto code = to_int(digits); code && digits.size() == 3) {
+      if (*code > 255) return false;
+      out += static_cast<char>(*code);
       i += 3;
     } else if (++i < text.size()) {
       out += text[i];
@@ -229,39 +285,44 @@
                                                                            {"TXT", type_txt},
                                                                            {"AAAA", type_aaaa},
                                                                            {"SRV", type_srv}}};
-  std::string capitals;
-  for (const char c : text) capitals += static_cast<char>(std::toupper(static_cast<unsigned char>(c)));
+  std::string upper;
+  for (const char c : text) upper += static_cast<char>(std::toupper(static_cast<unsigned char>(c)));
   for (const auto& [name, type] : types)
-    if (capitals == name) return type;
+    if (upper == name) return type;
   return std::nullopt;
 }
 
-bool put_number(std::string& out, const std::string& text, std::int64_t most) {
-  const auto n = to_int(text);
-  if (!n || *n > most) return false;
-  if (most > 0xffff)
-    put32(out, static_cast<std::uint32_t>(*n));
+/// Appends a number of at most `max`, in two bytes or, if `max` needs them, in four; false if it is invalid.
+bool put_number(std::string& out, const std::string& text, std::int64_t max) {
+  const auto number = to_int(text);
+  if (!number || *number > max) return false;
+  if (max > max_u16)
+    put32(out, static_cast<std::uint32_t>(*number));
   else
-    put16(out, static_cast<std::uint32_t>(*n));
+    put16(out, static_cast<std::uint32_t>(*number));
   return true;
 }
 
-bool data_from_text(std::uint16_t type, const std::vector<Token>& t, std::size_t at, std::string_view origin,
-                    std::string& out) {
-  const auto count = t.size() - at;
+/// Parses the data of a record from `tokens`, starting with the token at `first`.
+bool data_from_text(std::uint16_t type, const std::vector<Token>& tokens, std::size_t first,
+                    std::string_view origin, std::string& out) {
+  const auto count = tokens.size() - first;
   const auto name = [&](std::size_t i) {
-    const auto n = name_from_text(t[at + i].text, origin);
-    if (n) out += *n;
-    return n.has_value();
+    const auto parsed = name_from_text(tokens[first + i].text, origin);
+    if (parsed) out += *parsed;
+    return parsed.has_value();
+  };
+  const auto number = [&](std::size_t i, std::int64_t max) {
+    return put_number(out, tokens[first + i].text, max);
   };
-  const auto number = [&](std::size_t i, std::int64_t most) { return put_number(out, t[at + i].text, most); };
   switch (type) {
     case type_a:
     case type_aaaa: {
-      unsigned char raw[16];
-      if (count != 1 || inet_pton(type == type_a ? AF_INET : AF_INET6, t[at].text.c_str(), raw) != 1)
+      unsigned char address[16];
+      if (count != 1 ||
+          inet_pton(type == type_a ? AF_INET : AF_INET6, tokens[first].text.c_str(), address) != 1)
         return false;
-      out.assign(reinterpret_cast<const char*>(raw), type == type_a ? 4 : 16);
+      out.assign(reinterpret_cast<const char*>(address), type == type_a ? 4 : 16);
       return true;
     }
     case type_ns:
@@ -269,18 +330,18 @@
     case type_ptr:
       return count == 1 && name(0);
     case type_mx:
-      return count == 2 && number(0, 0xffff) && name(1);
+      return count == 2 && number(0, max_u16) && name(1);
     case type_srv:
-      return count == 4 && number(0, 0xffff) && number(1, 0xffff) && number(2, 0xffff) && name(3);
+      return count == 4 && number(0, max_u16) && number(1, max_u16) && number(2, max_u16) && name(3);
     case type_soa:
       if (count != 7 || !name(0) || !name(1)) return false;
       for (std::size_t i = 2; i < 7; ++i)
-        if (!number(i, 0xffffffff)) return false;
+        if (!number(i, max_u32)) return false;
       return true;
     case type_txt:
       for (std::size_t i = 0; i < count; ++i) {
         std::string text;
-        if (!unescape(t[at + i].text, text) || text.size() > 255) return false;
+        if (!unescape(tokens[first + i].text, text) || text.size() > max_text_size) return false;
         out += static_cast<char>(text.size());
         out += text;
       }
@@ -293,104 +354,117 @@
 // ---- updates ----
 
 struct Update {
-  std::vector<Record> prerequisites, changes;
+  std::vector<Record> prerequisites;
+  std::vector<Record> changes;
 };
 
-bool has(const Zone& zone, const std::string& name, std::uint16_t type) {
+bool has_record(const Zone& zone, const std::string& name, std::uint16_t type) {
   return std::any_of(
       zone.records.begin(), zone.records.end(),
       [&](const Record& r) { return r.name == name && (type == type_any || r.type == type); });
 }
 
-/// The data of one set of records, in order.
-std::vector<std::string> data_of(const std::vector<Record>& records, const Record& like) {
-  std::vector<std::string> all;
+/// The data of the record set with the name and type of `key`, sorted.
+std::vector<std::string> sorted_data(const std::vector<Record>& records, const Record& key) {
+  std::vector<std::string> data;
   for (const auto& r : records)
-    if (r.name == like.name && r.type == like.type) all.push_back(r.data);
-  std::sort(all.begin(), all.end());
-  return all;
+    if (r.name == key.name && r.type == key.type) data.push_back(r.data);
+  std::sort(data.begin(), data.end());
+  return data;
 }
 
-/// RFC 2136, 3.2.
-Rcode check_prerequisites(const Zone& zone, const std::vector<Record>& all) {
-  std::vector<Record> exact;
-  for (const auto& r : all) {
-    if (r.ttl != 0) return Rcode::form_error;
-    if (!in_zone(r.name, zone.origin)) return Rcode::not_zone;
-    if (r.cls == class_in) {
-      exact.push_back(r);
+/// Checks the prerequisites of an update (RFC 2136, 3.2).
+Rcode check_prerequisites(const Zone& zone, const std::vector<Record>& prerequisites) {
+  std::vector<Record> exact_sets;
+  for (const auto& prerequisite : prerequisites) {
+    if (prerequisite.ttl != 0) return Rcode::form_error;
+    if (!in_zone(prerequisite.name, zone.origin)) return Rcode::not_zone;
+    if (prerequisite.class_code == class_in) {
+      exact_sets.push_back(prerequisite);
       continue;
     }
-    if ((r.cls != class_any && r.cls != class_none) || !r.data.empty()) return Rcode::form_error;
-    const bool found = has(zone, r.name, r.type);
-    if (r.cls == class_any && !found) return r.type == type_any ? Rcode::nx_domain : Rcode::nx_rrset;
-    if (r.cls == class_none && found) return r.type == type_any ? Rcode::yx_domain : Rcode::yx_rrset;
+    if ((prerequisite.class_code != class_any && prerequisite.class_code != class_none) ||
+        !prerequisite.data.empty())
+      return Rcode::form_error;
+    const bool found = has_record(zone, prerequisite.name, prerequisite.type);
+    if (prerequisite.class_code == class_any && !found)
+      return prerequisite.type == type_any ? Rcode::nx_domain : Rcode::nx_rrset;
+    if (prerequisite.class_code == class_none && found)
+      return prerequisite.type == type_any ? Rcode::yx_domain : Rcode::yx_rrset;
   }
-  for (const auto& r : exact)
-    if (data_of(exact, r) != data_of(zone.records, r)) return Rcode::nx_rrset;
+  for (const auto& prerequisite : exact_sets)
+    if (sorted_data(exact_sets, prerequisite) != sorted_data(zone.records, prerequisite))
+      return Rcode::nx_rrset;
   return Rcode::ok;
 }
 
-/// RFC 2136, 3.4.1: all is looked at before anything is changed.
-Rcode check_changes(const Zone& zone, const std::vector<Record>& all) {
-  for (const auto& r : all) {
-    if (!in_zone(r.name, zone.origin)) return Rcode::not_zone;
-    const bool meta = r.type == 0 || (r.type >= 249 && r.type <= 254) || r.type == 41;
-    if (meta || (r.type == type_any && r.cls != class_any)) return Rcode::form_error;
-    if (r.cls == class_in ? r.data.empty() : r.ttl != 0) return Rcode::form_error;
-    if (r.cls == class_any && !r.data.empty()) return Rcode::form_error;
-    if (r.cls != class_in && r.cls != class_any && r.cls != class_none) return Rcode::form_error;
+/// Checks all changes of an update before the first is applied (RFC 2136, 3.4.1).
+Rcode check_changes(const Zone& zone, const std::vector<Record>& changes) {
+  for (const auto& change : changes) {
+    if (!in_zone(change.name, zone.origin)) return Rcode::not_zone;
+    const bool meta = change.type == 0 || (change.type >= first_meta_type && change.type <= last_meta_type) ||
+                      change.type == type_opt;
+    if (meta || (change.type == type_any && change.class_code != class_any)) return Rcode::form_error;
+    if (change.class_code == class_in ? change.data.empty() : change.ttl != 0) return Rcode::form_error;
+    if (change.class_code == class_any && !change.data.empty()) return Rcode::form_error;
+    if (change.class_code != class_in && change.class_code != class_any && change.class_code != class_none)
+      return Rcode::form_error;
   }
   return Rcode::ok;
 }
 
-std::uint32_t serial_of(const Record& soa) { return get32(soa.data, soa.data.size() - 20); }
+std::uint32_t serial_of(const Record& soa) { return get32(soa.data, soa.data.size() - soa_numbers_size); }
 
-template <class Which>
-bool remove_if(Zone& zone, Which which) {
+/// Removes the records that match; returns whether there were any.
+template <class Predicate>
+bool remove_records(Zone& zone, Predicate predicate) {
   const auto before = zone.records.size();
-  zone.records.erase(std::remove_if(zone.records.begin(), zone.records.end(), which), zone.records.end());
+  zone.records.erase(std::remove_if(zone.records.begin(), zone.records.end(), predicate), zone.records.end());
   return zone.records.size() != before;
 }
 
-/// RFC 2136, 3.4.2.2: one record added.
-bool add(Zone& zone, const Record& r) {
-  // A CNAME stands alone at its name.
-  const bool cname = has(zone, r.name, type_cname);
-  if (r.type == type_cname ? !cname && has(zone, r.name, type_any) : cname) return false;
+/// Adds or replaces a record (RFC 2136, 3.4.2.2); returns whether the zone has changed.
+bool add_record(Zone& zone, const Record& added) {
+  // A name with a CNAME record has no other records.
+  const bool cname = has_record(zone, added.name, type_cname);
+  if (added.type == type_cname ? !cname && has_record(zone, added.name, type_any) : cname) return false;
   for (auto& old : zone.records) {
-    if (old.name != r.name || old.type != r.type) continue;
-    if (r.type == type_soa) {
-      // Serials are compared around the circle (RFC 1982).
-      if (static_cast<std::int32_t>(serial_of(r) - serial_of(old)) <= 0) return false;
-    } else if (r.type != type_cname && old.data != r.data) {
+    if (old.name != added.name || old.type != added.type) continue;
+    if (added.type == type_soa) {
+      // Serial numbers wrap around (RFC 1982).
+      if (static_cast<std::int32_t>(serial_of(added) - serial_of(old)) <= 0) return false;
+    } else if (added.type != type_cname && old.data != added.data) {
       continue;
     }
-    const bool other = old.data != r.data || old.ttl != r.ttl;
-    old = r;
-    return other;
+    const bool differs = old.data != added.data || old.ttl != added.ttl;
+    old = added;
+    return differs;
   }
-  if (r.type == type_soa) return false;
-  zone.records.push_back(r);
+  if (added.type == type_soa) return false;
+  zone.records.push_back(added);
   return true;
 }
 
-bool apply(Zone& zone, const Record& r) {
-  if (r.cls == class_in) return add(zone, r);
-  const bool apex = r.name == zone.origin;
-  if (r.cls == class_any)
-    return remove_if(zone, [&](const Record& old) {
-      if (old.name != r.name || (r.type != type_any && old.type != r.type)) return false;
-      return !(apex && (old.type == type_soa || old.type == type_ns));  // a zone without them is none
+/// Adds a record, or deletes a record, a record set or all records of a name; returns whether the zone has
+/// changed.
+bool apply_change(Zone& zone, const Record& change) {
+  if (change.class_code == class_in) return add_record(zone, change);
+  const bool apex = change.name == zone.origin;
+  if (change.class_code == class_any)
+    return remove_records(zone, [&](const Record& old) {
+      if (old.name != change.name || (change.type != type_any && old.type != change.type)) return false;
+      // A zone must keep its SOA and NS records.
+      return !(apex && (old.type == type_soa || old.type == type_ns));
     });
-  if (r.type == type_soa) return false;
-  if (apex && r.type == type_ns && data_of(zone.records, r).size() < 2) return false;
-  return remove_if(zone, [&](const Record& old) {
-    return old.name == r.name && old.type == r.type && old.data == r.data;
+  if (change.type == type_soa) return false;
+  if (apex && change.type == type_ns && sorted_data(zone.records, change).size() < 2) return false;
+  return remove_records(zone, [&](const Record& old) {
+    return old.name == change.name && old.type == change.type && old.data == change.data;
   });
 }
 
-Rcode carry_out(Zone& zone, const Update& update, bool& changed) {
+/// Applies an update completely or not at all.
+Rcode apply_update(Zone& zone, const Update& update, bool& changed) {
   auto rcode = check_prerequisites(zone, update.prerequisites);
   if (rcode == Rcode::ok) rcode = check_changes(zone, update.changes);
   if (rcode != Rcode::ok) return rcode;
@@ -399,46 +473,53 @@
                         [](const Record& r) { return r.type == type_soa; });
   };
   const auto serial = serial_of(*soa());
-  for (const auto& r : update.changes) changed = apply(zone, r) || changed;
-  // Who changes a zone without a new serial gets one.
+  for (const auto& change : update.changes) changed = apply_change(zone, change) || changed;
+  // An update that changes the zone without setting a new serial number advances it.
   if (auto it = soa(); changed && serial_of(*it) == serial) {
-    std::string next;
-    put32(next, serial + 1 == 0 ? 1 : serial + 1);
-    it->data.replace(it->data.size() - 20, 4, next);
+    std::string next_serial;
+    put32(next_serial, serial + 1 == 0 ? 1 : serial + 1);
+    it->data.replace(it->data.size() - soa_numbers_size, 4, next_serial);
   }
   return Rcode::ok;
 }
 
-Rcode handle(std::string_view message, Zone& zone, bool& changed) {
-  Cursor in(message);
-  in.u16();
+/// Parses an update message and applies it.
+Rcode process_update(std::string_view message, Zone& zone, bool& changed) {
+  MessageReader in(message);
+  in.u16();  // the message id
   const auto flags = in.u16();
-  const auto zones = in.u16(), prerequisites = in.u16(), changes = in.u16();
-  in.u16();
-  if ((flags >> 11U & 0xfU) != 5) return Rcode::not_implemented;
-  if (zones != 1) return Rcode::form_error;
+  const auto zone_count = in.u16();
+  const auto prerequisite_count = in.u16();
+  const auto change_count = in.u16();
+  in.u16();  // the number of additional records, which are ignored
+  if ((flags >> 11U & 0xfU) != opcode_update) return Rcode::not_implemented;
+  if (zone_count != 1) return Rcode::form_error;
   const auto origin = in.name();
-  const auto type = in.u16(), cls = in.u16();
+  const auto type = in.u16();
+  const auto class_code = in.u16();
   if (!in.ok() || type != type_soa) return Rcode::form_error;
-  if (origin != zone.origin || cls != class_in) return Rcode::not_auth;
+  if (origin != zone.origin || class_code != class_in) return Rcode::not_auth;
   Update update;
-  for (std::uint32_t i = 0; i < prerequisites && in.ok(); ++i) update.prerequisites.push_back(in.record());
-  for (std::uint32_t i = 0; i < changes && in.ok(); ++i) update.changes.push_back(in.record());
+  for (std::uint32_t i = 0; i < prerequisite_count && in.ok(); ++i)
+    update.prerequisites.push_back(in.record());
+  for (std::uint32_t i = 0; i < change_count && in.ok(); ++i) update.changes.push_back(in.record());
   if (!in.ok()) return Rcode::form_error;
-  return carry_out(zone, update, changed);
+  return apply_update(zone, update, changed);
 }
 
-std::map<std::string, std::string> attributes_of(const Zone& zone, const std::string& name) {
-  std::map<std::string, std::string> all;
-  for (const auto& r : zone.records) {
-    if (r.name != name || r.type != type_txt) continue;
-    for (std::size_t at = 0; at < r.data.size(); at += 1U + static_cast<unsigned char>(r.data[at])) {
-      const auto text = r.data.substr(at + 1, static_cast<unsigned char>(r.data[at]));
-      if (const auto eq = text.find('='); eq != std::string::npos)
-        all[text.substr(0, eq)] = text.substr(eq + 1);
+/// The name=value strings of the TXT records at a name.
+std::map<std::string, std::string> txt_attributes(const Zone& zone, const std::string& name) {
+  std::map<std::string, std::string> attributes;
+  for (const auto& record : zone.records) {
+    if (record.name != name || record.type != type_txt) continue;
+    for (std::size_t at = 0; at < record.data.size();
+         at += 1U + static_cast<unsigned char>(record.data[at])) {
+      const auto text = record.data.substr(at + 1, static_cast<unsigned char>(record.data[at]));
+      if (const auto equals = text.find('='); equals != std::string::npos)
+        attributes[text.substr(0, equals)] = text.substr(equals + 1);
     }
   }
-  return all;
+  return attributes;
 }
 
 }  // namespace
@@ -446,9 +527,10 @@
 std::optional<std::string> name_from_text(std::string_view text, std::string_view origin) {
   if (text == "@") return std::string(origin);
   if (text == ".") return std::string(1, '\0');
-  std::string out, label;
+  std::string out;
+  std::string label;
   const auto end_label = [&] {
-    if (label.empty() || label.size() > label_most) return false;
+    if (label.empty() || label.size() > max_label_size) return false;
     out += static_cast<char>(label.size());
     out += label;
     label.clear();
@@ -462,12 +544,12 @@
     } else if (text[i] == '\\') {
       const auto digits = text.substr(i + 1, 3);
       const auto length = digits.size() == 3 && to_int(digits) ? 3U : 1U;
-      std::string raw;
-      if (i + length >= text.size() || !unescape(text.substr(i, length + 1), raw)) return std::nullopt;
-      for (const char c : raw) label += small(c);
+      std::string unescaped;
+      if (i + length >= text.size() || !unescape(text.substr(i, length + 1), unescaped)) return std::nullopt;
+      for (const char c : unescaped) label += to_lower(c);
       i += length;
     } else {
-      label += small(text[i]);
+      label += to_lower(text[i]);
     }
   }
   if (!absolute && !end_label()) return std::nullopt;
@@ -475,7 +557,7 @@
     out += '\0';
   else
     out += origin;
-  if (out.size() > name_most || out.back() != '\0') return std::nullopt;
+  if (out.size() > max_name_size || out.back() != '\0') return std::nullopt;
   return out;
 }
 
@@ -492,96 +574,113 @@
 
 bool parse_zone(std::string_view text, std::string_view origin_text, Zone& zone, std::string& error) {
   zone = {};
-  const auto start = name_from_text(origin_text, std::string_view("\0", 1));
-  if (!start) return error = "origin", false;
-  zone.origin = *start;
-  std::string origin = *start, owner;
+  const auto zone_origin = name_from_text(origin_text, std::string_view("\0", 1));
+  if (!zone_origin) {
+    error = "origin";
+    return false;
+  }
+  zone.origin = *zone_origin;
+  std::string origin = *zone_origin;
+  std::string owner;
   std::optional<std::uint32_t> default_ttl;
   std::uint32_t last_ttl = 0;
-  std::vector<Line> lines;
-  int number = 0;
-  const auto fail = [&](int line) { return error = "line " + std::to_string(line), false; };
-  if (!split(text, lines, number)) return fail(number);
-  for (const auto& line : lines) {
-    const auto& t = line.tokens;
-    if (t[0].text == "$ORIGIN" || t[0].text == "$TTL") {
-      if (t.size() != 2) return fail(line.number);
-      const auto name = name_from_text(t[1].text, origin);
-      const auto ttl = to_int(t[1].text);
-      if (t[0].text == "$ORIGIN" ? !name : !ttl || *ttl > 0x7fffffff) return fail(line.number);
-      if (t[0].text == "$ORIGIN")
+  std::vector<Entry> entries;
+  int error_line = 0;
+  const auto fail = [&](int line) {
+    error = "line " + std::to_string(line);
+    return false;
+  };
+  if (!split_entries(text, entries, error_line)) return fail(error_line);
+  for (const auto& entry : entries) {
+    const auto& tokens = entry.tokens;
+    if (tokens[0].text == "$ORIGIN" || tokens[0].text == "$TTL") {
+      if (tokens.size() != 2) return fail(entry.line);
+      const auto name = name_from_text(tokens[1].text, origin);
+      const auto ttl = to_int(tokens[1].text);
+      if (tokens[0].text == "$ORIGIN" ? !name : !ttl || *ttl > max_ttl) return fail(entry.line);
+      if (tokens[0].text == "$ORIGIN")
         origin = *name;
       else
         default_ttl = static_cast<std::uint32_t>(*ttl);
       continue;
     }
     std::size_t at = 0;
-    if (!line.blank_owner) {
-      const auto name = name_from_text(t[at++].text, origin);
-      if (!name) return fail(line.number);
+    if (!entry.blank_owner) {
+      const auto name = name_from_text(tokens[at++].text, origin);
+      if (!name) return fail(entry.line);
       owner = *name;
     }
-    if (owner.empty() || !in_zone(owner, zone.origin)) return fail(line.number);
-    Record r;
-    r.name = owner;
-    r.ttl = default_ttl.value_or(last_ttl);
-    for (; at < t.size(); ++at)  // TTL and class, in either order
-      if (const auto ttl = to_int(t[at].text); ttl && *ttl <= 0x7fffffff)
-        r.ttl = last_ttl = static_cast<std::uint32_t>(*ttl);
-      else if (t[at].text != "IN" && t[at].text != "in")
+    if (owner.empty() || !in_zone(owner, zone.origin)) return fail(entry.line);
+    Record record;
+    record.name = owner;
+    record.ttl = default_ttl.value_or(last_ttl);
+    for (; at < tokens.size(); ++at)  // TTL and class, in either order
+      if (const auto ttl = to_int(tokens[at].text); ttl && *ttl <= max_ttl) {
+        last_ttl = static_cast<std::uint32_t>(*ttl);
+        record.ttl = last_ttl;
+      } else if (tokens[at].text != "IN" && tokens[at].text != "in") {
         break;
-    const auto type = at < t.size() ? type_from_text(t[at].text) : std::nullopt;
-    if (!type || !data_from_text(r.type = *type, t, at + 1, origin, r.data)) return fail(line.number);
-    if (r.type == type_soa && (r.name != zone.origin || has(zone, r.name, type_soa)))
-      return fail(line.number);
-    zone.records.push_back(std::move(r));
+      }
+    const auto type = at < tokens.size() ? type_from_text(tokens[at].text) : std::nullopt;
+    if (!type) return fail(entry.line);
+    record.type = *type;
+    if (!data_from_text(record.type, tokens, at + 1, origin, record.data)) return fail(entry.line);
+    if (record.type == type_soa && (record.name != zone.origin || has_record(zone, record.name, type_soa)))
+      return fail(entry.line);
+    zone.records.push_back(std::move(record));
+  }
+  if (!has_record(zone, zone.origin, type_soa)) {
+    error = "no SOA record";
+    return false;
   }
-  if (!has(zone, zone.origin, type_soa)) return error = "no SOA record", false;
   return true;
 }
 
-std::string answer_update(std::string_view message, Zone& zone, bool& changed) {
+std::string handle_update(std::string_view message, Zone& zone, bool& changed) {
   changed = false;
-  // What is too short to have an id, or is an answer itself, is not answered: guards against echoes for ever.
-  if (message.size() < 12 || (static_cast<unsigned char>(message[2]) & 0x80U) != 0) return {};
-  const auto rcode = handle(message, zone, changed);
+  // Responses are not answered, so that two servers cannot answer each other without end. Messages without a
+  // complete header have no usable id.
+  if (message.size() < message_header_size || (static_cast<unsigned char>(message[2]) & response_flag) != 0)
+    return {};
+  const auto rcode = process_update(message, zone, changed);
   std::string out(message.substr(0, 2));
-  out += static_cast<char>(0x80U | (static_cast<unsigned char>(message[2]) & 0x78U));
+  out += static_cast<char>(response_flag | (static_cast<unsigned char>(message[2]) & opcode_mask));
   out += static_cast<char>(rcode);
-  out.append(8, '\0');
+  out.append(message_header_size - out.size(), '\0');  // counts of sections, all empty
   return out;
 }
 
-broker::MemberList members_of(const Zone& zone, std::uint64_t version) {
+broker::MemberList member_list_of(const Zone& zone, std::uint64_t version) {
   broker::MemberList list;
   list.version = version;
   list.full = true;
-  constexpr std::string_view service("\6_mysql\4_tcp", 12);
-  for (const auto& r : zone.records) {
-    if (r.type != type_srv || r.name.compare(0, service.size(), service) != 0) continue;
-    const auto rest = std::string_view(r.name).substr(service.size());
+  constexpr std::string_view service_prefix("\6_mysql\4_tcp", 12);
+  for (const auto& service : zone.records) {
+    if (service.type != type_srv || service.name.compare(0, service_prefix.size(), service_prefix) != 0)
+      continue;
+    const auto rest = std::string_view(service.name).substr(service_prefix.size());
     const auto length = static_cast<unsigned char>(rest[0]);
     const auto group = length > 1 && rest[1] == 'g' ? to_int(rest.substr(2, length - 1U)) : std::nullopt;
     if (!group || rest.substr(1U + length) != zone.origin) continue;
-    const auto target = r.data.substr(6);
+    const auto target = service.data.substr(srv_numbers_size);
     const auto address = std::find_if(zone.records.begin(), zone.records.end(),
                                       [&](const Record& a) { return a.type == type_a && a.name == target; });
     if (address == zone.records.end()) continue;
     char text[INET_ADDRSTRLEN] = "";
     inet_ntop(AF_INET, address->data.data(), text, sizeof text);
-    auto attributes = attributes_of(zone, target);
-    broker::Member m;
-    const auto port = std::to_string(get16(r.data, 4));
-    m.id = name_to_text(target) + ":" + port;
-    m.address = std::string(text) + ":" + port;
-    m.zone = attributes["zone"];
-    m.group = GroupId{*group};
-    m.primary = get16(r.data, 0) == 0;
-    m.weight = std::max<double>(1, get16(r.data, 2));
-    if (attributes["state"] == "draining") m.state = HostState::draining;
-    if (const auto at = to_int(attributes["started_ms"]); at && *at > 0 && *at < 10'000'000'000'000)
-      m.started_at = std::chrono::milliseconds(*at);
-    list.members.push_back(std::move(m));
+    auto attributes = txt_attributes(zone, target);
+    broker::Member member;
+    const auto port = std::to_string(get16(service.data, srv_port_offset));
+    member.id = name_to_text(target) + ":" + port;
+    member.address = std::string(text) + ":" + port;
+    member.zone = attributes["zone"];
+    member.group = GroupId{*group};
+    member.primary = get16(service.data, 0) == 0;
+    member.weight = std::max<double>(1, get16(service.data, srv_weight_offset));
+    if (attributes["state"] == "draining") member.state = HostState::draining;
+    if (const auto at = to_int(attributes["started_ms"]); at && *at > 0 && *at < started_limit_ms)
+      member.started_at = std::chrono::milliseconds(*at);
+    list.members.push_back(std::move(member));
   }
   return list;
 }
--- a/src/wire/dns.h
+++ b/src/wire/dns.h
@@ -12,6 +12,7 @@
 
 namespace cedarring::wire::dns {
 
+/// Record types, as on the wire.
 enum Type : std::uint16_t {
   type_a = 1,
   type_ns = 2,
@@ -22,9 +23,12 @@
   type_txt = 16,
   type_aaaa = 28,
   type_srv = 33,
+  type_opt = 41,
   type_any = 255
 };
+/// Record classes, as on the wire. In updates, none and any mark prerequisites and deletions.
 enum Class : std::uint16_t { class_in = 1, class_none = 254, class_any = 255 };
+/// Response codes, as on the wire.
 enum class Rcode : std::uint8_t {
   ok = 0,
   form_error = 1,
@@ -39,31 +43,36 @@
   not_zone = 10
 };
 
-/// Names are kept as on the wire, uncompressed and in small letters: equal names are equal bytes.
+/// A resource record. Names are kept as on the wire, uncompressed and in lower case, so that equal names are
+/// equal bytes.
 struct Record {
   std::string name;
-  std::uint16_t type = 0, cls = class_in;
-  std::uint32_t ttl = 0;
-  std::string data;  // names in it as above
+  std::uint16_t type = 0;
+  std::uint16_t class_code = class_in;
+  std::uint32_t ttl = 0;  // seconds
+  std::string data;       // as on the wire, with its names uncompressed and in lower case
 };
+/// The records at and below `origin`.
 struct Zone {
   std::string origin;
   std::vector<Record> records;
 };
 
-/// A name from its text; a relative one gets `origin`. Nothing if it is not a name.
+/// Parses a name in text form; `origin` is appended to a relative one. Nothing if it is not a valid name.
 std::optional<std::string> name_from_text(std::string_view text, std::string_view origin);
+/// The text form of a name, with its final dot.
 std::string name_to_text(std::string_view name);
 
-/// Reads a master file; false with the line at fault in `error`.
+/// Parses a master file. Returns false and sets `error` to the line at fault if it is invalid.
 bool parse_zone(std::string_view text, std::string_view origin, Zone& zone, std::string& error);
 
-/// Carries an update out on the zone, all of it or nothing, and gives the response; empty if the message is
-/// not to be answered. `changed` tells whether the zone is another now.
-std::string answer_update(std::string_view message, Zone& zone, bool& changed);
+/// Applies an update message to the zone, completely or not at all, and returns the response; empty if the
+/// message must not be answered. `changed`: whether the zone has changed.
+std::string handle_update(std::string_view message, Zone& zone, bool& changed);
 
-/// The hosts of a zone: each SRV record of _mysql._tcp.gN is one of group N, the primary with priority 0. The
-/// target's TXT record may tell zone=, state= and started_ms=. Targets without an address are left out.
-broker::MemberList members_of(const Zone& zone, std::uint64_t version);
+/// The member list of a zone. Each SRV record of _mysql._tcp.gN is a host of group N, a primary if its
+/// priority is 0. The target's TXT record may set zone=, state= and started_ms=. Targets without an A record
+/// are left out.
+broker::MemberList member_list_of(const Zone& zone, std::uint64_t version);
 
 }  // namespace cedarring::wire::dns
--- a/src/wire/mysql.cpp
+++ b/src/wire/mysql.cpp
@@ -6,55 +6,69 @@
 namespace {
 
 constexpr std::string_view auth_plugin = "mysql_native_password";
-constexpr std::uint16_t type_mask = 0xff, unsigned_flag = 0x8000;
-
-bool whole_type(std::uint16_t type) {
+constexpr std::uint16_t type_mask = 0xff;
+constexpr std::uint16_t unsigned_flag = 0x8000;
+
+constexpr unsigned protocol_version = 10;
+constexpr std::uint32_t max_client_packet = 1U << 24U;  // bytes, as a login announces it
+constexpr std::size_t login_filler_size = 23;           // zero bytes after the character set in a login
+constexpr std::size_t sql_state_size = 5;
+constexpr std::uint64_t session_track_system_variables = 0;
+
+// First bytes of length-encoded integers of 2, 3 and 8 bytes; smaller first bytes are the value itself.
+constexpr unsigned char lenenc_2_bytes = 0xfc;
+constexpr unsigned char lenenc_3_bytes = 0xfd;
+constexpr unsigned char lenenc_8_bytes = 0xfe;
+constexpr unsigned char lenenc_value_end = 0xfb;
+
+bool is_integer_type(std::uint16_t type) {
   switch (type & type_mask) {
-    case 0x01:
-    case 0x02:
-    case 0x03:
-    case 0x08:
-    case 0x09:
-    case 0x0d:
+    case type_tiny:
+    case type_short:
+    case type_long:
+    case type_longlong:
+    case type_int24:
+    case type_year:
       return true;
     default:
       return false;
   }
 }
 
-/// Types, names and values of parameters, after their count is known.
-bool parse_parameters(Reader& in, std::size_t count, bool names, const std::vector<Parameter>& types,
+/// Parses the types, names (if `named`) and values of `count` parameters. `types` are those bound before,
+/// `long_data` the values sent ahead.
+bool parse_parameters(PacketReader& in, std::size_t count, bool named, const std::vector<Parameter>& types,
                       const std::vector<std::optional<std::string>>& long_data, std::vector<Parameter>& out) {
   out.clear();
   if (count == 0) return in.ok();
   const auto nulls = in.text((count + 7) / 8);
-  const bool bound = in.fixed(1) != 0;
+  const bool types_bound = in.fixed(1) != 0;
   if (!in.ok()) return false;
   for (std::size_t i = 0; i < count; ++i) {
-    Parameter p;
-    if (bound) {
-      p.type = static_cast<std::uint16_t>(in.fixed(2));
-      if (names) p.name = in.lenenc_text();
+    Parameter parameter;
+    if (types_bound) {
+      parameter.type = static_cast<std::uint16_t>(in.fixed(2));
+      if (named) parameter.name = in.lenenc_text();
     } else {
-      if (i >= types.size()) return false;  // nothing was ever bound
-      p.type = types[i].type;
-      p.name = types[i].name;
+      if (i >= types.size()) return false;  // its type was never bound
+      parameter.type = types[i].type;
+      parameter.name = types[i].name;
     }
     if (!in.ok()) return false;
-    p.null = (static_cast<unsigned char>(nulls[i / 8]) >> (i % 8) & 1U) != 0;
-    out.push_back(std::move(p));
+    parameter.null = (static_cast<unsigned char>(nulls[i / 8]) >> (i % 8) & 1U) != 0;
+    out.push_back(std::move(parameter));
   }
   for (std::size_t i = 0; i < count; ++i) {
-    auto& p = out[i];
+    auto& parameter = out[i];
     if (i < long_data.size() && long_data[i]) {
-      p.null = false;
-      put_lenenc_text(p.value, *long_data[i]);
+      parameter.null = false;
+      put_lenenc_text(parameter.value, *long_data[i]);
       continue;
     }
-    if (p.null) continue;
-    const auto size = value_size(p.type, in.rest());
+    if (parameter.null) continue;
+    const auto size = encoded_value_size(parameter.type, in.rest());
     if (!size) return false;
-    p.value = in.text(*size);
+    parameter.value = in.text(*size);
   }
   return in.ok();
 }
@@ -65,27 +79,27 @@
   for (std::size_t i = 0; i < parameters.size(); ++i)
     if (parameters[i].null) nulls[i / 8] = static_cast<char>(nulls[i / 8] | 1 << (i % 8));
   out += nulls;
-  out += '\1';
-  for (const auto& p : parameters) {
-    put_fixed(out, p.type, 2);
-    put_lenenc_text(out, p.name);
+  out += '\1';  // the types follow
+  for (const auto& parameter : parameters) {
+    put_fixed(out, parameter.type, 2);
+    put_lenenc_text(out, parameter.name);
   }
-  for (const auto& p : parameters)
-    if (!p.null) out += p.value;
+  for (const auto& parameter : parameters)
+    if (!parameter.null) out += parameter.value;
 }
 
 }  // namespace
 
-Frame next_packet(std::string_view in, std::size_t most, Packet& out) {
-  if (in.size() < 4) return Frame::partial;
-  Reader r(in);
-  const auto length = r.fixed(3);
-  if (length > most) return Frame::bad;
-  out.sequence = static_cast<std::uint8_t>(r.fixed(1));
-  if (in.size() < length + 4) return Frame::partial;
-  out.payload = in.substr(4, length);
-  out.size = length + 4;
-  return Frame::whole;
+FrameStatus next_packet(std::string_view in, std::size_t max_payload, Packet& out) {
+  if (in.size() < packet_header_size) return FrameStatus::partial;
+  PacketReader reader(in);
+  const auto length = reader.fixed(3);
+  if (length > max_payload) return FrameStatus::malformed;
+  out.sequence = static_cast<std::uint8_t>(reader.fixed(1));
+  if (in.size() < length + packet_header_size) return FrameStatus::partial;
+  out.payload = in.substr(packet_header_size, length);
+  out.size = length + packet_header_size;
+  return FrameStatus::complete;
 }
 
 void put_packet(std::string& out, std::uint8_t& sequence, std::string_view payload) {
@@ -94,24 +108,24 @@
   out += payload;
 }
 
-std::uint64_t Reader::fixed(int bytes) {
+std::uint64_t PacketReader::fixed(int bytes) {
   const auto part = text(static_cast<std::uint64_t>(bytes));
-  std::uint64_t v = 0;
-  for (std::size_t i = part.size(); i-- > 0;) v = v << 8U | static_cast<unsigned char>(part[i]);
-  return v;
+  std::uint64_t value = 0;
+  for (std::size_t i = part.size(); i-- > 0;) value = value << 8U | static_cast<unsigned char>(part[i]);
+  return value;
 }
 
-std::uint64_t Reader::lenenc() {
+std::uint64_t PacketReader::lenenc() {
   const auto first = fixed(1);
-  if (first < 0xfb) return first;
-  if (first == 0xfc) return fixed(2);
-  if (first == 0xfd) return fixed(3);
-  if (first == 0xfe) return fixed(8);
+  if (first < lenenc_value_end) return first;
+  if (first == lenenc_2_bytes) return fixed(2);
+  if (first == lenenc_3_bytes) return fixed(3);
+  if (first == lenenc_8_bytes) return fixed(8);
   ok_ = false;
   return 0;
 }
 
-std::string_view Reader::text(std::uint64_t length) {
+std::string_view PacketReader::text(std::uint64_t length) {
   if (!ok_ || length > in_.size()) {
     ok_ = false;
     return {};
@@ -121,7 +135,7 @@
   return part;
 }
 
-std::string_view Reader::zero_text() {
+std::string_view PacketReader::null_terminated_text() {
   const auto end = in_.find('\0');
   if (end == std::string_view::npos) ok_ = false;
   const auto part = text(end);
@@ -134,9 +148,9 @@
 }
 
 void put_lenenc(std::string& out, std::uint64_t value) {
-  if (value < 0xfb) return put_fixed(out, value, 1);
+  if (value < lenenc_value_end) return put_fixed(out, value, 1);
   const int bytes = value <= 0xffff ? 2 : value <= 0xffffff ? 3 : 8;
-  out += static_cast<char>(bytes == 2 ? 0xfc : bytes == 3 ? 0xfd : 0xfe);
+  out += static_cast<char>(bytes == 2 ? lenenc_2_bytes : bytes == 3 ? lenenc_3_bytes : lenenc_8_bytes);
   put_fixed(out, value, bytes);
 }
 
@@ -146,16 +160,16 @@
 }
 
 std::string greeting(std::uint32_t connection_id, std::uint32_t capabilities) {
-  // No password is asked for, so the scramble guards nothing and may be fixed.
+  // Clients log in without a password, so the scramble protects nothing and may be fixed.
   constexpr std::string_view scramble = "cedarringcedarringce";
-  std::string out("\x0a");
+  std::string out(1, static_cast<char>(protocol_version));
   out += "8.0.34-cedarring";
   out += '\0';
   put_fixed(out, connection_id, 4);
   out += scramble.substr(0, 8);
   out += '\0';
   put_fixed(out, capabilities & 0xffffU, 2);
-  out += '\x2d';  // utf8mb4
+  out += static_cast<char>(charset_utf8mb4);
   put_fixed(out, status_autocommit, 2);
   put_fixed(out, capabilities >> 16U, 2);
   out += static_cast<char>(scramble.size() + 1);
@@ -168,13 +182,13 @@
 }
 
 bool parse_greeting(std::string_view payload, Greeting& out) {
-  Reader in(payload);
-  if (in.fixed(1) != 10) return false;
-  in.zero_text();
-  in.text(4 + 8 + 1);
+  PacketReader in(payload);
+  if (in.fixed(1) != protocol_version) return false;
+  in.null_terminated_text();
+  in.text(4 + 8 + 1);  // connection id, first part of the scramble, filler
   out.capabilities = static_cast<std::uint32_t>(in.fixed(2));
   if (!in.ok()) return false;
-  in.text(1 + 2);
+  in.text(1 + 2);  // character set, status
   out.capabilities |= static_cast<std::uint32_t>(in.fixed(2)) << 16U;
   return in.ok();
 }
@@ -182,9 +196,9 @@
 std::string handshake_response(std::uint32_t capabilities, std::string_view user, std::string_view database) {
   std::string out;
   put_fixed(out, capabilities, 4);
-  put_fixed(out, 1U << 24U, 4);
-  out += '\x2d';
-  out.append(23, '\0');
+  put_fixed(out, max_client_packet, 4);
+  out += static_cast<char>(charset_utf8mb4);
+  out.append(login_filler_size, '\0');
   out += user;
   out += '\0';
   out += '\0';  // no password
@@ -196,17 +210,17 @@
 }
 
 bool parse_handshake_response(std::string_view payload, HandshakeResponse& out) {
-  Reader in(payload);
+  PacketReader in(payload);
   out.capabilities = static_cast<std::uint32_t>(in.fixed(4));
-  in.text(4 + 1 + 23);
-  out.user = in.zero_text();
+  in.text(4 + 1 + login_filler_size);  // maximum packet size, character set, filler
+  out.user = in.null_terminated_text();
   return in.ok() && (out.capabilities & protocol_41) != 0;
 }
 
 bool parse_ok(std::string_view payload, Ok& out) {
-  Reader in(payload);
+  PacketReader in(payload);
   const auto header = in.fixed(1);
-  if (header != 0 && header != 0xfe) return false;
+  if (header != header_ok && header != header_eof) return false;
   out = {};
   out.affected_rows = in.lenenc();
   out.last_insert_id = in.lenenc();
@@ -216,33 +230,34 @@
   if (in.rest().empty()) return true;
   in.lenenc_text();  // the human-readable status
   if ((out.status & status_session_changed) == 0) return in.ok();
-  Reader state(in.lenenc_text());
+  PacketReader state(in.lenenc_text());
   while (in.ok() && state.ok() && !state.rest().empty()) {
     const auto type = state.fixed(1);
-    Reader item(state.lenenc_text());
-    if (type != 0) continue;  // of system variables alone
-    const auto name = item.lenenc_text(), value = item.lenenc_text();
+    PacketReader item(state.lenenc_text());
+    if (type != session_track_system_variables) continue;
+    const auto name = item.lenenc_text();
+    const auto value = item.lenenc_text();
     if (!item.ok()) return false;
     out.variables.emplace_back(name, value);
   }
   return in.ok() && state.ok();
 }
 
-std::string ok_packet(const Ok& ok, unsigned char header, bool track) {
+std::string ok_packet(const Ok& ok, unsigned char header, bool track_session) {
   std::string out(1, static_cast<char>(header));
   put_lenenc(out, ok.affected_rows);
   put_lenenc(out, ok.last_insert_id);
-  track = track && !ok.variables.empty();
-  const auto kept = static_cast<std::uint16_t>(ok.status & ~status_session_changed);
-  put_fixed(out, track ? kept | status_session_changed : kept, 2);
+  const bool session_changed = track_session && !ok.variables.empty();
+  const auto base_status = static_cast<std::uint16_t>(ok.status & ~status_session_changed);
+  put_fixed(out, session_changed ? base_status | status_session_changed : base_status, 2);
   put_fixed(out, ok.warnings, 2);
-  if (!track) return out;
+  if (!session_changed) return out;
   std::string state;
   for (const auto& [name, value] : ok.variables) {
     std::string item;
     put_lenenc_text(item, name);
     put_lenenc_text(item, value);
-    state += '\0';
+    state += static_cast<char>(session_track_system_variables);
     put_lenenc_text(state, item);
   }
   put_lenenc_text(out, "");
@@ -258,14 +273,14 @@
 }
 
 bool parse_error(std::string_view payload, Error& out) {
-  Reader in(payload);
-  if (in.fixed(1) != 0xff) return false;
+  PacketReader in(payload);
+  if (in.fixed(1) != header_error) return false;
   out.code = static_cast<std::uint16_t>(in.fixed(2));
   if (!in.ok()) return false;
   out.state = "HY000";
   if (!in.rest().empty() && in.rest()[0] == '#') {
     in.text(1);
-    out.state = in.text(5);
+    out.state = in.text(sql_state_size);
   }
   out.message = in.rest();
   return in.ok();
@@ -285,64 +300,65 @@
     case 1290:
     case 1792:
     case 1836:
-      return Outcome::too_stale;  // read-only: this is no primary
+      return Outcome::too_stale;  // read-only: not the primary
     case 1040:
     case 1203:
     case 3168:
-      return Outcome::full;  // too many connections, not available: never ran
+      return Outcome::full;  // too many connections or unavailable: the request has not run
     case 1243:
-      return Outcome::not_sent;  // it does not know the statement: never ran
+      return Outcome::not_sent;  // unknown prepared statement: the request has not run
     default:
-      return error.state == "72000" ? Outcome::too_stale : Outcome::error;  // too far behind
+      // 72000: the replica is further behind than the request allows.
+      return error.state == "72000" ? Outcome::too_stale : Outcome::error;
   }
 }
 
-std::optional<std::size_t> value_size(std::uint16_t type, std::string_view in) {
+std::optional<std::size_t> encoded_value_size(std::uint16_t type, std::string_view in) {
   std::uint64_t size = 0;
   switch (type & type_mask) {
-    case 0x06:
-      return 0;  // NULL
-    case 0x01:
+    case type_null:
+      return 0;
+    case type_tiny:
       size = 1;
-      break;  // TINY
-    case 0x02:
-    case 0x0d:
+      break;
+    case type_short:
+    case type_year:
       size = 2;
-      break;  // SHORT, YEAR
-    case 0x03:
-    case 0x04:
-    case 0x09:
+      break;
+    case type_long:
+    case type_float:
+    case type_int24:
       size = 4;
-      break;  // LONG, FLOAT, INT24
-    case 0x05:
-    case 0x08:
+      break;
+    case type_double:
+    case type_longlong:
       size = 8;
-      break;  // DOUBLE, LONGLONG
-    case 0x07:
-    case 0x0a:
-    case 0x0b:
-    case 0x0c:  // TIMESTAMP, DATE, TIME, DATETIME
+      break;
+    case type_timestamp:
+    case type_date:
+    case type_time:
+    case type_datetime:
       if (in.empty()) return std::nullopt;
       size = 1U + static_cast<unsigned char>(in[0]);
       break;
-    case 0x00:
-    case 0x0f:
-    case 0x10:
-    case 0xf5:
-    case 0xf6:
-    case 0xf7:
-    case 0xf8:
-    case 0xf9:
-    case 0xfa:
-    case 0xfb:
-    case 0xfc:
-    case 0xfd:
-    case 0xfe:
-    case 0xff: {  // DECIMAL, strings, blobs, JSON, GEOMETRY
-      Reader r(in);
-      const auto length = r.lenenc();
-      if (!r.ok() || length > r.rest().size()) return std::nullopt;
-      return in.size() - r.rest().size() + length;
+    case type_decimal:
+    case type_varchar:
+    case type_bit:
+    case type_json:
+    case type_newdecimal:
+    case type_enum:
+    case type_set:
+    case type_tiny_blob:
+    case type_medium_blob:
+    case type_long_blob:
+    case type_blob:
+    case type_var_string:
+    case type_string:
+    case type_geometry: {
+      PacketReader reader(in);
+      const auto length = reader.lenenc();
+      if (!reader.ok() || length > reader.rest().size()) return std::nullopt;
+      return in.size() - reader.rest().size() + length;
     }
     default:
       return std::nullopt;
@@ -351,35 +367,36 @@
   return size;
 }
 
-std::optional<std::string> text_of(const Parameter& p) {
-  if (p.null || (p.type & type_mask) == 0x06) return std::nullopt;
-  Reader r(p.value);
-  if (whole_type(p.type)) {
-    const auto bytes = static_cast<int>(p.value.size());
-    const auto raw = r.fixed(bytes);
-    const auto unused = static_cast<unsigned>(64 - 8 * bytes);
-    if ((p.type & unsigned_flag) != 0) return std::to_string(raw);
-    return std::to_string(static_cast<std::int64_t>(raw << unused) >> unused);
+std::optional<std::string> text_value(const Parameter& parameter) {
+  if (parameter.null || (parameter.type & type_mask) == type_null) return std::nullopt;
+  PacketReader reader(parameter.value);
+  if (is_integer_type(parameter.type)) {
+    const auto bytes = static_cast<int>(parameter.value.size());
+    const auto raw = reader.fixed(bytes);
+    const auto unused_bits = static_cast<unsigned>(64 - 8 * bytes);
+    if ((parameter.type & unsigned_flag) != 0) return std::to_string(raw);
+    return std::to_string(static_cast<std::int64_t>(raw << unused_bits) >> unused_bits);
   }
-  if (const auto type = p.type & type_mask; type != 0x0f && type < 0xf9) return std::nullopt;
-  const auto text = r.lenenc_text();
-  if (!r.ok()) return std::nullopt;
+  if (const auto type = parameter.type & type_mask; type != type_varchar && type < type_tiny_blob)
+    return std::nullopt;
+  const auto text = reader.lenenc_text();
+  if (!reader.ok()) return std::nullopt;
   return std::string(text);
 }
 
 bool parse_execute(std::string_view payload, bool attributes, std::size_t placeholders,
                    const std::vector<Parameter>& types,
                    const std::vector<std::optional<std::string>>& long_data, Execute& out) {
-  Reader in(payload);
+  PacketReader in(payload);
   in.text(1);
   out.statement = static_cast<std::uint32_t>(in.fixed(4));
   out.flags = static_cast<unsigned char>(in.fixed(1));
-  in.fixed(4);
+  in.fixed(4);  // iteration count, always 1
   if (!in.ok()) return false;
   std::uint64_t count = placeholders;
-  const bool counted = attributes && (out.flags & 8U) != 0;
-  if (counted) count = in.lenenc();
-  // Each parameter takes more than a bit of the packet: guards against counts that are made up.
+  const bool has_count = attributes && (out.flags & execute_parameter_count_flag) != 0;
+  if (has_count) count = in.lenenc();
+  // Each parameter takes more than one bit of the packet: rejects forged counts before memory is allocated.
   if (!in.ok() || count < placeholders || count > placeholders + payload.size()) return false;
   return parse_parameters(in, count, attributes, types, long_data, out.parameters) && in.rest().empty();
 }
@@ -388,22 +405,22 @@
                            const std::vector<Parameter>& parameters) {
   std::string out(1, static_cast<char>(com_stmt_execute));
   put_fixed(out, statement, 4);
-  const bool counted = parameters.size() > placeholders;
-  out += counted ? '\x08' : '\0';
-  put_fixed(out, 1, 4);
-  if (counted) put_lenenc(out, parameters.size());
+  const bool has_count = parameters.size() > placeholders;
+  out += has_count ? static_cast<char>(execute_parameter_count_flag) : '\0';
+  put_fixed(out, 1, 4);  // iteration count
+  if (has_count) put_lenenc(out, parameters.size());
   put_parameters(out, parameters);
   return out;
 }
 
 bool parse_query(std::string_view payload, bool attributes, Query& out) {
-  Reader in(payload);
+  PacketReader in(payload);
   in.text(1);
   out.attributes.clear();
   if (attributes) {
     const auto count = in.lenenc();
-    const auto sets = in.lenenc();
-    if (!in.ok() || sets != 1 || count > payload.size()) return false;
+    const auto set_count = in.lenenc();
+    if (!in.ok() || set_count != 1 || count > payload.size()) return false;
     if (!parse_parameters(in, count, true, {}, {}, out.attributes)) return false;
   }
   out.sql = in.rest();
@@ -413,15 +430,15 @@
 std::string query_packet(const std::vector<Parameter>& attributes, std::string_view sql) {
   std::string out(1, static_cast<char>(com_query));
   put_lenenc(out, attributes.size());
-  put_lenenc(out, 1);
+  put_lenenc(out, 1);  // number of parameter sets
   put_parameters(out, attributes);
   out += sql;
   return out;
 }
 
-Shape shape_of(std::string_view sql) {
-  Shape shape;
-  bool ended = false;  // a semicolon has come
+StatementShape scan_statement(std::string_view sql) {
+  StatementShape shape;
+  bool semicolon_seen = false;
   for (std::size_t i = 0; i < sql.size(); ++i) {
     const char c = sql[i];
     const char next = i + 1 < sql.size() ? sql[i + 1] : '\0';
@@ -430,20 +447,26 @@
       i = std::min(sql.find('\n', i), sql.size());
     } else if (c == '/' && next == '*') {
       const auto end = sql.find("*/", i + 2);
-      if (end == std::string_view::npos) return shape.whole = false, shape;
+      if (end == std::string_view::npos) {
+        shape.terminated = false;
+        return shape;
+      }
       i = end + 1;
     } else if (c == ';') {
-      ended = true;
+      semicolon_seen = true;
     } else if (static_cast<unsigned char>(c) > ' ') {
-      shape.several = shape.several || ended;
+      shape.multiple = shape.multiple || semicolon_seen;
       if (c == '?') ++shape.placeholders;
       if (c != '\'' && c != '"' && c != '`') continue;
       for (++i; i < sql.size(); ++i)
         if (sql[i] == '\\' && c != '`')
           ++i;
         else if (sql[i] == c)
-          break;  // a doubled quote opens the next piece at once
-      if (i >= sql.size()) return shape.whole = false, shape;
+          break;  // a doubled quote ends one literal and opens another, with the same effect
+      if (i >= sql.size()) {
+        shape.terminated = false;
+        return shape;
+      }
     }
   }
   return shape;
--- a/src/wire/mysql.h
+++ b/src/wire/mysql.h
@@ -1,4 +1,5 @@
-// MySQL protocol 4.1: framing, handshake, answers, parameters, statements. Pure functions over bytes.
+// MySQL protocol 4.1: packet framing, handshake, answers, parameters and statements. Pure functions over
+// bytes; all sizes are in bytes. Parsed texts are views into the payload unless they are std::string.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +12,10 @@
 
 namespace cedarring::wire::mysql {
 
-enum class Frame { whole, partial, bad };
+/// Whether a buffer starts with a complete packet, with a part of one, or with one over the size limit.
+enum class FrameStatus { complete, partial, malformed };
 
+/// Capability flags (CLIENT_*).
 enum Capability : std::uint32_t {
   long_password = 1U,
   found_rows = 1U << 1U,
@@ -30,9 +33,12 @@
   deprecate_eof = 1U << 24U,
   query_attributes = 1U << 27U
 };
-inline constexpr std::uint16_t status_autocommit = 2, status_more_results = 8,
-                               status_session_changed = 0x4000;
+/// Server status flags (SERVER_*).
+inline constexpr std::uint16_t status_autocommit = 2;
+inline constexpr std::uint16_t status_more_results = 8;
+inline constexpr std::uint16_t status_session_changed = 0x4000;
 
+/// The first byte of a command packet.
 enum Command : unsigned char {
   com_quit = 0x01,
   com_init_db = 0x02,
@@ -48,23 +54,72 @@
   com_reset_connection = 0x1f
 };
 
+/// The first byte of an answer's packets.
+enum Header : unsigned char { header_ok = 0x00, header_eof = 0xfe, header_error = 0xff };
+
+/// Types of columns and parameters (MYSQL_TYPE_*).
+enum FieldType : std::uint16_t {
+  type_decimal = 0x00,
+  type_tiny = 0x01,
+  type_short = 0x02,
+  type_long = 0x03,
+  type_float = 0x04,
+  type_double = 0x05,
+  type_null = 0x06,
+  type_timestamp = 0x07,
+  type_longlong = 0x08,
+  type_int24 = 0x09,
+  type_date = 0x0a,
+  type_time = 0x0b,
+  type_datetime = 0x0c,
+  type_year = 0x0d,
+  type_varchar = 0x0f,
+  type_bit = 0x10,
+  type_json = 0xf5,
+  type_newdecimal = 0xf6,
+  type_enum = 0xf7,
+  type_set = 0xf8,
+  type_tiny_blob = 0xf9,
+  type_medium_blob = 0xfa,
+  type_long_blob = 0xfb,
+  type_blob = 0xfc,
+  type_var_string = 0xfd,
+  type_string = 0xfe,
+  type_geometry = 0xff
+};
+
+/// Character sets, by collation id.
+inline constexpr unsigned char charset_utf8mb4 = 0x2d;
+inline constexpr unsigned char charset_binary = 63;
+
+/// A framed packet; `payload` is a view into the parsed buffer.
 struct Packet {
   std::uint8_t sequence = 0;
   std::string_view payload;
-  std::size_t size = 0;  // of all of it
+  std::size_t size = 0;  // of the whole packet, with its header
 };
-Frame next_packet(std::string_view in, std::size_t most, Packet& out);
+/// The size of a packet's header: payload length and sequence number.
+inline constexpr std::size_t packet_header_size = 4;
+/// Parses the packet at the front of `in`; malformed if its payload is longer than `max_payload`.
+FrameStatus next_packet(std::string_view in, std::size_t max_payload, Packet& out);
+/// Appends a packet and advances `sequence`.
 void put_packet(std::string& out, std::uint8_t& sequence, std::string_view payload);
 
-/// Takes values off the front of bytes. After a read past the end ok() is false and all reads give nothing.
-class Reader {
+/// Reads values from the front of a payload. After a read past the end ok() is false and all reads return
+/// zero or empty text.
+class PacketReader {
  public:
-  explicit Reader(std::string_view in) : in_(in) {}
+  explicit PacketReader(std::string_view in) : in_(in) {}
+  /// A little-endian integer of `bytes` bytes.
   std::uint64_t fixed(int bytes);
+  /// A length-encoded integer.
   std::uint64_t lenenc();
+  /// A text of `length` bytes.
   std::string_view text(std::uint64_t length);
+  /// A text preceded by its length as a length-encoded integer.
   std::string_view lenenc_text() { return text(lenenc()); }
-  std::string_view zero_text();
+  std::string_view null_terminated_text();
+  /// What has not been read yet.
   [[nodiscard]] std::string_view rest() const { return in_; }
   [[nodiscard]] bool ok() const { return ok_; }
 
@@ -72,79 +127,106 @@
   std::string_view in_;
   bool ok_ = true;
 };
+/// Appends a little-endian integer of `bytes` bytes.
 void put_fixed(std::string& out, std::uint64_t value, int bytes);
+/// Appends a length-encoded integer.
 void put_lenenc(std::string& out, std::uint64_t value);
+/// Appends a text after its length as a length-encoded integer.
 void put_lenenc_text(std::string& out, std::string_view text);
 
 // ---- handshake ----
+
+/// The payload of the server's first packet.
 std::string greeting(std::uint32_t connection_id, std::uint32_t capabilities);
 struct Greeting {
   std::uint32_t capabilities = 0;
 };
+/// False for a malformed payload or another protocol version than 10.
 bool parse_greeting(std::string_view payload, Greeting& out);
+/// The payload of the client's login without a password.
 std::string handshake_response(std::uint32_t capabilities, std::string_view user, std::string_view database);
 struct HandshakeResponse {
   std::uint32_t capabilities = 0;
   std::string_view user;
 };
+/// False for a malformed payload or a client without protocol 4.1.
 bool parse_handshake_response(std::string_view payload, HandshakeResponse& out);
 
 // ---- answers ----
+
+/// An OK packet.
 struct Ok {
-  std::uint64_t affected_rows = 0, last_insert_id = 0;
-  std::uint16_t status = status_autocommit, warnings = 0;
-  std::vector<std::pair<std::string_view, std::string_view>> variables;  // of session-state tracking
+  std::uint64_t affected_rows = 0;
+  std::uint64_t last_insert_id = 0;
+  std::uint16_t status = status_autocommit;
+  std::uint16_t warnings = 0;
+  std::vector<std::pair<std::string_view, std::string_view>> variables;  // from session-state tracking
 };
-/// Of an OK packet with either header, from a peer that tracks session state.
+/// Parses an OK packet with either header (OK or EOF) from a peer that tracks session state.
 bool parse_ok(std::string_view payload, Ok& out);
-std::string ok_packet(const Ok& ok, unsigned char header, bool track);
+/// The payload of an OK packet; `track_session`: with the session variables.
+std::string ok_packet(const Ok& ok, unsigned char header, bool track_session);
+/// The payload of an EOF packet.
 std::string eof_packet(std::uint16_t status);
 
+/// An ERR packet; `state` is its SQLSTATE.
 struct Error {
   std::uint16_t code = 0;
-  std::string state, message;
+  std::string state;
+  std::string message;
 };
 bool parse_error(std::string_view payload, Error& out);
 std::string error_packet(const Error& error);
-/// What a host's error says of the attempt; `preparing`: it came before the request itself was sent.
+/// Classifies a host's error as the outcome of an attempt.
 Outcome outcome_of(const Error& error);
 
 // ---- parameters ----
+
+/// A statement parameter or a query attribute.
 struct Parameter {
-  std::uint16_t type = 0;  // with the unsigned flag
+  std::uint16_t type = 0;  // a FieldType and the unsigned flag
   std::string name;        // of a query attribute
   bool null = false;
-  std::string value;  // as spelt on the wire, with its length if its type has one
+  std::string value;  // as encoded on the wire, with its length if the type has one
 };
-/// A value's size on the wire by its type; nothing for a type that is not known or a value cut short.
-std::optional<std::size_t> value_size(std::uint16_t type, std::string_view in);
-/// The plain text of a string or whole number; nothing for other types.
-std::optional<std::string> text_of(const Parameter& p);
+/// The encoded size of the value at the front of `in`; nothing for an unknown type or a truncated value.
+std::optional<std::size_t> encoded_value_size(std::uint16_t type, std::string_view in);
+/// The text of a string, or of an integer in decimal; nothing for other types and null.
+std::optional<std::string> text_value(const Parameter& parameter);
 
+/// A COM_STMT_EXECUTE command.
 struct Execute {
   std::uint32_t statement = 0;
   unsigned char flags = 0;
-  std::vector<Parameter> parameters;  // of the statement first, then the attributes
+  std::vector<Parameter> parameters;  // of the statement first, then the query attributes
 };
-/// `types` are those bound before; `long_data` holds what was sent ahead for each parameter.
+/// Flags of COM_STMT_EXECUTE.
+inline constexpr unsigned char execute_cursor_flags = 7;
+inline constexpr unsigned char execute_parameter_count_flag = 8;
+/// Parses a COM_STMT_EXECUTE payload. `attributes`: the peers use query attributes; `types`: the types bound
+/// by an earlier execution; `long_data`: the values sent ahead, by parameter index.
 bool parse_execute(std::string_view payload, bool attributes, std::size_t placeholders,
                    const std::vector<Parameter>& types,
                    const std::vector<std::optional<std::string>>& long_data, Execute& out);
 std::string execute_packet(std::uint32_t statement, std::size_t placeholders,
                            const std::vector<Parameter>& parameters);
+/// A COM_QUERY command.
 struct Query {
   std::vector<Parameter> attributes;
   std::string_view sql;
 };
+/// Parses a COM_QUERY payload. `attributes`: the peers use query attributes.
 bool parse_query(std::string_view payload, bool attributes, Query& out);
 std::string query_packet(const std::vector<Parameter>& attributes, std::string_view sql);
 
 // ---- statements ----
-struct Shape {
+
+/// What a scan of a statement's tokens finds.
+struct StatementShape {
   std::size_t placeholders = 0;
-  bool several = false;  // more than one statement
-  bool whole = true;     // no quote or comment is left open
+  bool multiple = false;   // more than one statement
+  bool terminated = true;  // no quote or comment is left open
 };
-Shape shape_of(std::string_view sql);
+StatementShape scan_statement(std::string_view sql);
 
 }  // namespace cedarring::wire::mysql
--- a/src/wire/mysql_client.h
+++ b/src/wire/mysql_client.h
@@ -1,4 +1,4 @@
-// The MySQL front: clients with plain and prepared statements.
+// Connections of MySQL clients, with plain and prepared statements.
 #pragma once
 
 #include <map>
@@ -10,14 +10,16 @@
 
 namespace cedarring::wire {
 
+/// A MySQL client: answers the handshake, PREPARE and session commands itself and submits queries and
+/// executions as requests. Transactions, multi-statements and cursors are rejected.
 class MysqlClient : public Client {
  public:
   MysqlClient(ev::loop_ref loop, Fd fd, ClientSet& owner)
-      : Client(loop, std::move(fd), owner, mysql_message_most) {}
+      : Client(loop, std::move(fd), owner, mysql_max_message_size) {}
   void turn_away() override;
   void greet() override;
-  /// Prepared statements stay with the process that holds them.
-  [[nodiscard]] bool movable() const override { return welcomed_ && statements_.empty(); }
+  /// A client with prepared statements cannot move: they are held by this process.
+  [[nodiscard]] bool movable() const override { return logged_in_ && statements_.empty(); }
   [[nodiscard]] std::string known() const override { return std::to_string(capabilities_); }
   void resume(const std::string& known) override;
 
@@ -25,34 +27,40 @@
   struct Statement {
     std::string sql;
     std::size_t placeholders = 0;
-    std::vector<mysql::Parameter> types;                // as last bound
-    std::vector<std::optional<std::string>> long_data;  // by parameter
-    std::size_t long_bytes = 0;
-    bool overlong = false;
-    [[nodiscard]] std::size_t bytes() const { return sql.size() + long_bytes; }
-    void drop_long_data();
+    std::vector<mysql::Parameter> types;                // as last bound, without values
+    std::vector<std::optional<std::string>> long_data;  // by parameter index
+    std::size_t long_data_size = 0;                     // bytes
+    bool long_data_rejected = false;                    // for its size or its parameter index
+    [[nodiscard]] std::size_t size() const { return sql.size() + long_data_size; }
+    void reset_long_data();
   };
-  [[nodiscard]] bool silent() const override { return !welcomed_ && in_.empty(); }
+  [[nodiscard]] bool silent() const override { return !logged_in_ && in_.empty(); }
   bool take_one() override;
   void put_answer(broker::FinalAnswer answer, std::string& out) override;
-  void shake_hands(std::string_view payload);
-  void command(std::string_view payload);
-  void query(std::string_view payload);
-  void prepare(std::string_view sql);
-  void execute(std::string_view payload);
-  void long_data(std::string_view payload);
-  void submit(std::shared_ptr<MysqlWork> work);
-  bool supported(std::string_view sql);
-  Statement* statement(std::uint32_t id);
-  [[nodiscard]] std::size_t held_bytes() const;
-  void ok();
-  void error(std::uint16_t code, std::string_view state, const std::string& message);
-  void fatal(std::uint16_t code, std::string_view state, const std::string& message);
-  [[nodiscard]] bool can(mysql::Capability c) const { return (capabilities_ & c) != 0; }
+  void handle_handshake_response(std::string_view payload);
+  void handle_command(std::string_view payload);
+  void handle_query(std::string_view payload);
+  void handle_prepare(std::string_view sql);
+  void handle_execute(std::string_view payload);
+  void handle_long_data(std::string_view body);
+  void submit(std::shared_ptr<MysqlRequest> request);
+  /// Whether the gateway supports the statement; answers it with an error if not.
+  bool check_supported(std::string_view sql);
+  /// The prepared statement `id`; null, after an error to the client, if there is none.
+  Statement* find_statement(std::uint32_t id);
+  /// Bytes that the client's prepared statements and their long data take.
+  [[nodiscard]] std::size_t statement_memory() const;
+  void send_ok();
+  void send_error(std::uint16_t code, std::string_view state, const std::string& message);
+  /// Sends an error and ends the connection.
+  void send_fatal(std::uint16_t code, std::string_view state, const std::string& message);
+  [[nodiscard]] bool supports(mysql::Capability capability) const {
+    return (capabilities_ & capability) != 0;
+  }
 
-  std::uint32_t capabilities_ = 0;
-  bool welcomed_ = false;
-  std::uint8_t sequence_ = 0;  // of the next packet that we write
+  std::uint32_t capabilities_ = 0;  // shared by the client and this gateway
+  bool logged_in_ = false;
+  std::uint8_t sequence_ = 0;  // of the next packet to write
   std::map<std::uint32_t, Statement> statements_;
   std::uint32_t next_statement_ = 1;
 };
--- a/src/wire/mysql_host.cpp
+++ b/src/wire/mysql_host.cpp
@@ -10,28 +10,37 @@
 
 using namespace mysql;  // NOLINT(google-build-using-namespace): the codec of this protocol
 
-constexpr std::uint32_t needed = protocol_41 | session_track | deprecate_eof | query_attributes;
-constexpr std::uint32_t wanted =
-    needed | long_password | long_flag | connect_with_db | transactions | secure_connection | plugin_auth;
-constexpr std::size_t statements_most = 64;  // kept prepared on one connection, and so many bytes of them
-constexpr std::size_t held_most = mysql_message_most + 64 * 1024;
-
-bool is_ok(std::string_view p) { return !p.empty() && p[0] == '\0'; }
-bool is_error(std::string_view p) { return !p.empty() && p[0] == '\xff'; }
-
-/// The parameters with our own deadline in place of the client's. A prepared statement's comment cannot be
-/// changed any more, so there it becomes an attribute.
-std::vector<Parameter> with_own_deadline(const MysqlWork& work, std::int64_t ms) {
-  auto all = work.parameters;
-  auto d = std::find_if(all.begin() + static_cast<std::ptrdiff_t>(work.placeholders), all.end(),
-                        [](const Parameter& p) { return p.name == "d"; });
-  if (d == all.end() && !work.prepared) return all;
-  if (d == all.end()) d = all.insert(all.end(), Parameter{0, "d", false, ""});
-  d->type = 0xfd;
-  d->null = false;
-  d->value.clear();
-  put_lenenc_text(d->value, std::to_string(ms));
-  return all;
+constexpr std::uint32_t required_capabilities =
+    protocol_41 | session_track | deprecate_eof | query_attributes;
+constexpr std::uint32_t wanted_capabilities = required_capabilities | long_password | long_flag |
+                                              connect_with_db | transactions | secure_connection |
+                                              plugin_auth;
+// Limits for the statements kept prepared on one connection.
+constexpr std::size_t max_statements = 64;
+constexpr std::size_t max_statement_memory = mysql_max_message_size + 64 * 1024;  // bytes
+constexpr std::uint64_t max_columns = 4095;
+
+bool has_header(std::string_view payload, Header header) {
+  return !payload.empty() && static_cast<unsigned char>(payload[0]) == header;
+}
+bool is_ok(std::string_view payload) { return has_header(payload, header_ok); }
+bool is_eof(std::string_view payload) { return has_header(payload, header_eof); }
+bool is_error(std::string_view payload) { return has_header(payload, header_error); }
+
+/// The parameters with the deadline attribute set to `remaining_ms`. It is added to a prepared statement
+/// without one, whose comment can no longer be changed.
+std::vector<Parameter> with_remaining_time(const MysqlRequest& request, std::int64_t remaining_ms) {
+  auto parameters = request.parameters;
+  auto deadline = std::find_if(parameters.begin() + static_cast<std::ptrdiff_t>(request.placeholders),
+                               parameters.end(), [](const Parameter& p) { return p.name == "d"; });
+  if (deadline == parameters.end() && !request.prepared) return parameters;
+  if (deadline == parameters.end())
+    deadline = parameters.insert(parameters.end(), Parameter{0, "d", false, ""});
+  deadline->type = type_var_string;
+  deadline->null = false;
+  deadline->value.clear();
+  put_lenenc_text(deadline->value, std::to_string(remaining_ms));
+  return parameters;
 }
 
 }  // namespace
@@ -40,14 +49,14 @@
   answer_.clear();
   health_.clear();
   error_.clear();
-  note_ = {};
+  metadata_ = {};
 }
 
-void MysqlHost::command(std::string_view payload, bool request) {
+void MysqlHost::write_command(std::string_view payload, bool is_request) {
   std::string out;
   std::uint8_t sequence = 0;
   put_packet(out, sequence, payload);
-  if (request)
+  if (is_request)
     write_request(out);
   else
     write(out);
@@ -56,157 +65,173 @@
 void MysqlHost::submit() {
   sequence_ = 1;
   if (!job_->attempt) {
-    state_ = State::first;
-    return command(query_packet({}, "SHOW health"), true);
+    state_ = State::first_packet;
+    return write_command(query_packet({}, "SHOW health"), true);
   }
-  if (!work().prepared) {
-    const auto& w = work();
-    state_ = State::first;
-    const auto sql = w.info.deadline_len > 0 ? with_deadline(w.sql, w.info, ms_left()) : w.sql;
-    return command(query_packet(with_own_deadline(w, ms_left()), sql), true);
+  if (!request().prepared) {
+    const auto& query = request();
+    state_ = State::first_packet;
+    const auto sql =
+        query.info.deadline_length > 0 ? with_deadline(query.sql, query.info, ms_left()) : query.sql;
+    return write_command(query_packet(with_remaining_time(query, ms_left()), sql), true);
   }
   const auto it = std::find_if(statements_.begin(), statements_.end(),
-                               [&](const Prepared& p) { return p.sql == work().sql; });
+                               [&](const Prepared& p) { return p.sql == request().sql; });
   if (it != statements_.end()) {
     statements_.splice(statements_.begin(), statements_, it);
-    return prepared(it->id);
+    return execute_prepared(it->id);
   }
-  // Preparing has no effect, so until the EXECUTE is written the attempt counts as not run.
+  // Preparing has no effect, so until the EXECUTE is written the attempt counts as not sent.
   state_ = State::preparing;
-  command(std::string(1, static_cast<char>(com_stmt_prepare)) + work().sql, false);
+  write_command(std::string(1, static_cast<char>(com_stmt_prepare)) + request().sql, false);
 }
 
-void MysqlHost::prepared(std::uint32_t id) {
+void MysqlHost::execute_prepared(std::uint32_t id) {
   sequence_ = 1;
-  state_ = State::first;
-  command(execute_packet(id, work().placeholders, with_own_deadline(work(), ms_left())), true);
+  state_ = State::first_packet;
+  write_command(execute_packet(id, request().placeholders, with_remaining_time(request(), ms_left())), true);
 }
 
 void MysqlHost::on_input() {
   while (!closed()) {
     Packet packet;
-    const auto frame = next_packet(in_.view(), mysql_message_most, packet);
-    if (frame == Frame::partial) return;
-    if (frame == Frame::bad) return broken();
-    const std::string whole(in_.view().substr(0, packet.size));
+    const auto frame = next_packet(in_.view(), mysql_max_message_size, packet);
+    if (frame == FrameStatus::partial) return;
+    if (frame == FrameStatus::malformed) return broken();
+    const std::string bytes(in_.view().substr(0, packet.size));
     in_.consume(packet.size);
-    packet.payload = std::string_view(whole).substr(4);
-    if (!take(packet)) return broken();
+    packet.payload = std::string_view(bytes).substr(packet_header_size);
+    if (!handle_packet(packet)) return broken();
   }
 }
 
-bool MysqlHost::take(const Packet& packet) {
-  const auto p = packet.payload;
-  if (packet.sequence != sequence_) return false;  // of another answer than the one that is due
+bool MysqlHost::handle_packet(const Packet& packet) {
+  const auto payload = packet.payload;
+  if (packet.sequence != sequence_) return false;  // belongs to another answer
   ++sequence_;
   switch (state_) {
     case State::greeting:
-      return take_greeting(p);
+      return handle_greeting(payload);
     case State::login:
-      return take_login(p);
+      return handle_login_response(payload);
     case State::idle:
-      return false;  // nothing is due
+      return false;  // unsolicited
     case State::preparing:
-      return take_prepared(p);
-    case State::prepare_rest:
-      if (--left_ == 0) prepared(preparing_);
+      return handle_prepare_response(payload);
+    case State::prepare_definitions:
+      if (--definitions_left_ == 0) execute_prepared(preparing_statement_);
       return true;
-    case State::first:
-      return take_first(packet);
+    case State::first_packet:
+      return handle_first_packet(packet);
     case State::columns:
     case State::rows:
       break;
   }
   std::uint8_t sequence = packet.sequence;
-  put_packet(answer_, sequence, p);
-  if (answer_.size() > mysql_message_most) return false;
-  if (state_ == State::rows) return take_row(p);
-  if (--left_ == 0) state_ = State::rows;
+  put_packet(answer_, sequence, payload);
+  if (answer_.size() > mysql_max_message_size) return false;
+  if (state_ == State::rows) return handle_row(payload);
+  if (--definitions_left_ == 0) state_ = State::rows;
   return true;
 }
 
-bool MysqlHost::take_greeting(std::string_view payload) {
-  if (is_error(payload)) return failed(payload), true;  // too many connections
-  Greeting g;
-  if (!parse_greeting(payload, g) || (g.capabilities & needed) != needed) return false;
+bool MysqlHost::handle_greeting(std::string_view payload) {
+  if (is_error(payload)) {  // such as too many connections
+    finish_with_error(payload);
+    return true;
+  }
+  Greeting greeting;
+  if (!parse_greeting(payload, greeting) ||
+      (greeting.capabilities & required_capabilities) != required_capabilities)
+    return false;
   std::string out;
   std::uint8_t sequence = 1;
   sequence_ = 2;
-  put_packet(out, sequence, handshake_response(wanted & g.capabilities, "svc", "main"));
+  put_packet(out, sequence, handshake_response(wanted_capabilities & greeting.capabilities, "svc", "main"));
   state_ = State::login;
   return write(out);
 }
 
-bool MysqlHost::take_login(std::string_view payload) {
-  if (is_error(payload)) return failed(payload), true;
-  if (!is_ok(payload)) return false;  // we have no password to give
+bool MysqlHost::handle_login_response(std::string_view payload) {
+  if (is_error(payload)) {
+    finish_with_error(payload);
+    return true;
+  }
+  if (!is_ok(payload)) return false;  // asks for a password
   state_ = State::idle;
   welcome();
   return true;
 }
 
-bool MysqlHost::take_prepared(std::string_view payload) {
-  if (is_error(payload)) return failed(payload), true;
-  Reader in(payload);
+bool MysqlHost::handle_prepare_response(std::string_view payload) {
+  if (is_error(payload)) {
+    finish_with_error(payload);
+    return true;
+  }
+  PacketReader in(payload);
   if (in.fixed(1) != 0) return false;
-  preparing_ = static_cast<std::uint32_t>(in.fixed(4));
-  const auto columns = in.fixed(2), parameters = in.fixed(2);
-  // Another number of parameters than we counted: what we would send then would be read as something else.
-  if (!in.ok() || parameters != work().placeholders) return false;
-  statements_.push_front({work().sql, preparing_});
-  const auto held = [this] {
+  preparing_statement_ = static_cast<std::uint32_t>(in.fixed(4));
+  const auto columns = in.fixed(2);
+  const auto parameters = in.fixed(2);
+  // With another number of parameters than the gateway counted, the host would misread the EXECUTE.
+  if (!in.ok() || parameters != request().placeholders) return false;
+  statements_.push_front({request().sql, preparing_statement_});
+  const auto statement_memory = [this] {
     return std::accumulate(statements_.begin(), statements_.end(), std::size_t{0},
                            [](std::size_t sum, const Prepared& p) { return sum + p.sql.size(); });
   };
-  while (statements_.size() > statements_most || held() > held_most) {
+  while (statements_.size() > max_statements || statement_memory() > max_statement_memory) {
     std::string close(1, static_cast<char>(com_stmt_close));
     put_fixed(close, statements_.back().id, 4);
     statements_.pop_back();
-    command(close, false);
+    write_command(close, false);
   }
-  left_ = columns + parameters;
-  if (left_ == 0)
-    prepared(preparing_);
+  definitions_left_ = columns + parameters;
+  if (definitions_left_ == 0)
+    execute_prepared(preparing_statement_);
   else
-    state_ = State::prepare_rest;
+    state_ = State::prepare_definitions;
   return true;
 }
 
-bool MysqlHost::take_first(const Packet& packet) {
-  const auto p = packet.payload;
-  if (is_error(p)) return failed(p), true;
+bool MysqlHost::handle_first_packet(const Packet& packet) {
+  const auto payload = packet.payload;
+  if (is_error(payload)) {
+    finish_with_error(payload);
+    return true;
+  }
   std::uint8_t sequence = packet.sequence;
-  put_packet(answer_, sequence, p);
-  if (is_ok(p)) return ended(p);
-  Reader in(p);
-  left_ = in.lenenc();
+  put_packet(answer_, sequence, payload);
+  if (is_ok(payload)) return finish_answer(payload);
+  PacketReader in(payload);
+  definitions_left_ = in.lenenc();
   state_ = State::columns;
-  return in.ok() && left_ > 0 && left_ < 4096;
+  return in.ok() && definitions_left_ > 0 && definitions_left_ <= max_columns;
 }
 
-bool MysqlHost::take_row(std::string_view p) {
-  if (is_error(p)) {
-    // After a part of the answer no code proves any more that nothing has run.
+bool MysqlHost::handle_row(std::string_view payload) {
+  if (is_error(payload)) {
+    // After part of an answer no error code proves that the statement has not run.
     broker::AttemptResult result;
     result.outcome = Outcome::error;
     finish(std::move(result), false);
     return true;
   }
-  if (!p.empty() && p[0] == '\xfe') return ended(p);
+  if (is_eof(payload)) return finish_answer(payload);
   if (job_ && !job_->attempt) {
-    Reader row(p);
+    PacketReader row(payload);
     health_ = row.lenenc_text();
   }
   return true;
 }
 
-bool MysqlHost::ended(std::string_view payload) {
+bool MysqlHost::finish_answer(std::string_view payload) {
   Ok ok;
   if (!parse_ok(payload, ok) || (ok.status & status_more_results) != 0 || !job_) return false;
-  for (const auto& [name, value] : ok.variables) set_note(name, value, note_);
+  for (const auto& [name, value] : ok.variables) apply_host_variable(name, value, metadata_);
   state_ = State::idle;
   broker::AttemptResult result;
-  result.metadata = note_;
+  result.metadata = metadata_;
   if (!job_->attempt) result.report = parse_whole_report(health_);
   result.value = std::move(answer_);
   finish(std::move(result), true);
@@ -214,17 +239,18 @@
 }
 
 std::optional<broker::AttemptResult> MysqlHost::said() {
-  Error e;
-  if (error_.empty() || !parse_error(error_, e)) return std::nullopt;
+  Error error;
+  if (error_.empty() || !parse_error(error_, error)) return std::nullopt;
   broker::AttemptResult result;
-  result.outcome = outcome_of(e);
+  result.outcome = outcome_of(error);
   result.message = error_;
   return result;
 }
 
-/// A host's error. Of a login it ends the connection; a host that forgot a statement has forgotten all.
-void MysqlHost::failed(std::string_view error) {
-  error_ = error;
+/// An error at login ends the connection. So does an unknown statement: the host may have lost all statements
+/// that this connection has prepared.
+void MysqlHost::finish_with_error(std::string_view payload) {
+  error_ = payload;
   auto result = said();
   const bool keep = welcomed_ && result && result->outcome != Outcome::not_sent;
   if (!job_ || !result) return broken();
--- a/src/wire/mysql_host.h
+++ b/src/wire/mysql_host.h
@@ -1,4 +1,4 @@
-// Connections to MySQL hosts: each has its own map of prepared statements and prepares on demand.
+// Connections to MySQL hosts.
 #pragma once
 
 #include <list>
@@ -9,13 +9,17 @@
 
 namespace cedarring::wire {
 
+/// A connection to a MySQL host: runs attempts and health probes, one at a time. It keeps its own map of
+/// prepared statements and prepares a client's statement when it is first executed here.
 class MysqlHost : public HostConnection {
  public:
   MysqlHost(ev::loop_ref loop, Fd fd, HostId host, SocketUpstream& owner)
-      : HostConnection(loop, std::move(fd), host, owner, mysql_message_most) {}
+      : HostConnection(loop, std::move(fd), host, owner, mysql_max_message_size) {}
 
  private:
-  enum class State { greeting, login, idle, preparing, prepare_rest, first, columns, rows };
+  /// The packet that is due next. prepare_definitions: those of a prepared statement's parameters and
+  /// columns, which are skipped; first_packet: the first one of an answer.
+  enum class State { greeting, login, idle, preparing, prepare_definitions, first_packet, columns, rows };
   struct Prepared {
     std::string sql;
     std::uint32_t id = 0;
@@ -24,28 +28,32 @@
   void reset() override;
   void submit() override;
   std::optional<broker::AttemptResult> said() override;
-  /// False if the host has broken the protocol.
-  bool take(const mysql::Packet& packet);
-  bool take_greeting(std::string_view payload);
-  bool take_login(std::string_view payload);
-  bool take_prepared(std::string_view payload);
-  bool take_first(const mysql::Packet& packet);
-  bool take_row(std::string_view payload);
-  bool ended(std::string_view ok);
-  void failed(std::string_view error);
-  void prepared(std::uint32_t id);
-  void command(std::string_view payload, bool request);
-  [[nodiscard]] const MysqlWork& work() const { return static_cast<const MysqlWork&>(*job_->work); }
+  /// These return false if the host has violated the protocol.
+  bool handle_packet(const mysql::Packet& packet);
+  bool handle_greeting(std::string_view payload);
+  bool handle_login_response(std::string_view payload);
+  bool handle_prepare_response(std::string_view payload);
+  bool handle_first_packet(const mysql::Packet& packet);
+  bool handle_row(std::string_view payload);
+  /// Ends the job with the OK packet that ends its answer.
+  bool finish_answer(std::string_view payload);
+  /// Ends the job with the host's ERR packet.
+  void finish_with_error(std::string_view payload);
+  /// Executes the prepared statement `id` for the job.
+  void execute_prepared(std::uint32_t id);
+  /// Writes a command; `is_request`: from its last byte on the job's request may run.
+  void write_command(std::string_view payload, bool is_request);
+  [[nodiscard]] const MysqlRequest& request() const { return static_cast<const MysqlRequest&>(*job_->work); }
 
   State state_ = State::greeting;
-  std::list<Prepared> statements_;  // used last first
-  std::uint8_t sequence_ = 0;       // of the next packet that is due
-  std::uint64_t left_ = 0;          // definitions still to come
-  std::uint32_t preparing_ = 0;
-  std::string answer_;  // its packets, whole
-  std::string health_;
-  std::string error_;  // the payload of an ERR packet
-  AnswerMetadata note_;
+  std::list<Prepared> statements_;         // most recently used first
+  std::uint8_t sequence_ = 0;              // of the next packet due
+  std::uint64_t definitions_left_ = 0;     // definition packets still to come
+  std::uint32_t preparing_statement_ = 0;  // the id of the statement being prepared
+  std::string answer_;                     // its packets, with their headers
+  std::string health_;                     // the load report that a probe has read
+  std::string error_;                      // the payload of the host's ERR packet; empty if there is none
+  AnswerMetadata metadata_;
 };
 
 }  // namespace cedarring::wire
--- a/src/wire/mysql_work.h
+++ b/src/wire/mysql_work.h
@@ -1,4 +1,4 @@
-// What a MySQL client asked for, as the host connections pass it on.
+// The request of a MySQL client as it is forwarded to a host connection.
 #pragma once
 
 #include <string>
@@ -10,15 +10,17 @@
 
 namespace cedarring::wire {
 
-inline constexpr std::size_t mysql_message_most = 200 * 1024;
+/// The largest packet payload and the largest answer that are buffered, in bytes.
+inline constexpr std::size_t mysql_max_message_size = 200 * 1024;
 
-struct MysqlWork : broker::RequestPayload {
+/// A COM_QUERY or an execution of a prepared statement, and its contract data.
+struct MysqlRequest : broker::RequestPayload {
   bool prepared = false;
   std::string sql;
   std::size_t placeholders = 0;
-  std::vector<mysql::Parameter> parameters;  // of the statement first, then the attributes
-  StatementInfo info;                        // views into sql and into texts
-  std::vector<std::string> texts;
+  std::vector<mysql::Parameter> parameters;  // of the statement first, then the query attributes
+  StatementInfo info;                        // views into sql and attribute_texts
+  std::vector<std::string> attribute_texts;
 };
 
 }  // namespace cedarring::wire
--- a/src/wire/pg.cpp
+++ b/src/wire/pg.cpp
@@ -5,20 +5,26 @@
 namespace cedarring::wire::pg {
 namespace {
 
-constexpr std::size_t startup_most = 10000;  // as PostgreSQL has it
+constexpr std::size_t max_startup_size = 10000;  // bytes; the limit of PostgreSQL itself
+constexpr std::size_t row_header_size = 11;      // message header, column count, length of the first column
+
+// Codes in place of a protocol version in the first message of a client.
+constexpr std::uint32_t cancel_request_code = 80877102;
+constexpr std::uint32_t ssl_request_code = 80877103;
+constexpr std::uint32_t gss_request_code = 80877104;
 
 std::uint32_t read_u32(std::string_view in) {
-  std::uint32_t v = 0;
-  for (int i = 0; i < 4; ++i) v = v << 8U | static_cast<unsigned char>(in[i]);
-  return v;
+  std::uint32_t value = 0;
+  for (int i = 0; i < 4; ++i) value = value << 8U | static_cast<unsigned char>(in[i]);
+  return value;
 }
 
-void put_u32(std::string& out, std::uint32_t v) {
+void put_u32(std::string& out, std::uint32_t value) {
   for (int shift = 24; shift >= 0; shift -= 8)
-    out += static_cast<char>(v >> static_cast<unsigned>(shift) & 0xffU);
+    out += static_cast<char>(value >> static_cast<unsigned>(shift) & 0xffU);
 }
 
-void put_text(std::string& out, std::string_view text) {
+void put_cstring(std::string& out, std::string_view text) {
   out += text;
   out += '\0';
 }
@@ -31,55 +37,57 @@
 
 }  // namespace
 
-Frame next_message(std::string_view in, std::size_t most, Message& out) {
-  if (in.size() < 5) return Frame::partial;
+FrameStatus next_message(std::string_view in, std::size_t max_length, Message& out) {
+  if (in.size() < message_header_size) return FrameStatus::partial;
   const auto length = read_u32(in.substr(1));
-  if (length < 4 || length > most) return Frame::bad;
-  if (in.size() < length + 1U) return Frame::partial;
+  if (length < 4 || length > max_length) return FrameStatus::malformed;
+  if (in.size() < length + 1U) return FrameStatus::partial;
   out = {in[0], in.substr(5, length - 4), length + 1U};
-  return Frame::whole;
+  return FrameStatus::complete;
 }
 
-std::optional<std::size_t> long_query(std::string_view in, std::size_t over, std::size_t most) {
-  if (in.size() < 5 || in[0] != 'Q') return std::nullopt;
+std::optional<std::size_t> long_query_size(std::string_view in, std::size_t threshold,
+                                           std::size_t max_length) {
+  if (in.size() < message_header_size || in[0] != 'Q') return std::nullopt;
   const std::size_t length = read_u32(in.substr(1));
-  if (length <= over || length > most) return std::nullopt;
+  if (length <= threshold || length > max_length) return std::nullopt;
   return length - 4;
 }
 
-std::optional<std::size_t> long_row(std::string_view in, std::size_t over, std::size_t most) {
-  if (in.size() < 11 || in[0] != 'D') return std::nullopt;
-  const std::size_t length = read_u32(in.substr(1)), size = length + 1;
-  if (size <= over || size > most || in[5] != 0 || in[6] != 1) return std::nullopt;
+std::optional<std::size_t> long_row_size(std::string_view in, std::size_t threshold, std::size_t max_size) {
+  if (in.size() < row_header_size || in[0] != 'D') return std::nullopt;
+  const std::size_t length = read_u32(in.substr(1));
+  const std::size_t size = length + 1;
+  if (size <= threshold || size > max_size || in[5] != 0 || in[6] != 1) return std::nullopt;
   if (read_u32(in.substr(7)) != length - 10) return std::nullopt;
   return size;
 }
 
-bool long_row_begins(std::string_view in, std::size_t over, std::size_t most) {
-  if (in.size() < 5 || in.size() >= 11 || in[0] != 'D') return false;
+bool may_begin_long_row(std::string_view in, std::size_t threshold, std::size_t max_size) {
+  if (in.size() < message_header_size || in.size() >= row_header_size || in[0] != 'D') return false;
   const std::size_t size = std::size_t{read_u32(in.substr(1))} + 1;
-  return size > over && size <= most;
+  return size > threshold && size <= max_size;
 }
 
-Frame next_startup(std::string_view in, Startup& out) {
-  if (in.size() < 4) return Frame::partial;
+FrameStatus next_startup(std::string_view in, Startup& out) {
+  if (in.size() < 4) return FrameStatus::partial;
   const auto length = read_u32(in);
-  if (length < 8 || length > startup_most) return Frame::bad;
-  if (in.size() < length) return Frame::partial;
+  if (length < 8 || length > max_startup_size) return FrameStatus::malformed;
+  if (in.size() < length) return FrameStatus::partial;
   const auto code = read_u32(in.substr(4));
   out.size = length;
-  if (code == 80877103)
+  if (code == ssl_request_code)
     out.kind = StartupKind::ssl;
-  else if (code == 80877104)
+  else if (code == gss_request_code)
     out.kind = StartupKind::gss;
-  else if (code == 80877102)
+  else if (code == cancel_request_code)
     out.kind = StartupKind::cancel;
   else
     out.kind = code >> 16U == 3 ? StartupKind::startup : StartupKind::unknown;
-  return Frame::whole;
+  return FrameStatus::complete;
 }
 
-std::optional<std::string_view> take_text(std::string_view& body) {
+std::optional<std::string_view> read_cstring(std::string_view& body) {
   const auto end = body.find('\0');
   if (end == std::string_view::npos) return std::nullopt;
   const auto text = body.substr(0, end);
@@ -87,35 +95,35 @@
   return text;
 }
 
-std::string_view error_field(std::string_view body, char field) {
+std::string_view error_response_field(std::string_view body, char field) {
   std::string_view found;
   while (!body.empty() && body[0] != '\0') {
     const char type = body[0];
     body.remove_prefix(1);
-    const auto text = take_text(body);
+    const auto text = read_cstring(body);
     if (!text) return {};
     if (type == field) found = *text;
   }
   return body.size() == 1 ? found : std::string_view();
 }
 
-bool valid_code(std::string_view code) {
+bool is_sqlstate(std::string_view code) {
   return code.size() == 5 && std::all_of(
                                  code.begin(), code.end(),
                                  [](char c) { return (c >= '0' && c <= '9') || (c >= 'A' && c <= 'Z'); });
 }
 
-bool one_column(std::string_view body) {
-  constexpr std::size_t rest = 18;  // table, column, type, size, modifier, format
+bool has_one_column(std::string_view body) {
+  constexpr std::size_t attributes_size = 18;  // table, column, type, size, modifier, format
   if (body.size() < 2 || body[0] != 0 || body[1] != 1) return false;
   body.remove_prefix(2);
-  return take_text(body) && body.size() == rest;
+  return read_cstring(body) && body.size() == attributes_size;
 }
 
-std::optional<std::string_view> only_column(std::string_view body) {
+std::optional<std::string_view> single_column_value(std::string_view body) {
   if (body.size() < 6 || body[0] != 0 || body[1] != 1) return std::nullopt;
   const auto length = read_u32(body.substr(2));
-  if (length != body.size() - 6) return std::nullopt;  // null is 0xffffffff: never equal
+  if (length != body.size() - 6) return std::nullopt;  // the length of null is 0xffffffff: never equal
   return body.substr(6);
 }
 
@@ -128,53 +136,53 @@
 void put_startup(std::string& out, std::string_view user, std::string_view database) {
   std::string body;
   put_u32(body, 3U << 16U);
-  put_text(body, "user");
-  put_text(body, user);
-  put_text(body, "database");
-  put_text(body, database);
+  put_cstring(body, "user");
+  put_cstring(body, user);
+  put_cstring(body, "database");
+  put_cstring(body, database);
   body += '\0';
   put_message(out, 0, body);
 }
 
 void put_query(std::string& out, std::string_view sql) {
   std::string body;
-  put_text(body, sql);
+  put_cstring(body, sql);
   put_message(out, 'Q', body);
 }
 
-void put_query_head(std::string& out, std::size_t bytes) {
+void put_query_header(std::string& out, std::size_t size) {
   out += 'Q';
-  put_u32(out, static_cast<std::uint32_t>(bytes + 5));
+  put_u32(out, static_cast<std::uint32_t>(size + 5));
 }
 
-void put_welcome(std::string& out) {
+void put_startup_response(std::string& out) {
   put_message(out, 'R', std::string_view("\0\0\0\0", 4));
   for (const auto& [name, value] : {std::pair<std::string_view, std::string_view>{"server_version", "15.0"},
                                     {"client_encoding", "UTF8"},
                                     {"standard_conforming_strings", "on"}}) {
     std::string body;
-    put_text(body, name);
-    put_text(body, value);
+    put_cstring(body, name);
+    put_cstring(body, value);
     put_message(out, 'S', body);
   }
-  put_ready(out);
+  put_ready_for_query(out);
 }
 
-void put_ready(std::string& out) { put_message(out, 'Z', "I"); }
-void put_empty(std::string& out) { put_message(out, 'I', {}); }
+void put_ready_for_query(std::string& out) { put_message(out, 'Z', "I"); }
+void put_empty_query_response(std::string& out) { put_message(out, 'I', {}); }
 
-void put_complete(std::string& out, std::string_view tag) {
+void put_command_complete(std::string& out, std::string_view tag) {
   std::string body;
-  put_text(body, tag);
+  put_cstring(body, tag);
   put_message(out, 'C', body);
 }
 
-void put_error(std::string& out, bool fatal, std::string_view code, std::string_view message,
-               std::string_view detail) {
+void put_error_response(std::string& out, bool fatal, std::string_view code, std::string_view message,
+                        std::string_view detail) {
   std::string body;
   const auto field = [&](char type, std::string_view text) {
     body += type;
-    put_text(body, text);
+    put_cstring(body, text);
   };
   field('S', fatal ? "FATAL" : "ERROR");
   field('V', fatal ? "FATAL" : "ERROR");
--- a/src/wire/pg.h
+++ b/src/wire/pg.h
@@ -1,4 +1,5 @@
-// PostgreSQL protocol 3: framing, the messages written, the messages read. Pure functions over bytes.
+// PostgreSQL protocol 3: message framing, parsing and serialization. Pure functions over bytes; all sizes are
+// in bytes.
 #pragma once
 
 #include <cstdint>
@@ -10,56 +11,75 @@
 
 namespace cedarring::wire::pg {
 
-enum class Frame { whole, partial, bad };
+/// The type byte and the length of a message.
+inline constexpr std::size_t message_header_size = 5;
+
+/// Whether a buffer starts with a complete message, with a part of one, or with an invalid one.
+enum class FrameStatus { complete, partial, malformed };
+/// Kinds of the untyped first message of a client.
 enum class StartupKind { startup, ssl, gss, cancel, unknown };
 
+/// A typed message; `body` is a view into the parsed buffer.
 struct Message {
   char type = 0;
   std::string_view body;
-  std::size_t size = 0;  // of all of it
+  std::size_t size = 0;  // of the whole message, with type and length
 };
+/// The untyped first message of a client.
 struct Startup {
   StartupKind kind = StartupKind::unknown;
-  std::size_t size = 0;
+  std::size_t size = 0;  // of the whole message
 };
 
-/// The first message of `in`; bad if its length is impossible or over `most`.
-Frame next_message(std::string_view in, std::size_t most, Message& out);
-/// The size of the body of a Query message that `in` begins with, if it is longer than `over` and at most
-/// `most`.
-std::optional<std::size_t> long_query(std::string_view in, std::size_t over, std::size_t most);
-/// What a client writes first: a message without a type.
-Frame next_startup(std::string_view in, Startup& out);
+/// Parses the message at the front of `in`; malformed if its length field is less than 4 or more than
+/// `max_length`.
+FrameStatus next_message(std::string_view in, std::size_t max_length, Message& out);
+/// The body size of the Query message at the front of `in`, if its length field is more than `threshold` and
+/// at most `max_length`. Only the five bytes of the header have to be there.
+std::optional<std::size_t> long_query_size(std::string_view in, std::size_t threshold,
+                                           std::size_t max_length);
+/// Parses the first message of a client, which has no type byte.
+FrameStatus next_startup(std::string_view in, Startup& out);
 
-/// The size in bytes of the DataRow that `in` begins with, if it has one column that is its all and is longer
-/// than `over` and at most `most`; its head, 11 bytes, has to be there.
-std::optional<std::size_t> long_row(std::string_view in, std::size_t over, std::size_t most);
-/// Whether `in` may be the beginning, too short to tell, of such a row.
-bool long_row_begins(std::string_view in, std::size_t over, std::size_t most);
-/// A text that ends with a zero byte, taken off the front of `body`.
-std::optional<std::string_view> take_text(std::string_view& body);
-/// One field ('C' code, 'M' message, 'S' severity) of an ErrorResponse's body; empty if it is not one.
-std::string_view error_field(std::string_view body, char field);
-/// An SQLSTATE: five capitals or digits.
-bool valid_code(std::string_view code);
-/// Whether a RowDescription tells exactly one column.
-bool one_column(std::string_view body);
-/// The only column of a DataRow; nothing if it is null or there is not exactly one.
-std::optional<std::string_view> only_column(std::string_view body);
+/// The size of the DataRow at the front of `in`, if it has a single column that fills it and is longer than
+/// `threshold` and at most `max_size`. Only its header of 11 bytes has to be there.
+std::optional<std::size_t> long_row_size(std::string_view in, std::size_t threshold, std::size_t max_size);
+/// Whether `in` may be the start of a long row but is shorter than the header that long_row_size() needs.
+bool may_begin_long_row(std::string_view in, std::size_t threshold, std::size_t max_size);
+/// Removes a null-terminated string from the front of `body` and returns it; nothing if there is no
+/// terminator.
+std::optional<std::string_view> read_cstring(std::string_view& body);
+/// One field ('C' code, 'M' message, 'S' severity) of an ErrorResponse body; empty if the field is absent or
+/// the body is malformed.
+std::string_view error_response_field(std::string_view body, char field);
+/// Whether `code` has the form of an SQLSTATE: five capital letters or digits.
+bool is_sqlstate(std::string_view code);
+/// Whether a RowDescription body describes exactly one column.
+bool has_one_column(std::string_view body);
+/// The value in a DataRow body with exactly one column; nothing for null, another number of columns or a
+/// malformed body.
+std::optional<std::string_view> single_column_value(std::string_view body);
 
-/// PROTOCOL's table, for what a host says in an ErrorResponse.
+/// Classifies the SQLSTATE of a host's ErrorResponse as the outcome of an attempt.
 Outcome outcome_of(std::string_view code);
 
+/// Appends a StartupMessage of protocol 3.0.
 void put_startup(std::string& out, std::string_view user, std::string_view database);
+/// Appends a Query message.
 void put_query(std::string& out, std::string_view sql);
-/// What goes before a Query's statement of so many bytes; a zero byte follows that.
-void put_query_head(std::string& out, std::size_t bytes);
-/// What welcomes a client.
-void put_welcome(std::string& out);
-void put_ready(std::string& out);
-void put_empty(std::string& out);
-void put_complete(std::string& out, std::string_view tag);
-void put_error(std::string& out, bool fatal, std::string_view code, std::string_view message,
-               std::string_view detail = {});
+/// Appends the header of a Query message for a statement of `size` bytes; the statement and a zero byte
+/// have to follow.
+void put_query_header(std::string& out, std::size_t size);
+/// Appends the response to a StartupMessage: AuthenticationOk, ParameterStatus messages, ReadyForQuery.
+void put_startup_response(std::string& out);
+/// Appends ReadyForQuery with the status "idle".
+void put_ready_for_query(std::string& out);
+/// Appends EmptyQueryResponse.
+void put_empty_query_response(std::string& out);
+/// Appends CommandComplete.
+void put_command_complete(std::string& out, std::string_view tag);
+/// Appends an ErrorResponse of severity FATAL or ERROR; an empty `detail` is left out.
+void put_error_response(std::string& out, bool fatal, std::string_view code, std::string_view message,
+                        std::string_view detail = {});
 
 }  // namespace cedarring::wire::pg
--- a/src/wire/pg_client.cpp
+++ b/src/wire/pg_client.cpp
@@ -10,8 +10,8 @@
 namespace cedarring::wire {
 namespace {
 
-/// The first word of a statement, in capitals.
-std::string verb_of(std::string_view sql) {
+/// The first word of a statement, in upper case.
+std::string first_word(std::string_view sql) {
   std::string word;
   for (const char c : sql) {
     if (std::isalpha(static_cast<unsigned char>(c)) == 0) break;
@@ -20,29 +20,30 @@
   return word;
 }
 
+/// The statement without white space and semicolons around it.
 std::string_view trimmed(std::string_view sql) {
-  const auto blank = [](char c) { return std::isspace(static_cast<unsigned char>(c)) != 0 || c == ';'; };
-  while (!sql.empty() && blank(sql.front())) sql.remove_prefix(1);
-  while (!sql.empty() && blank(sql.back())) sql.remove_suffix(1);
+  const auto skipped = [](char c) { return std::isspace(static_cast<unsigned char>(c)) != 0 || c == ';'; };
+  while (!sql.empty() && skipped(sql.front())) sql.remove_prefix(1);
+  while (!sql.empty() && skipped(sql.back())) sql.remove_suffix(1);
   return sql;
 }
 
 }  // namespace
 
-bool PgClient::fatal(std::string_view code, std::string_view message) {
+bool PgClient::send_fatal(std::string_view code, std::string_view message) {
   std::string out;
-  pg::put_error(out, true, code, message);
+  pg::put_error_response(out, true, code, message);
   say_last(out);
   return false;
 }
 
-void PgClient::turn_away() { fatal("53300", "too many clients"); }
+void PgClient::turn_away() { send_fatal("53300", "too many clients"); }
 
-bool PgClient::take_startup() {
+bool PgClient::read_startup() {
   pg::Startup startup;
   const auto frame = pg::next_startup(in_.view(), startup);
-  if (frame == pg::Frame::partial) return false;
-  if (frame == pg::Frame::bad) return fatal("08P01", "invalid startup packet");
+  if (frame == pg::FrameStatus::partial) return false;
+  if (frame == pg::FrameStatus::malformed) return send_fatal("08P01", "invalid startup packet");
   in_.consume(startup.size);
   switch (startup.kind) {
     case pg::StartupKind::ssl:
@@ -53,101 +54,107 @@
       leave();
       return false;
     case pg::StartupKind::unknown:
-      return fatal("08P01", "unsupported protocol version");
+      return send_fatal("08P01", "unsupported protocol version");
     case pg::StartupKind::startup:
       break;
   }
-  welcomed_ = true;
+  startup_done_ = true;
   std::string out;
-  pg::put_welcome(out);
+  pg::put_startup_response(out);
   reply(out);
   return true;
 }
 
-/// What a long statement's bytes are waited for: room first, then all of them.
-bool PgClient::take_long() {
-  if (long_room_.bytes() == 0) {
-    if (!reserve(long_size_, long_room_)) return false;
-    long_.reserve(long_size_);
+bool PgClient::read_long_query() {
+  if (long_query_reservation_.bytes() == 0) {
+    if (!reserve(long_query_size_, long_query_reservation_)) return false;
+    long_query_.reserve(long_query_size_);
   }
   const auto in = in_.view();
-  const auto n = std::min(in.size(), long_size_ - long_.size());
-  long_ += in.substr(0, n);
-  in_.consume(n);
-  if (long_.size() < long_size_) return took_part(), false;
-  long_size_ = 0;
-  auto sql = std::exchange(long_, {});
-  auto room = std::exchange(long_room_, {});
-  if (sql.back() != '\0' || sql.find('\0') != sql.size() - 1) return fatal("08P01", "invalid query message");
+  const auto count = std::min(in.size(), long_query_size_ - long_query_.size());
+  long_query_ += in.substr(0, count);
+  in_.consume(count);
+  if (long_query_.size() < long_query_size_) {
+    took_part();
+    return false;
+  }
+  long_query_size_ = 0;
+  auto sql = std::exchange(long_query_, {});
+  auto reservation = std::exchange(long_query_reservation_, {});
+  if (sql.back() != '\0' || sql.find('\0') != sql.size() - 1)
+    return send_fatal("08P01", "invalid query message");
   sql.pop_back();
   spoke();
-  query(std::move(sql), std::move(room));
+  handle_query(std::move(sql), std::move(reservation));
   return true;
 }
 
-bool PgClient::take_message() {
-  if (reading_long()) return take_long();
-  if (const auto size = pg::long_query(in_.view(), pg_message_most, pg_statement_most)) {
-    in_.consume(5);
-    long_size_ = *size;
-    return take_long();
+bool PgClient::read_message() {
+  if (reading_long()) return read_long_query();
+  if (const auto size = pg::long_query_size(in_.view(), pg_max_message_size, pg_max_statement_size)) {
+    in_.consume(pg::message_header_size);
+    long_query_size_ = *size;
+    return read_long_query();
   }
   pg::Message message;
-  const auto frame = pg::next_message(in_.view(), pg_message_most, message);
-  if (frame == pg::Frame::bad) return fatal("08P01", "message length out of range");
-  if (frame == pg::Frame::partial) return false;
-  if (message.type == 'X') return at_rest() ? leave() : say_last({}), false;
-  if (message.type != 'Q') return fatal("08P01", "only simple queries are spoken here");
+  const auto frame = pg::next_message(in_.view(), pg_max_message_size, message);
+  if (frame == pg::FrameStatus::malformed) return send_fatal("08P01", "message length out of range");
+  if (frame == pg::FrameStatus::partial) return false;
+  if (message.type == 'X') {
+    at_rest() ? leave() : say_last({});
+    return false;
+  }
+  if (message.type != 'Q') return send_fatal("08P01", "only the simple query protocol is supported");
   auto body = message.body;
-  const auto sql = pg::take_text(body);
-  if (!sql || !body.empty()) return fatal("08P01", "invalid query message");
+  const auto sql = pg::read_cstring(body);
+  if (!sql || !body.empty()) return send_fatal("08P01", "invalid query message");
   std::string text(*sql);
   spoke();
   in_.consume(message.size);
-  query(std::move(text));
+  handle_query(std::move(text));
   return true;
 }
 
-void PgClient::query(std::string sql, broker::MemoryBudget::Reservation room) {
+void PgClient::handle_query(std::string sql, broker::MemoryBudget::Reservation reservation) {
   std::string out;
-  const auto bare = trimmed(sql);
-  const auto verb = verb_of(bare);
-  if (bare.empty() || verb == "SET" || verb == "RESET" || verb == "DISCARD") {
-    if (bare.empty())
-      pg::put_empty(out);
+  const auto statement = trimmed(sql);
+  const auto command = first_word(statement);
+  if (statement.empty() || command == "SET" || command == "RESET" || command == "DISCARD") {
+    if (statement.empty())
+      pg::put_empty_query_response(out);
     else
-      pg::put_complete(out, verb == "DISCARD" ? "DISCARD ALL" : verb);
-    pg::put_ready(out);
+      pg::put_command_complete(out, command == "DISCARD" ? "DISCARD ALL" : command);
+    pg::put_ready_for_query(out);
     return reply(out);
   }
-  auto work = std::make_shared<PgWork>();
-  work->sql = std::move(sql);
-  work->room = std::move(room);
+  auto request = std::make_shared<PgRequest>();
+  request->sql = std::move(sql);
+  request->reservation = std::move(reservation);
   std::string missing;
-  if (!parse_statement(work->sql, work->info, missing))
-    return refuse("08P01", "the statement lacks " + missing);
-  switch (ask(work->info, work)) {
+  if (!parse_statement(request->sql, request->info, missing))
+    return send_error("08P01", "the statement lacks " + missing);
+  switch (ask(request->info, request)) {
     case broker::Rejection::none:
       return;
     case broker::Rejection::unknown_contract:
-      return refuse("08P01", "unknown class in c");
+      return send_error("08P01", "unknown class in c");
     case broker::Rejection::unknown_tenant:
-      return refuse("08P01", "unknown tenant in t");
+      return send_error("08P01", "unknown tenant in t");
     case broker::Rejection::unknown_group:
-      return refuse("3D000", "unknown group in cluster");
+      return send_error("3D000", "unknown group in cluster");
     case broker::Rejection::name_in_use:
-      return refuse("08P01", "id of another open request");
+      return send_error("08P01", "id of another open request");
     case broker::Rejection::overfull:
-      return refuse("53300", "too many requests");
+      return send_error("53300", "too many requests");
     case broker::Rejection::late:
-      return refuse("53300", "its time ran out before its turn, nothing has run");
+      return send_error("53300", "deadline passed while queued, the statement has not run");
   }
 }
 
-void PgClient::refuse(std::string_view code, const std::string& why) {
+void PgClient::send_error(std::string_view code, const std::string& message) {
   std::string out;
-  pg::put_error(out, false, code, why);
-  pg::put_ready(out);
+  pg::put_error_response(out, false, code, message);
+  pg::put_ready_for_query(out);
   reply(out);
 }
 
@@ -158,14 +165,16 @@
       break;
     case broker::AnswerStatus::refused: {
       const auto ms = std::chrono::ceil<std::chrono::milliseconds>(answer.retry_after).count();
-      pg::put_error(out, false, "53300", refusal_text(answer.verdict), ms > 0 ? std::to_string(ms) : "");
+      pg::put_error_response(out, false, "53300", refusal_text(answer.verdict),
+                             ms > 0 ? std::to_string(ms) : "");
       break;
     }
     case broker::AnswerStatus::failed:
-      pg::put_error(out, false, "58000", answer.message.empty() ? "the request has failed" : answer.message);
+      pg::put_error_response(out, false, "58000",
+                             answer.message.empty() ? "the request has failed" : answer.message);
       break;
   }
-  pg::put_ready(out);
+  pg::put_ready_for_query(out);
 }
 
 }  // namespace cedarring::wire
--- a/src/wire/pg_client.h
+++ b/src/wire/pg_client.h
@@ -1,4 +1,4 @@
-// The platform's front: PostgreSQL clients, simple queries.
+// Connections of PostgreSQL clients. Only the simple query protocol is supported.
 #pragma once
 
 #include <string>
@@ -8,30 +8,46 @@
 
 namespace cedarring::wire {
 
+/// A PostgreSQL client: answers the startup and session commands itself and submits other statements as
+/// requests.
 class PgClient : public Client {
  public:
   PgClient(ev::loop_ref loop, Fd fd, ClientSet& owner)
-      : Client(loop, std::move(fd), owner, pg_message_most) {}
+      : Client(loop, std::move(fd), owner, pg_max_message_size) {}
   void turn_away() override;
-  [[nodiscard]] bool movable() const override { return welcomed_; }
-  void resume(const std::string& /*known*/) override { welcomed_ = true, spoke(); }
+  [[nodiscard]] bool movable() const override { return startup_done_; }
+  void resume(const std::string& /*known*/) override {
+    startup_done_ = true;
+    spoke();
+  }
 
  private:
-  [[nodiscard]] bool silent() const override { return !welcomed_ && in_.empty(); }
-  [[nodiscard]] std::size_t depth() const override { return 16; }
-  bool take_one() override { return welcomed_ ? take_message() : take_startup(); }
+  [[nodiscard]] bool silent() const override { return !startup_done_ && in_.empty(); }
+  [[nodiscard]] std::size_t depth() const override { return max_pipelined_queries; }
+  bool take_one() override { return startup_done_ ? read_message() : read_startup(); }
   void put_answer(broker::FinalAnswer answer, std::string& out) override;
-  bool take_startup();
-  bool take_message();
-  [[nodiscard]] bool reading_long() const override { return long_size_ > 0; }
-  bool take_long();
-  void query(std::string sql, broker::MemoryBudget::Reservation room = {});
-  void refuse(std::string_view code, const std::string& why);
-  bool fatal(std::string_view code, std::string_view message);
-  bool welcomed_ = false;
-  std::size_t long_size_ = 0;  // of a long statement that is being read, its zero byte included
-  std::string long_;           // of it what has come, once there is room
-  broker::MemoryBudget::Reservation long_room_;
+  /// These three return false if no complete message has come or the connection is ending.
+  bool read_startup();
+  bool read_message();
+  /// Reads a statement that is too long for the input buffer: reserves memory for it, then collects its
+  /// bytes.
+  bool read_long_query();
+  [[nodiscard]] bool reading_long() const override { return long_query_size_ > 0; }
+  /// Answers a session command, or submits the statement as a request. `reservation` holds the memory of a
+  /// long statement.
+  void handle_query(std::string sql, broker::MemoryBudget::Reservation reservation = {});
+  /// Answers a statement with an ERROR; the connection goes on.
+  void send_error(std::string_view code, const std::string& message);
+  /// Ends the connection with a FATAL error; always returns false.
+  bool send_fatal(std::string_view code, std::string_view message);
+
+  static constexpr std::size_t max_pipelined_queries = 16;
+
+  bool startup_done_ = false;
+  std::size_t long_query_size_ =
+      0;                    // of the long statement being read, with its zero byte; 0 if there is none
+  std::string long_query_;  // its bytes so far, once memory is reserved for all of them
+  broker::MemoryBudget::Reservation long_query_reservation_;
 };
 
 }  // namespace cedarring::wire
--- a/src/wire/pg_host.cpp
+++ b/src/wire/pg_host.cpp
@@ -6,40 +6,40 @@
 namespace cedarring::wire {
 
 void PgHost::reset() {
-  rows_.clear();
-  next_ = Next::description;
+  answer_.clear();
+  expected_ = Expected::description;
   error_code_.clear();
-  error_text_.clear();
+  error_message_.clear();
   health_.clear();
-  note_ = {};
-  left_ = 0;
-  feeding_ = false;
+  metadata_ = {};
+  row_remaining_ = 0;
+  writing_statement_ = false;
 }
 
-/// The last piece makes it a request that may run; until then it never has.
-void PgHost::feed() {
-  if (!feeding_ || closed() || !job_) return;
-  const auto& work = static_cast<const PgWork&>(*job_->work);
-  const std::string_view sql = work.sql;
-  const std::string_view pieces[] = {sql.substr(0, work.info.deadline_at), digits_,
-                                     sql.substr(work.info.deadline_at + work.info.deadline_len)};
-  const auto all = pieces[0].size() + pieces[1].size() + pieces[2].size();
-  while (feeding_ && out_.empty()) {
-    auto skip = fed_;
-    std::string part;
+/// Only the last chunk is written as the request: until then the host cannot have run the statement.
+void PgHost::write_statement() {
+  if (!writing_statement_ || closed() || !job_) return;
+  const auto& request = static_cast<const PgRequest&>(*job_->work);
+  const std::string_view sql = request.sql;
+  const std::string_view pieces[] = {sql.substr(0, request.info.deadline_offset), deadline_digits_,
+                                     sql.substr(request.info.deadline_offset + request.info.deadline_length)};
+  const auto total = pieces[0].size() + pieces[1].size() + pieces[2].size();
+  while (writing_statement_ && out_.empty()) {
+    auto skip = statement_written_;
+    std::string chunk;
     for (auto piece : pieces) {
-      const auto passed = std::min(skip, piece.size());
-      skip -= passed;
-      part += piece.substr(passed, pg_piece - part.size());
+      const auto skipped = std::min(skip, piece.size());
+      skip -= skipped;
+      chunk += piece.substr(skipped, pg_write_chunk_size - chunk.size());
     }
-    fed_ += part.size();
-    if (fed_ < all) {
-      write(part);
+    statement_written_ += chunk.size();
+    if (statement_written_ < total) {
+      write(chunk);
       continue;
     }
-    feeding_ = false;
-    part += '\0';
-    write_request(part);
+    writing_statement_ = false;
+    chunk += '\0';
+    write_request(chunk);
   }
 }
 
@@ -52,89 +52,94 @@
 void PgHost::submit() {
   std::string out;
   if (job_->attempt) {
-    const auto& work = static_cast<const PgWork&>(*job_->work);
-    if (work.sql.size() > pg_message_most) {
-      digits_ = std::to_string(ms_left());
-      fed_ = 0;
-      feeding_ = true;
-      pg::put_query_head(out, work.sql.size() - work.info.deadline_len + digits_.size());
+    const auto& request = static_cast<const PgRequest&>(*job_->work);
+    if (request.sql.size() > pg_max_message_size) {
+      deadline_digits_ = std::to_string(ms_left());
+      statement_written_ = 0;
+      writing_statement_ = true;
+      pg::put_query_header(out, request.sql.size() - request.info.deadline_length + deadline_digits_.size());
       write(out);
-      return feed();
+      return write_statement();
     }
-    pg::put_query(out, with_deadline(work.sql, work.info, ms_left()));
+    pg::put_query(out, with_deadline(request.sql, request.info, ms_left()));
   } else {
     pg::put_query(out, "SHOW health");
   }
   write_request(out);
 }
 
-/// The row's head has to be right, for its bytes cannot be taken back.
-bool PgHost::long_row() {
-  if (!job_ || !job_->attempt || !welcomed_ || !submitted_ || next_ != Next::row) return false;
-  const auto size = pg::long_row(in_.view(), pg_stream_from, pg_row_most);
+/// The row's header is checked before its first byte is passed on, for the client may already have it when
+/// the rest arrives.
+bool PgHost::start_row_stream() {
+  if (!job_ || !job_->attempt || !welcomed_ || !submitted_ || expected_ != Expected::row) return false;
+  const auto size = pg::long_row_size(in_.view(), pg_stream_threshold, pg_max_row_size);
   if (!size) return false;
-  left_ = *size;
-  next_ = Next::complete;
+  row_remaining_ = *size;
+  expected_ = Expected::complete;
   return true;
 }
 
-bool PgHost::stream() {
-  std::string part = std::exchange(rows_, {});
+bool PgHost::stream_row() {
+  std::string part = std::exchange(answer_, {});
   const auto in = in_.view();
-  const auto n = std::min(left_, in.size());
-  part += in.substr(0, n);
-  in_.consume(n);
-  left_ -= n;
+  const auto count = std::min(row_remaining_, in.size());
+  part += in.substr(0, count);
+  in_.consume(count);
+  row_remaining_ -= count;
   return part.empty() || pass(part);
 }
 
 void PgHost::on_input() {
   while (!closed()) {
-    if (left_ > 0 || long_row()) {
-      if (!stream() || left_ > 0) return;
+    if (row_remaining_ > 0 || start_row_stream()) {
+      if (!stream_row() || row_remaining_ > 0) return;
       continue;
     }
-    // Of a row that claims to be long all of the head is needed.
-    if (next_ == Next::row && pg::long_row_begins(in_.view(), pg_stream_from, pg_row_most)) return;
+    // A row that may be long is judged by its complete header.
+    if (expected_ == Expected::row &&
+        pg::may_begin_long_row(in_.view(), pg_stream_threshold, pg_max_row_size))
+      return;
     const auto in = in_.view();
     pg::Message message;
-    const auto frame = pg::next_message(in, pg_message_most, message);
-    if (frame == pg::Frame::partial) return;
-    if (frame == pg::Frame::bad || !take(message.type, message.body, in.substr(0, message.size)))
+    const auto frame = pg::next_message(in, pg_max_message_size, message);
+    if (frame == pg::FrameStatus::partial) return;
+    if (frame == pg::FrameStatus::malformed ||
+        !handle_message(message.type, message.body, in.substr(0, message.size)))
       return broken();
     in_.consume(message.size);
-    if (message.type == 'Z') completed();
+    if (message.type == 'Z') handle_ready_for_query();
   }
 }
 
-bool PgHost::take(char type, std::string_view body, std::string_view whole) {
-  if (!job_) return false;  // nothing is due: a second answer, or the host's goodbye
-  const bool answer = welcomed_ && submitted_;
+bool PgHost::handle_message(char type, std::string_view body, std::string_view message_bytes) {
+  if (!job_) return false;  // unsolicited: a second answer, or an error before the host closes
+  const bool in_answer = welcomed_ && submitted_;
   switch (type) {
     case 'T':
-      if (!answer || next_ != Next::description || !pg::one_column(body)) return false;
-      next_ = Next::row;
+      if (!in_answer || expected_ != Expected::description || !pg::has_one_column(body)) return false;
+      expected_ = Expected::row;
       break;
     case 'D': {
-      const auto value = pg::only_column(body);
-      if (!answer || next_ != Next::row || !value) return false;
+      const auto value = pg::single_column_value(body);
+      if (!in_answer || expected_ != Expected::row || !value) return false;
       if (!job_->attempt) health_ = *value;
-      next_ = Next::complete;
+      expected_ = Expected::complete;
       break;
     }
     case 'C':
-      if (!answer || next_ != Next::complete || !pg::take_text(body) || !body.empty()) return false;
-      next_ = Next::ready;
+      if (!in_answer || expected_ != Expected::complete || !pg::read_cstring(body) || !body.empty())
+        return false;
+      expected_ = Expected::ready;
       break;
     case 'E':
-      return take_error(body);
+      return handle_error(body);
     case 'Z':
-      return body == "I" && (!welcomed_ || (answer && next_ == Next::ready));
+      return body == "I" && (!welcomed_ || (in_answer && expected_ == Expected::ready));
     case 'S': {
-      const auto name = pg::take_text(body);
-      const auto value = pg::take_text(body);
+      const auto name = pg::read_cstring(body);
+      const auto value = pg::read_cstring(body);
       if (!name || !value || !body.empty()) return false;
-      set_note(*name, *value, note_);
+      apply_host_variable(*name, *value, metadata_);
       return true;
     }
     case 'R':
@@ -146,17 +151,17 @@
     default:
       return false;
   }
-  rows_ += whole;
-  return rows_.size() <= pg_message_most;
+  answer_ += message_bytes;
+  return answer_.size() <= pg_max_message_size;
 }
 
-/// After a part of an answer an error proves nothing: what the host ran it for has come to light already.
-bool PgHost::take_error(std::string_view body) {
-  const auto code = pg::error_field(body, 'C');
-  if (!pg::valid_code(code) || next_ != Next::description) return false;
+/// Rejects an error after part of an answer: it does not prove that the statement had no effect.
+bool PgHost::handle_error(std::string_view body) {
+  const auto code = pg::error_response_field(body, 'C');
+  if (!pg::is_sqlstate(code) || expected_ != Expected::description) return false;
   error_code_ = code;
-  error_text_ = pg::error_field(body, 'M');
-  next_ = Next::ready;
+  error_message_ = pg::error_response_field(body, 'M');
+  expected_ = Expected::ready;
   return true;
 }
 
@@ -164,21 +169,21 @@
   if (error_code_.empty()) return std::nullopt;
   broker::AttemptResult result;
   result.outcome = pg::outcome_of(error_code_);
-  result.metadata = note_;
-  result.message = error_text_;
+  result.metadata = metadata_;
+  result.message = error_message_;
   return result;
 }
 
-/// ReadyForQuery: the welcome is over, or the answer is whole.
-void PgHost::completed() {
+/// ReadyForQuery ends the startup or an answer.
+void PgHost::handle_ready_for_query() {
   if (!welcomed_) {
     if (!error_code_.empty() || !in_.empty()) return broken();
     return welcome();
   }
   auto result = said().value_or(broker::AttemptResult{});
   if (error_code_.empty()) {
-    result.metadata = note_;
-    result.value = std::move(rows_);
+    result.metadata = metadata_;
+    result.value = std::move(answer_);
   }
   if (!job_->attempt) result.report = parse_whole_report(health_);
   finish(std::move(result), true);
--- a/src/wire/pg_host.h
+++ b/src/wire/pg_host.h
@@ -8,10 +8,12 @@
 
 namespace cedarring::wire {
 
+/// A connection to a PostgreSQL host: runs attempts and health probes as simple queries, one at a time.
+/// Long statements are written in chunks; long rows are streamed to the client as they arrive.
 class PgHost : public HostConnection {
  public:
   PgHost(ev::loop_ref loop, Fd fd, HostId host, SocketUpstream& owner)
-      : HostConnection(loop, std::move(fd), host, owner, pg_message_most) {}
+      : HostConnection(loop, std::move(fd), host, owner, pg_max_message_size) {}
 
  private:
   void on_open() override;
@@ -19,29 +21,33 @@
   void reset() override;
   void submit() override;
   std::optional<broker::AttemptResult> said() override;
-  /// False for what has no place here: the connection has lost its order and is of no more use.
-  bool take(char type, std::string_view body, std::string_view whole);
-  bool take_error(std::string_view body);
-  void completed();
-  /// Passes on what is there of a long row; false if it has to wait or the connection has ended.
-  bool stream();
-  /// Whether the message at the front is a row that is to be passed on as it comes.
-  bool long_row();
+  /// Handles one message; `message` is the whole of it. False if it is malformed or not expected in this
+  /// state: the connection can no longer be used.
+  bool handle_message(char type, std::string_view body, std::string_view message);
+  bool handle_error(std::string_view body);
+  void handle_ready_for_query();
+  /// Streams the available part of a long row; false if it has to wait or the connection has ended.
+  bool stream_row();
+  /// If the message at the front of the input is a long row of an attempt's answer, starts to stream it.
+  bool start_row_stream();
   void on_more() override { on_input(); }
-  void on_room() override { feed(); }
-  /// Writes the next piece of a long statement.
-  void feed();
+  void on_room() override { write_statement(); }
+  /// Writes the next chunks of a long statement while the output buffer is empty.
+  void write_statement();
 
-  std::string rows_;  // the messages that make up the answer
-  // How far the answer has come: T, D, C, or E in place of them; Z ends it.
-  enum class Next { description, row, complete, ready };
-  Next next_ = Next::description;
-  std::string error_code_, error_text_, health_;
-  AnswerMetadata note_;
-  std::string digits_;   // of the deadline that a long statement tells
-  std::size_t fed_ = 0;  // of its bytes, with these digits, those that are written
-  bool feeding_ = false;
-  std::size_t left_ = 0;  // of a long row that is being passed on
+  std::string answer_;  // the answer's messages so far, as received
+  /// The message that is due next in an answer. An ErrorResponse may come in place of a description;
+  /// ReadyForQuery ends the answer.
+  enum class Expected { description, row, complete, ready };
+  Expected expected_ = Expected::description;
+  std::string error_code_;
+  std::string error_message_;
+  std::string health_;  // the load report that a probe has read
+  AnswerMetadata metadata_;
+  std::string deadline_digits_;        // the deadline written into a long statement
+  std::size_t statement_written_ = 0;  // bytes of the long statement, with these digits, written so far
+  bool writing_statement_ = false;
+  std::size_t row_remaining_ = 0;  // bytes still to come of the row that is being streamed
 };
 
 }  // namespace cedarring::wire
--- a/src/wire/pg_work.h
+++ b/src/wire/pg_work.h
@@ -1,4 +1,5 @@
-// What a PostgreSQL client asked for, as the host connections pass it on.
+// The request of a PostgreSQL client as it is forwarded to a host connection, and the size limits of the
+// PostgreSQL protocol, in bytes.
 #pragma once
 
 #include <string>
@@ -9,22 +10,24 @@
 
 namespace cedarring::wire {
 
-inline constexpr std::size_t pg_message_most =
-    200 * 1024;  // a value of 64 KiB, spelt in hex, and its statement
+/// The largest message that is buffered whole: a statement with a value of 64 KiB in hexadecimal.
+inline constexpr std::size_t pg_max_message_size = 200 * 1024;
 
-/// Rows longer than this are passed on as they come: a value of 64 KiB is held until it is whole.
-inline constexpr std::size_t pg_stream_from = 64 * 1024 + 64;
-/// The longest row: a value of 4 MiB, spelt in hex.
-inline constexpr std::size_t pg_row_most = (std::size_t{8} << 20U) + 64;
+/// Rows longer than this are streamed to the client; a value of 64 KiB is still buffered until complete.
+inline constexpr std::size_t pg_stream_threshold = 64 * 1024 + 64;
+/// The longest row accepted from a host: a value of 4 MiB in hexadecimal.
+inline constexpr std::size_t pg_max_row_size = (std::size_t{8} << 20U) + 64;
 
-inline constexpr std::size_t pg_piece = 64 * 1024;  // of a long statement, written to a host at once
-/// The longest statement: as long a value, and its words.
-inline constexpr std::size_t pg_statement_most = pg_row_most + 64 * 1024;
+/// Long statements are written to a host in chunks of this size.
+inline constexpr std::size_t pg_write_chunk_size = 64 * 1024;
+/// The longest statement: a value as long as the longest row's, and 64 KiB for the SQL around it.
+inline constexpr std::size_t pg_max_statement_size = pg_max_row_size + 64 * 1024;
 
-struct PgWork : broker::RequestPayload {
+/// A simple query and its contract data.
+struct PgRequest : broker::RequestPayload {
   std::string sql;
-  StatementInfo info;                      // views into sql
-  broker::MemoryBudget::Reservation room;  // of a long one
+  StatementInfo info;                             // views into sql
+  broker::MemoryBudget::Reservation reservation;  // memory of a long statement; empty for others
 };
 
 }  // namespace cedarring::wire
--- a/src/wire/statement.h
+++ b/src/wire/statement.h
@@ -1,4 +1,5 @@
-// The contract data that a statement's trailing comment carries. Pure functions over bytes.
+// The contract data in a statement's trailing comment, such as /* id=1,c=view,d=480,cluster=2 */. Pure
+// functions over bytes.
 #pragma once
 
 #include <cstdint>
@@ -10,36 +11,43 @@
 
 namespace cedarring::wire {
 
+/// The contract data of one statement; the texts are views into the statement.
 struct StatementInfo {
-  std::string_view id, contract, tenant, key;
-  std::optional<std::int64_t> deadline_ms;  // counted from the client's sending
-  std::optional<std::int64_t> cluster;
-  std::optional<std::int64_t> after_ms;  // Unix time
-  bool retry = false;
-  std::string_view session;                       // the quoted key
-  std::size_t deadline_at = 0, deadline_len = 0;  // where the digits of d stand in the statement
+  std::string_view id;                      // id: the request, unique among the open ones
+  std::string_view contract;                // c: the request class
+  std::string_view tenant;                  // t
+  std::string_view key;                     // k: the deduplication key, for the hosts
+  std::optional<std::int64_t> deadline_ms;  // d: counted from when the client sent the statement
+  std::optional<std::int64_t> cluster;      // cluster: the replica group
+  std::optional<std::int64_t> after_ms;     // after: the position (Unix time) a read has to see
+  bool retry = false;                       // r: the client repeats an earlier request
+  std::string_view session;                 // the first quoted literal before the comment
+  std::size_t deadline_offset = 0;          // of the digits of d in the statement, in bytes
+  std::size_t deadline_length = 0;          // of these digits; 0 if d is not in the statement
 };
 
-/// A whole number of at most 18 digits.
+/// Parses a decimal number without a sign of at most 18 digits, so that it cannot overflow.
 std::optional<std::int64_t> to_int(std::string_view text);
 
-/// Reads the trailing comment; what a malformed one lacks is named in `missing`, and false returned.
+/// Parses the trailing comment. Returns false and names in `missing` the first field or value that is absent
+/// or invalid.
 bool parse_statement(std::string_view sql, StatementInfo& info, std::string& missing);
 
-/// Sets one name=value pair; false for a value of the wrong shape. Unknown names are passed over.
-bool set_field(std::string_view name, std::string_view value, StatementInfo& info);
+/// Sets the field `name` to `value`; false if a number is malformed. Unknown names are ignored.
+bool set_contract_field(std::string_view name, std::string_view value, StatementInfo& info);
 
-/// What is still missing from the contract data; empty if nothing is.
-std::string_view lacking(const StatementInfo& info);
+/// The name of the first mandatory field that is absent or out of range; empty if there is none.
+std::string_view missing_field(const StatementInfo& info);
 
-/// The statement with `ms` in place of the client's deadline.
-std::string with_deadline(std::string_view sql, const StatementInfo& info, std::int64_t ms);
+/// The statement with `deadline_ms` in place of the client's deadline.
+std::string with_deadline(std::string_view sql, const StatementInfo& info, std::int64_t deadline_ms);
 
-/// The session that a quoted key names: FNV-1a, as on the simulator's wire; a clash only makes a read
-/// stricter.
-SessionId session_of(std::string_view key);
+/// The session id of a key: its 64-bit FNV-1a hash, as on the simulator's wire. A collision between two
+/// sessions only makes their reads stricter.
+SessionId session_id_of(std::string_view key);
 
-/// What a host tells of itself beside an answer: `recovery` and `lsn_ms`, in either protocol.
-void set_note(std::string_view name, std::string_view value, AnswerMetadata& note);
+/// Stores a variable that a host reports with an answer, in either protocol: `recovery` (off on a primary, on
+/// on a replica) or `lsn_ms` (its position, Unix time in ms). Other names and invalid values are ignored.
+void apply_host_variable(std::string_view name, std::string_view value, AnswerMetadata& metadata);
 
 }  // namespace cedarring::wire
--- a/src/wire/zone_source.h
+++ b/src/wire/zone_source.h
@@ -1,4 +1,4 @@
-// A zone kept current by dynamic updates over UDP: another source of list events.
+// A source of member lists: a DNS zone that is kept current by dynamic updates over UDP.
 #pragma once
 
 #include <ev++.h>
@@ -11,24 +11,27 @@
 
 namespace cedarring::wire {
 
+/// Answers dynamic updates of a zone and reports the member list after each update that changes the zone.
 class ZoneSource {
  public:
-  using Listed = std::function<void(const broker::MemberList&)>;
-  /// Updates are taken from anyone who reaches `address`: it has to be one of the loopback.
-  /// `given`: the socket there that another process of this gateway has, in place of one of its own.
-  ZoneSource(ev::loop_ref loop, const std::string& address, dns::Zone zone, Listed listed, Fd given = Fd());
-  /// Another process reads the updates meanwhile.
-  void pause(bool on) { on ? io_.stop() : io_.start(fd_.get(), ev::READ); }
+  using ListCallback = std::function<void(const broker::MemberList&)>;
+  /// Updates are not authenticated, so `address` has to be a loopback address. `inherited`: a socket bound
+  /// there by another process of this gateway, used in place of a new one. Throws std::system_error if the
+  /// address cannot be bound.
+  ZoneSource(ev::loop_ref loop, const std::string& address, dns::Zone zone, ListCallback on_list,
+             Fd inherited = Fd());
+  /// Stops or resumes reading, for the time in which another process reads the updates.
+  void pause(bool paused) { paused ? io_.stop() : io_.start(fd_.get(), ev::READ); }
   [[nodiscard]] const Fd& socket() const { return fd_; }
-  /// The list as it stands.
-  [[nodiscard]] broker::MemberList list() const { return dns::members_of(zone_, version_); }
+  /// The current member list.
+  [[nodiscard]] broker::MemberList list() const { return dns::member_list_of(zone_, version_); }
   [[nodiscard]] std::string address() const { return bound_address(fd_); }
 
  private:
-  void readable(ev::io&, int);
+  void on_readable(ev::io&, int);
   dns::Zone zone_;
   std::uint64_t version_ = 1;
-  Listed listed_;
+  ListCallback on_list_;
   Fd fd_;
   ev::io io_;
 };
--- a/tests/dns_test.cpp
+++ b/tests/dns_test.cpp
@@ -1,4 +1,4 @@
-// Zone files, dynamic updates, and the hosts they list to the MySQL front.
+// DNS zones: master files, dynamic updates, and the hosts that a zone lists to the MySQL listener.
 #include "wire/dns.h"
 
 #include <gtest/gtest.h>
@@ -15,39 +15,48 @@
 using namespace std::string_literals;
 namespace dns = wire::dns;
 
-const std::string head = "$TTL 60\n@ IN SOA ns hostmaster 7 3600 600 86400 60\n@ NS ns\n";
+const std::string zone_head = "$TTL 60\n@ IN SOA ns hostmaster 7 3600 600 86400 60\n@ NS ns\n";
 
 std::string name(const std::string& text) { return *dns::name_from_text(text, "\6ledger\4test\0"s); }
 
-void put16(std::string& out, unsigned v) {
-  out += static_cast<char>(v >> 8U), out += static_cast<char>(v & 0xffU);
+void put16(std::string& out, unsigned value) {
+  out += static_cast<char>(value >> 8U);
+  out += static_cast<char>(value & 0xffU);
 }
 
-std::string record(const std::string& owner, unsigned type, unsigned cls, unsigned ttl,
+/// A record in wire format.
+std::string record(const std::string& owner, unsigned type, unsigned class_code, unsigned ttl,
                    const std::string& data = "") {
   std::string out = name(owner);
-  put16(out, type), put16(out, cls), put16(out, 0), put16(out, ttl),
-      put16(out, static_cast<unsigned>(data.size()));
+  put16(out, type);
+  put16(out, class_code);
+  put16(out, 0);  // the upper half of the TTL
+  put16(out, ttl);
+  put16(out, static_cast<unsigned>(data.size()));
   return out + data;
 }
 
+/// An update message; `flags` 0x2800 is a request with the opcode for updates.
 std::string update(const std::vector<std::string>& prerequisites, const std::vector<std::string>& changes,
                    const std::string& zone = "@", unsigned flags = 0x2800) {
   std::string out;
-  for (const unsigned v : {0xabcdU, flags, 1U, static_cast<unsigned>(prerequisites.size()),
-                           static_cast<unsigned>(changes.size()), 0U})
-    put16(out, v);
+  for (const unsigned field : {0xabcdU, flags, 1U, static_cast<unsigned>(prerequisites.size()),
+                               static_cast<unsigned>(changes.size()), 0U})
+    put16(out, field);
   out += name(zone);
-  put16(out, dns::type_soa), put16(out, dns::class_in);
+  put16(out, dns::type_soa);
+  put16(out, dns::class_in);
   for (const auto& r : prerequisites) out += r;
   for (const auto& r : changes) out += r;
   return out;
 }
 
-std::string a_data(char last) { return std::string("\x7f\0\0", 3) + last; }
+std::string a_data(char last_byte) { return std::string("\x7f\0\0", 3) + last_byte; }
 std::string srv_data(unsigned priority, unsigned port, const std::string& target) {
   std::string out;
-  put16(out, priority), put16(out, 1), put16(out, port);
+  put16(out, priority);
+  put16(out, 1);  // weight
+  put16(out, port);
   return out + name(target);
 }
 
@@ -58,7 +67,7 @@
   return zone;
 }
 
-TEST(Zone, MasterFiles) {
+TEST(Zone, MasterFileIsParsedOrTheLineAtFaultNamed) {
   const auto zone = zone_of(
       "$ORIGIN ledger.test.\n$TTL 300 ; by default\n"
       "@ 60 IN SOA ns hostmaster (\n  7 3600 ; serial and refresh\n  600 86400 60 )\n\tNS ns\n"
@@ -74,93 +83,102 @@
   EXPECT_EQ(zone.records[4].name, name("x.sub"));
   EXPECT_EQ(zone.records[5].data, "\0\x0a"s + name("x.sub"));
   struct Case {
-    std::string text, error;
+    std::string text;
+    std::string error;
   };
   for (const auto& c :
-       {Case{"@ NS ns\n", "no SOA record"}, Case{head + "a A 127.0.0.256\n", "line 4"},
-        Case{head + "a SRV 0 0 70000 b\n", "line 4"}, Case{head + "a TXT \"open\n", "line 4"},
-        Case{head + "a A ( 127.0.0.1\n", "line 4"}, Case{head + "a A 127.0.0.1 )\n", "line 4"},
-        Case{head + "$INCLUDE other\n", "line 4"}, Case{head + "a.elsewhere. A 127.0.0.1\n", "line 4"},
-        Case{head + "a..b A 127.0.0.1\n", "line 4"},
-        Case{head + std::string(64, 'a') + " A 127.0.0.1\n", "line 4"}, Case{head + "a\n", "line 4"},
-        Case{head + "a CH A 127.0.0.1\n", "line 4"}}) {
-    dns::Zone z;
+       {Case{"@ NS ns\n", "no SOA record"}, Case{zone_head + "a A 127.0.0.256\n", "line 4"},
+        Case{zone_head + "a SRV 0 0 70000 b\n", "line 4"}, Case{zone_head + "a TXT \"open\n", "line 4"},
+        Case{zone_head + "a A ( 127.0.0.1\n", "line 4"}, Case{zone_head + "a A 127.0.0.1 )\n", "line 4"},
+        Case{zone_head + "$INCLUDE other\n", "line 4"},
+        Case{zone_head + "a.elsewhere. A 127.0.0.1\n", "line 4"},
+        Case{zone_head + "a..b A 127.0.0.1\n", "line 4"},
+        Case{zone_head + std::string(64, 'a') + " A 127.0.0.1\n", "line 4"},
+        Case{zone_head + "a\n", "line 4"}, Case{zone_head + "a CH A 127.0.0.1\n", "line 4"}}) {
+    dns::Zone parsed;
     std::string error;
-    EXPECT_FALSE(dns::parse_zone(c.text, "ledger.test.", z, error)) << c.text;
+    EXPECT_FALSE(dns::parse_zone(c.text, "ledger.test.", parsed, error)) << c.text;
     EXPECT_EQ(error, c.error) << c.text;
   }
 }
 
-TEST(Zone, Updates) {
-  using R = dns::Rcode;
+TEST(Zone, UpdateIsAppliedWholeOrAnsweredWithItsErrorCode) {
+  using dns::Rcode;
   struct Case {
-    std::string why, message;
-    R rcode;
+    std::string name;
+    std::string message;
+    Rcode rcode;
     bool changed;
   };
-  const auto text = head + "a A 127.0.0.1\na A 127.0.0.2\nc CNAME a\n";
+  const auto text = zone_head + "a A 127.0.0.1\na A 127.0.0.2\nc CNAME a\n";
   for (const auto& c : {
-           Case{"add", update({}, {record("b", 1, 1, 60, a_data(3))}), R::ok, true},
-           Case{"add what is there", update({}, {record("a", 1, 1, 60, a_data(1))}), R::ok, false},
-           Case{"add beside a CNAME", update({}, {record("c", 1, 1, 60, a_data(3))}), R::ok, false},
-           Case{"delete one", update({}, {record("a", 1, 254, 0, a_data(2))}), R::ok, true},
-           Case{"delete a set", update({}, {record("a", 1, 255, 0)}), R::ok, true},
-           Case{"delete a name", update({}, {record("a", 255, 255, 0)}), R::ok, true},
-           Case{"the apex keeps SOA and NS", update({}, {record("@", 255, 255, 0)}), R::ok, false},
-           Case{"the last NS stays", update({}, {record("@", 2, 254, 0, name("ns"))}), R::ok, false},
-           Case{"name in use", update({record("a", 255, 255, 0)}, {}), R::ok, false},
-           Case{"name not in use", update({record("x", 255, 255, 0)}, {}), R::nx_domain, false},
-           Case{"set not there", update({record("a", 33, 255, 0)}, {}), R::nx_rrset, false},
-           Case{"name unexpected", update({record("a", 255, 254, 0)}, {}), R::yx_domain, false},
-           Case{"set unexpected", update({record("a", 1, 254, 0)}, {}), R::yx_rrset, false},
-           Case{"set as it is",
-                update({record("a", 1, 1, 0, a_data(2)), record("a", 1, 1, 0, a_data(1))}, {}), R::ok, false},
-           Case{"set of other values", update({record("a", 1, 1, 0, a_data(1))}, {}), R::nx_rrset, false},
-           Case{"a wrong prerequisite stops all",
-                update({record("x", 255, 255, 0)}, {record("b", 1, 1, 60, a_data(3))}), R::nx_domain, false},
-           Case{"one wrong change stops all",
-                update({}, {record("b", 1, 1, 60, a_data(3)), record("b", 255, 1, 60, "x")}), R::form_error,
+           Case{"add", update({}, {record("b", 1, 1, 60, a_data(3))}), Rcode::ok, true},
+           Case{"add an existing record", update({}, {record("a", 1, 1, 60, a_data(1))}), Rcode::ok, false},
+           Case{"add beside a CNAME", update({}, {record("c", 1, 1, 60, a_data(3))}), Rcode::ok, false},
+           Case{"delete a record", update({}, {record("a", 1, 254, 0, a_data(2))}), Rcode::ok, true},
+           Case{"delete a record set", update({}, {record("a", 1, 255, 0)}), Rcode::ok, true},
+           Case{"delete a name", update({}, {record("a", 255, 255, 0)}), Rcode::ok, true},
+           Case{"the apex keeps SOA and NS", update({}, {record("@", 255, 255, 0)}), Rcode::ok, false},
+           Case{"the last NS stays", update({}, {record("@", 2, 254, 0, name("ns"))}), Rcode::ok, false},
+           Case{"name in use", update({record("a", 255, 255, 0)}, {}), Rcode::ok, false},
+           Case{"name not in use", update({record("x", 255, 255, 0)}, {}), Rcode::nx_domain, false},
+           Case{"record set missing", update({record("a", 33, 255, 0)}, {}), Rcode::nx_rrset, false},
+           Case{"name exists unexpectedly", update({record("a", 255, 254, 0)}, {}), Rcode::yx_domain, false},
+           Case{"record set exists unexpectedly", update({record("a", 1, 254, 0)}, {}), Rcode::yx_rrset,
+                false},
+           Case{"record set matches",
+                update({record("a", 1, 1, 0, a_data(2)), record("a", 1, 1, 0, a_data(1))}, {}), Rcode::ok,
+                false},
+           Case{"record set differs", update({record("a", 1, 1, 0, a_data(1))}, {}), Rcode::nx_rrset, false},
+           Case{"a failed prerequisite rejects the update",
+                update({record("x", 255, 255, 0)}, {record("b", 1, 1, 60, a_data(3))}), Rcode::nx_domain,
                 false},
-           Case{"another zone", update({}, {}, "x.other."), R::not_auth, false},
-           Case{"a name outside", update({}, {record("b.other.", 1, 1, 60, a_data(3))}), R::not_zone, false},
-           Case{"a query", update({}, {}, "@", 0), R::not_implemented, false},
-           Case{"data cut short", update({}, {record("b", 1, 1, 60, "\x7f"s)}), R::form_error, false},
+           Case{"an invalid change rejects the update",
+                update({}, {record("b", 1, 1, 60, a_data(3)), record("b", 255, 1, 60, "x")}),
+                Rcode::form_error, false},
+           Case{"another zone", update({}, {}, "x.other."), Rcode::not_auth, false},
+           Case{"a name outside the zone", update({}, {record("b.other.", 1, 1, 60, a_data(3))}),
+                Rcode::not_zone, false},
+           Case{"a query", update({}, {}, "@", 0), Rcode::not_implemented, false},
+           Case{"truncated data", update({}, {record("b", 1, 1, 60, "\x7f"s)}), Rcode::form_error, false},
        }) {
     auto zone = zone_of(text);
     const auto before = zone.records.size();
     bool changed = false;
-    const auto answer = dns::answer_update(c.message, zone, changed);
-    ASSERT_EQ(answer.size(), 12U) << c.why;
-    EXPECT_EQ(answer.substr(0, 2), "\xab\xcd") << c.why;
-    EXPECT_EQ(answer[3], static_cast<char>(c.rcode)) << c.why;
-    EXPECT_EQ(changed, c.changed) << c.why;
+    const auto answer = dns::handle_update(c.message, zone, changed);
+    ASSERT_EQ(answer.size(), 12U) << c.name;
+    EXPECT_EQ(answer.substr(0, 2), "\xab\xcd") << c.name;
+    EXPECT_EQ(answer[3], static_cast<char>(c.rcode)) << c.name;
+    EXPECT_EQ(changed, c.changed) << c.name;
     const auto serial = zone.records[0].data.substr(zone.records[0].data.size() - 20, 4);
-    EXPECT_EQ(serial, changed ? "\0\0\0\x08"s : "\0\0\0\7"s) << c.why;
-    EXPECT_TRUE(changed || zone.records.size() == before) << c.why;
+    EXPECT_EQ(serial, changed ? "\0\0\0\x08"s : "\0\0\0\7"s) << c.name;
+    EXPECT_TRUE(changed || zone.records.size() == before) << c.name;
   }
   auto zone = zone_of(text);
   bool changed = false;
-  const auto whole = update({record("a", 255, 255, 0)}, {record("b", 33, 1, 60, srv_data(0, 9, "a"))});
-  for (std::size_t n = 0; n < whole.size(); ++n) {
-    const auto answer = dns::answer_update(whole.substr(0, n), zone, changed);
-    EXPECT_EQ(answer.size(), n < 12 ? 0U : 12U);
+  const auto complete = update({record("a", 255, 255, 0)}, {record("b", 33, 1, 60, srv_data(0, 9, "a"))});
+  for (std::size_t length = 0; length < complete.size(); ++length) {
+    const auto answer = dns::handle_update(complete.substr(0, length), zone, changed);
+    EXPECT_EQ(answer.size(), length < 12 ? 0U : 12U);
     EXPECT_FALSE(changed);
   }
-  EXPECT_EQ(dns::answer_update(update({}, {}, "@", 0xa800), zone, changed), "");  // an answer
+  EXPECT_EQ(dns::handle_update(update({}, {}, "@", 0xa800), zone, changed),
+            "");  // a response is not answered
   auto loop = update({}, {});
-  loop.replace(12, 14, "\xc0\x0c"s);  // a name that points at itself
-  EXPECT_EQ(dns::answer_update(loop, zone, changed)[3], static_cast<char>(R::form_error));
+  loop.replace(12, 14, "\xc0\x0c"s);  // a name with a pointer to itself
+  EXPECT_EQ(dns::handle_update(loop, zone, changed)[3], static_cast<char>(Rcode::form_error));
 }
 
-TEST(Zone, HostsOfServiceRecords) {
+TEST(Zone, ServiceRecordsGiveTheMemberList) {
   const auto zone =
-      zone_of(head +
+      zone_of(zone_head +
               "a A 127.0.0.1\na TXT zone=kotoni state=draining started_ms=1500\nb A 127.0.0.2\n"
               "_mysql._tcp.g4 SRV 0 5 3306 a\n_mysql._tcp.g4 SRV 1 0 3307 b\n_mysql._tcp.g4 SRV 1 0 1 gone\n"
               "_mysql._tcp.x SRV 0 0 1 a\n_pg._tcp.g4 SRV 0 0 1 a\n");
-  const auto list = dns::members_of(zone, 3);
+  const auto list = dns::member_list_of(zone, 3);
   ASSERT_EQ(list.members.size(), 2U);
-  const auto &a = list.members[0], &b = list.members[1];
+  const auto& a = list.members[0];
+  const auto& b = list.members[1];
   EXPECT_EQ(a.id, "a.ledger.test.:3306");
   EXPECT_EQ(a.address, "127.0.0.1:3306");
   EXPECT_EQ(a.group, GroupId{4});
@@ -172,24 +190,27 @@
   EXPECT_EQ(b.state, HostState::ready);
 }
 
-/// The started program takes its list from the zone: an update moves the group to another host.
-TEST(Zone, AnUpdateMovesTheMysqlFrontToAnotherHost) {
-  MysqlStandIn a, b;
-  a.primary = true, b.primary = true;
-  const auto port = [](const Host& h) { return h.address().substr(h.address().rfind(':') + 1); };
+// The started program reads its member list from the zone.
+TEST(Zone, UpdateMovesTheGroupToAnotherHost) {
+  MysqlStandIn a;
+  MysqlStandIn b;
+  a.primary = true;
+  b.primary = true;
+  const auto port = [](const Host& host) { return host.address().substr(host.address().rfind(':') + 1); };
   const std::string file = testing::TempDir() + "cedarring-" + std::to_string(getpid()) + ".zone";
-  std::ofstream(file) << head << "a A 127.0.0.1\nb A 127.0.0.1\n_mysql._tcp.g1 SRV 0 0 " << port(a) << " a\n";
+  std::ofstream(file) << zone_head << "a A 127.0.0.1\nb A 127.0.0.1\n_mysql._tcp.g1 SRV 0 0 " << port(a)
+                      << " a\n";
   Program program(
       config_json("127.0.0.1:1", list_of(1, {})),
       R"({"enabled":true,"listen":"127.0.0.1:0","dns":{"origin":"ledger.test.","listen":"127.0.0.1:0",)"
       R"("zone_file":")" +
           file + "\"}}");
   ::unlink(file.c_str());
-  MysqlRaw c(program.mysql());
+  MysqlRaw client(program.mysql());
   const auto run = [&](const std::string& id) {
-    c.command(wire::mysql::query_packet({}, statement(id, "pay")));
-    const auto first = c.read_packet();
-    for (int i = 0; i < 3 && first == "\1"; ++i) c.read_packet();
+    client.command(wire::mysql::query_packet({}, statement(id, "pay")));
+    const auto first = client.read_packet();
+    for (int i = 0; i < 3 && first == "\1"; ++i) client.read_packet();
     return first == "\1";
   };
   EXPECT_TRUE(run("e1"));
@@ -199,7 +220,7 @@
   Socket dns(wire::bind_datagram("127.0.0.1:0"));
   ASSERT_TRUE(dns.connect(program.dns()));
   dns.send(message);
-  const auto answer = dns.read(12);  // the answer comes after the list has been told
+  const auto answer = dns.read(12);  // sent after the new list has been applied
   ASSERT_TRUE(answer);
   EXPECT_EQ((*answer)[3], 0);
   EXPECT_TRUE(run("e2"));
@@ -207,13 +228,14 @@
   EXPECT_EQ(b.seen(), (std::vector<std::string>{"e2"}));
 }
 
-/// Both fronts and the zone's socket go over to the next process; a MySQL client keeps its connection.
-TEST(Zone, AnUpgradeTakesTheMysqlFrontAndItsUpdatesOver) {
+// Both listeners and the zone's socket are handed over to the next process; a MySQL client keeps its
+// connection.
+TEST(Zone, HandoverPassesTheMysqlListenerAndTheZoneSocket) {
   MysqlStandIn a;
   a.primary = true;
   const auto port = a.address().substr(a.address().rfind(':') + 1);
   const std::string file = testing::TempDir() + "cedarring-" + std::to_string(getpid()) + "-up.zone";
-  std::ofstream(file) << head << "a A 127.0.0.1\n_mysql._tcp.g1 SRV 0 0 " << port << " a\n";
+  std::ofstream(file) << zone_head << "a A 127.0.0.1\n_mysql._tcp.g1 SRV 0 0 " << port << " a\n";
   PgStandIn platform;
   platform.primary = true;
   Program first(
@@ -222,11 +244,11 @@
       R"({"enabled":true,"listen":"127.0.0.1:0","dns":{"origin":"ledger.test.","listen":"127.0.0.1:0",)"
       R"("zone_file":")" +
           file + "\"}}");
-  MysqlRaw c(first.mysql());
+  MysqlRaw client(first.mysql());
   const auto run = [&](const std::string& id) {
-    c.command(wire::mysql::query_packet({}, statement(id, "pay")));
-    const auto packet = c.read_packet();
-    for (int i = 0; i < 3 && packet == "\1"; ++i) c.read_packet();
+    client.command(wire::mysql::query_packet({}, statement(id, "pay")));
+    const auto packet = client.read_packet();
+    for (int i = 0; i < 3 && packet == "\1"; ++i) client.read_packet();
     return packet == "\1";
   };
   EXPECT_TRUE(run("a"));
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -446,15 +446,15 @@
   const auto row = PgStandIn::row(std::string(100'000, 'x'));
   const auto at = row.find('D', 1);
   const auto d = row.substr(at, 100'011);
-  EXPECT_EQ(wire::pg::long_row(d, 65'600, 1 << 20), 100'011U);
-  EXPECT_EQ(wire::pg::long_row(d.substr(0, 11), 65'600, 1 << 20), 100'011U);
-  EXPECT_FALSE(wire::pg::long_row(d.substr(0, 10), 65'600, 1 << 20));
-  EXPECT_FALSE(wire::pg::long_row(d, 100'011, 1 << 20));  // not longer than what is held
-  EXPECT_FALSE(wire::pg::long_row(d, 65'600, 100'000));   // too long altogether
-  for (const std::size_t i : {0, 5, 6, 7, 10}) {          // type, columns, the column's length
+  EXPECT_EQ(wire::pg::long_row_size(d, 65'600, 1 << 20), 100'011U);
+  EXPECT_EQ(wire::pg::long_row_size(d.substr(0, 11), 65'600, 1 << 20), 100'011U);
+  EXPECT_FALSE(wire::pg::long_row_size(d.substr(0, 10), 65'600, 1 << 20));
+  EXPECT_FALSE(wire::pg::long_row_size(d, 100'011, 1 << 20));  // not longer than what is held
+  EXPECT_FALSE(wire::pg::long_row_size(d, 65'600, 100'000));   // too long altogether
+  for (const std::size_t i : {0, 5, 6, 7, 10}) {               // type, columns, the column's length
     auto bad = d.substr(0, 11);
     bad[i] ^= 1;
-    EXPECT_FALSE(wire::pg::long_row(bad, 65'600, 1 << 20)) << i;
+    EXPECT_FALSE(wire::pg::long_row_size(bad, 65'600, 1 << 20)) << i;
   }
 }
 
--- a/tests/support/bad_gateway.cpp
+++ b/tests/support/bad_gateway.cpp
@@ -87,9 +87,9 @@
     const auto c = client.read(1);
     if (!c) return;
     first += *c;
-  } while (wire::pg::next_startup(first, startup) == wire::pg::Frame::partial);
+  } while (wire::pg::next_startup(first, startup) == wire::pg::FrameStatus::partial);
   std::string out;
-  wire::pg::put_welcome(out);
+  wire::pg::put_startup_response(out);
   client.send(out);
   for (std::size_t turn = 0;; ++turn) {
     char type = 0;
@@ -97,7 +97,8 @@
     if (type != 'Q') return;
     sql.pop_back();
     if (sql.empty()) {
-      out.clear(), wire::pg::put_empty(out), wire::pg::put_ready(out), client.send(out);
+      out.clear(), wire::pg::put_empty_query_response(out), wire::pg::put_ready_for_query(out),
+          client.send(out);
       continue;
     }
     wire::StatementInfo info;
--- a/tests/support/stand_in.cpp
+++ b/tests/support/stand_in.cpp
@@ -203,7 +203,7 @@
 std::optional<std::string> my_read(Socket& s, std::uint8_t& sequence) {
   const auto head = s.read(4);
   if (!head) return std::nullopt;
-  my::Reader r(*head);
+  my::PacketReader r(*head);
   const auto n = r.fixed(3);
   sequence = static_cast<std::uint8_t>(r.fixed(1) + 1);
   return s.read(n);
@@ -315,7 +315,7 @@
   while (const auto p = my_read(s, sequence)) {
     std::string sql, row;
     my::put_lenenc_text(row, "from " + address());
-    my::Reader in(std::string_view(*p).substr(1));
+    my::PacketReader in(std::string_view(*p).substr(1));
     std::string attribute_id;
     if ((*p)[0] == my::com_stmt_prepare) {
       count_prepare();
@@ -323,7 +323,7 @@
       statements[id] = p->substr(1);
       std::string head(1, '\0');
       my::put_fixed(head, id, 4), my::put_fixed(head, 0, 2);
-      const auto placeholders = my::shape_of(statements[id]).placeholders;
+      const auto placeholders = my::scan_statement(statements[id]).placeholders;
       my::put_fixed(head, placeholders, 2), my::put_fixed(head, 0, 3);
       say(head);
       for (std::size_t i = 0; i < placeholders; ++i) say("a parameter");
@@ -337,9 +337,9 @@
       }
       sql = statements[id];
       my::Execute e;
-      my::parse_execute(*p, true, my::shape_of(sql).placeholders, {}, {}, e);
+      my::parse_execute(*p, true, my::scan_statement(sql).placeholders, {}, {}, e);
       for (const auto& parameter : e.parameters)
-        if (parameter.name == "id") attribute_id = my::text_of(parameter).value_or("");
+        if (parameter.name == "id") attribute_id = my::text_value(parameter).value_or("");
       row = std::string(2, '\0') + row;  // binary
       if (!e.parameters.empty() && e.parameters[0].name.empty() && !e.parameters[0].null)
         row = std::string(2, '\0') + e.parameters[0].value;  // echoes its first parameter
@@ -717,10 +717,10 @@
   while (const auto m = pg_read(socket)) {
     answer.types += m->first;
     if (m->first == 'E') {
-      answer.code = wire::pg::error_field(m->second, 'C');
-      answer.detail = wire::pg::error_field(m->second, 'D');
+      answer.code = wire::pg::error_response_field(m->second, 'C');
+      answer.detail = wire::pg::error_response_field(m->second, 'D');
     }
-    if (m->first == 'D') answer.value = wire::pg::only_column(m->second).value_or("?");
+    if (m->first == 'D') answer.value = wire::pg::single_column_value(m->second).value_or("?");
     if (m->first == 'Z') break;
   }
   return answer;
@@ -759,7 +759,7 @@
 std::uint32_t MysqlRaw::prepare(const std::string& sql) {
   command(std::string(1, static_cast<char>(my::com_stmt_prepare)) + sql);
   const auto head = read_packet().value_or("");
-  my::Reader in(head);
+  my::PacketReader in(head);
   in.fixed(1);
   return static_cast<std::uint32_t>(in.fixed(4));
 }
