--- a/src/wire/mysql.cpp
+++ b/src/wire/mysql.cpp
@@ -297,15 +297,15 @@
 
 Outcome outcome_of(const Error& error) {
   switch (error.code) {
-    case 1290:
-    case 1792:
-    case 1836:
+    case er_option_prevents_statement:
+    case er_read_only_transaction:
+    case er_read_only_mode:
       return Outcome::too_stale;  // read-only: not the primary
-    case 1040:
-    case 1203:
-    case 3168:
+    case er_too_many_connections:
+    case er_too_many_user_connections:
+    case er_server_unavailable:
       return Outcome::full;  // too many connections or unavailable: the request has not run
-    case 1243:
+    case er_unknown_statement:
       return Outcome::not_sent;  // unknown prepared statement: the request has not run
     default:
       // 72000: the replica is further behind than the request allows.
--- a/src/wire/mysql.h
+++ b/src/wire/mysql.h
@@ -169,6 +169,30 @@
 /// The payload of an EOF packet.
 std::string eof_packet(std::uint16_t status);
 
+/// Error codes (ER_*) that the gateway sends or classifies.
+enum ErrorCode : std::uint16_t {
+  er_too_many_connections = 1040,
+  er_bad_handshake = 1043,
+  er_unknown_command = 1047,
+  er_unknown_database = 1049,
+  er_parse_error = 1064,
+  er_empty_query = 1065,
+  er_unknown_error = 1105,
+  er_packet_too_large = 1153,
+  er_too_many_user_connections = 1203,
+  er_wrong_arguments = 1210,
+  er_not_supported_yet = 1235,
+  er_unknown_statement = 1243,
+  er_option_prevents_statement = 1290,
+  er_too_many_placeholders = 1390,
+  er_too_many_prepared_statements = 1461,
+  er_read_only_transaction = 1792,
+  er_malformed_packet = 1835,
+  er_read_only_mode = 1836,
+  er_query_timeout = 3024,
+  er_server_unavailable = 3168
+};
+
 /// An ERR packet; `state` is its SQLSTATE.
 struct Error {
   std::uint16_t code = 0;
--- a/src/wire/mysql_client.cpp
+++ b/src/wire/mysql_client.cpp
@@ -100,7 +100,7 @@
   reply(out);
 }
 
-void MysqlClient::turn_away() { send_fatal(1040, "08004", "Too many connections"); }
+void MysqlClient::turn_away() { send_fatal(er_too_many_connections, "08004", "Too many connections"); }
 
 bool MysqlClient::take_one() {
   Packet packet;
@@ -108,7 +108,7 @@
   if (frame == FrameStatus::partial) return false;
   if (frame == FrameStatus::malformed) {
     sequence_ = 1;
-    send_fatal(1153, "08S01", "Got a packet bigger than 'max_allowed_packet' bytes");
+    send_fatal(er_packet_too_large, "08S01", "Got a packet bigger than 'max_allowed_packet' bytes");
     return false;
   }
   sequence_ = static_cast<std::uint8_t>(packet.sequence + 1);
@@ -126,7 +126,7 @@
 void MysqlClient::handle_handshake_response(std::string_view payload) {
   HandshakeResponse response;
   if (!parse_handshake_response(payload, response) || (response.capabilities & ssl) != 0)
-    return send_fatal(1043, "08S01", "Bad handshake");
+    return send_fatal(er_bad_handshake, "08S01", "Bad handshake");
   capabilities_ = response.capabilities & gateway_capabilities;
   logged_in_ = true;
   send_ok();
@@ -146,7 +146,7 @@
 }
 
 void MysqlClient::handle_command(std::string_view payload) {
-  if (payload.empty()) return send_fatal(1835, "HY000", "Malformed communication packet");
+  if (payload.empty()) return send_fatal(er_malformed_packet, "HY000", "Malformed communication packet");
   const auto body = payload.substr(1);
   PacketReader in(body);
   switch (static_cast<unsigned char>(payload[0])) {
@@ -176,18 +176,19 @@
       return send_ok();
     }
     case com_stmt_fetch:
-      return send_error(1235, "42000", "This gateway doesn't yet support 'cursors'");
+      return send_error(er_not_supported_yet, "42000", "This gateway doesn't yet support 'cursors'");
     case com_set_option:
-      return send_error(1235, "42000", "This gateway doesn't yet support 'multi-statements'");
+      return send_error(er_not_supported_yet, "42000", "This gateway doesn't yet support 'multi-statements'");
     default:
-      return send_error(1047, "08S01", "Unknown command");
+      return send_error(er_unknown_command, "08S01", "Unknown command");
   }
 }
 
 MysqlClient::Statement* MysqlClient::find_statement(std::uint32_t id) {
   const auto it = statements_.find(id);
   if (it != statements_.end()) return &it->second;
-  send_error(1243, "HY000", "Unknown prepared statement handler (" + std::to_string(id) + ")");
+  send_error(er_unknown_statement, "HY000",
+             "Unknown prepared statement handler (" + std::to_string(id) + ")");
   return nullptr;
 }
 
@@ -195,11 +196,11 @@
 bool MysqlClient::check_supported(std::string_view sql) {
   const auto shape = scan_statement(sql);
   if (!shape.terminated) {
-    send_error(1064, "42000", "You have an error in your SQL syntax: unclosed quote or comment");
+    send_error(er_parse_error, "42000", "You have an error in your SQL syntax: unclosed quote or comment");
     return false;
   }
   if (shape.multiple) {
-    send_error(1235, "42000", "This gateway doesn't yet support 'multi-statements'");
+    send_error(er_not_supported_yet, "42000", "This gateway doesn't yet support 'multi-statements'");
     return false;
   }
   const auto words = leading_words(sql, 4);
@@ -213,7 +214,7 @@
                            words[0] == "LOCK" || words[0] == "UNLOCK" ||
                            (words[0] == "START" && words[1] == "TRANSACTION") || autocommit_off;
   if (transaction) {
-    send_error(1235, "42000", "This gateway doesn't yet support 'transactions'");
+    send_error(er_not_supported_yet, "42000", "This gateway doesn't yet support 'transactions'");
     return false;
   }
   return true;
@@ -222,9 +223,9 @@
 void MysqlClient::handle_query(std::string_view payload) {
   Query query;
   if (!parse_query(payload, supports(query_attributes), query))
-    return send_fatal(1835, "HY000", "Malformed communication packet");
+    return send_fatal(er_malformed_packet, "HY000", "Malformed communication packet");
   const auto words = leading_words(query.sql, 1);
-  if (words[0].empty()) return send_error(1065, "42000", "Query was empty");
+  if (words[0].empty()) return send_error(er_empty_query, "42000", "Query was empty");
   if (!check_supported(query.sql)) return;
   if (words[0] == "SET" || words[0] == "USE")
     return send_ok();  // sent by drivers on connect; hosts do not need them
@@ -235,17 +236,18 @@
 }
 
 void MysqlClient::handle_prepare(std::string_view sql) {
-  if (leading_words(sql, 1)[0].empty()) return send_error(1065, "42000", "Query was empty");
+  if (leading_words(sql, 1)[0].empty()) return send_error(er_empty_query, "42000", "Query was empty");
   if (!check_supported(sql)) return;
   if (statements_.size() >= max_statements || statement_memory() + sql.size() > max_statement_memory)
-    return send_error(1461, "42000", "Can't create more than max_prepared_stmt_count statements");
+    return send_error(er_too_many_prepared_statements, "42000",
+                      "Can't create more than max_prepared_stmt_count statements");
   const auto id = next_statement_++;
   auto& statement = statements_[id];
   statement.sql = sql;
   statement.placeholders = scan_statement(sql).placeholders;
   if (statement.placeholders > max_placeholders) {
     statements_.erase(id);
-    return send_error(1390, "HY000", "Prepared statement contains too many placeholders");
+    return send_error(er_too_many_placeholders, "HY000", "Prepared statement contains too many placeholders");
   }
   statement.long_data.assign(statement.placeholders, std::nullopt);
   // The gateway assigns the id. A host prepares the statement when it is first executed there, so the columns
@@ -293,13 +295,13 @@
   auto* statement = find_statement(static_cast<std::uint32_t>(reader.fixed(4)));
   if (!statement) return;
   if (statement->long_data_rejected)
-    return send_error(1153, "08S01", "Got a packet bigger than 'max_allowed_packet' bytes");
+    return send_error(er_packet_too_large, "08S01", "Got a packet bigger than 'max_allowed_packet' bytes");
   Execute execute;
   if (!parse_execute(payload, supports(query_attributes), statement->placeholders, statement->types,
                      statement->long_data, execute))
-    return send_error(1210, "HY000", "Incorrect arguments to mysqld_stmt_execute");
+    return send_error(er_wrong_arguments, "HY000", "Incorrect arguments to mysqld_stmt_execute");
   if ((execute.flags & execute_cursor_flags) != 0)
-    return send_error(1235, "42000", "This gateway doesn't yet support 'cursors'");
+    return send_error(er_not_supported_yet, "42000", "This gateway doesn't yet support 'cursors'");
   statement->types = execute.parameters;
   for (auto& type : statement->types) type.value.clear();
   statement->reset_long_data();
@@ -322,25 +324,26 @@
     if (!text) continue;
     request->attribute_texts.push_back(*text);
     if (!set_contract_field(attribute.name, request->attribute_texts.back(), request->info))
-      return send_error(1210, "HY000", "the statement lacks a number in " + attribute.name);
+      return send_error(er_wrong_arguments, "HY000", "the statement lacks a number in " + attribute.name);
   }
   if (const auto field = missing_field(request->info); !field.empty())
-    return send_error(1210, "HY000", "the statement lacks " + std::string(field));
+    return send_error(er_wrong_arguments, "HY000", "the statement lacks " + std::string(field));
   switch (ask(request->info, request)) {
     case broker::Rejection::none:
       return;
     case broker::Rejection::unknown_contract:
-      return send_error(1210, "HY000", "unknown class in c");
+      return send_error(er_wrong_arguments, "HY000", "unknown class in c");
     case broker::Rejection::unknown_tenant:
-      return send_error(1210, "HY000", "unknown tenant in t");
+      return send_error(er_wrong_arguments, "HY000", "unknown tenant in t");
     case broker::Rejection::unknown_group:
-      return send_error(1049, "42000", "unknown group in cluster");
+      return send_error(er_unknown_database, "42000", "unknown group in cluster");
     case broker::Rejection::name_in_use:
-      return send_error(1210, "HY000", "id of another open request");
+      return send_error(er_wrong_arguments, "HY000", "id of another open request");
     case broker::Rejection::overfull:
-      return send_error(1040, "08004", "Too many requests");
+      return send_error(er_too_many_connections, "08004", "Too many requests");
     case broker::Rejection::late:
-      return send_error(3168, "HY000", "Deadline passed while queued, the statement has not run");
+      return send_error(er_server_unavailable, "HY000",
+                        "Deadline passed while queued, the statement has not run");
   }
 }
 
@@ -359,16 +362,17 @@
       return put_result(answer.value, supports(deprecate_eof), supports(session_track), sequence_, out);
     case broker::AnswerStatus::refused: {
       const auto ms = std::chrono::ceil<std::chrono::milliseconds>(answer.retry_after).count();
-      error = {3168, "HY000",
+      error = {er_server_unavailable, "HY000",
                "Server isn't available, " + refusal_text(answer.verdict) + "; retry after " +
                    std::to_string(ms) + " ms"};
       break;
     }
     case broker::AnswerStatus::failed:
       if (answer.last_outcome == Outcome::timeout)
-        error = {3024, "HY000", "Query execution was interrupted, maximum statement execution time exceeded"};
+        error = {er_query_timeout, "HY000",
+                 "Query execution was interrupted, maximum statement execution time exceeded"};
       else if (answer.last_outcome != Outcome::error || !parse_error(answer.message, error))
-        error = {1105, "HY000", "The request has failed; it may have run"};
+        error = {er_unknown_error, "HY000", "The request has failed; it may have run"};
       break;
   }
   put_packet(out, sequence_, error_packet(error));
--- a/src/wire/pg.cpp
+++ b/src/wire/pg.cpp
@@ -128,8 +128,9 @@
 }
 
 Outcome outcome_of(std::string_view code) {
-  if (code == "25006" || code == "72000") return Outcome::too_stale;
-  if (code == "53300" || code == "57P03") return Outcome::full;
+  if (code == sqlstate::read_only_transaction || code == sqlstate::snapshot_too_old)
+    return Outcome::too_stale;
+  if (code == sqlstate::too_many_connections || code == sqlstate::cannot_connect_now) return Outcome::full;
   return Outcome::error;
 }
 
--- a/src/wire/pg.h
+++ b/src/wire/pg.h
@@ -14,6 +14,17 @@
 /// The type byte and the length of a message.
 inline constexpr std::size_t message_header_size = 5;
 
+/// SQLSTATEs that the gateway sends or classifies.
+namespace sqlstate {
+inline constexpr std::string_view protocol_violation = "08P01";
+inline constexpr std::string_view read_only_transaction = "25006";
+inline constexpr std::string_view invalid_catalog_name = "3D000";
+inline constexpr std::string_view too_many_connections = "53300";
+inline constexpr std::string_view cannot_connect_now = "57P03";
+inline constexpr std::string_view system_error = "58000";
+inline constexpr std::string_view snapshot_too_old = "72000";
+}  // namespace sqlstate
+
 /// Whether a buffer starts with a complete message, with a part of one, or with an invalid one.
 enum class FrameStatus { complete, partial, malformed };
 /// Kinds of the untyped first message of a client.
--- a/src/wire/pg_client.cpp
+++ b/src/wire/pg_client.cpp
@@ -37,13 +37,14 @@
   return false;
 }
 
-void PgClient::turn_away() { send_fatal("53300", "too many clients"); }
+void PgClient::turn_away() { send_fatal(pg::sqlstate::too_many_connections, "too many clients"); }
 
 bool PgClient::read_startup() {
   pg::Startup startup;
   const auto frame = pg::next_startup(in_.view(), startup);
   if (frame == pg::FrameStatus::partial) return false;
-  if (frame == pg::FrameStatus::malformed) return send_fatal("08P01", "invalid startup packet");
+  if (frame == pg::FrameStatus::malformed)
+    return send_fatal(pg::sqlstate::protocol_violation, "invalid startup packet");
   in_.consume(startup.size);
   switch (startup.kind) {
     case pg::StartupKind::ssl:
@@ -54,7 +55,7 @@
       leave();
       return false;
     case pg::StartupKind::unknown:
-      return send_fatal("08P01", "unsupported protocol version");
+      return send_fatal(pg::sqlstate::protocol_violation, "unsupported protocol version");
     case pg::StartupKind::startup:
       break;
   }
@@ -82,7 +83,7 @@
   auto sql = std::exchange(long_query_, {});
   auto reservation = std::exchange(long_query_reservation_, {});
   if (sql.back() != '\0' || sql.find('\0') != sql.size() - 1)
-    return send_fatal("08P01", "invalid query message");
+    return send_fatal(pg::sqlstate::protocol_violation, "invalid query message");
   sql.pop_back();
   spoke();
   handle_query(std::move(sql), std::move(reservation));
@@ -98,16 +99,18 @@
   }
   pg::Message message;
   const auto frame = pg::next_message(in_.view(), pg_max_message_size, message);
-  if (frame == pg::FrameStatus::malformed) return send_fatal("08P01", "message length out of range");
+  if (frame == pg::FrameStatus::malformed)
+    return send_fatal(pg::sqlstate::protocol_violation, "message length out of range");
   if (frame == pg::FrameStatus::partial) return false;
   if (message.type == 'X') {
     at_rest() ? leave() : say_last({});
     return false;
   }
-  if (message.type != 'Q') return send_fatal("08P01", "only the simple query protocol is supported");
+  if (message.type != 'Q')
+    return send_fatal(pg::sqlstate::protocol_violation, "only the simple query protocol is supported");
   auto body = message.body;
   const auto sql = pg::read_cstring(body);
-  if (!sql || !body.empty()) return send_fatal("08P01", "invalid query message");
+  if (!sql || !body.empty()) return send_fatal(pg::sqlstate::protocol_violation, "invalid query message");
   std::string text(*sql);
   spoke();
   in_.consume(message.size);
@@ -132,22 +135,23 @@
   request->reservation = std::move(reservation);
   std::string missing;
   if (!parse_statement(request->sql, request->info, missing))
-    return send_error("08P01", "the statement lacks " + missing);
+    return send_error(pg::sqlstate::protocol_violation, "the statement lacks " + missing);
   switch (ask(request->info, request)) {
     case broker::Rejection::none:
       return;
     case broker::Rejection::unknown_contract:
-      return send_error("08P01", "unknown class in c");
+      return send_error(pg::sqlstate::protocol_violation, "unknown class in c");
     case broker::Rejection::unknown_tenant:
-      return send_error("08P01", "unknown tenant in t");
+      return send_error(pg::sqlstate::protocol_violation, "unknown tenant in t");
     case broker::Rejection::unknown_group:
-      return send_error("3D000", "unknown group in cluster");
+      return send_error(pg::sqlstate::invalid_catalog_name, "unknown group in cluster");
     case broker::Rejection::name_in_use:
-      return send_error("08P01", "id of another open request");
+      return send_error(pg::sqlstate::protocol_violation, "id of another open request");
     case broker::Rejection::overfull:
-      return send_error("53300", "too many requests");
+      return send_error(pg::sqlstate::too_many_connections, "too many requests");
     case broker::Rejection::late:
-      return send_error("53300", "deadline passed while queued, the statement has not run");
+      return send_error(pg::sqlstate::too_many_connections,
+                        "deadline passed while queued, the statement has not run");
   }
 }
 
@@ -165,12 +169,12 @@
       break;
     case broker::AnswerStatus::refused: {
       const auto ms = std::chrono::ceil<std::chrono::milliseconds>(answer.retry_after).count();
-      pg::put_error_response(out, false, "53300", refusal_text(answer.verdict),
+      pg::put_error_response(out, false, pg::sqlstate::too_many_connections, refusal_text(answer.verdict),
                              ms > 0 ? std::to_string(ms) : "");
       break;
     }
     case broker::AnswerStatus::failed:
-      pg::put_error_response(out, false, "58000",
+      pg::put_error_response(out, false, pg::sqlstate::system_error,
                              answer.message.empty() ? "the request has failed" : answer.message);
       break;
   }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -235,10 +235,10 @@
 }
 
 TEST(Mysql41, TruncatedParametersAreRejectedAtEveryLength) {
-  const mysql::Parameter number{mysql::type_long, "", false, "\x2a\0\0\0"s};
-  const mysql::Parameter null{mysql::type_null, "", true, ""};
-  const mysql::Parameter named{mysql::type_var_string, "c", false, "\4view"s};
-  const mysql::Parameter date{mysql::type_datetime, "", false, "\4\xe4\7\1\2"s};
+  const mysql::Parameter number{0x03, "", false, "\x2a\0\0\0"s};  // LONG
+  const mysql::Parameter null{0x06, "", true, ""};                // NULL
+  const mysql::Parameter named{0xfd, "c", false, "\4view"s};      // VAR_STRING
+  const mysql::Parameter date{0x0c, "", false, "\4\xe4\7\1\2"s};  // DATETIME
   const std::vector<mysql::Parameter> parameters{number, null, date, named};
   const auto packet = mysql::execute_packet(7, 3, parameters);
   mysql::Execute execute;
--- a/tests/mysql_test.cpp
+++ b/tests/mysql_test.cpp
@@ -96,7 +96,7 @@
   std::vector<mysql_codec::Parameter> parameters;
   for (const auto& [name, value] : attributes) {
     mysql_codec::Parameter parameter;
-    parameter.type = mysql_codec::type_var_string;
+    parameter.type = 0xfd;  // VAR_STRING
     parameter.name = name;
     mysql_codec::put_lenenc_text(parameter.value, value);
     parameters.push_back(parameter);
