--- a/src/handover/router_snapshot.cpp
+++ b/src/handover/router_snapshot.cpp
@@ -39,9 +39,9 @@
 HostSnapshot snapshot_host(const Host& host, const Settings& settings, Time now) {
   HostSnapshot snapshot;
   snapshot.host = host.id;
-  const auto& outlier = host.outlier.known();
-  snapshot.failure_score = outlier.fails;
-  snapshot.last_outcome_age = age_of(outlier.judged, now);
+  const auto& outlier = host.outlier.state();
+  snapshot.failure_score = outlier.failure_score;
+  snapshot.last_outcome_age = age_of(outlier.last_outcome_at, now);
   if (host.outlier.ejected()) {
     snapshot.ejection_remaining = outlier.ejected_until - now;
     snapshot.backoff = outlier.backoff;
@@ -60,15 +60,15 @@
 
 void merge_host(Host& host, const HostSnapshot& snapshot, const Settings& settings, Time now) {
   fleet::OutlierDetector::State outlier;
-  outlier.fails = in_range_or_least(snapshot.failure_score, 0, 1);
+  outlier.failure_score = in_range_or_least(snapshot.failure_score, 0, 1);
   if (const auto last_outcome = time_from_age(snapshot.last_outcome_age, now))
-    outlier.judged = std::min(*last_outcome, now);
+    outlier.last_outcome_at = std::min(*last_outcome, now);
   // No ejection lasts longer than what the router itself would set.
   if (snapshot.ejection_remaining && *snapshot.ejection_remaining <= max_age &&
       *snapshot.ejection_remaining >= -max_age)
     outlier.ejected_until = now + *snapshot.ejection_remaining;
   outlier.backoff = std::clamp(snapshot.backoff, Duration::zero(), max_age);
-  host.outlier.learn(outlier);
+  host.outlier.merge(outlier);
   host.lost_probes = std::max(host.lost_probes, std::clamp(snapshot.lost_probes, 0, max_failures_in_a_row));
   host.refused_connections =
       std::max(host.refused_connections, std::clamp(snapshot.refusals, 0, max_failures_in_a_row));
@@ -80,12 +80,12 @@
   if (const auto started_at = time_from_age(snapshot.start_age, now); started_at && *started_at <= now)
     host.started_at = std::max(host.started_at, *started_at);
   if (!snapshot.start_age) return;
-  std::deque<fleet::SlowStartUsage::Spent> sends;
+  std::deque<fleet::SlowStartUsage::SentWork> sends;
   for (const auto& [age, work] : snapshot.slow_start_sends)
     if (age >= Duration::zero() && age < settings.overload_window && work >= 0 && work < max_work)
       sends.emplace_back(now - age, work);
   std::sort(sends.begin(), sends.end());
-  host.slow_start_usage.told(std::move(sends));
+  host.slow_start_usage.set_others(std::move(sends));
 }
 
 }  // namespace
@@ -154,8 +154,8 @@
   if (!(snapshot.slow_start_share > 0)) return;
   state.retry_tokens_ = in_range_or_least(snapshot.retry_tokens, 0, max_tokens);
   state.probe_budget_.set_balance(in_range_or_least(snapshot.probe_tokens, 0, max_tokens));
-  state.slow_start_share_.hold(std::min(1.0, snapshot.slow_start_share_total),
-                               std::min({1.0, snapshot.slow_start_share_total, snapshot.slow_start_share}));
+  state.slow_start_share_.set(std::min(1.0, snapshot.slow_start_share_total),
+                              std::min({1.0, snapshot.slow_start_share_total, snapshot.slow_start_share}));
 }
 
 }  // namespace cedarring::handover
--- a/src/wire/mysql_host.cpp
+++ b/src/wire/mysql_host.cpp
@@ -232,7 +232,7 @@
   state_ = State::idle;
   broker::AttemptResult result;
   result.metadata = metadata_;
-  if (!job_->attempt) result.report = parse_whole_report(health_);
+  if (!job_->attempt) result.report = parse_strict_report(health_);
   result.value = std::move(answer_);
   finish(std::move(result), true);
   return true;
--- a/src/wire/pg_host.cpp
+++ b/src/wire/pg_host.cpp
@@ -185,7 +185,7 @@
     result.metadata = metadata_;
     result.value = std::move(answer_);
   }
-  if (!job_->attempt) result.report = parse_whole_report(health_);
+  if (!job_->attempt) result.report = parse_strict_report(health_);
   finish(std::move(result), true);
 }
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -87,13 +87,13 @@
 }
 
 TEST(Statement, MalformedLoadReportIsRejectedWhole) {
-  const auto report = parse_whole_report("x0=1767225600.123,x1=1,pending=3");
+  const auto report = parse_strict_report("x0=1767225600.123,x1=1,pending=3");
   EXPECT_EQ(report.position, Time(1'767'225'600'123'000));
   EXPECT_EQ(report.role, Role::primary);
   EXPECT_EQ(report.queue_length, 3);
   for (const auto* text : {"", "x0", "x0=1767225600.123,x1=1,pending=", "x0=1,x1=2", "x0=1,x1=1,pending=-1",
                            "x0=1,x0=2", "x0=1,x1=1,\x01\xff", "x0=1e999", "x0=1,,x1=1", "=1"}) {
-    const auto malformed = parse_whole_report(text);
+    const auto malformed = parse_strict_report(text);
     EXPECT_FALSE(malformed.position || malformed.role || malformed.queue_length || malformed.utilization)
         << text;
   }
