--- a/src/wire/pg.cpp
+++ b/src/wire/pg.cpp
@@ -6,6 +6,7 @@
 namespace {
 
 constexpr std::size_t max_startup_size = 10000;  // bytes; the limit of PostgreSQL itself
+constexpr char no_type = 0;                      // of a StartupMessage
 constexpr std::size_t row_header_size = 11;      // message header, column count, length of the first column
 
 // Codes in place of a protocol version in the first message of a client.
@@ -30,7 +31,7 @@
 }
 
 void put_message(std::string& out, char type, std::string_view body) {
-  if (type != 0) out += type;
+  if (type != no_type) out += type;
   put_u32(out, static_cast<std::uint32_t>(body.size() + 4));
   out += body;
 }
@@ -48,14 +49,14 @@
 
 std::optional<std::size_t> long_query_size(std::string_view in, std::size_t threshold,
                                            std::size_t max_length) {
-  if (in.size() < message_header_size || in[0] != 'Q') return std::nullopt;
+  if (in.size() < message_header_size || in[0] != message_type::query) return std::nullopt;
   const std::size_t length = read_u32(in.substr(1));
   if (length <= threshold || length > max_length) return std::nullopt;
   return length - 4;
 }
 
 std::optional<std::size_t> long_row_size(std::string_view in, std::size_t threshold, std::size_t max_size) {
-  if (in.size() < row_header_size || in[0] != 'D') return std::nullopt;
+  if (in.size() < row_header_size || in[0] != message_type::data_row) return std::nullopt;
   const std::size_t length = read_u32(in.substr(1));
   const std::size_t size = length + 1;
   if (size <= threshold || size > max_size || in[5] != 0 || in[6] != 1) return std::nullopt;
@@ -64,7 +65,8 @@
 }
 
 bool may_begin_long_row(std::string_view in, std::size_t threshold, std::size_t max_size) {
-  if (in.size() < message_header_size || in.size() >= row_header_size || in[0] != 'D') return false;
+  if (in.size() < message_header_size || in.size() >= row_header_size || in[0] != message_type::data_row)
+    return false;
   const std::size_t size = std::size_t{read_u32(in.substr(1))} + 1;
   return size > threshold && size <= max_size;
 }
@@ -142,40 +144,40 @@
   put_cstring(body, "database");
   put_cstring(body, database);
   body += '\0';
-  put_message(out, 0, body);
+  put_message(out, no_type, body);
 }
 
 void put_query(std::string& out, std::string_view sql) {
   std::string body;
   put_cstring(body, sql);
-  put_message(out, 'Q', body);
+  put_message(out, message_type::query, body);
 }
 
 void put_query_header(std::string& out, std::size_t size) {
-  out += 'Q';
+  out += message_type::query;
   put_u32(out, static_cast<std::uint32_t>(size + 5));
 }
 
 void put_startup_response(std::string& out) {
-  put_message(out, 'R', std::string_view("\0\0\0\0", 4));
+  put_message(out, message_type::authentication, std::string_view("\0\0\0\0", 4));
   for (const auto& [name, value] : {std::pair<std::string_view, std::string_view>{"server_version", "15.0"},
                                     {"client_encoding", "UTF8"},
                                     {"standard_conforming_strings", "on"}}) {
     std::string body;
     put_cstring(body, name);
     put_cstring(body, value);
-    put_message(out, 'S', body);
+    put_message(out, message_type::parameter_status, body);
   }
   put_ready_for_query(out);
 }
 
-void put_ready_for_query(std::string& out) { put_message(out, 'Z', "I"); }
-void put_empty_query_response(std::string& out) { put_message(out, 'I', {}); }
+void put_ready_for_query(std::string& out) { put_message(out, message_type::ready_for_query, "I"); }
+void put_empty_query_response(std::string& out) { put_message(out, message_type::empty_query_response, {}); }
 
 void put_command_complete(std::string& out, std::string_view tag) {
   std::string body;
   put_cstring(body, tag);
-  put_message(out, 'C', body);
+  put_message(out, message_type::command_complete, body);
 }
 
 void put_error_response(std::string& out, bool fatal, std::string_view code, std::string_view message,
@@ -191,7 +193,7 @@
   field('M', message);
   if (!detail.empty()) field('D', detail);
   body += '\0';
-  put_message(out, 'E', body);
+  put_message(out, message_type::error_response, body);
 }
 
 }  // namespace cedarring::wire::pg
--- a/src/wire/pg.h
+++ b/src/wire/pg.h
@@ -14,6 +14,22 @@
 /// The type byte and the length of a message.
 inline constexpr std::size_t message_header_size = 5;
 
+/// Types of messages. Startup messages have none.
+namespace message_type {
+inline constexpr char authentication = 'R';
+inline constexpr char backend_key_data = 'K';
+inline constexpr char command_complete = 'C';
+inline constexpr char data_row = 'D';
+inline constexpr char empty_query_response = 'I';
+inline constexpr char error_response = 'E';
+inline constexpr char notice_response = 'N';
+inline constexpr char parameter_status = 'S';
+inline constexpr char query = 'Q';
+inline constexpr char ready_for_query = 'Z';
+inline constexpr char row_description = 'T';
+inline constexpr char terminate = 'X';
+}  // namespace message_type
+
 /// SQLSTATEs that the gateway sends or classifies.
 namespace sqlstate {
 inline constexpr std::string_view protocol_violation = "08P01";
--- a/src/wire/pg_client.cpp
+++ b/src/wire/pg_client.cpp
@@ -102,11 +102,11 @@
   if (frame == pg::FrameStatus::malformed)
     return send_fatal(pg::sqlstate::protocol_violation, "message length out of range");
   if (frame == pg::FrameStatus::partial) return false;
-  if (message.type == 'X') {
+  if (message.type == pg::message_type::terminate) {
     at_rest() ? leave() : say_last({});
     return false;
   }
-  if (message.type != 'Q')
+  if (message.type != pg::message_type::query)
     return send_fatal(pg::sqlstate::protocol_violation, "only the simple query protocol is supported");
   auto body = message.body;
   const auto sql = pg::read_cstring(body);
--- a/src/wire/pg_host.cpp
+++ b/src/wire/pg_host.cpp
@@ -107,7 +107,7 @@
         !handle_message(message.type, message.body, in.substr(0, message.size)))
       return broken();
     in_.consume(message.size);
-    if (message.type == 'Z') handle_ready_for_query();
+    if (message.type == pg::message_type::ready_for_query) handle_ready_for_query();
   }
 }
 
@@ -115,38 +115,38 @@
   if (!job_) return false;  // unsolicited: a second answer, or an error before the host closes
   const bool in_answer = welcomed_ && submitted_;
   switch (type) {
-    case 'T':
+    case pg::message_type::row_description:
       if (!in_answer || expected_ != Expected::description || !pg::has_one_column(body)) return false;
       expected_ = Expected::row;
       break;
-    case 'D': {
+    case pg::message_type::data_row: {
       const auto value = pg::single_column_value(body);
       if (!in_answer || expected_ != Expected::row || !value) return false;
       if (!job_->attempt) health_ = *value;
       expected_ = Expected::complete;
       break;
     }
-    case 'C':
+    case pg::message_type::command_complete:
       if (!in_answer || expected_ != Expected::complete || !pg::read_cstring(body) || !body.empty())
         return false;
       expected_ = Expected::ready;
       break;
-    case 'E':
+    case pg::message_type::error_response:
       return handle_error(body);
-    case 'Z':
+    case pg::message_type::ready_for_query:
       return body == "I" && (!welcomed_ || (in_answer && expected_ == Expected::ready));
-    case 'S': {
+    case pg::message_type::parameter_status: {
       const auto name = pg::read_cstring(body);
       const auto value = pg::read_cstring(body);
       if (!name || !value || !body.empty()) return false;
       apply_host_variable(*name, *value, metadata_);
       return true;
     }
-    case 'R':
+    case pg::message_type::authentication:
       return !welcomed_ && body == std::string_view("\0\0\0\0", 4);
-    case 'K':
+    case pg::message_type::backend_key_data:
       return !welcomed_;
-    case 'N':
+    case pg::message_type::notice_response:
       return true;
     default:
       return false;
