--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -197,8 +197,8 @@
   contracts::Terms terms;
   terms.rate = rate;
   terms.burst = burst;
-  terms.beyond = contracts::Beyond::refuse;
-  terms.wanted = 200ms;
+  terms.beyond = contracts::BeyondPolicy::refuse;
+  terms.latency_target = 200ms;
   config.teams.push_back({"desks", {0}, {contracts::ClassTerms{terms, {}}}});
   return config;
 }
@@ -214,14 +214,14 @@
     std::vector<contracts::Breach> breaches;
     contracts.step(now, {}, breaches);
   }
-  void suspend_spending(Time now) { contracts.follow(now); }
+  void suspend_spending(Time now) { contracts.suspend_spending(now); }
   std::string split(Time now) { return to_text(contracts.split(now)); }
   void restore(const std::string& text, Time now) {
     const auto snapshot = from_text<contracts::Snapshot>(text);
     ASSERT_TRUE(snapshot);
     contracts.restore(*snapshot, now);
   }
-  void resume_full_spending(Time now) { contracts.alone(now); }
+  void resume_full_spending(Time now) { contracts.resume_full_spending(now); }
   /// Sends a request through the gate and ends it; returns whether it was admitted.
   bool admit(Time now) {
     gates::GateRequest request;
@@ -272,9 +272,9 @@
   EXPECT_EQ(old_process.contracts.total(0, 0).asked, 0U);
   old_process.admit(start + 1s);
   new_process.admit(start + 1s);
-  const auto rest = from_text<contracts::Snapshot>(to_text(old_process.contracts.booked()));
+  const auto rest = from_text<contracts::Snapshot>(to_text(old_process.contracts.recorded()));
   ASSERT_TRUE(rest);
-  new_process.contracts.book(*rest);
+  new_process.contracts.merge_records(*rest);
   EXPECT_EQ(new_process.contracts.total(0, 0).asked, 16U);
   EXPECT_EQ(new_process.contracts.times(0, 0).count(), 12U);
 }
