--- a/src/tools/ctl/main.cpp
+++ b/src/tools/ctl/main.cpp
@@ -41,7 +41,7 @@
   CLI11_PARSE(app, argc, argv);
 
   std::string response, error;
-  if (!cedarring::wire::ask_admin(socket, command, response, error)) {
+  if (!cedarring::wire::send_admin_command(socket, command, response, error)) {
     std::cerr << "cedarring ctl: " << error << '\n';
     return 1;
   }
--- a/src/wire/mysql_client.cpp
+++ b/src/wire/mysql_client.cpp
@@ -85,7 +85,7 @@
 void MysqlClient::send_fatal(std::uint16_t code, std::string_view state, const std::string& message) {
   std::string out;
   put_packet(out, sequence_, error_packet({code, std::string(state), message}));
-  say_last(out);
+  reply_and_close(out);
 }
 
 void MysqlClient::send_error(std::uint16_t code, std::string_view state, const std::string& message) {
@@ -102,7 +102,7 @@
 
 void MysqlClient::turn_away() { send_fatal(er_too_many_connections, "08004", "Too many connections"); }
 
-bool MysqlClient::take_one() {
+bool MysqlClient::process_command() {
   Packet packet;
   const auto frame = next_packet(in_.view(), mysql_max_message_size, packet);
   if (frame == FrameStatus::partial) return false;
@@ -115,7 +115,7 @@
   const std::string payload(packet.payload);
   in_.consume(packet.size);
   if (logged_in_) {
-    spoke();
+    on_command_received();
     handle_command(payload);
   } else {
     handle_handshake_response(payload);
@@ -328,7 +328,7 @@
   }
   if (const auto field = missing_field(request->info); !field.empty())
     return send_error(er_wrong_arguments, "HY000", "the statement lacks " + std::string(field));
-  switch (ask(request->info, request)) {
+  switch (submit_request(request->info, request)) {
     case broker::Rejection::none:
       return;
     case broker::Rejection::unknown_contract:
@@ -347,12 +347,12 @@
   }
 }
 
-void MysqlClient::resume(const std::string& known) {
-  const auto capabilities = to_int(known);
+void MysqlClient::resume(const std::string& state) {
+  const auto capabilities = to_int(state);
   if (!capabilities) return leave();
   capabilities_ = static_cast<std::uint32_t>(*capabilities) & gateway_capabilities;
   logged_in_ = true;
-  spoke();
+  on_command_received();
 }
 
 void MysqlClient::put_answer(broker::FinalAnswer answer, std::string& out) {
--- a/src/wire/mysql_client.h
+++ b/src/wire/mysql_client.h
@@ -19,9 +19,9 @@
   void turn_away() override;
   void greet() override;
   /// A client with prepared statements cannot move: they are held by this process.
-  [[nodiscard]] bool movable() const override { return logged_in_ && statements_.empty(); }
-  [[nodiscard]] std::string known() const override { return std::to_string(capabilities_); }
-  void resume(const std::string& known) override;
+  [[nodiscard]] bool transferable() const override { return logged_in_ && statements_.empty(); }
+  [[nodiscard]] std::string transfer_state() const override { return std::to_string(capabilities_); }
+  void resume(const std::string& state) override;
 
  private:
   struct Statement {
@@ -35,7 +35,7 @@
     void reset_long_data();
   };
   [[nodiscard]] bool silent() const override { return !logged_in_ && in_.empty(); }
-  bool take_one() override;
+  bool process_command() override;
   void put_answer(broker::FinalAnswer answer, std::string& out) override;
   void handle_handshake_response(std::string_view payload);
   void handle_command(std::string_view payload);
--- a/src/wire/mysql_host.cpp
+++ b/src/wire/mysql_host.cpp
@@ -72,8 +72,8 @@
     const auto& query = request();
     state_ = State::first_packet;
     const auto sql =
-        query.info.deadline_length > 0 ? with_deadline(query.sql, query.info, ms_left()) : query.sql;
-    return write_command(query_packet(with_remaining_time(query, ms_left()), sql), true);
+        query.info.deadline_length > 0 ? with_deadline(query.sql, query.info, remaining_ms()) : query.sql;
+    return write_command(query_packet(with_remaining_time(query, remaining_ms()), sql), true);
   }
   const auto it = std::find_if(statements_.begin(), statements_.end(),
                                [&](const Prepared& p) { return p.sql == request().sql; });
@@ -89,7 +89,8 @@
 void MysqlHost::execute_prepared(std::uint32_t id) {
   sequence_ = 1;
   state_ = State::first_packet;
-  write_command(execute_packet(id, request().placeholders, with_remaining_time(request(), ms_left())), true);
+  write_command(execute_packet(id, request().placeholders, with_remaining_time(request(), remaining_ms())),
+                true);
 }
 
 void MysqlHost::on_input() {
@@ -97,11 +98,11 @@
     Packet packet;
     const auto frame = next_packet(in_.view(), mysql_max_message_size, packet);
     if (frame == FrameStatus::partial) return;
-    if (frame == FrameStatus::malformed) return broken();
+    if (frame == FrameStatus::malformed) return protocol_error();
     const std::string bytes(in_.view().substr(0, packet.size));
     in_.consume(packet.size);
     packet.payload = std::string_view(bytes).substr(packet_header_size);
-    if (!handle_packet(packet)) return broken();
+    if (!handle_packet(packet)) return protocol_error();
   }
 }
 
@@ -159,7 +160,7 @@
   }
   if (!is_ok(payload)) return false;  // asks for a password
   state_ = State::idle;
-  welcome();
+  on_handshake_done();
   return true;
 }
 
@@ -238,7 +239,7 @@
   return true;
 }
 
-std::optional<broker::AttemptResult> MysqlHost::said() {
+std::optional<broker::AttemptResult> MysqlHost::received_result() {
   Error error;
   if (error_.empty() || !parse_error(error_, error)) return std::nullopt;
   broker::AttemptResult result;
@@ -251,9 +252,9 @@
 /// that this connection has prepared.
 void MysqlHost::finish_with_error(std::string_view payload) {
   error_ = payload;
-  auto result = said();
-  const bool keep = welcomed_ && result && result->outcome != Outcome::not_sent;
-  if (!job_ || !result) return broken();
+  auto result = received_result();
+  const bool keep = handshake_done_ && result && result->outcome != Outcome::not_sent;
+  if (!job_ || !result) return protocol_error();
   state_ = State::idle;
   finish(std::move(*result), keep);
 }
--- a/src/wire/mysql_host.h
+++ b/src/wire/mysql_host.h
@@ -27,7 +27,7 @@
   void on_input() override;
   void reset() override;
   void submit() override;
-  std::optional<broker::AttemptResult> said() override;
+  std::optional<broker::AttemptResult> received_result() override;
   /// These return false if the host has violated the protocol.
   bool handle_packet(const mysql::Packet& packet);
   bool handle_greeting(std::string_view payload);
--- a/src/wire/pg_client.cpp
+++ b/src/wire/pg_client.cpp
@@ -33,7 +33,7 @@
 bool PgClient::send_fatal(std::string_view code, std::string_view message) {
   std::string out;
   pg::put_error_response(out, true, code, message);
-  say_last(out);
+  reply_and_close(out);
   return false;
 }
 
@@ -68,7 +68,7 @@
 
 bool PgClient::read_long_query() {
   if (long_query_reservation_.bytes() == 0) {
-    if (!reserve(long_query_size_, long_query_reservation_)) return false;
+    if (!reserve_memory(long_query_size_, long_query_reservation_)) return false;
     long_query_.reserve(long_query_size_);
   }
   const auto in = in_.view();
@@ -76,7 +76,7 @@
   long_query_ += in.substr(0, count);
   in_.consume(count);
   if (long_query_.size() < long_query_size_) {
-    took_part();
+    on_command_progress();
     return false;
   }
   long_query_size_ = 0;
@@ -85,13 +85,13 @@
   if (sql.back() != '\0' || sql.find('\0') != sql.size() - 1)
     return send_fatal(pg::sqlstate::protocol_violation, "invalid query message");
   sql.pop_back();
-  spoke();
+  on_command_received();
   handle_query(std::move(sql), std::move(reservation));
   return true;
 }
 
 bool PgClient::read_message() {
-  if (reading_long()) return read_long_query();
+  if (reading_long_command()) return read_long_query();
   if (const auto size = pg::long_query_size(in_.view(), pg_max_message_size, pg_max_statement_size)) {
     in_.consume(pg::message_header_size);
     long_query_size_ = *size;
@@ -103,7 +103,7 @@
     return send_fatal(pg::sqlstate::protocol_violation, "message length out of range");
   if (frame == pg::FrameStatus::partial) return false;
   if (message.type == pg::message_type::terminate) {
-    at_rest() ? leave() : say_last({});
+    nothing_pending() ? leave() : reply_and_close({});
     return false;
   }
   if (message.type != pg::message_type::query)
@@ -112,7 +112,7 @@
   const auto sql = pg::read_cstring(body);
   if (!sql || !body.empty()) return send_fatal(pg::sqlstate::protocol_violation, "invalid query message");
   std::string text(*sql);
-  spoke();
+  on_command_received();
   in_.consume(message.size);
   handle_query(std::move(text));
   return true;
@@ -136,7 +136,7 @@
   std::string missing;
   if (!parse_statement(request->sql, request->info, missing))
     return send_error(pg::sqlstate::protocol_violation, "the statement lacks " + missing);
-  switch (ask(request->info, request)) {
+  switch (submit_request(request->info, request)) {
     case broker::Rejection::none:
       return;
     case broker::Rejection::unknown_contract:
--- a/src/wire/pg_client.h
+++ b/src/wire/pg_client.h
@@ -15,16 +15,16 @@
   PgClient(ev::loop_ref loop, Fd fd, ClientSet& owner)
       : Client(loop, std::move(fd), owner, pg_max_message_size) {}
   void turn_away() override;
-  [[nodiscard]] bool movable() const override { return startup_done_; }
-  void resume(const std::string& /*known*/) override {
+  [[nodiscard]] bool transferable() const override { return startup_done_; }
+  void resume(const std::string& /*state*/) override {
     startup_done_ = true;
-    spoke();
+    on_command_received();
   }
 
  private:
   [[nodiscard]] bool silent() const override { return !startup_done_ && in_.empty(); }
-  [[nodiscard]] std::size_t depth() const override { return max_pipelined_queries; }
-  bool take_one() override { return startup_done_ ? read_message() : read_startup(); }
+  [[nodiscard]] std::size_t pipeline_depth() const override { return max_pipelined_queries; }
+  bool process_command() override { return startup_done_ ? read_message() : read_startup(); }
   void put_answer(broker::FinalAnswer answer, std::string& out) override;
   /// These three return false if no complete message has come or the connection is ending.
   bool read_startup();
@@ -32,7 +32,7 @@
   /// Reads a statement that is too long for the input buffer: reserves memory for it, then collects its
   /// bytes.
   bool read_long_query();
-  [[nodiscard]] bool reading_long() const override { return long_query_size_ > 0; }
+  [[nodiscard]] bool reading_long_command() const override { return long_query_size_ > 0; }
   /// Answers a session command, or submits the statement as a request. `reservation` holds the memory of a
   /// long statement.
   void handle_query(std::string sql, broker::MemoryBudget::Reservation reservation = {});
--- a/src/wire/pg_host.cpp
+++ b/src/wire/pg_host.cpp
@@ -54,14 +54,14 @@
   if (job_->attempt) {
     const auto& request = static_cast<const PgRequest&>(*job_->work);
     if (request.sql.size() > pg_max_message_size) {
-      deadline_digits_ = std::to_string(ms_left());
+      deadline_digits_ = std::to_string(remaining_ms());
       statement_written_ = 0;
       writing_statement_ = true;
       pg::put_query_header(out, request.sql.size() - request.info.deadline_length + deadline_digits_.size());
       write(out);
       return write_statement();
     }
-    pg::put_query(out, with_deadline(request.sql, request.info, ms_left()));
+    pg::put_query(out, with_deadline(request.sql, request.info, remaining_ms()));
   } else {
     pg::put_query(out, "SHOW health");
   }
@@ -71,7 +71,7 @@
 /// The row's header is checked before its first byte is passed on, for the client may already have it when
 /// the rest arrives.
 bool PgHost::start_row_stream() {
-  if (!job_ || !job_->attempt || !welcomed_ || !submitted_ || expected_ != Expected::row) return false;
+  if (!job_ || !job_->attempt || !handshake_done_ || !submitted_ || expected_ != Expected::row) return false;
   const auto size = pg::long_row_size(in_.view(), pg_stream_threshold, pg_max_row_size);
   if (!size) return false;
   row_remaining_ = *size;
@@ -105,7 +105,7 @@
     if (frame == pg::FrameStatus::partial) return;
     if (frame == pg::FrameStatus::malformed ||
         !handle_message(message.type, message.body, in.substr(0, message.size)))
-      return broken();
+      return protocol_error();
     in_.consume(message.size);
     if (message.type == pg::message_type::ready_for_query) handle_ready_for_query();
   }
@@ -113,7 +113,7 @@
 
 bool PgHost::handle_message(char type, std::string_view body, std::string_view message_bytes) {
   if (!job_) return false;  // unsolicited: a second answer, or an error before the host closes
-  const bool in_answer = welcomed_ && submitted_;
+  const bool in_answer = handshake_done_ && submitted_;
   switch (type) {
     case pg::message_type::row_description:
       if (!in_answer || expected_ != Expected::description || !pg::has_one_column(body)) return false;
@@ -134,7 +134,7 @@
     case pg::message_type::error_response:
       return handle_error(body);
     case pg::message_type::ready_for_query:
-      return body == "I" && (!welcomed_ || (in_answer && expected_ == Expected::ready));
+      return body == "I" && (!handshake_done_ || (in_answer && expected_ == Expected::ready));
     case pg::message_type::parameter_status: {
       const auto name = pg::read_cstring(body);
       const auto value = pg::read_cstring(body);
@@ -143,9 +143,9 @@
       return true;
     }
     case pg::message_type::authentication:
-      return !welcomed_ && body == std::string_view("\0\0\0\0", 4);
+      return !handshake_done_ && body == std::string_view("\0\0\0\0", 4);
     case pg::message_type::backend_key_data:
-      return !welcomed_;
+      return !handshake_done_;
     case pg::message_type::notice_response:
       return true;
     default:
@@ -165,7 +165,7 @@
   return true;
 }
 
-std::optional<broker::AttemptResult> PgHost::said() {
+std::optional<broker::AttemptResult> PgHost::received_result() {
   if (error_code_.empty()) return std::nullopt;
   broker::AttemptResult result;
   result.outcome = pg::outcome_of(error_code_);
@@ -176,11 +176,11 @@
 
 /// ReadyForQuery ends the startup or an answer.
 void PgHost::handle_ready_for_query() {
-  if (!welcomed_) {
-    if (!error_code_.empty() || !in_.empty()) return broken();
-    return welcome();
+  if (!handshake_done_) {
+    if (!error_code_.empty() || !in_.empty()) return protocol_error();
+    return on_handshake_done();
   }
-  auto result = said().value_or(broker::AttemptResult{});
+  auto result = received_result().value_or(broker::AttemptResult{});
   if (error_code_.empty()) {
     result.metadata = metadata_;
     result.value = std::move(answer_);
--- a/src/wire/pg_host.h
+++ b/src/wire/pg_host.h
@@ -20,7 +20,7 @@
   void on_input() override;
   void reset() override;
   void submit() override;
-  std::optional<broker::AttemptResult> said() override;
+  std::optional<broker::AttemptResult> received_result() override;
   /// Handles one message; `message` is the whole of it. False if it is malformed or not expected in this
   /// state: the connection can no longer be used.
   bool handle_message(char type, std::string_view body, std::string_view message);
@@ -30,8 +30,8 @@
   bool stream_row();
   /// If the message at the front of the input is a long row of an attempt's answer, starts to stream it.
   bool start_row_stream();
-  void on_more() override { on_input(); }
-  void on_room() override { write_statement(); }
+  void on_resume() override { on_input(); }
+  void on_writable() override { write_statement(); }
   /// Writes the next chunks of a long statement while the output buffer is empty.
   void write_statement();
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -325,7 +325,7 @@
   EXPECT_EQ(config.platform.settings.classes.at(0).staleness_bound, Duration(1'000'000));
   EXPECT_EQ(config.platform.settings.seed, 0x2aU);
   EXPECT_EQ(config.platform.budgets.at(0).tenant, "acme");
-  EXPECT_EQ(config.platform.known.members.size(), 1U);
+  EXPECT_EQ(config.platform.known_hosts.members.size(), 1U);
   EXPECT_FALSE(app::parse_mysql_config(R"({"enabled":false})", config.platform));
   struct Case {
     std::string json;
