--- a/src/telemetry/metrics.cpp
+++ b/src/telemetry/metrics.cpp
@@ -37,14 +37,13 @@
   append_by_class("ok", &ClassCounts::ok, "Requests served.");
   append_by_class("shed", &ClassCounts::shed, "Requests refused.");
   append_by_class("errors", &ClassCounts::errors, "Requests failed.");
-  append_by_class("tries", &ClassCounts::tries, "Attempts written completely to database hosts.");
-  append_value("active", "gauge", metrics.active, "Requests accepted and not yet ended.");
-  append_value("pool_size", "gauge", metrics.pool_size, "Listed database hosts.");
+  append_by_class("tries", &ClassCounts::tries, "Attempts written whole to database hosts.");
+  append_value("active", "gauge", metrics.active, "Requests taken and not yet ended.");
+  append_value("pool_size", "gauge", metrics.pool_size, "Database hosts in the list.");
   append_value("pool_ejected", "gauge", metrics.pool_ejected,
-               "Listed database hosts disabled by operators or avoided by the router.");
-  append_value("config_applied", "counter", metrics.config_applied, "Configuration files applied at SIGHUP.");
-  append_value("config_rejected", "counter", metrics.config_rejected,
-               "Configuration files rejected at SIGHUP.");
+               "Listed database hosts avoided now, by hand or by choice.");
+  append_value("config_applied", "counter", metrics.config_applied, "Files taken at SIGHUP.");
+  append_value("config_rejected", "counter", metrics.config_rejected, "Files turned down at SIGHUP.");
   return out;
 }
 
--- a/src/wire/mysql_client.cpp
+++ b/src/wire/mysql_client.cpp
@@ -342,8 +342,7 @@
     case broker::Rejection::overfull:
       return send_error(er_too_many_connections, "08004", "Too many requests");
     case broker::Rejection::late:
-      return send_error(er_server_unavailable, "HY000",
-                        "Deadline passed while queued, the statement has not run");
+      return send_error(er_server_unavailable, "HY000", "Its time ran out before its turn, nothing has run");
   }
 }
 
@@ -363,7 +362,7 @@
     case broker::AnswerStatus::refused: {
       const auto ms = std::chrono::ceil<std::chrono::milliseconds>(answer.retry_after).count();
       error = {er_server_unavailable, "HY000",
-               "Server isn't available, " + refusal_text(answer.verdict) + "; retry after " +
+               "Server isn't available, " + refusal_text(answer.verdict) + "; come again after " +
                    std::to_string(ms) + " ms"};
       break;
     }
--- a/src/wire/pg_client.cpp
+++ b/src/wire/pg_client.cpp
@@ -107,7 +107,7 @@
     return false;
   }
   if (message.type != pg::message_type::query)
-    return send_fatal(pg::sqlstate::protocol_violation, "only the simple query protocol is supported");
+    return send_fatal(pg::sqlstate::protocol_violation, "only simple queries are spoken here");
   auto body = message.body;
   const auto sql = pg::read_cstring(body);
   if (!sql || !body.empty()) return send_fatal(pg::sqlstate::protocol_violation, "invalid query message");
@@ -151,7 +151,7 @@
       return send_error(pg::sqlstate::too_many_connections, "too many requests");
     case broker::Rejection::late:
       return send_error(pg::sqlstate::too_many_connections,
-                        "deadline passed while queued, the statement has not run");
+                        "its time ran out before its turn, nothing has run");
   }
 }
 
