--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -298,7 +298,7 @@
     if (!wire::dns::parse_zone(read_file(require_string(dns->value, "zone_file").c_str()),
                                require_string(dns->value, "origin"), config.zone, error))
       throw ConfigError("mysql.dns.zone_file: " + error);
-    config.known_hosts = wire::dns::members_of(config.zone, 1);
+    config.known_hosts = wire::dns::member_list_of(config.zone, 1);
     config.discovery.clear();
   }
   read_service(document, platform.settings.seed + 1, "mysql.", config);
--- a/src/wire/client.cpp
+++ b/src/wire/client.cpp
@@ -249,7 +249,7 @@
   request.group = GroupId{*info.cluster};
   request.time_left = std::chrono::milliseconds(*info.deadline_ms);
   request.arrived = arrival_time();
-  if (!info.session.empty()) request.session = session_of(info.session);
+  if (!info.session.empty()) request.session = session_id_of(info.session);
   request.retry = info.retry;
   if (info.after_ms) request.after = std::chrono::milliseconds(*info.after_ms);
   request.payload = std::move(payload);
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -467,15 +467,15 @@
   const auto row = PgStandIn::row(std::string(100'000, 'x'));
   const auto at = row.find('D', 1);
   const auto data_row = row.substr(at, 100'011);
-  EXPECT_EQ(wire::pg::long_row(data_row, 65'600, 1 << 20), 100'011U);
-  EXPECT_EQ(wire::pg::long_row(data_row.substr(0, 11), 65'600, 1 << 20), 100'011U);
-  EXPECT_FALSE(wire::pg::long_row(data_row.substr(0, 10), 65'600, 1 << 20));
-  EXPECT_FALSE(wire::pg::long_row(data_row, 100'011, 1 << 20));  // not longer than the buffer
-  EXPECT_FALSE(wire::pg::long_row(data_row, 65'600, 100'000));   // above the limit for a row
-  for (const std::size_t i : {0, 5, 6, 7, 10}) {                 // type, columns, the column's length
+  EXPECT_EQ(wire::pg::long_row_size(data_row, 65'600, 1 << 20), 100'011U);
+  EXPECT_EQ(wire::pg::long_row_size(data_row.substr(0, 11), 65'600, 1 << 20), 100'011U);
+  EXPECT_FALSE(wire::pg::long_row_size(data_row.substr(0, 10), 65'600, 1 << 20));
+  EXPECT_FALSE(wire::pg::long_row_size(data_row, 100'011, 1 << 20));  // not longer than the buffer
+  EXPECT_FALSE(wire::pg::long_row_size(data_row, 65'600, 100'000));   // above the limit for a row
+  for (const std::size_t i : {0, 5, 6, 7, 10}) {                      // type, columns, the column's length
     auto bad = data_row.substr(0, 11);
     bad[i] ^= 1;
-    EXPECT_FALSE(wire::pg::long_row(bad, 65'600, 1 << 20)) << i;
+    EXPECT_FALSE(wire::pg::long_row_size(bad, 65'600, 1 << 20)) << i;
   }
 }
 
--- a/tests/support/stand_in.cpp
+++ b/tests/support/stand_in.cpp
@@ -208,7 +208,7 @@
 std::optional<std::string> my_read(Socket& socket, std::uint8_t& sequence) {
   const auto head = socket.read(4);
   if (!head) return std::nullopt;
-  my::Reader reader(*head);
+  my::PacketReader reader(*head);
   const auto length = reader.fixed(3);
   sequence = static_cast<std::uint8_t>(reader.fixed(1) + 1);
   return socket.read(length);
@@ -325,7 +325,7 @@
     std::string sql;
     std::string row;
     my::put_lenenc_text(row, "from " + address());
-    my::Reader reader(std::string_view(*packet).substr(1));
+    my::PacketReader reader(std::string_view(*packet).substr(1));
     std::string attribute_id;
     if ((*packet)[0] == my::com_stmt_prepare) {
       count_prepare();
@@ -334,7 +334,7 @@
       std::string head(1, '\0');
       my::put_fixed(head, id, 4);
       my::put_fixed(head, 0, 2);
-      const auto placeholders = my::shape_of(statements[id]).placeholders;
+      const auto placeholders = my::scan_statement(statements[id]).placeholders;
       my::put_fixed(head, placeholders, 2);
       my::put_fixed(head, 0, 3);
       send_packet(head);
@@ -349,9 +349,9 @@
       }
       sql = statements[id];
       my::Execute execute;
-      my::parse_execute(*packet, true, my::shape_of(sql).placeholders, {}, {}, execute);
+      my::parse_execute(*packet, true, my::scan_statement(sql).placeholders, {}, {}, execute);
       for (const auto& parameter : execute.parameters)
-        if (parameter.name == "id") attribute_id = my::text_of(parameter).value_or("");
+        if (parameter.name == "id") attribute_id = my::text_value(parameter).value_or("");
       row = std::string(2, '\0') + row;  // header of a binary row
       if (!execute.parameters.empty() && execute.parameters[0].name.empty() && !execute.parameters[0].null)
         row = std::string(2, '\0') + execute.parameters[0].value;  // echoes the first parameter
@@ -739,10 +739,10 @@
     const auto& [type, body] = *message;
     answer.types += type;
     if (type == 'E') {
-      answer.code = wire::pg::error_field(body, 'C');
-      answer.detail = wire::pg::error_field(body, 'D');
+      answer.code = wire::pg::error_response_field(body, 'C');
+      answer.detail = wire::pg::error_response_field(body, 'D');
     }
-    if (type == 'D') answer.value = wire::pg::only_column(body).value_or("?");
+    if (type == 'D') answer.value = wire::pg::single_column_value(body).value_or("?");
     if (type == 'Z') break;
   }
   return answer;
@@ -781,7 +781,7 @@
 std::uint32_t MysqlRaw::prepare(const std::string& sql) {
   command(std::string(1, static_cast<char>(my::com_stmt_prepare)) + sql);
   const auto head = read_packet().value_or("");
-  my::Reader reader(head);
+  my::PacketReader reader(head);
   reader.fixed(1);
   return static_cast<std::uint32_t>(reader.fixed(4));
 }
