--- a/src/tools/rig/links.cpp
+++ b/src/tools/rig/links.cpp
@@ -11,9 +11,9 @@
 namespace cedarring::rig {
 namespace {
 
-constexpr std::size_t message_most = 65536, out_most = 1 << 20;
-constexpr Duration missed_counts_after{6'000'000};  // of what a watch that has fallen silent misses
-constexpr double late_share = 0.34;                 // of the connections, where some come up late
+constexpr std::size_t max_message_bytes = 65536, max_output_bytes = 1 << 20;
+constexpr Duration missed_list_grace{6'000'000};  // of what a watch that has fallen silent misses
+constexpr double slow_handshake_share = 0.34;     // of the connections, where some come up late
 
 double draw(lab::Random& r) { return static_cast<double>(r() >> 11U) * 0x1p-53; }
 /// Of the chunk that a list is told in, with the line's end behind it.
@@ -22,7 +22,7 @@
   std::snprintf(size, sizeof size, "%zx\r\n", list.size() + 1);
   return size;
 }
-Duration part_of(Duration d, double share) {
+Duration scaled(Duration d, double share) {
   return Duration(static_cast<std::int64_t>(static_cast<double>(d.count()) * share));
 }
 
@@ -40,10 +40,14 @@
   std::string description, row;
   put_int(description, 1, 2);
   description += std::string("v") + '\0';
-  put_int(description, 0, 6), put_int(description, 17, 4), put_int(description, 0xffff, 2);
-  put_int(description, 0xffffffff, 4), put_int(description, 1, 2);
+  put_int(description, 0, 6);
+  put_int(description, 17, 4);
+  put_int(description, 0xffff, 2);
+  put_int(description, 0xffffffff, 4);
+  put_int(description, 1, 2);
   put_message(out, 'T', description);
-  put_int(row, 1, 2), put_int(row, value.size(), 4);
+  put_int(row, 1, 2);
+  put_int(row, value.size(), 4);
   put_message(out, 'D', row + value);
   wire::pg::put_complete(out, "SELECT 1");
 }
@@ -60,7 +64,7 @@
   close();
 }
 
-bool Link::ended_there() const {
+bool Link::peer_closed() const {
   if (closed()) return true;
   pollfd p{descriptor(), POLLRDHUP, 0};
   return ::poll(&p, 1, 0) > 0 && (p.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
@@ -68,31 +72,31 @@
 
 // ---- hosts ----
 HostLink::HostLink(Rig& rig, wire::Fd fd, std::uint64_t number, int gateway, int host)
-    : Link(rig.loop_, std::move(fd), false, message_most, out_most),
+    : Link(rig.loop_, std::move(fd), false, max_message_bytes, max_output_bytes),
       rig_(rig),
       number_(number),
       gateway_(gateway),
       host_(host) {
-  if (stopped()) hold(true);
+  if (requests_cut()) hold(true);
 }
 
-bool HostLink::stopped() const {
+bool HostLink::requests_cut() const {
   const auto& h = rig_.hosts_[static_cast<std::size_t>(host_)];
-  return rig_.trouble_of(gateway_, host_).there || h.model->silent();
+  return rig_.link_fault_of(gateway_, host_).requests_cut || h.model->silent();
 }
 
-void HostLink::troubled() {
+void HostLink::on_link_change() {
   if (closed()) return;
-  hold(stopped());
-  if (!rig_.trouble_of(gateway_, host_).back && !unsaid_.empty()) write(std::exchange(unsaid_, {}));
-  if (!stopped() && !in_.empty()) on_input();
+  hold(requests_cut());
+  if (!rig_.link_fault_of(gateway_, host_).answers_cut && !unsent_.empty()) write(std::exchange(unsent_, {}));
+  if (!requests_cut() && !in_.empty()) on_input();
 }
 
-void HostLink::say(const std::string& bytes) {
+void HostLink::send(const std::string& bytes) {
   if (closed()) return;
-  const auto& t = rig_.trouble_of(gateway_, host_);
-  if (t.back) {
-    unsaid_ += bytes;
+  const auto& t = rig_.link_fault_of(gateway_, host_);
+  if (t.answers_cut) {
+    unsent_ += bytes;
     return;
   }
   if (t.delay <= Duration::zero()) {
@@ -105,109 +109,111 @@
   });
 }
 
-void HostLink::welcome() {
-  welcomed_ = true;
+void HostLink::complete_handshake() {
+  handshake_done_ = true;
   std::string out;
   wire::pg::put_welcome(out);
-  say(out);
-  if (!closed()) rests();
+  send(out);
+  if (!closed()) on_idle();
   if (!closed()) on_input();
 }
 
-void HostLink::rests() {
+void HostLink::on_idle() {
   const auto& h = rig_.hosts_[static_cast<std::size_t>(host_)];
-  if (h.hurry > Duration::zero())
-    after(h.hurry, [jobs = jobs_](HostLink& me) {
-      if (me.request_.empty() && me.jobs_ == jobs) me.drop(false);
+  if (h.idle_timeout > Duration::zero())
+    after(h.idle_timeout, [job_count = job_count_](HostLink& me) {
+      if (me.request_.empty() && me.job_count_ == job_count) me.shut_down(false);
     });
 }
 
-void HostLink::break_later(Duration work) {
-  auto& draws = rig_.draws_;
+void HostLink::schedule_abort(Duration work) {
+  auto& draws = rig_.fault_random_;
   if (draw(draws) < 0.4) {
-    breaks_ = true;
+    aborts_at_answer_ = true;
     return;
   }
-  after(part_of(work, draw(draws) * 1.5), [job = jobs_](HostLink& me) {
-    if (!me.request_.empty() && me.jobs_ == job) me.drop(true);
+  after(scaled(work, draw(draws) * 1.5), [job = job_count_](HostLink& me) {
+    if (!me.request_.empty() && me.job_count_ == job) me.shut_down(true);
   });
 }
 
 /// Each kind of answer that is none: one that says nothing of a row, a row that never ends, bytes that are no
 /// message, two rows, an end in the middle, the end before the row, messages without end.
-void HostLink::spoil(const std::string& answer) {
+void HostLink::send_bad_answer(const std::string& answer) {
   std::string out;
-  switch (rig_.draws_() % 7) {
+  switch (rig_.fault_random_() % 7) {
     case 0:
       wire::pg::put_complete(out, "SELECT 1");
       wire::pg::put_ready(out);
-      return say(out);
+      return send(out);
     case 1:
-      return say(answer.substr(0, answer.size() / 2));
+      return send(answer.substr(0, answer.size() / 2));
     case 2:
-      return say(std::string(64, '\xff'));
+      return send(std::string(64, '\xff'));
     case 3:
       put_row(out, request_);
-      return say(out + answer);
+      return send(out + answer);
     case 4:
-      say(answer.substr(0, answer.size() / 3));
-      return drop(false);
+      send(answer.substr(0, answer.size() / 3));
+      return shut_down(false);
     case 5:
       wire::pg::put_complete(out, "SELECT 1");
-      return say(out + answer);
+      return send(out + answer);
     default:
-      return drip();
+      return send_endlessly();
   }
 }
 
-void HostLink::drip() {
+void HostLink::send_endlessly() {
   std::string out;
   put_status(out, "more", "and more");
-  say(out);
-  after(Duration(20'000), [](HostLink& me) { me.drip(); });
+  send(out);
+  after(Duration(20'000), [](HostLink& me) { me.send_endlessly(); });
 }
 
 void HostLink::on_input() {
   while (!closed() && !held()) {
     const auto in = in_.view();
-    if (started_ && !welcomed_) return;
-    if (!welcomed_) {
+    if (startup_received_ && !handshake_done_) return;
+    if (!handshake_done_) {
       wire::pg::Startup startup;
       const auto frame = wire::pg::next_startup(in, startup);
       if (frame == wire::pg::Frame::partial) return;
-      if (frame == wire::pg::Frame::bad || startup.kind != wire::pg::StartupKind::startup) return drop(false);
+      if (frame == wire::pg::Frame::bad || startup.kind != wire::pg::StartupKind::startup)
+        return shut_down(false);
       in_.consume(startup.size);
-      started_ = true;
+      startup_received_ = true;
       const auto& h = rig_.hosts_[static_cast<std::size_t>(host_)];
       const auto up = [&rig = rig_, number = number_] {
         const auto it = rig.host_links_.find(number);
-        if (it != rig.host_links_.end()) it->second->connected();
+        if (it != rig.host_links_.end()) it->second->on_host_connected();
       };
-      if (counts_ = h.model->connect(up); counts_) return;
+      if (counted_ = h.model->connect(up); counted_) return;
       std::string out;
       wire::pg::put_error(out, true, "53300", "too many connections");
       write(out);
-      return drop(false);
+      return shut_down(false);
     }
     wire::pg::Message m;
-    const auto frame = wire::pg::next_message(in, message_most, m);
+    const auto frame = wire::pg::next_message(in, max_message_bytes, m);
     if (frame == wire::pg::Frame::partial) return;
-    if (frame == wire::pg::Frame::bad || m.type == 'X') return drop(false);
+    if (frame == wire::pg::Frame::bad || m.type == 'X') return shut_down(false);
     std::string sql(m.body.substr(0, m.body.empty() ? 0 : m.body.size() - 1));
     const char type = m.type;
     in_.consume(m.size);
-    if (type == 'Q') take(sql);
+    if (type == 'Q') on_query(sql);
   }
 }
 
 /// Its handshake is done.
-void HostLink::connected() {
+void HostLink::on_host_connected() {
   const auto& h = rig_.hosts_[static_cast<std::size_t>(host_)];
-  if (h.late <= Duration::zero() || draw(rig_.draws_) >= late_share) return welcome();
-  after(part_of(h.late, draw(rig_.draws_)), [](HostLink& me) { me.welcome(); });
+  if (h.handshake_delay <= Duration::zero() || draw(rig_.fault_random_) >= slow_handshake_share)
+    return complete_handshake();
+  after(scaled(h.handshake_delay, draw(rig_.fault_random_)), [](HostLink& me) { me.complete_handshake(); });
 }
 
-void HostLink::take(std::string_view sql) {
+void HostLink::on_query(std::string_view sql) {
   auto& h = rig_.hosts_[static_cast<std::size_t>(host_)];
   const auto now = rig_.timeline_.now();
   std::string out;
@@ -219,48 +225,51 @@
                   static_cast<int>(*r.queue_length));
     put_row(out, text);
     wire::pg::put_ready(out);
-    return say(out);
+    return send(out);
   }
   wire::StatementInfo info;
   std::string missing;
   if (!wire::parse_statement(sql, info, missing) || info.id.empty() || !request_.empty()) {
     wire::pg::put_error(out, true, "08P01", "not a statement that a client sent");
-    say(out);
-    return drop(false);
+    send(out);
+    return shut_down(false);
   }
   const std::string id(info.id);
-  rig_.see_ends(id);
-  const auto it = rig_.tries_.find(id);
-  const Rig::Request* request = it == rig_.tries_.end() ? nullptr : it->second.request.get();
+  rig_.close_ended_links(id);
+  const auto it = rig_.open_attempts_.find(id);
+  const Rig::Request* request = it == rig_.open_attempts_.end() ? nullptr : it->second.request.get();
   const auto work = request ? request->work : Duration(50'000);
-  const bool given_up = ended_there();
+  const bool connection_ended = peer_closed();
   request_ = id;
-  attempt_ = rig_.rules_->attempt(id, gateway_, host_, h.group_at, work, now, given_up);
+  attempt_ = rig_.rules_->on_attempt(id, gateway_, host_, h.group_index, work, now, connection_ended);
   ++rig_.result_.attempts;
-  if (rig_.running_) ++rig_.second().by_host[static_cast<std::size_t>(host_)];
-  rig_.working_[id].push_back(this);
-  const auto job = ++jobs_;
-  if (given_up) return;  // on_end follows
-  breaks_ = false;
-  if (h.break_off > 0 && draw(rig_.draws_) < h.break_off) break_later(work);
-  if (h.fail > 0 && draw(rig_.draws_) < h.fail) return answer(job, Outcome::error, h.model->note());
+  if (rig_.running_) ++rig_.current_second().attempts_by_host[static_cast<std::size_t>(host_)];
+  rig_.links_by_request_[id].push_back(this);
+  const auto job = ++job_count_;
+  if (connection_ended) return;  // on_end follows
+  aborts_at_answer_ = false;
+  if (h.abort_share > 0 && draw(rig_.fault_random_) < h.abort_share) schedule_abort(work);
+  if (h.failure_share > 0 && draw(rig_.fault_random_) < h.failure_share)
+    return send_answer(job, Outcome::error, h.model->note());
   lab::Job j;
-  j.work = Duration(static_cast<std::int64_t>(static_cast<double>(work.count()) * h.slow));
+  j.work = Duration(static_cast<std::int64_t>(static_cast<double>(work.count()) * h.slowdown));
   if (request) {
-    const auto& c = rig_.s_.classes[request->cls].contract;
-    j.write = c.freshness == Freshness::write, j.freshness = c.freshness, j.bound = c.staleness_bound;
+    const auto& c = rig_.scenario_.classes[request->class_index].contract;
+    j.write = c.freshness == Freshness::write;
+    j.freshness = c.freshness;
+    j.bound = c.staleness_bound;
   }
   j.done = [&rig = rig_, number = number_, job](Outcome outcome, AnswerMetadata note) {
     const auto link = rig.host_links_.find(number);
-    if (link != rig.host_links_.end()) link->second->answer(job, outcome, note);
+    if (link != rig.host_links_.end()) link->second->send_answer(job, outcome, note);
   };
   job_ = 0;
-  const auto given = h.model->offer(std::move(j));
-  if (!closed() && !request_.empty() && jobs_ == job) job_ = given;
+  const auto offered_job = h.model->offer(std::move(j));
+  if (!closed() && !request_.empty() && job_count_ == job) job_ = offered_job;
 }
 
-void HostLink::answer(std::uint64_t job, Outcome outcome, AnswerMetadata note) {
-  if (closed() || job != jobs_ || request_.empty()) return;
+void HostLink::send_answer(std::uint64_t job, Outcome outcome, AnswerMetadata note) {
+  if (closed() || job != job_count_ || request_.empty()) return;
   job_ = 0;
   std::string out;
   const auto status = [&] {
@@ -268,55 +277,58 @@
     if (note.position) put_status(out, "lsn_ms", std::to_string(note.position->count() / 1000));
     wire::pg::put_ready(out);
   };
-  const auto it = rig_.tries_.find(request_);
+  const auto it = rig_.open_attempts_.find(request_);
   const auto& h = rig_.hosts_[static_cast<std::size_t>(host_)];
-  const bool spoils = outcome == Outcome::ok && h.spoil > 0 && draw(rig_.draws_) < h.spoil;
-  const bool write = it != rig_.tries_.end() &&
-                     rig_.s_.classes[it->second.request->cls].contract.freshness == Freshness::write;
+  const bool bad_answer =
+      outcome == Outcome::ok && h.bad_answer_share > 0 && draw(rig_.fault_random_) < h.bad_answer_share;
+  const bool write =
+      it != rig_.open_attempts_.end() &&
+      rig_.scenario_.classes[it->second.request->class_index].contract.freshness == Freshness::write;
   switch (outcome) {
     case Outcome::ok:
       put_row(out, request_);
       // What is no answer has run all the same, and is out until its connection ends.
-      if (!spoils) over(breaks_ ? Over::closed : Over::served, note.position);
+      if (!bad_answer)
+        end_attempt(aborts_at_answer_ ? AttemptEnd::closed : AttemptEnd::served, note.position);
       break;
     case Outcome::too_stale:
       wire::pg::put_error(out, false, write ? "25006" : "72000", "not here");
-      over(Over::miss, {});
+      end_attempt(AttemptEnd::too_stale, {});
       break;
     case Outcome::full:
       wire::pg::put_error(out, false, "53300", "full");
-      over(Over::full, {});
+      end_attempt(AttemptEnd::full, {});
       break;
     case Outcome::error:
       wire::pg::put_error(out, false, "XX000", "failed");
-      over(Over::error, {});
+      end_attempt(AttemptEnd::error, {});
       break;
     default:
-      return drop(true);  // its process has ended
+      return shut_down(true);  // its process has ended
   }
   status();
-  if (spoils) return spoil(out);
-  if (breaks_ && outcome == Outcome::ok) {  // with all of it, or a part
-    say(out.substr(
-        0, part_of(Duration(static_cast<std::int64_t>(out.size())), draw(rig_.draws_) * 1.3).count()));
-    return drop(true);
+  if (bad_answer) return send_bad_answer(out);
+  if (aborts_at_answer_ && outcome == Outcome::ok) {  // with all of it, or a part
+    send(out.substr(
+        0, scaled(Duration(static_cast<std::int64_t>(out.size())), draw(rig_.fault_random_) * 1.3).count()));
+    return shut_down(true);
   }
-  say(out);
-  if (!closed()) rests();
+  send(out);
+  if (!closed()) on_idle();
 }
 
-void HostLink::over(Over how, std::optional<Time> position) {
+void HostLink::end_attempt(AttemptEnd end, std::optional<Time> position) {
   if (request_.empty()) return;
-  rig_.rules_->over(request_, attempt_, how, position, rig_.timeline_.now());
-  const auto it = rig_.working_.find(request_);
-  if (it != rig_.working_.end()) {
+  rig_.rules_->on_attempt_end(request_, attempt_, end, position, rig_.timeline_.now());
+  const auto it = rig_.links_by_request_.find(request_);
+  if (it != rig_.links_by_request_.end()) {
     it->second.erase(std::remove(it->second.begin(), it->second.end(), this), it->second.end());
-    if (it->second.empty()) rig_.working_.erase(it);
+    if (it->second.empty()) rig_.links_by_request_.erase(it);
   }
   request_.clear();
 }
 
-void HostLink::drop(bool with_reset) {
+void HostLink::shut_down(bool with_reset) {
   if (!closed()) with_reset ? reset() : close();
   on_end(0);
 }
@@ -327,23 +339,23 @@
   rig_.host_links_.erase(it);
   auto& model = *rig_.hosts_[static_cast<std::size_t>(host_)].model;
   if (job_ != 0) model.cancel(job_);
-  if (counts_) model.disconnect();
-  over(Over::closed, {});
+  if (counted_) model.disconnect();
+  end_attempt(AttemptEnd::closed, {});
   rig_.reaper_.take(std::unique_ptr<wire::Connection>(this));
 }
 
 // ---- discovery ----
 DiscoveryLink::DiscoveryLink(Rig& rig, wire::Fd fd, int gateway)
-    : Link(rig.loop_, std::move(fd), false, 8192, out_most), rig_(rig), gateway_(gateway) {
-  if (rig.trouble_of(gateway, -1).there) hold(true);
+    : Link(rig.loop_, std::move(fd), false, 8192, max_output_bytes), rig_(rig), gateway_(gateway) {
+  if (rig.link_fault_of(gateway, -1).requests_cut) hold(true);
 }
 
-void DiscoveryLink::troubled() {
+void DiscoveryLink::on_link_change() {
   if (closed()) return;
-  const auto& t = rig_.trouble_of(gateway_, -1);
-  hold(t.there);
-  if (!t.there && !in_.empty()) on_input();
-  if (!t.back && watching_) rig_.tell(gateway_);
+  const auto& t = rig_.link_fault_of(gateway_, -1);
+  hold(t.requests_cut);
+  if (!t.requests_cut && !in_.empty()) on_input();
+  if (!t.answers_cut && watching_) rig_.send_list(gateway_);
 }
 
 void DiscoveryLink::on_input() {
@@ -355,60 +367,61 @@
   in_.consume(end + 4);
   if (rig_.discovery_refuses_) {
     write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-    return drop(false);
+    return shut_down(false);
   }
   if (head.find("follow=1") == std::string::npos) {
-    const auto list = rig_.list_for(gateway_);
+    const auto list = rig_.member_list_for(gateway_);
     write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " +
           std::to_string(list.size()) + "\r\nConnection: close\r\n\r\n" + list);
     return;
   }
   write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
   watching_ = true;
-  rig_.tell(gateway_);
+  rig_.send_list(gateway_);
 }
 
-bool DiscoveryLink::tell(const std::string& list) {
+bool DiscoveryLink::send_list(const std::string& list) {
   if (closed() || !watching_) return false;
-  if (mute_) return rig_.timeline_.now() >= *mute_ + missed_counts_after;
+  if (stalled_at_) return rig_.timeline_.now() >= *stalled_at_ + missed_list_grace;
   write(chunk_head(list) + list + "\n\r\n");
   return true;
 }
 
-void DiscoveryLink::mute() {
-  if (!watching_ || mute_) return;
-  mute_ = rig_.timeline_.now();
-  rig_.timeline_.after(missed_counts_after,
-                       [&rig = rig_, gateway = gateway_] { rig.counts_as_told(gateway); });
+void DiscoveryLink::stall() {
+  if (!watching_ || stalled_at_) return;
+  stalled_at_ = rig_.timeline_.now();
+  rig_.timeline_.after(missed_list_grace,
+                       [&rig = rig_, gateway = gateway_] { rig.record_list_delivery(gateway); });
 }
 
-void DiscoveryLink::tear() {
+void DiscoveryLink::truncate_list() {
   if (closed() || !watching_) return;
-  const auto list = rig_.list_for(gateway_);
+  const auto list = rig_.member_list_for(gateway_);
   write(chunk_head(list) + list.substr(0, list.size() / 2));
-  drop(gateway_ % 2 == 0);
+  shut_down(gateway_ % 2 == 0);
 }
 
-void DiscoveryLink::beat() {
-  if (watching_ && !mute_ && !closed() && !rig_.trouble_of(gateway_, -1).back) write("1\r\n\n\r\n");
+void DiscoveryLink::send_heartbeat() {
+  if (watching_ && !stalled_at_ && !closed() && !rig_.link_fault_of(gateway_, -1).answers_cut)
+    write("1\r\n\n\r\n");
 }
 
-void DiscoveryLink::drop(bool with_reset) {
+void DiscoveryLink::shut_down(bool with_reset) {
   if (!closed()) with_reset ? reset() : close();
   on_end(0);
 }
 
 void DiscoveryLink::on_end(int) {
-  auto& all = rig_.watches_;
-  const auto it = std::find(all.begin(), all.end(), this);
-  if (it == all.end()) return;
-  all.erase(it);
+  auto& links = rig_.discovery_links_;
+  const auto it = std::find(links.begin(), links.end(), this);
+  if (it == links.end()) return;
+  links.erase(it);
   rig_.reaper_.take(std::unique_ptr<wire::Connection>(this));
 }
 
 // ---- clients ----
 ClientLink::ClientLink(Rig& rig, const std::string& address, int gateway, bool probe)
-    : Link(rig.loop_, wire::connect_to(address), true, message_most, out_most),
+    : Link(rig.loop_, wire::connect_to(address), true, max_message_bytes, max_output_bytes),
       rig_(rig),
       gateway_(gateway),
       probe_(probe) {}
@@ -424,55 +437,62 @@
   write(out);
 }
 
-void ClientLink::ask(const Rig::Try& t, const std::string& sql) {
-  try_ = t, sql_ = sql, code_.clear(), detail_.clear(), row_ = false;
+void ClientLink::send_request(const Rig::ClientAttempt& attempt, const std::string& sql) {
+  attempt_ = attempt;
+  sql_ = sql;
+  code_.clear();
+  detail_.clear();
+  row_received_ = false;
   if (!open_) return;  // with the startup message
-  used_ = true;
+  reused_ = true;
   std::string out;
   wire::pg::put_query(out, sql);
   write(out);
 }
 
-void ClientLink::go(Way way) {
-  gone_ = true;
-  try_.reset();
+void ClientLink::leave(ClientExit how) {
+  left_ = true;
+  attempt_.reset();
   if (closed()) return;
-  if (!open_ || way == Way::close) return drop();
-  if (way == Way::half_close) return shut_down_writing();  // what still comes goes nowhere
-  if (way == Way::reset)
+  if (!open_ || how == ClientExit::close) return shut_down();
+  if (how == ClientExit::half_close) return shut_down_writing();  // what still comes goes nowhere
+  if (how == ClientExit::reset)
     reset();
   else
     write(std::string("X\0\0\0\4", 5));
-  drop();
+  shut_down();
 }
 
 void ClientLink::on_input() {
-  if (gone_) return in_.clear();
+  if (left_) return in_.clear();
   while (!closed()) {
     const auto in = in_.view();
     wire::pg::Message m;
-    const auto frame = wire::pg::next_message(in, message_most, m);
+    const auto frame = wire::pg::next_message(in, max_message_bytes, m);
     if (frame == wire::pg::Frame::partial) return;
-    if (frame == wire::pg::Frame::bad) return drop();
+    if (frame == wire::pg::Frame::bad) return shut_down();
     if (m.type == 'D') {
-      row_ = true;
+      row_received_ = true;
       // One column; what a host gives is the request's own name.
-      if (try_ && (m.body.size() < 6 || m.body.substr(6) != try_->id)) rig_.rules_->made_up(try_->id);
+      if (attempt_ && (m.body.size() < 6 || m.body.substr(6) != attempt_->id))
+        rig_.rules_->on_wrong_value(attempt_->id);
+    }
+    if (m.type == 'I' && probe_) rig_.gateways_[static_cast<std::size_t>(gateway_)].in_rotation = true;
+    if (m.type == 'E') {
+      code_ = wire::pg::error_field(m.body, 'C');
+      detail_ = wire::pg::error_field(m.body, 'D');
     }
-    if (m.type == 'I' && probe_) rig_.gateways_[static_cast<std::size_t>(gateway_)].in = true;
-    if (m.type == 'E')
-      code_ = wire::pg::error_field(m.body, 'C'), detail_ = wire::pg::error_field(m.body, 'D');
     const char type = m.type;
     in_.consume(m.size);
     if (type != 'Z') continue;
-    if (!std::exchange(welcomed_, true)) continue;
-    if (probe_) return drop();
-    if (!try_) continue;
-    const auto t = *std::exchange(try_, std::nullopt);
-    const auto pause = wire::to_int(detail_).value_or(0);
-    rig_.gateways_[static_cast<std::size_t>(gateway_)].idle.push_back(this);
-    rig_.answered(t, outcome(row_ ? Answer::served : Answer::failed),
-                  Duration(std::max<std::int64_t>(0, pause) * 1000));
+    if (!std::exchange(handshake_done_, true)) continue;
+    if (probe_) return shut_down();
+    if (!attempt_) continue;
+    const auto t = *std::exchange(attempt_, std::nullopt);
+    const auto retry_after_ms = wire::to_int(detail_).value_or(0);
+    rig_.gateways_[static_cast<std::size_t>(gateway_)].idle_clients.push_back(this);
+    rig_.on_answer(t, outcome(row_received_ ? Answer::served : Answer::failed),
+                   Duration(std::max<std::int64_t>(0, retry_after_ms) * 1000));
   }
 }
 
@@ -481,26 +501,26 @@
   return code_ == "53300" || code_ == "57P03" ? Answer::refused : Answer::failed;
 }
 
-void ClientLink::drop() {
+void ClientLink::shut_down() {
   if (!closed()) close();
   on_end(0);
 }
 
 void ClientLink::on_end(int) {
-  auto& idle = rig_.gateways_[static_cast<std::size_t>(gateway_)].idle;
+  auto& idle = rig_.gateways_[static_cast<std::size_t>(gateway_)].idle_clients;
   idle.erase(std::remove(idle.begin(), idle.end(), this), idle.end());
-  auto& all = rig_.clients_;
-  const auto it = std::find_if(all.begin(), all.end(), [&](const auto& c) { return c.get() == this; });
-  if (it == all.end()) return;
+  auto& links = rig_.clients_;
+  const auto it = std::find_if(links.begin(), links.end(), [&](const auto& c) { return c.get() == this; });
+  if (it == links.end()) return;
   rig_.reaper_.take(std::move(*it));
-  *it = std::move(all.back());
-  all.pop_back();
-  if (!try_) return;
-  const auto t = *std::exchange(try_, std::nullopt);
+  *it = std::move(links.back());
+  links.pop_back();
+  if (!attempt_) return;
+  const auto t = *std::exchange(attempt_, std::nullopt);
   // One that never came up was not taken; one that was kept may have been closed before the request was read.
   const bool in_time = rig_.timeline_.now() < t.request->deadline;
-  if (in_time && (!open_ || (used_ && code_.empty() && !row_))) return rig_.not_taken(t);
-  rig_.answered(t, outcome(Answer::lost), {});
+  if (in_time && (!open_ || (reused_ && code_.empty() && !row_received_))) return rig_.on_not_accepted(t);
+  rig_.on_answer(t, outcome(Answer::lost), {});
 }
 
 }  // namespace cedarring::rig
--- a/src/tools/rig/relay.cpp
+++ b/src/tools/rig/relay.cpp
@@ -14,8 +14,9 @@
 namespace cedarring::rig {
 namespace {
 
-constexpr std::size_t datagram_most = 65536, stream_most = 256 * 1024;
-constexpr Duration late_least{5'000};  // of a datagram that comes behind later ones; up to ten times that
+constexpr std::size_t max_datagram_bytes = 65536, max_stream_buffer_bytes = 256 * 1024;
+constexpr Duration min_reorder_delay{
+    5'000};  // of a datagram that comes behind later ones; up to ten times that
 
 std::optional<sockaddr_in> address_of(const std::string& text) {
   const auto colon = text.rfind(':');
@@ -30,14 +31,15 @@
 }  // namespace
 
 /// One side of a connection that passes through: what it reads the other writes.
-class Relay::End : public wire::Connection {
+class Relay::Endpoint : public wire::Connection {
  public:
-  End(Relay& relay, wire::Fd fd, bool connecting, Stream& stream, int peer)
-      : Connection(relay.loop_, std::move(fd), connecting, stream_most, 2 * stream_most),
+  Endpoint(Relay& relay, wire::Fd fd, bool connecting, Stream& stream, int peer)
+      : Connection(relay.loop_, std::move(fd), connecting, max_stream_buffer_bytes,
+                   2 * max_stream_buffer_bytes),
         relay_(relay),
         stream_(stream),
         peer_(peer) {}
-  void look();
+  void update();
   void reset() {
     const linger now{1, 0};
     ::setsockopt(descriptor(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
@@ -60,19 +62,21 @@
 
 struct Relay::Stream {
   int from = 0, to = 0;
-  std::unique_ptr<End> near, far;  // the one that connects; the one it reaches
-  [[nodiscard]] End& other(const End& one) { return &one == near.get() ? *far : *near; }
+  std::unique_ptr<Endpoint> client_side, server_side;  // the one that connects; the one it reaches
+  [[nodiscard]] Endpoint& other(const Endpoint& one) {
+    return &one == client_side.get() ? *server_side : *client_side;
+  }
 };
 
 /// Holds it while the way from its peer is cut, and passes on what it has read otherwise.
-void Relay::End::look() {
+void Relay::Endpoint::update() {
   if (closed()) return;
   const int to = peer_ == stream_.from ? stream_.to : stream_.from;
-  hold(relay_.way_(peer_, to).cut);
+  hold(relay_.link_state_(peer_, to).cut);
   on_input();
 }
 
-void Relay::End::on_input() {
+void Relay::Endpoint::on_input() {
   auto& other = stream_.other(*this);
   if (held() || in_.empty() || other.closed()) return;
   const auto bytes = in_.view();
@@ -82,39 +86,47 @@
   input_taken();
 }
 
-void Relay::End::on_open() { stream_.other(*this).look(); }
-void Relay::End::on_sent() { stream_.other(*this).look(); }
-void Relay::End::on_end(int error) { relay_.over(&stream_, error != 0); }
+void Relay::Endpoint::on_open() { stream_.other(*this).update(); }
+void Relay::Endpoint::on_sent() { stream_.other(*this).update(); }
+void Relay::Endpoint::on_end(int error) { relay_.close_stream(&stream_, error != 0); }
 
 Relay::Relay(ev::loop_ref loop, lab::Timeline& timeline, std::uint64_t seed, std::vector<Peer> peers,
-             std::function<Way(int, int)> way)
+             std::function<LinkState(int, int)> link_state)
     : loop_(loop),
       timeline_(timeline),
-      draws_(seed, 7),
+      random_(seed, 7),
       peers_(std::move(peers)),
-      way_(std::move(way)),
-      doors_(peers_.size()),
+      link_state_(std::move(link_state)),
+      listeners_(peers_.size()),
       reaper_(loop) {
   for (std::size_t i = 0; i < peers_.size(); ++i) {
-    auto& d = doors_[i];
-    const auto real = address_of(peers_[i].real);
-    d.datagrams = wire::bind_datagram(peers_[i].shown);
-    d.listener = wire::listen_on(peers_[i].shown);
-    if (!real || !wire::is_loopback(peers_[i].real) || !wire::is_loopback(peers_[i].shown) ||
-        d.datagrams.get() < 0 || d.listener.get() < 0) {
-      error_ = "no relay at " + peers_[i].shown + ": " + std::strerror(errno);
+    auto& listener = listeners_[i];
+    const auto real = address_of(peers_[i].bound_address);
+    listener.datagrams = wire::bind_datagram(peers_[i].advertised_address);
+    listener.stream = wire::listen_on(peers_[i].advertised_address);
+    if (!real || !wire::is_loopback(peers_[i].bound_address) ||
+        !wire::is_loopback(peers_[i].advertised_address) || listener.datagrams.get() < 0 ||
+        listener.stream.get() < 0) {
+      error_ = "no relay at " + peers_[i].advertised_address + ": " + std::strerror(errno);
       return;
     }
     by_address_[real->sin_addr.s_addr] = static_cast<int>(i);
-    d.in = std::make_unique<ev::io>(loop_), d.accepts = std::make_unique<ev::io>(loop_);
-    d.in->set<Relay, &Relay::datagram>(this), d.accepts->set<Relay, &Relay::incoming>(this);
-    d.in->start(d.datagrams.get(), ev::READ), d.accepts->start(d.listener.get(), ev::READ);
-    watching_[d.in.get()] = watching_[d.accepts.get()] = static_cast<int>(i);
+    listener.datagram_watcher = std::make_unique<ev::io>(loop_);
+    listener.stream_watcher = std::make_unique<ev::io>(loop_);
+    listener.datagram_watcher->set<Relay, &Relay::on_datagram>(this);
+    listener.stream_watcher->set<Relay, &Relay::on_connection>(this);
+    listener.datagram_watcher->start(listener.datagrams.get(), ev::READ);
+    listener.stream_watcher->start(listener.stream.get(), ev::READ);
+    peer_by_watcher_[listener.datagram_watcher.get()] = peer_by_watcher_[listener.stream_watcher.get()] =
+        static_cast<int>(i);
   }
 }
 
 Relay::~Relay() {
-  for (auto& s : streams_) s->near->end(), s->far->end();
+  for (auto& s : streams_) {
+    s->client_side->end();
+    s->server_side->end();
+  }
 }
 
 int Relay::peer_at(std::uint32_t address) const {
@@ -122,9 +134,9 @@
   return it == by_address_.end() ? -1 : it->second;
 }
 
-void Relay::datagram(ev::io& watcher, int) {
-  const int to = watching_.at(&watcher);
-  std::string bytes(datagram_most, '\0');
+void Relay::on_datagram(ev::io& watcher, int) {
+  const int to = peer_by_watcher_.at(&watcher);
+  std::string bytes(max_datagram_bytes, '\0');
   for (int i = 0; i < 256; ++i) {
     sockaddr_in at{};
     socklen_t size = sizeof at;
@@ -133,47 +145,53 @@
     if (n < 0) return;
     const int from = peer_at(at.sin_addr.s_addr);
     if (from < 0) {
-      ++counts_.foreign;
+      ++counts_.unknown_sender;
       continue;
     }
-    const auto draw = [&] { return boost::random::uniform_01<double>()(draws_); };
-    const auto way = way_(from, to);
+    const auto draw = [&] { return boost::random::uniform_01<double>()(random_); };
+    const auto link = link_state_(from, to);
     // All draws are made for each, so that one fault does not move the others'.
-    const double loss = draw(), twice = draw(), late = draw(), by = draw();
-    if (way.cut || loss < way.loss) {
-      ++counts_.lost;
+    const double loss_draw = draw();
+    const double duplicate_draw = draw();
+    const double reorder_draw = draw();
+    const double delay_draw = draw();
+    if (link.cut || loss_draw < link.loss) {
+      ++counts_.dropped;
       continue;
     }
-    auto wait = way.delay;
-    if (late < way.late)
-      ++counts_.late,
-          wait += Duration(static_cast<std::int64_t>(static_cast<double>(late_least.count()) * (1 + 9 * by)));
+    auto delay = link.delay;
+    if (reorder_draw < link.reorder) {
+      ++counts_.reordered;
+      delay += Duration(
+          static_cast<std::int64_t>(static_cast<double>(min_reorder_delay.count()) * (1 + 9 * delay_draw)));
+    }
     const auto text = bytes.substr(0, static_cast<std::size_t>(n));
-    const int many = twice < way.twice ? 2 : 1;
-    counts_.doubled += many - 1;
-    for (int k = 0; k < many; ++k) {
-      if (wait <= Duration::zero())
-        pass(from, to, text);
+    const int copies = duplicate_draw < link.duplicate ? 2 : 1;
+    counts_.duplicated += copies - 1;
+    for (int k = 0; k < copies; ++k) {
+      if (delay <= Duration::zero())
+        forward(from, to, text);
       else
         timeline_.after(
-            wait,
-            [this, there = std::weak_ptr<bool>(there_), from, to, text] {
-              if (!there.expired()) pass(from, to, text);
+            delay,
+            [this, alive = std::weak_ptr<bool>(alive_), from, to, text] {
+              if (!alive.expired()) forward(from, to, text);
             });
     }
   }
 }
 
 /// From where the sender is believed to be.
-void Relay::pass(int from, int to, const std::string& bytes) {
-  const auto at = address_of(peers_[static_cast<std::size_t>(to)].real);
-  ++counts_.passed, counts_.bytes += bytes.size();
-  ::sendto(doors_[static_cast<std::size_t>(from)].datagrams.get(), bytes.data(), bytes.size(), MSG_DONTWAIT,
-           reinterpret_cast<const sockaddr*>(&*at), sizeof *at);
+void Relay::forward(int from, int to, const std::string& bytes) {
+  const auto at = address_of(peers_[static_cast<std::size_t>(to)].bound_address);
+  ++counts_.forwarded;
+  counts_.bytes += bytes.size();
+  ::sendto(listeners_[static_cast<std::size_t>(from)].datagrams.get(), bytes.data(), bytes.size(),
+           MSG_DONTWAIT, reinterpret_cast<const sockaddr*>(&*at), sizeof *at);
 }
 
-void Relay::incoming(ev::io& watcher, int) {
-  const int to = watching_.at(&watcher);
+void Relay::on_connection(ev::io& watcher, int) {
+  const int to = peer_by_watcher_.at(&watcher);
   for (int i = 0; i < 64; ++i) {
     auto fd = wire::accept_from(watcher.fd);
     if (fd.get() < 0) return;
@@ -182,44 +200,47 @@
     ::getpeername(fd.get(), reinterpret_cast<sockaddr*>(&at), &size);
     const int from = peer_at(at.sin_addr.s_addr);
     if (from < 0) {
-      ++counts_.foreign;
+      ++counts_.unknown_sender;
       continue;
     }
-    auto out = wire::connect_to(peers_[static_cast<std::size_t>(to)].real);
+    auto out = wire::connect_to(peers_[static_cast<std::size_t>(to)].bound_address);
     if (out.get() < 0) continue;
     auto s = std::make_unique<Stream>();
-    s->from = from, s->to = to;
-    s->near = std::make_unique<End>(*this, std::move(fd), false, *s, from);
-    s->far = std::make_unique<End>(*this, std::move(out), true, *s, to);
+    s->from = from;
+    s->to = to;
+    s->client_side = std::make_unique<Endpoint>(*this, std::move(fd), false, *s, from);
+    s->server_side = std::make_unique<Endpoint>(*this, std::move(out), true, *s, to);
     auto* raw = s.get();
     streams_.push_back(std::move(s));
-    raw->near->look();
+    raw->client_side->update();
   }
 }
 
-void Relay::changed() {
+void Relay::update_streams() {
   for (std::size_t i = 0; i < streams_.size(); ++i) {
     auto* s = streams_[i].get();
-    s->near->look();
-    if (i < streams_.size() && streams_[i].get() == s) s->far->look();
+    s->client_side->update();
+    if (i < streams_.size() && streams_[i].get() == s) s->server_side->update();
   }
 }
 
-void Relay::reset(int one, int other) {
-  std::vector<Stream*> all;
+void Relay::reset(int gateway, int other) {
+  std::vector<Stream*> matching;
   for (const auto& s : streams_)
-    if ((s->from == one && s->to == other) || (s->from == other && s->to == one)) all.push_back(s.get());
-  for (auto* s : all) over(s, true);
+    if ((s->from == gateway && s->to == other) || (s->from == other && s->to == gateway))
+      matching.push_back(s.get());
+  for (auto* s : matching) close_stream(s, true);
 }
 
 /// What one side has ended ends the other, too.
-void Relay::over(Stream* stream, bool with_reset) {
+void Relay::close_stream(Stream* stream, bool with_reset) {
   const auto it =
       std::find_if(streams_.begin(), streams_.end(), [&](const auto& s) { return s.get() == stream; });
   if (it == streams_.end()) return;
-  for (auto* end : {stream->near.get(), stream->far.get()})
+  for (auto* end : {stream->client_side.get(), stream->server_side.get()})
     if (!end->closed()) with_reset ? end->reset() : end->end();
-  reaper_.take(std::move(stream->near)), reaper_.take(std::move(stream->far));
+  reaper_.take(std::move(stream->client_side));
+  reaper_.take(std::move(stream->server_side));
   // Their callbacks may still be running: they refer to it until the loop next blocks.
   timeline_.after(Duration(1000), [gone = std::shared_ptr<Stream>(std::move(*it))] {});
   streams_.erase(it);
--- a/src/tools/rig/rig.cpp
+++ b/src/tools/rig/rig.cpp
@@ -27,31 +27,32 @@
 namespace cedarring::rig {
 namespace {
 
-constexpr Duration ready_within = std::chrono::seconds(20);  // all gateways, from the start
-constexpr Duration upgrade_binds =
+constexpr Duration startup_timeout = std::chrono::seconds(20);  // all gateways, from the start
+constexpr Duration upgrade_binding_delay =
     std::chrono::milliseconds(2500);  // after the start of the second process: 2 s after its yes
-constexpr Duration upgrade_after = std::chrono::seconds(1);  // the old process is told to end
-constexpr Duration patience =
+constexpr Duration upgrade_term_delay = std::chrono::seconds(1);  // the old process is told to end
+constexpr Duration answer_grace =
     std::chrono::milliseconds(100);  // of a client, behind its deadline: an answer may be on its way
-constexpr Duration stood_still =
+constexpr Duration stall_threshold =
     std::chrono::milliseconds(25);  // behind what was due: the machine is too busy to judge times
-constexpr Duration settle =
-    std::chrono::milliseconds(500);      // a gateway that was stopped sees to what has waited
-constexpr double lateness_most_ms = 20;  // of the rig's own sends; later ones spoil the figures
-constexpr double lateness_hopeless_ms = 2000;
-constexpr double late_share_most = 0.01;
-constexpr int wildcard_from = 2000;  // links from which a host has one listener for all of them
+constexpr Duration resume_grace =
+    std::chrono::milliseconds(500);       // a gateway that was stopped sees to what has waited
+constexpr double max_send_delay_ms = 20;  // of the rig's own sends; later ones spoil the figures
+constexpr double abort_send_delay_ms = 2000;
+constexpr double max_delayed_share = 0.01;
+constexpr int wildcard_listener_links = 2000;  // links from which a host has one listener for all of them
 
 double draw(lab::Random& r) { return boost::random::uniform_01<double>()(r); }
 
 /// A listener at all of this machine's loopback addresses and at no other.
-wire::Fd listen_on_loopback(int port) {
+wire::Fd listen_on_all_loopback(int port) {
   wire::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const int one = 1;
   ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
   if (::setsockopt(fd.get(), SOL_SOCKET, SO_BINDTODEVICE, "lo", 3) != 0) return wire::Fd();
   sockaddr_in at{};
-  at.sin_family = AF_INET, at.sin_port = htons(static_cast<std::uint16_t>(port));
+  at.sin_family = AF_INET;
+  at.sin_port = htons(static_cast<std::uint16_t>(port));
   if (::bind(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) != 0 || ::listen(fd.get(), 1024) != 0)
     return wire::Fd();
   return fd;
@@ -73,80 +74,88 @@
 }  // namespace
 
 Rig::Rig(Scenario scenario, Options options)
-    : s_(std::move(scenario)),
-      o_(std::move(options)),
+    : scenario_(std::move(scenario)),
+      options_(std::move(options)),
       timeline_(clock_.now()),
       reaper_(loop_),
       prepare_(loop_),
       check_(loop_),
-      due_(loop_),
-      arrivals_(s_.seed, 1),
-      draws_(s_.seed, 2),
-      leaving_(s_.seed, 4) {
+      timer_(loop_),
+      arrival_random_(scenario_.seed, 1),
+      fault_random_(scenario_.seed, 2),
+      exit_random_(scenario_.seed, 4) {
   prepare_.set<Rig, &Rig::before_blocking>(this);
   check_.set<Rig, &Rig::after_blocking>(this);
   check_.priority = EV_MAXPRI;
-  due_.set<Rig, &Rig::due>(this);
+  timer_.set<Rig, &Rig::on_timer>(this);
 }
 
 Rig::~Rig() {
   for (auto& g : gateways_)
-    for (const pid_t pid : {g.pid, g.before})
-      if (pid > 0) ::kill(pid, SIGKILL), ::waitpid(pid, nullptr, 0);
-  while (!host_links_.empty()) host_links_.begin()->second->drop(true);
-  while (!watches_.empty()) watches_.back()->drop(true);
+    for (const pid_t pid : {g.pid, g.previous_pid})
+      if (pid > 0) {
+        ::kill(pid, SIGKILL);
+        ::waitpid(pid, nullptr, 0);
+      }
+  while (!host_links_.empty()) host_links_.begin()->second->shut_down(true);
+  while (!discovery_links_.empty()) discovery_links_.back()->shut_down(true);
 }
 
 // ---- the clock ----
 void Rig::advance() {
   const auto now = clock_.now();
-  if (const auto due = timeline_.due(); due && rules_ && now - *due > stood_still)
-    rules_->stood_still(*due, now + stood_still);
+  if (const auto due = timeline_.due(); due && rules_ && now - *due > stall_threshold)
+    rules_->excuse_all(*due, now + stall_threshold);
   timeline_.run_until(now);
 }
 
 void Rig::before_blocking(ev::prepare&, int) {
   advance();
-  due_.stop();
+  timer_.stop();
   if (const auto next = timeline_.due())
-    due_.start(std::max(0.0, static_cast<double>((*next - clock_.now()).count()) / 1e6));
+    timer_.start(std::max(0.0, static_cast<double>((*next - clock_.now()).count()) / 1e6));
 }
 
-double Rig::seconds_in() const { return static_cast<double>((timeline_.now() - begun_).count()) / 1e6; }
+double Rig::elapsed_seconds() const {
+  return static_cast<double>((timeline_.now() - load_started_at_).count()) / 1e6;
+}
 
-Second& Rig::second() {
-  const auto at = static_cast<std::size_t>(std::clamp(seconds_in(), 0.0, 3600.0));
+SecondResult& Rig::current_second() {
+  const auto at = static_cast<std::size_t>(std::clamp(elapsed_seconds(), 0.0, 3600.0));
   while (result_.seconds.size() <= at) {
     result_.seconds.emplace_back();
-    result_.seconds.back().by_host.resize(hosts_.size());
+    result_.seconds.back().attempts_by_host.resize(hosts_.size());
   }
   return result_.seconds[at];
 }
 
-void Rig::mark(const std::string& what) {
-  result_.marks.push_back({seconds_in(), what});
-  if (o_.live) std::printf("%6.1f s  %s\n", seconds_in(), what.c_str()), std::fflush(stdout);
+void Rig::add_event(const std::string& text) {
+  result_.events.push_back({elapsed_seconds(), text});
+  if (options_.live) {
+    std::printf("%6.1f s  %s\n", elapsed_seconds(), text.c_str());
+    std::fflush(stdout);
+  }
 }
 
 // ---- hosts and discovery ----
-void Rig::listen(Host& h) {
-  const bool wildcard = static_cast<int>(hosts_.size()) * s_.gateways > wildcard_from;
-  const auto many = wildcard ? 1 : gateways_.size();
-  const bool again = !h.ports.empty();
-  for (std::size_t i = 0; i < many; ++i) {
-    const int port = again ? h.ports[i] : 0;
-    auto fd = wildcard ? listen_on_loopback(port)
-                       : wire::listen_on(gateways_[i].links + ':' + std::to_string(port));
+void Rig::open_listeners(Host& h) {
+  const bool wildcard = static_cast<int>(hosts_.size()) * scenario_.gateways > wildcard_listener_links;
+  const auto count = wildcard ? 1 : gateways_.size();
+  const bool reopening = !h.ports.empty();
+  for (std::size_t i = 0; i < count; ++i) {
+    const int port = reopening ? h.ports[i] : 0;
+    auto fd = wildcard ? listen_on_all_loopback(port)
+                       : wire::listen_on(gateways_[i].link_address + ':' + std::to_string(port));
     if (fd.get() < 0) {
       result_.error = std::string("no listener: ") + std::strerror(errno);
       return;
     }
-    if (!again) h.ports.push_back(port_of(fd));
+    if (!reopening) h.ports.push_back(port_of(fd));
     auto io = std::make_unique<ev::io>(loop_);
-    io->set<Rig, &Rig::incoming>(this);
+    io->set<Rig, &Rig::on_connection>(this);
     io->start(fd.get(), ev::READ);
-    accepting_[io.get()] = &h == &discovery_ ? -1 : static_cast<int>(&h - hosts_.data());
-    h.accepts.push_back(std::move(io));
+    host_by_watcher_[io.get()] = &h == &discovery_ ? -1 : static_cast<int>(&h - hosts_.data());
+    h.accept_watchers.push_back(std::move(io));
     h.listeners.push_back(std::move(fd));
   }
 }
@@ -157,23 +166,23 @@
   ::getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
   const auto low = ntohl(at.sin_addr.s_addr) & 0xffffU;
   const int g = static_cast<int>((low >> 8U) * 250 + (low & 0xffU)) - 1;
-  return g >= 0 && g < s_.gateways ? g : -1;
+  return g >= 0 && g < scenario_.gateways ? g : -1;
 }
 
-void Rig::incoming(ev::io& watcher, int) {
-  const auto it = accepting_.find(&watcher);
-  if (it == accepting_.end()) return;
+void Rig::on_connection(ev::io& watcher, int) {
+  const auto it = host_by_watcher_.find(&watcher);
+  if (it == host_by_watcher_.end()) return;
   for (int i = 0; i < 64; ++i) {
     auto fd = wire::accept_from(watcher.fd);
     if (fd.get() < 0) {
       if ((errno == EMFILE || errno == ENFILE) && !std::exchange(result_.too_slow, true))
-        mark("out of descriptors");
+        add_event("out of descriptors");
       return;
     }
     const int g = gateway_of(fd.get());
     if (g < 0) continue;
     if (it->second < 0) {
-      watches_.push_back(new DiscoveryLink(*this, std::move(fd), g));
+      discovery_links_.push_back(new DiscoveryLink(*this, std::move(fd), g));
       continue;
     }
     const auto number = next_link_++;
@@ -181,24 +190,26 @@
   }
 }
 
-const Rig::Trouble& Rig::trouble_of(int gateway, int host) const {
-  static const Trouble none;
-  const auto it = troubles_.find({gateway, host});
-  return it == troubles_.end() ? none : it->second;
+const Rig::LinkFault& Rig::link_fault_of(int gateway, int host) const {
+  static const LinkFault none;
+  const auto it = link_faults_.find({gateway, host});
+  return it == link_faults_.end() ? none : it->second;
 }
 
 /// The list as discovery tells it to one gateway: each host at that gateway's own address.
-std::string Rig::list_for(int gateway) {
+std::string Rig::member_list_for(int gateway) {
   broker::MemberList l;
-  l.version = version_, l.full = true;
+  l.version = version_;
+  l.full = true;
   for (std::size_t i = 0; i < hosts_.size(); ++i) {
     const auto& h = hosts_[i];
-    if (h.gone) continue;
+    if (h.removed) continue;
     broker::Member m;
     m.id = h.id;
     m.address =
-        gateways_[static_cast<std::size_t>(gateway)].links + ':' + std::to_string(h.port_for(gateway));
-    m.zone = h.model->zone(), m.group = h.group->id();
+        gateways_[static_cast<std::size_t>(gateway)].link_address + ':' + std::to_string(h.port_for(gateway));
+    m.zone = h.model->zone();
+    m.group = h.group->id();
     m.state = h.draining ? HostState::draining : HostState::ready;
     m.primary = h.group->primary() == h.model;
     if (h.model->started() > Time{}) m.started_at = h.model->started();
@@ -208,386 +219,418 @@
 }
 
 /// Where the link to discovery is slow, that gateway has an older list than others meanwhile.
-void Rig::tell(int gateway) {
-  const auto& t = trouble_of(gateway, -1);
-  if (t.back) return;
+void Rig::send_list(int gateway) {
+  const auto& t = link_fault_of(gateway, -1);
+  if (t.answers_cut) return;
   if (t.delay > Duration::zero())
-    timeline_.after(t.delay, [this, gateway] { tell_now(gateway); });
+    timeline_.after(t.delay, [this, gateway] { send_list_now(gateway); });
   else
-    tell_now(gateway);
+    send_list_now(gateway);
 }
 
-void Rig::tell_now(int gateway) {
-  if (trouble_of(gateway, -1).back) return;
-  const auto list = list_for(gateway);
-  bool any = false;
-  for (auto* w : watches_)
-    if (w->gateway() == gateway) any = w->tell(list) || any;
-  if (any) counts_as_told(gateway);
+void Rig::send_list_now(int gateway) {
+  if (link_fault_of(gateway, -1).answers_cut) return;
+  const auto list = member_list_for(gateway);
+  bool delivered = false;
+  for (auto* w : discovery_links_)
+    if (w->gateway() == gateway) delivered = w->send_list(list) || delivered;
+  if (delivered) record_list_delivery(gateway);
 }
 
-void Rig::counts_as_told(int gateway) {
+void Rig::record_list_delivery(int gateway) {
   for (std::size_t i = 0; i < hosts_.size(); ++i)
-    rules_->told(gateway, static_cast<int>(i), !hosts_[i].gone && !hosts_[i].draining, timeline_.now());
+    rules_->on_listing(gateway, static_cast<int>(i), !hosts_[i].removed && !hosts_[i].draining,
+                       timeline_.now());
 }
 
-void Rig::list_changed() {
+void Rig::on_list_change() {
   timeline_.after(
-      s_.list_late,
+      scenario_.discovery_delay,
       [this] {
         ++version_;
-        for (int g = 0; g < s_.gateways; ++g) tell(g);
+        for (int g = 0; g < scenario_.gateways; ++g) send_list(g);
       });
 }
 
 void Rig::stop_host(int host) {
   auto& h = hosts_[static_cast<std::size_t>(host)];
   if (!h.model->alive()) return;
-  for (auto& io : h.accepts) accepting_.erase(io.get());
-  h.accepts.clear(), h.listeners.clear();
+  for (auto& io : h.accept_watchers) host_by_watcher_.erase(io.get());
+  h.accept_watchers.clear();
+  h.listeners.clear();
   if (h.group->primary() == h.model) {
     h.group->lose_primary(
-        s_.takeover,
+        scenario_.takeover,
         [this](lab::HostModel&) {
-          mark("a group has a primary again");
-          list_changed();
+          add_event("a group has a primary again");
+          on_list_change();
         });
   } else {
     h.model->die();
   }
-  std::vector<HostLink*> all;
+  std::vector<HostLink*> links;
   for (const auto& [n, link] : host_links_)
-    if (link->host() == host) all.push_back(link);
-  for (auto* link : all) link->drop(true);
-  h.gone = true;
-  list_changed();
+    if (link->host() == host) links.push_back(link);
+  for (auto* link : links) link->shut_down(true);
+  h.removed = true;
+  on_list_change();
 }
 
 void Rig::start_host(int host) {
   auto& h = hosts_[static_cast<std::size_t>(host)];
   if (h.model->alive()) return;
-  h.model->start(s_.cold, s_.cold_from);
-  h.gone = h.draining = false;
-  rules_->started(host, h.model->spec().cores * h.model->spec().speed, timeline_.now());
-  listen(h);
-  list_changed();
+  h.model->start(scenario_.warm_up_duration, scenario_.cold_capacity_share);
+  h.removed = h.draining = false;
+  rules_->on_host_start(host, h.model->spec().cores * h.model->spec().speed, timeline_.now());
+  open_listeners(h);
+  on_list_change();
 }
 
 /// One look at all links: there are thousands, and a cut of zones is thousands of pairs.
-void Rig::see_to(const std::set<std::pair<int, int>>& pairs, bool with_reset) {
+void Rig::update_links(const std::set<std::pair<int, int>>& pairs, bool with_reset) {
   std::vector<HostLink*> links;
   for (const auto& [n, link] : host_links_)
     if (pairs.count({link->gateway(), link->host()}) > 0) links.push_back(link);
-  for (auto* link : links) with_reset ? link->drop(true) : link->troubled();
+  for (auto* link : links) with_reset ? link->shut_down(true) : link->on_link_change();
   std::vector<DiscoveryLink*> watches;
-  for (auto* w : watches_)
+  for (auto* w : discovery_links_)
     if (pairs.count({w->gateway(), -1}) > 0) watches.push_back(w);
-  for (auto* w : watches) with_reset ? w->drop(true) : w->troubled();
+  for (auto* w : watches) with_reset ? w->shut_down(true) : w->on_link_change();
 }
 
-void Rig::see_ends(const std::string& id) {
-  const auto it = working_.find(id);
-  if (it == working_.end()) return;
+void Rig::close_ended_links(const std::string& id) {
+  const auto it = links_by_request_.find(id);
+  if (it == links_by_request_.end()) return;
   const auto links = it->second;
   for (auto* link : links)
-    if (link->ended_there()) link->drop(false);
+    if (link->peer_closed()) link->shut_down(false);
 }
 
 // ---- between gateways ----
-std::string Rig::peer_address(int gateway, bool shown) const {
-  const auto& links = gateways_[static_cast<std::size_t>(gateway)].links;
+std::string Rig::peer_address(int gateway, bool advertised) const {
+  const auto& links = gateways_[static_cast<std::size_t>(gateway)].link_address;
   const auto net = links.substr(0, links.find('.', 4));
   const int n = gateway + 1;
-  return net + "." + std::to_string((shown ? 200 : 150) + n / 250) + "." + std::to_string(n % 250) + ":7100";
+  return net + "." + std::to_string((advertised ? 200 : 150) + n / 250) + "." + std::to_string(n % 250) +
+         ":7100";
 }
 
-void Rig::set_ways(const Fault& f, const std::vector<int>& from, const std::vector<int>& to, bool on) {
+void Rig::set_peer_links(const Fault& fault, const std::vector<int>& from, const std::vector<int>& to,
+                         bool active) {
   const auto set = [&](int a, int b) {
-    auto& w = ways_[{a, b}];
-    switch (f.what) {
-      case Do::cut:
-        w.cut = on;
+    auto& link = peer_links_[{a, b}];
+    switch (fault.kind) {
+      case FaultKind::cut:
+        link.cut = active;
         break;
-      case Do::delay:
-        w.delay = on ? Duration(static_cast<std::int64_t>(f.factor * 1000)) : Duration{};
+      case FaultKind::delay:
+        link.delay = active ? Duration(static_cast<std::int64_t>(fault.factor * 1000)) : Duration{};
         break;
-      case Do::loss:
-        w.loss = on ? f.factor : 0;
+      case FaultKind::loss:
+        link.loss = active ? fault.factor : 0;
         break;
-      case Do::twice:
-        w.twice = on ? f.factor : 0;
+      case FaultKind::duplicate:
+        link.duplicate = active ? fault.factor : 0;
         break;
       default:
-        w.late = on ? f.factor : 0;
+        link.reorder = active ? fault.factor : 0;
     }
-    if (w.clear()) ways_.erase({a, b});
+    if (link.healthy()) peer_links_.erase({a, b});
   };
   for (const int a : from)
     for (const int b : to) {
       if (a == b) continue;
-      if (f.there) set(a, b);
-      if (f.back) set(b, a);
-      if (on && f.reset) relay_->reset(a, b);
+      if (fault.forward) set(a, b);
+      if (fault.reverse) set(b, a);
+      if (active && fault.reset) relay_->reset(a, b);
     }
-  relay_->changed();
+  relay_->update_streams();
 }
 
 // ---- processes ----
-void Rig::start(int gateway, bool upgrade) {
+void Rig::start_gateway(int gateway, bool upgrade) {
   auto& g = gateways_[static_cast<std::size_t>(gateway)];
   const auto low = "." + std::to_string((gateway + 1) / 250) + "." + std::to_string((gateway + 1) % 250);
-  const auto net = g.links.substr(0, g.links.find('.', 4));
+  const auto net = g.link_address.substr(0, g.link_address.find('.', 4));
   // A door of its own for each process: two may run at once.
   const auto control = net + "." + std::to_string(100 + (gateway + 1) / 250) + low.substr(low.rfind('.')) +
                        ":" + std::to_string(7001 + g.starts++ % 900);
-  std::ofstream(g.dir + "/config.json")
-      << gateway_config(s_, gateway, g.listen, control,
-                        g.links + ':' + std::to_string(discovery_.port_for(gateway)), list_for(gateway));
-  std::vector<std::pair<std::string, std::string>> variables = {{"ROUTER_CONFIG", g.dir + "/config.json"},
-                                                                {"TMPDIR", g.dir}};
-  if (!s_.gateway_file.empty()) {
-    auto file = s_.gateway_file;
-    const auto put = [&](const std::string& what, const std::string& with) {
-      for (auto at = file.find(what); at != std::string::npos; at = file.find(what, at + with.size()))
-        file.replace(at, what.size(), with);
+  std::ofstream(g.folder + "/config.json") << gateway_config(
+      scenario_, gateway, g.listen_address, control,
+      g.link_address + ':' + std::to_string(discovery_.port_for(gateway)), member_list_for(gateway));
+  std::vector<std::pair<std::string, std::string>> variables = {{"ROUTER_CONFIG", g.folder + "/config.json"},
+                                                                {"TMPDIR", g.folder}};
+  if (!scenario_.gateway_file.empty()) {
+    auto file = scenario_.gateway_file;
+    const auto replace_all = [&](const std::string& placeholder, const std::string& value) {
+      for (auto at = file.find(placeholder); at != std::string::npos;
+           at = file.find(placeholder, at + value.size()))
+        file.replace(at, placeholder.size(), value);
     };
     std::string seeds;
-    for (int i = 0; i < std::min(3, s_.gateways); ++i)
+    for (int i = 0; i < std::min(3, scenario_.gateways); ++i)
       seeds += (i ? ",\"" : "\"") + peer_address(i, true) + '"';
-    put("\"@SEEDS@\"", '[' + seeds + ']');
-    put("@REAL@", peer_address(gateway, false)), put("@SHOWN@", peer_address(gateway, true));
-    std::ofstream(g.dir + "/gateway.json") << file;
-    variables.emplace_back("CEDARRING_GATEWAY", g.dir + "/gateway.json");
+    replace_all("\"@SEEDS@\"", '[' + seeds + ']');
+    replace_all("@REAL@", peer_address(gateway, false));
+    replace_all("@SHOWN@", peer_address(gateway, true));
+    std::ofstream(g.folder + "/gateway.json") << file;
+    variables.emplace_back("CEDARRING_GATEWAY", g.folder + "/gateway.json");
   }
-  if (upgrade || g.pid > 0) g.before = g.pid;  // one that is told to end may not have yet
-  g.ending = false, g.in = g.in && upgrade;
-  g.pid = start_program(o_.gateway, variables, o_.out + "/g" + std::to_string(gateway) + ".log");
-  g.wanted = true;
+  if (upgrade || g.pid > 0) g.previous_pid = g.pid;  // one that is told to end may not have yet
+  g.terminating = false;
+  g.in_rotation = g.in_rotation && upgrade;
+  g.pid = start_program(options_.gateway, variables, options_.out + "/g" + std::to_string(gateway) + ".log");
+  g.should_run = true;
   if (g.pid < 0) result_.error = "the gateway cannot be started";
-  if (upgrade) return rules_->upgraded(gateway, timeline_.now() + upgrade_binds);
-  rules_->anew(gateway);
-  probe(gateway);
+  if (upgrade) return rules_->on_upgrade(gateway, timeline_.now() + upgrade_binding_delay);
+  rules_->on_new_process(gateway);
+  probe_gateway(gateway);
 }
 
 /// The front takes a gateway in once it has answered an empty query.
-void Rig::probe(int gateway) {
+void Rig::probe_gateway(int gateway) {
   auto& g = gateways_[static_cast<std::size_t>(gateway)];
-  if (g.in || !g.wanted || stopping_) return;
-  auto link = std::make_unique<ClientLink>(*this, g.listen, gateway, true);
+  if (g.in_rotation || !g.should_run || stopping_) return;
+  auto link = std::make_unique<ClientLink>(*this, g.listen_address, gateway, true);
   if (!link->closed()) clients_.push_back(std::move(link));
-  timeline_.after(std::chrono::milliseconds(50), [this, gateway] { probe(gateway); });
+  timeline_.after(std::chrono::milliseconds(50), [this, gateway] { probe_gateway(gateway); });
 }
 
-void Rig::signal(int gateway, int number) {
+void Rig::signal_gateway(int gateway, int number) {
   const auto& g = gateways_[static_cast<std::size_t>(gateway)];
   if (g.pid > 0) ::kill(g.pid, number);
 }
 
-void Rig::watch_processes() {
-  for (int i = 0; i < s_.gateways; ++i) {
+void Rig::reap_processes() {
+  for (int i = 0; i < scenario_.gateways; ++i) {
     auto& g = gateways_[static_cast<std::size_t>(i)];
     int status = 0;
     rusage used{};
-    const auto note = [&] {
-      result_.gateways_cpu_s += static_cast<double>(used.ru_utime.tv_sec + used.ru_stime.tv_sec) +
-                                static_cast<double>(used.ru_utime.tv_usec + used.ru_stime.tv_usec) / 1e6;
+    const auto add_usage = [&] {
+      result_.gateways_cpu_seconds +=
+          static_cast<double>(used.ru_utime.tv_sec + used.ru_stime.tv_sec) +
+          static_cast<double>(used.ru_utime.tv_usec + used.ru_stime.tv_usec) / 1e6;
       result_.gateways_mb += static_cast<double>(used.ru_maxrss) / 1024;
     };
-    if (g.before > 0 && ::wait4(g.before, &status, WNOHANG, &used) == g.before) {
-      g.before = -1, note();
-      if (!WIFEXITED(status) || WEXITSTATUS(status) != 0)
-        ++result_.crashes, mark("g" + std::to_string(i) + " has crashed");
+    if (g.previous_pid > 0 && ::wait4(g.previous_pid, &status, WNOHANG, &used) == g.previous_pid) {
+      g.previous_pid = -1;
+      add_usage();
+      if (!WIFEXITED(status) || WEXITSTATUS(status) != 0) {
+        ++result_.crashes;
+        add_event("g" + std::to_string(i) + " has crashed");
+      }
     }
     if (g.pid > 0 && ::wait4(g.pid, &status, WNOHANG, &used) == g.pid) {
-      g.pid = -1, note();
-      if (g.wanted && !stopping_) {
-        ++result_.crashes, mark("g" + std::to_string(i) + " has crashed");
-        rules_->harmed(i, timeline_.now(), timeline_.now() + std::chrono::hours(1));
-        g.in = false;
+      g.pid = -1;
+      add_usage();
+      if (g.should_run && !stopping_) {
+        ++result_.crashes;
+        add_event("g" + std::to_string(i) + " has crashed");
+        rules_->excuse_gateway(i, timeline_.now(), timeline_.now() + std::chrono::hours(1));
+        g.in_rotation = false;
       }
     }
   }
-  if (!stopping_) timeline_.after(std::chrono::milliseconds(20), [this] { watch_processes(); });
+  if (!stopping_) timeline_.after(std::chrono::milliseconds(20), [this] { reap_processes(); });
 }
 
 // ---- clients ----
 /// Arrivals wait for nobody: each draws the next one, and all that belongs to it, before it is sent.
-void Rig::arrive() {
-  const double in = seconds_in(), all = static_cast<double>(s_.length.count()) / 1e6;
-  const double rate = full_rate(s_) * s_.load * (1 + (s_.ramp - 1) * in / all);
+void Rig::next_arrival() {
+  const double elapsed = elapsed_seconds(),
+               run_seconds = static_cast<double>(scenario_.run_time.count()) / 1e6;
+  const double rate =
+      full_load_rate(scenario_) * scenario_.load * (1 + (scenario_.ramp - 1) * elapsed / run_seconds);
   const auto intended = timeline_.now();
-  const auto gap = boost::random::exponential_distribution<double>(rate)(arrivals_);
+  const auto gap = boost::random::exponential_distribution<double>(rate)(arrival_random_);
   auto r = std::make_shared<Request>();
   double shares = 0;
-  for (const auto& k : s_.classes) shares += k.share;
-  double pick = draw(arrivals_) * shares;
-  while (r->cls + 1 < s_.classes.size() && (pick -= s_.classes[r->cls].share) >= 0) ++r->cls;
-  pick = draw(arrivals_);
-  while (r->tenant + 1 < s_.tenants.size() && (pick -= s_.tenants[r->tenant].share) >= 0) ++r->tenant;
-  const auto& k = s_.classes[r->cls];
-  r->group = static_cast<int>(draw(arrivals_) * s_.groups);
-  r->key = std::to_string(static_cast<int>(draw(arrivals_) * 5000));
-  r->work = k.work_from + Duration(static_cast<std::int64_t>(
-                              static_cast<double>((k.work_to - k.work_from).count()) * draw(arrivals_)));
-  r->asked = intended, r->deadline = intended + k.contract.deadline;
-  const double late = static_cast<double>((clock_.now() - intended).count()) / 1000;
-  lateness_.push_back(static_cast<float>(late));
-  second().worst_lateness_ms = std::max(second().worst_lateness_ms, late);
-  if (late > lateness_hopeless_ms) {
-    mark("the machine is too slow for this load: given up");
+  for (const auto& k : scenario_.classes) shares += k.share;
+  double pick = draw(arrival_random_) * shares;
+  while (r->class_index + 1 < scenario_.classes.size() &&
+         (pick -= scenario_.classes[r->class_index].share) >= 0)
+    ++r->class_index;
+  pick = draw(arrival_random_);
+  while (r->tenant + 1 < scenario_.tenants.size() && (pick -= scenario_.tenants[r->tenant].share) >= 0)
+    ++r->tenant;
+  const auto& k = scenario_.classes[r->class_index];
+  r->group = static_cast<int>(draw(arrival_random_) * scenario_.groups);
+  r->key = std::to_string(static_cast<int>(draw(arrival_random_) * 5000));
+  r->work =
+      k.work_from + Duration(static_cast<std::int64_t>(
+                        static_cast<double>((k.work_to - k.work_from).count()) * draw(arrival_random_)));
+  r->arrived_at = intended;
+  r->deadline = intended + k.contract.deadline;
+  const double delay_ms = static_cast<double>((clock_.now() - intended).count()) / 1000;
+  send_delays_.push_back(static_cast<float>(delay_ms));
+  current_second().worst_send_delay_ms = std::max(current_second().worst_send_delay_ms, delay_ms);
+  if (delay_ms > abort_send_delay_ms) {
+    add_event("the machine is too slow for this load: given up");
     gave_up_ = result_.too_slow = true;
     return;
   }
-  ++result_.requests, ++second().asked;
-  if (intended >= begun_ + s_.warm_up) ++result_.classes[r->cls].asked;
-  ask(r);
-  if (intended + Duration(static_cast<std::int64_t>(gap * 1e6)) < begun_ + s_.length)
-    timeline_.at(intended + Duration(static_cast<std::int64_t>(gap * 1e6)), [this] { arrive(); });
-}
-
-std::optional<int> Rig::choose() {
-  const auto weight = [](const Gateway& g) { return g.in || (g.ending && !g.idle.empty()) ? g.weight : 0; };
-  double all = 0;
-  for (const auto& g : gateways_) all += weight(g);
-  double at = draw(draws_) * all;
+  ++result_.requests;
+  ++current_second().asked;
+  if (intended >= load_started_at_ + scenario_.warm_up) ++result_.classes[r->class_index].asked;
+  send_request(r);
+  if (intended + Duration(static_cast<std::int64_t>(gap * 1e6)) < load_started_at_ + scenario_.run_time)
+    timeline_.at(intended + Duration(static_cast<std::int64_t>(gap * 1e6)), [this] { next_arrival(); });
+}
+
+std::optional<int> Rig::choose_gateway() {
+  const auto weight = [](const Gateway& g) {
+    return g.in_rotation || (g.terminating && !g.idle_clients.empty()) ? g.weight : 0;
+  };
+  double total_weight = 0;
+  for (const auto& g : gateways_) total_weight += weight(g);
+  double position = draw(fault_random_) * total_weight;
   for (std::size_t i = 0; i < gateways_.size(); ++i)
-    if (weight(gateways_[i]) > 0 && (at -= gateways_[i].weight) < 0) return static_cast<int>(i);
+    if (weight(gateways_[i]) > 0 && (position -= gateways_[i].weight) < 0) return static_cast<int>(i);
   return std::nullopt;
 }
 
-ClientLink* Rig::idle_of(Gateway& g) {
-  while (!g.idle.empty()) {
-    auto* link = g.idle.back();
-    g.idle.pop_back();
-    if (!link->closed() && !link->ended_there()) return link;  // else its end is on its way
+ClientLink* Rig::take_idle_client(Gateway& g) {
+  while (!g.idle_clients.empty()) {
+    auto* link = g.idle_clients.back();
+    g.idle_clients.pop_back();
+    if (!link->closed() && !link->peer_closed()) return link;  // else its end is on its way
   }
   return nullptr;
 }
 
-void Rig::ask(const std::shared_ptr<Request>& r) {
-  Try t;
-  t.request = r, t.sent = timeline_.now();
+void Rig::send_request(const std::shared_ptr<Request>& r) {
+  ClientAttempt attempt;
+  attempt.request = r;
+  attempt.sent = timeline_.now();
   std::optional<int> g;
   ClientLink* idle = nullptr;
   // One that is ending has only the connections that are left of it.
   do {
-    g = choose();
-    idle = g ? idle_of(gateways_[static_cast<std::size_t>(*g)]) : nullptr;
-  } while (g && !idle && !gateways_[static_cast<std::size_t>(*g)].in);
-  if (!g || t.sent >= r->deadline) {
-    answered(t, Answer::lost, {});
+    g = choose_gateway();
+    idle = g ? take_idle_client(gateways_[static_cast<std::size_t>(*g)]) : nullptr;
+  } while (g && !idle && !gateways_[static_cast<std::size_t>(*g)].in_rotation);
+  if (!g || attempt.sent >= r->deadline) {
+    on_answer(attempt, Answer::lost, {});
     return;
   }
-  t.gateway = *g;
+  attempt.gateway = *g;
   char id[24];
   std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(next_id_++));
-  t.id = id;
-  const auto& k = s_.classes[r->cls].contract;
+  attempt.id = id;
+  const auto& k = scenario_.classes[r->class_index].contract;
   const bool write = k.freshness == Freshness::write;
   std::string sql = write ? "INSERT INTO records (k, v) VALUES ('" + r->key + "', '\\x9f') RETURNING v"
                           : "SELECT v FROM records WHERE k = '" + r->key + "'";
-  sql += " /* id=" + t.id + ",c=" + k.name + ",t=" + s_.tenants[r->tenant].name +
-         ",d=" + std::to_string(std::max<std::int64_t>(1, (r->deadline - t.sent).count() / 1000));
-  if (k.idempotency == Idempotency::keyed) sql += ",k=key-" + t.id;
-  if (r->tries > 0) sql += ",r=1";
+  sql += " /* id=" + attempt.id + ",c=" + k.name + ",t=" + scenario_.tenants[r->tenant].name +
+         ",d=" + std::to_string(std::max<std::int64_t>(1, (r->deadline - attempt.sent).count() / 1000));
+  if (k.idempotency == Idempotency::keyed) sql += ",k=key-" + attempt.id;
+  if (r->attempts > 0) sql += ",r=1";
   sql += ",cluster=" + std::to_string(r->group + 1) + " */";
-  ++r->tries;
-  rules_->asked(t.id, t.gateway, r->cls, t.sent, r->deadline);
-  tries_[t.id] = t;
-  timeline_.at(r->deadline + patience, [this, id = t.id] { leave(id); });
-  if (s_.leaving > 0) {
-    const double whether = draw(leaving_), when = draw(leaving_);
-    const auto in =
-        Duration(static_cast<std::int64_t>(when * static_cast<double>((r->deadline - t.sent).count())));
-    if (whether < s_.leaving) timeline_.after(in, [this, id = t.id] { give_up(id); });
+  ++r->attempts;
+  rules_->on_request(attempt.id, attempt.gateway, r->class_index, attempt.sent, r->deadline);
+  open_attempts_[attempt.id] = attempt;
+  timeline_.at(r->deadline + answer_grace, [this, id = attempt.id] { abandon(id); });
+  if (scenario_.client_exit_share > 0) {
+    const double whether = draw(exit_random_), when = draw(exit_random_);
+    const auto delay =
+        Duration(static_cast<std::int64_t>(when * static_cast<double>((r->deadline - attempt.sent).count())));
+    if (whether < scenario_.client_exit_share)
+      timeline_.after(delay, [this, id = attempt.id] { leave_early(id); });
   }
-  if (idle) return idle->ask(t, sql);
-  auto link = std::make_unique<ClientLink>(*this, gateways_[static_cast<std::size_t>(*g)].listen, *g, false);
+  if (idle) return idle->send_request(attempt, sql);
+  auto link =
+      std::make_unique<ClientLink>(*this, gateways_[static_cast<std::size_t>(*g)].listen_address, *g, false);
   auto* raw = link.get();
   clients_.push_back(std::move(link));
-  raw->ask(t, sql);
-  if (raw->closed()) raw->drop();
+  raw->send_request(attempt, sql);
+  if (raw->closed()) raw->shut_down();
 }
 
 /// Its client waits no longer: it closes the connection.
-void Rig::leave(const std::string& id) {
-  if (tries_.count(id) == 0) return;
+void Rig::abandon(const std::string& id) {
+  if (open_attempts_.count(id) == 0) return;
   for (const auto& c : clients_)
-    if (c->asks(id)) return c->drop();
+    if (c->waits_for(id)) return c->shut_down();
 }
 
 /// Its client leaves before its time is up, in each of the ways there are.
-void Rig::give_up(const std::string& id) {
-  const auto it = tries_.find(id);
-  if (it == tries_.end()) return;
+void Rig::leave_early(const std::string& id) {
+  const auto it = open_attempts_.find(id);
+  if (it == open_attempts_.end()) return;
   for (const auto& c : clients_) {
-    if (!c->asks(id)) continue;
+    if (!c->waits_for(id)) continue;
     const auto& r = *it->second.request;
-    if (r.asked >= begun_ + s_.warm_up) ++result_.classes[r.cls].left;
-    rules_->left(id, timeline_.now());
-    tries_.erase(it);
-    return c->go(static_cast<ClientLink::Way>(leaving_() % 4));
+    if (r.arrived_at >= load_started_at_ + scenario_.warm_up) ++result_.classes[r.class_index].client_left;
+    rules_->on_client_exit(id, timeline_.now());
+    open_attempts_.erase(it);
+    return c->leave(static_cast<ClientLink::ClientExit>(exit_random_() % 4));
   }
 }
 
 /// Told to end; what it has not ended by the time that PROTOCOL gives is lost.
-void Rig::end(int n) {
+void Rig::terminate_gateway(int n) {
   auto& g = gateways_[static_cast<std::size_t>(n)];
   Duration longest{};
-  for (const auto& k : s_.classes) longest = std::max(longest, k.contract.deadline);
+  for (const auto& k : scenario_.classes) longest = std::max(longest, k.contract.deadline);
   const auto pid = g.pid;
-  g.wanted = false, g.ending = true;
-  signal(n, SIGTERM);
+  g.should_run = false;
+  g.terminating = true;
+  signal_gateway(n, SIGTERM);
   timeline_.after(std::chrono::milliseconds(300), [this, n, pid] {
-    auto& ends = gateways_[static_cast<std::size_t>(n)];
-    if (ends.pid == pid || ends.pid < 0) ends.in = false;
+    auto& terminating = gateways_[static_cast<std::size_t>(n)];
+    if (terminating.pid == pid || terminating.pid < 0) terminating.in_rotation = false;
   });
   timeline_.after(std::min(longest, Duration(std::chrono::seconds(3))) + std::chrono::milliseconds(700),
                   [this, n, pid] {
-                    auto& late = gateways_[static_cast<std::size_t>(n)];
-                    if (late.pid != pid && late.before != pid) return;
-                    mark('g' + std::to_string(n) + " had not ended, killed");
+                    auto& overdue = gateways_[static_cast<std::size_t>(n)];
+                    if (overdue.pid != pid && overdue.previous_pid != pid) return;
+                    add_event('g' + std::to_string(n) + " had not ended, killed");
                     ::kill(pid, SIGKILL);
                   });
 }
 
 /// Its gateway never read it: it goes to another, once a connection. Who sent it there hears of a death late.
-void Rig::not_taken(const Try& t) {
-  if (rules_->seen(t.id) || t.request->moves >= 20) return answered(t, Answer::lost, {});
-  rules_->withdrawn(t.id);
-  tries_.erase(t.id);
-  ++t.request->moves, --t.request->tries;
+void Rig::on_not_accepted(const ClientAttempt& attempt) {
+  if (rules_->reached_host(attempt.id) || attempt.request->redirects >= 20)
+    return on_answer(attempt, Answer::lost, {});
+  rules_->forget(attempt.id);
+  open_attempts_.erase(attempt.id);
+  ++attempt.request->redirects;
+  --attempt.request->attempts;
   // Refused at once it is tried elsewhere at once, yet not in a circle without a pause.
-  timeline_.after(t.request->moves < 4 ? Duration(1000) : Duration(50'000),
-                  [this, r = t.request] { ask(r); });
+  timeline_.after(attempt.request->redirects < 4 ? Duration(1000) : Duration(50'000),
+                  [this, r = attempt.request] { send_request(r); });
 }
 
-void Rig::answered(const Try& t, Answer answer, Duration pause) {
+void Rig::on_answer(const ClientAttempt& attempt, Answer answer, Duration retry_after) {
   const auto now = timeline_.now();
-  if (!t.id.empty()) {
-    rules_->answered(t.id, answer, now);
-    tries_.erase(t.id);
+  if (!attempt.id.empty()) {
+    rules_->on_answer(attempt.id, answer, now);
+    open_attempts_.erase(attempt.id);
   }
-  const auto& r = *t.request;
-  const auto& k = s_.classes[r.cls].contract;
-  if (answer == Answer::refused && r.tries < 2) {
-    const auto wait = pause > Duration::zero() ? pause : Duration(200'000);
+  const auto& r = *attempt.request;
+  const auto& k = scenario_.classes[r.class_index].contract;
+  if (answer == Answer::refused && r.attempts < 2) {
+    const auto wait = retry_after > Duration::zero() ? retry_after : Duration(200'000);
     if (now + wait < r.deadline) {
-      timeline_.after(wait, [this, request = t.request] { ask(request); });
+      timeline_.after(wait, [this, request = attempt.request] { send_request(request); });
       return;
     }
   }
-  const double ms = static_cast<double>((now - r.asked).count()) / 1000;
-  auto& sec = second();
-  const bool in_time = answer == Answer::served && now - r.asked <= k.latency_target;
-  sec.served += answer == Answer::served, sec.in_time += in_time, sec.refused += answer == Answer::refused;
+  const double ms = static_cast<double>((now - r.arrived_at).count()) / 1000;
+  auto& sec = current_second();
+  const bool in_time = answer == Answer::served && now - r.arrived_at <= k.latency_target;
+  sec.served += answer == Answer::served;
+  sec.in_time += in_time;
+  sec.refused += answer == Answer::refused;
   sec.failed += answer == Answer::failed || answer == Answer::lost;
-  if (answer == Answer::served) sec.ms.push_back(static_cast<float>(ms));
-  if (r.asked < begun_ + s_.warm_up) return;
-  auto& c = result_.classes[r.cls];
+  if (answer == Answer::served) sec.latencies_ms.push_back(static_cast<float>(ms));
+  if (r.arrived_at < load_started_at_ + scenario_.warm_up) return;
+  auto& c = result_.classes[r.class_index];
   switch (answer) {
     case Answer::served:
-      ++(in_time ? c.in_time : c.late), c.ms.push_back(static_cast<float>(ms));
+      ++(in_time ? c.in_time : c.late);
+      c.latencies_ms.push_back(static_cast<float>(ms));
       break;
     case Answer::refused:
       ++c.refused;
@@ -602,239 +645,262 @@
 }
 
 // ---- faults ----
-std::vector<int> Rig::picked(const Pick& p, std::uint64_t stream) const {
+std::vector<int> Rig::select_targets(const Target& target, std::uint64_t stream) const {
   std::vector<int> all;
-  const auto has = [&](int n) {
-    return p.numbers.empty() || std::find(p.numbers.begin(), p.numbers.end(), n) != p.numbers.end();
+  const auto includes = [&](int n) {
+    return target.numbers.empty() ||
+           std::find(target.numbers.begin(), target.numbers.end(), n) != target.numbers.end();
   };
-  if (p.kind == Pick::Kind::discovery) return {-1};
-  if (p.kind == Pick::Kind::gateways) {
-    for (int g = 0; g < s_.gateways; ++g)
-      if (has(g) && (p.zone.empty() || s_.zones[static_cast<std::size_t>(g) % s_.zones.size()] == p.zone))
+  if (target.kind == Target::Kind::discovery) return {-1};
+  if (target.kind == Target::Kind::gateways) {
+    for (int g = 0; g < scenario_.gateways; ++g)
+      if (includes(g) &&
+          (target.zone.empty() ||
+           scenario_.zones[static_cast<std::size_t>(g) % scenario_.zones.size()] == target.zone))
         all.push_back(g);
   } else {
     for (std::size_t h = 0; h < hosts_.size(); ++h) {
       const auto& host = hosts_[h];
-      if (!p.zone.empty() && host.model->zone() != p.zone) continue;
+      if (!target.zone.empty() && host.model->zone() != target.zone) continue;
       const bool primary = host.group->primary() == host.model;
-      if (p.kind == Pick::Kind::primary ? primary && has(host.group_at) : has(static_cast<int>(h)))
+      if (target.kind == Target::Kind::primary ? primary && includes(host.group_index)
+                                               : includes(static_cast<int>(h)))
         all.push_back(static_cast<int>(h));
     }
   }
-  const auto many = static_cast<std::size_t>(std::ceil(p.share * static_cast<double>(all.size()) - 1e-9));
-  lab::Random order(s_.seed, 100 + stream);
-  for (std::size_t i = 0; i < many && i < all.size(); ++i)
+  const auto count =
+      static_cast<std::size_t>(std::ceil(target.share * static_cast<double>(all.size()) - 1e-9));
+  lab::Random order(scenario_.seed, 100 + stream);
+  for (std::size_t i = 0; i < count && i < all.size(); ++i)
     std::swap(all[i], all[i + static_cast<std::size_t>(draw(order) * static_cast<double>(all.size() - i))]);
-  all.resize(std::min(many, all.size()));
+  all.resize(std::min(count, all.size()));
   std::sort(all.begin(), all.end());
   return all;
 }
 
-void Rig::apply(std::size_t number) {
-  const auto& f = s_.faults[number];
+void Rig::apply_fault(std::size_t index) {
+  const auto& fault = scenario_.faults[index];
   const auto now = timeline_.now();
-  const auto later = [&](auto what) {
-    if (f.lasts > Duration::zero()) timeline_.after(f.lasts, what);
+  const auto at_fault_end = [&](auto text) {
+    if (fault.duration > Duration::zero()) timeline_.after(fault.duration, text);
   };
-  static constexpr const char* words[] = {"killed",
-                                          "told to end",
-                                          "stopped",
-                                          "told of settings",
-                                          "upgraded",
-                                          "slow",
-                                          "failing",
-                                          "silent",
-                                          "behind",
-                                          "draining",
-                                          "cut off",
-                                          "delayed",
-                                          "refusing",
-                                          "breaking off",
-                                          "spoiling answers",
-                                          "up late",
-                                          "closing early",
-                                          "mute",
-                                          "torn",
-                                          "losing datagrams",
-                                          "doubling datagrams",
-                                          "out of order"};
-  const auto on = picked(f.on, number * 2);
+  static constexpr const char* fault_texts[] = {"killed",
+                                                "told to end",
+                                                "stopped",
+                                                "told of settings",
+                                                "upgraded",
+                                                "slow",
+                                                "failing",
+                                                "silent",
+                                                "behind",
+                                                "draining",
+                                                "cut off",
+                                                "delayed",
+                                                "refusing",
+                                                "breaking off",
+                                                "spoiling answers",
+                                                "up late",
+                                                "closing early",
+                                                "mute",
+                                                "torn",
+                                                "losing datagrams",
+                                                "doubling datagrams",
+                                                "out of order"};
+  const auto targets = select_targets(fault.target, index * 2);
   std::string text;
-  const char letter = f.on.kind == Pick::Kind::gateways ? 'g' : 'h';
-  for (std::size_t i = 0; i < on.size() && i < 4; ++i)
-    text += (i ? ", " : "") + (on[i] < 0 ? std::string("discovery") : letter + std::to_string(on[i]));
-  if (on.size() > 4) text += " and " + std::to_string(on.size() - 4) + " more";
-  mark(text + ' ' + words[static_cast<int>(f.what)]);
-  const auto hosts = [&](auto set, auto unset) {
-    for (const int h : on) {
+  const char letter = fault.target.kind == Target::Kind::gateways ? 'g' : 'h';
+  for (std::size_t i = 0; i < targets.size() && i < 4; ++i)
+    text +=
+        (i ? ", " : "") + (targets[i] < 0 ? std::string("discovery") : letter + std::to_string(targets[i]));
+  if (targets.size() > 4) text += " and " + std::to_string(targets.size() - 4) + " more";
+  add_event(text + ' ' + fault_texts[static_cast<int>(fault.kind)]);
+  const auto for_hosts = [&](auto set, auto unset) {
+    for (const int h : targets) {
       set(h);
-      later([=] { unset(h); });
+      at_fault_end([=] { unset(h); });
     }
   };
   const auto host = [this](int h) -> Host& { return hosts_[static_cast<std::size_t>(h)]; };
-  switch (f.what) {
-    case Do::kill:
-      for (const int n : on) {
-        if (f.on.kind != Pick::Kind::gateways) {
+  switch (fault.kind) {
+    case FaultKind::kill:
+      for (const int n : targets) {
+        if (fault.target.kind != Target::Kind::gateways) {
           stop_host(n);
-          later([this, n] { mark('h' + std::to_string(n) + " started, cold"), start_host(n); });
+          at_fault_end([this, n] {
+            add_event('h' + std::to_string(n) + " started, cold");
+            start_host(n);
+          });
           continue;
         }
         auto& g = gateways_[static_cast<std::size_t>(n)];
-        g.wanted = false;
-        signal(n, SIGKILL);
-        rules_->harmed(n, now - std::chrono::milliseconds(1), now + std::chrono::milliseconds(200));
-        timeline_.after(s_.front_late, [this, n] {
-          auto& dead = gateways_[static_cast<std::size_t>(n)];
-          if (!dead.wanted) dead.in = false;
+        g.should_run = false;
+        signal_gateway(n, SIGKILL);
+        rules_->excuse_gateway(n, now - std::chrono::milliseconds(1), now + std::chrono::milliseconds(200));
+        timeline_.after(scenario_.balancer_delay, [this, n] {
+          auto& killed = gateways_[static_cast<std::size_t>(n)];
+          if (!killed.should_run) killed.in_rotation = false;
         });
-        later([this, n] {
-          auto& again = gateways_[static_cast<std::size_t>(n)];
-          again.in = false;
-          start(n, false);
+        at_fault_end([this, n] {
+          auto& restarted = gateways_[static_cast<std::size_t>(n)];
+          restarted.in_rotation = false;
+          start_gateway(n, false);
         });
       }
-      if (f.on.kind == Pick::Kind::gateways) later([this] { mark("those that were killed start again"); });
+      if (fault.target.kind == Target::Kind::gateways)
+        at_fault_end([this] { add_event("those that were killed start again"); });
       break;
-    case Do::term:
-      for (const int n : on) {
-        end(n);
-        later([this, n] { start(n, false); });
+    case FaultKind::terminate:
+      for (const int n : targets) {
+        terminate_gateway(n);
+        at_fault_end([this, n] { start_gateway(n, false); });
       }
       break;
-    case Do::stop:
-      for (const int n : on) {
-        signal(n, SIGSTOP);
-        rules_->harmed(
-            n, now, now + (f.lasts > Duration::zero() ? f.lasts + settle : Duration(std::chrono::hours(1))));
-        later([this, n] { signal(n, SIGCONT); });
+    case FaultKind::pause:
+      for (const int n : targets) {
+        signal_gateway(n, SIGSTOP);
+        rules_->excuse_gateway(n, now,
+                               now + (fault.duration > Duration::zero() ? fault.duration + resume_grace
+                                                                        : Duration(std::chrono::hours(1))));
+        at_fault_end([this, n] { signal_gateway(n, SIGCONT); });
       }
-      later([this] { mark("those that were stopped go on"); });
+      at_fault_end([this] { add_event("those that were stopped go on"); });
       break;
-    case Do::hup:
-      for (const int n : on) signal(n, SIGHUP);
+    case FaultKind::reload:
+      for (const int n : targets) signal_gateway(n, SIGHUP);
       break;
-    case Do::upgrade:
-      for (const int n : on) {
-        start(n, true);
-        timeline_.after(upgrade_after, [this, n] {
+    case FaultKind::upgrade:
+      for (const int n : targets) {
+        start_gateway(n, true);
+        timeline_.after(upgrade_term_delay, [this, n] {
           const auto& g = gateways_[static_cast<std::size_t>(n)];
-          if (g.before > 0) ::kill(g.before, SIGTERM);
+          if (g.previous_pid > 0) ::kill(g.previous_pid, SIGTERM);
         });
       }
       break;
-    case Do::slow:
-      hosts([&](int h) { host(h).slow = f.factor; },
-            [this](int h) { hosts_[static_cast<std::size_t>(h)].slow = 1; });
+    case FaultKind::slow:
+      for_hosts([&](int h) { host(h).slowdown = fault.factor; },
+                [this](int h) { hosts_[static_cast<std::size_t>(h)].slowdown = 1; });
       break;
-    case Do::fail:
-      hosts([&](int h) { host(h).fail = f.factor; },
-            [this](int h) { hosts_[static_cast<std::size_t>(h)].fail = 0; });
+    case FaultKind::fail:
+      for_hosts([&](int h) { host(h).failure_share = fault.factor; },
+                [this](int h) { hosts_[static_cast<std::size_t>(h)].failure_share = 0; });
       break;
-    case Do::break_off:
-      hosts([&](int h) { host(h).break_off = f.factor; },
-            [this](int h) { hosts_[static_cast<std::size_t>(h)].break_off = 0; });
+    case FaultKind::abort_request:
+      for_hosts([&](int h) { host(h).abort_share = fault.factor; },
+                [this](int h) { hosts_[static_cast<std::size_t>(h)].abort_share = 0; });
       break;
-    case Do::spoil:
-      hosts([&](int h) { host(h).spoil = f.factor; },
-            [this](int h) { hosts_[static_cast<std::size_t>(h)].spoil = 0; });
+    case FaultKind::bad_answer:
+      for_hosts([&](int h) { host(h).bad_answer_share = fault.factor; },
+                [this](int h) { hosts_[static_cast<std::size_t>(h)].bad_answer_share = 0; });
       break;
-    case Do::late:
-      hosts([&](int h) { host(h).late = Duration(static_cast<std::int64_t>(f.factor * 1000)); },
-            [this](int h) { hosts_[static_cast<std::size_t>(h)].late = {}; });
+    case FaultKind::slow_handshake:
+      for_hosts(
+          [&](int h) { host(h).handshake_delay = Duration(static_cast<std::int64_t>(fault.factor * 1000)); },
+          [this](int h) { hosts_[static_cast<std::size_t>(h)].handshake_delay = {}; });
       break;
-    case Do::hurry:
-      hosts([&](int h) { host(h).hurry = Duration(static_cast<std::int64_t>(f.factor * 1000)); },
-            [this](int h) { hosts_[static_cast<std::size_t>(h)].hurry = {}; });
+    case FaultKind::early_close:
+      for_hosts(
+          [&](int h) { host(h).idle_timeout = Duration(static_cast<std::int64_t>(fault.factor * 1000)); },
+          [this](int h) { hosts_[static_cast<std::size_t>(h)].idle_timeout = {}; });
       break;
-    case Do::mute:
-      for (auto* w : watches_) w->mute();
+    case FaultKind::stall_discovery:
+      for (auto* w : discovery_links_) w->stall();
       break;
-    case Do::tear: {
-      const auto all = watches_;
-      for (auto* w : all) w->tear();
+    case FaultKind::truncate_list: {
+      const auto all = discovery_links_;
+      for (auto* w : all) w->truncate_list();
       break;
     }
-    case Do::lag:
-      hosts([&](int h) { host(h).model->set_slow_apply(f.factor); },
-            [this](int h) { hosts_[static_cast<std::size_t>(h)].model->set_slow_apply(1); });
+    case FaultKind::lag:
+      for_hosts([&](int h) { host(h).model->set_slow_apply(fault.factor); },
+                [this](int h) { hosts_[static_cast<std::size_t>(h)].model->set_slow_apply(1); });
       break;
-    case Do::silent: {
+    case FaultKind::silent: {
       std::set<std::pair<int, int>> pairs;
-      for (int g = 0; g < s_.gateways; ++g)
-        for (const int h : on) pairs.emplace(g, h);
-      const auto set = [this, pairs, on](bool silent) {
-        for (const int h : on)
+      for (int g = 0; g < scenario_.gateways; ++g)
+        for (const int h : targets) pairs.emplace(g, h);
+      const auto set = [this, pairs, targets](bool silent) {
+        for (const int h : targets)
           if (h >= 0)
             hosts_[static_cast<std::size_t>(h)].model->set_silent(silent);
           else
-            for (int g = 0; g < s_.gateways; ++g) trouble(g, -1) = {silent, silent, {}};
-        see_to(pairs, false);
+            for (int g = 0; g < scenario_.gateways; ++g) link_fault(g, -1) = {silent, silent, {}};
+        update_links(pairs, false);
       };
       set(true);
-      later([set] { set(false); });
+      at_fault_end([set] { set(false); });
       break;
     }
-    case Do::drain:
-      hosts([&](int h) { host(h).draining = true, host(h).model->set_draining(true), list_changed(); },
-            [this](int h) {
-              auto& back = hosts_[static_cast<std::size_t>(h)];
-              back.draining = false, back.model->set_draining(false), list_changed();
-            });
+    case FaultKind::drain:
+      for_hosts(
+          [&](int h) {
+            host(h).draining = true;
+            host(h).model->set_draining(true);
+            on_list_change();
+          },
+          [this](int h) {
+            auto& recovered = hosts_[static_cast<std::size_t>(h)];
+            recovered.draining = false;
+            recovered.model->set_draining(false);
+            on_list_change();
+          });
       break;
-    case Do::loss:
-    case Do::twice:
-    case Do::disorder:
-    case Do::cut:
-    case Do::delay: {
-      if (f.to.kind == Pick::Kind::gateways) {
-        const auto to = picked(f.to, number * 2 + 1);
-        set_ways(f, on, to, true);
-        later([this, f, on, to] {
-          set_ways(f, on, to, false), mark("links between gateways are whole again");
+    case FaultKind::loss:
+    case FaultKind::duplicate:
+    case FaultKind::reorder:
+    case FaultKind::cut:
+    case FaultKind::delay: {
+      if (fault.link_end.kind == Target::Kind::gateways) {
+        const auto to = select_targets(fault.link_end, index * 2 + 1);
+        set_peer_links(fault, targets, to, true);
+        at_fault_end([this, fault, targets, to] {
+          set_peer_links(fault, targets, to, false);
+          add_event("links between gateways are whole again");
         });
         break;
       }
       std::set<std::pair<int, int>> pairs;
-      for (const int g : on)
-        for (const int h : picked(f.to, number * 2 + 1)) {
-          Trouble t;
-          if (f.what == Do::cut)
-            t.there = f.there, t.back = f.back;
-          else
-            t.delay = Duration(static_cast<std::int64_t>(f.factor * 1000));
-          trouble(g, h) = t;
+      for (const int g : targets)
+        for (const int h : select_targets(fault.link_end, index * 2 + 1)) {
+          LinkFault t;
+          if (fault.kind == FaultKind::cut) {
+            t.requests_cut = fault.forward;
+            t.answers_cut = fault.reverse;
+          } else
+            t.delay = Duration(static_cast<std::int64_t>(fault.factor * 1000));
+          link_fault(g, h) = t;
           pairs.emplace(g, h);
         }
-      see_to(pairs, f.reset);
-      later([this, pairs] {
-        for (const auto& [g, h] : pairs) trouble(g, h) = {};
-        see_to(pairs, false);
-        mark("links are whole again");
+      update_links(pairs, fault.reset);
+      at_fault_end([this, pairs] {
+        for (const auto& [g, h] : pairs) link_fault(g, h) = {};
+        update_links(pairs, false);
+        add_event("links are whole again");
       });
       break;
     }
-    case Do::refuse: {
+    case FaultKind::refuse: {
       discovery_refuses_ = true;
-      const auto all = watches_;
-      for (auto* w : all) w->drop(true);
-      later([this] { discovery_refuses_ = false; });
+      const auto all = discovery_links_;
+      for (auto* w : all) w->shut_down(true);
+      at_fault_end([this] { discovery_refuses_ = false; });
       break;
     }
   }
 }
 
 // ---- the run ----
-Result Rig::run() {
-  ::mkdir(o_.out.c_str(), 0755);
-  std::ofstream(o_.out + "/result.json") << "{\"complete\":false}\n";
+RunResult Rig::run() {
+  ::mkdir(options_.out.c_str(), 0755);
+  std::ofstream(options_.out + "/result.json") << "{\"complete\":false}\n";
   std::signal(SIGPIPE, SIG_IGN);
-  const int count = s_.groups * s_.members;
+  const int count = scenario_.groups * scenario_.members;
   // Of each gateway a few connections to each host it uses, its clients', discovery's; and the listeners.
   const double need =
-      static_cast<double>(s_.gateways) * std::min<double>(count, std::max(64, s_.sockets - 48) / 4) +
-      full_rate(s_) * s_.load * std::max(1.0, s_.ramp) + s_.gateways * 2 +
-      (count * s_.gateways > wildcard_from ? count : count * s_.gateways) + 200;
+      static_cast<double>(scenario_.gateways) *
+          std::min<double>(count, std::max(64, scenario_.sockets - 48) / 4) +
+      full_load_rate(scenario_) * scenario_.load * std::max(1.0, scenario_.ramp) + scenario_.gateways * 2 +
+      (count * scenario_.gateways > wildcard_listener_links ? count : count * scenario_.gateways) + 200;
   rlimit files{};
   ::getrlimit(RLIMIT_NOFILE, &files);
   files.rlim_cur = files.rlim_max;
@@ -847,80 +913,87 @@
   wire::RingBuffer::set_bound(std::size_t{1} << 30U);
   rules_.emplace(
       [&] {
-        Limits l;
-        l.cold_for = s_.cold, l.cold_from = s_.cold_from;
-        return l;
+        Limits limits;
+        limits.warm_up_duration = scenario_.warm_up_duration;
+        limits.cold_capacity_share = scenario_.cold_capacity_share;
+        return limits;
       }(),
-      class_rules(s_), timeline_.now());
-  result_.classes.resize(s_.classes.size());
+      class_rules(scenario_), timeline_.now());
+  result_.classes.resize(scenario_.classes.size());
   const auto net = "127." + std::to_string(20 + ::getpid() % 200);
   char path[PATH_MAX] = "";
-  const std::string out = ::realpath(o_.out.c_str(), path) ? path : o_.out;
-  o_.out = out;
-  lab::Random weights(s_.seed, 3);
-  for (int g = 0; g < s_.gateways; ++g) {
-    Gateway one;
+  const std::string out = ::realpath(options_.out.c_str(), path) ? path : options_.out;
+  options_.out = out;
+  lab::Random weights(scenario_.seed, 3);
+  for (int g = 0; g < scenario_.gateways; ++g) {
+    Gateway gateway;
     const auto low = std::to_string((g + 1) % 250);
-    one.links = net + "." + std::to_string((g + 1) / 250) + "." + low;
-    one.listen = net + "." + std::to_string(100 + (g + 1) / 250) + "." + low + ":7000";
-    one.dir = out + "/g" + std::to_string(g);
-    one.weight = 0.5 + draw(weights);
-    ::mkdir(one.dir.c_str(), 0755);
-    gateways_.push_back(std::move(one));
+    gateway.link_address = net + "." + std::to_string((g + 1) / 250) + "." + low;
+    gateway.listen_address = net + "." + std::to_string(100 + (g + 1) / 250) + "." + low + ":7000";
+    gateway.folder = out + "/g" + std::to_string(g);
+    gateway.weight = 0.5 + draw(weights);
+    ::mkdir(gateway.folder.c_str(), 0755);
+    gateways_.push_back(std::move(gateway));
   }
   hosts_.resize(static_cast<std::size_t>(count));
-  for (int g = 0; g < s_.groups; ++g) {
+  for (int g = 0; g < scenario_.groups; ++g) {
     groups_.push_back(std::make_unique<lab::Ledger>(timeline_, GroupId{g + 1}));
-    for (int m = 0; m < s_.members; ++m) {
-      auto& h = hosts_[static_cast<std::size_t>(g * s_.members + m)];
-      h.id = "h" + std::to_string(g * s_.members + m);
-      h.group = groups_.back().get(), h.group_at = g;
-      h.model = &h.group->add(HostId{static_cast<std::uint32_t>(g * s_.members + m + 1)}, s_.host,
-                              s_.zones[static_cast<std::size_t>(g + m) % s_.zones.size()]);
+    for (int m = 0; m < scenario_.members; ++m) {
+      auto& h = hosts_[static_cast<std::size_t>(g * scenario_.members + m)];
+      h.id = "h" + std::to_string(g * scenario_.members + m);
+      h.group = groups_.back().get();
+      h.group_index = g;
+      h.model =
+          &h.group->add(HostId{static_cast<std::uint32_t>(g * scenario_.members + m + 1)}, scenario_.host,
+                        scenario_.zones[static_cast<std::size_t>(g + m) % scenario_.zones.size()]);
     }
   }
-  for (auto& h : hosts_) listen(h);
-  listen(discovery_);
-  if (s_.peers) {
+  for (auto& h : hosts_) open_listeners(h);
+  open_listeners(discovery_);
+  if (scenario_.peer_links) {
     std::vector<Relay::Peer> peers;
-    for (int g = 0; g < s_.gateways; ++g) peers.push_back({peer_address(g, false), peer_address(g, true)});
-    relay_ = std::make_unique<Relay>(loop_, timeline_, s_.seed, std::move(peers), [this](int from, int to) {
-      const auto it = ways_.find({from, to});
-      return it == ways_.end() ? Way{} : it->second;
-    });
+    for (int g = 0; g < scenario_.gateways; ++g)
+      peers.push_back({peer_address(g, false), peer_address(g, true)});
+    relay_ =
+        std::make_unique<Relay>(loop_, timeline_, scenario_.seed, std::move(peers), [this](int from, int to) {
+          const auto it = peer_links_.find({from, to});
+          return it == peer_links_.end() ? LinkState{} : it->second;
+        });
     if (result_.error.empty()) result_.error = relay_->error();
   }
   if (!result_.error.empty()) return std::move(result_);
-  prepare_.start(), check_.start();
+  prepare_.start();
+  check_.start();
   const auto from = clock_.now();
   timeline_.run_until(from);
-  for (int g = 0; g < s_.gateways; ++g) start(g, false);
+  for (int g = 0; g < scenario_.gateways; ++g) start_gateway(g, false);
   timeline_.after(
-      std::chrono::milliseconds(20), [this] { watch_processes(); });
-  const auto all_in = [this] {
-    return std::all_of(gateways_.begin(), gateways_.end(), [](const Gateway& g) { return g.in; });
+      std::chrono::milliseconds(20), [this] { reap_processes(); });
+  const auto all_in_rotation = [this] {
+    return std::all_of(gateways_.begin(), gateways_.end(), [](const Gateway& g) { return g.in_rotation; });
   };
-  while (!all_in() && clock_.now() - from < ready_within && result_.error.empty() && result_.crashes == 0)
+  while (!all_in_rotation() && clock_.now() - from < startup_timeout && result_.error.empty() &&
+         result_.crashes == 0)
     loop_.run(ev::ONCE);
-  result_.start_up_s = static_cast<double>((clock_.now() - from).count()) / 1e6;
-  if (!all_in()) {
+  result_.startup_seconds = static_cast<double>((clock_.now() - from).count()) / 1e6;
+  if (!all_in_rotation()) {
     if (result_.error.empty())
       result_.error = result_.crashes > 0 ? "a gateway ends at its start, see its log"
                                           : "not all gateways are ready in time";
     return std::move(result_);
   }
   advance();
-  begun_ = timeline_.now();
+  load_started_at_ = timeline_.now();
   running_ = true;
-  result_.marks.clear();
-  const std::function<void()> beat = [this, &beat] {
-    for (auto* w : watches_) w->beat();
-    rules_->look(timeline_.now());
-    timeline_.after(std::chrono::seconds(1), beat);
+  result_.events.clear();
+  const std::function<void()> tick = [this, &tick] {
+    for (auto* w : discovery_links_) w->send_heartbeat();
+    rules_->check_timeouts(timeline_.now());
+    timeline_.after(std::chrono::seconds(1), tick);
   };
-  timeline_.after(std::chrono::seconds(1), beat);
-  if (o_.live)
-    for (int i = 1; i <= static_cast<int>(s_.length.count() / 1'000'000); ++i)
+  timeline_.after(std::chrono::seconds(1), tick);
+  if (options_.live)
+    for (int i = 1; i <= static_cast<int>(scenario_.run_time.count() / 1'000'000); ++i)
       timeline_.after(std::chrono::seconds(i), [this, i] {
         const auto& sec = result_.seconds[std::min(result_.seconds.size(), static_cast<std::size_t>(i)) - 1];
         std::printf("%6d s  asked %5llu  in time %5llu  refused %4llu  failed %4llu\n", i,
@@ -929,51 +1002,56 @@
                     static_cast<unsigned long long>(sec.failed));
         std::fflush(stdout);
       });
-  for (std::size_t f = 0; f < s_.faults.size(); ++f)
-    timeline_.after(s_.faults[f].at, [this, f] { apply(f); });
-  arrive();
+  for (std::size_t f = 0; f < scenario_.faults.size(); ++f)
+    timeline_.after(scenario_.faults[f].at, [this, f] { apply_fault(f); });
+  next_arrival();
   Duration longest{};
-  for (const auto& k : s_.classes) longest = std::max(longest, k.contract.deadline);
-  const auto end = begun_ + s_.length;
+  for (const auto& k : scenario_.classes) longest = std::max(longest, k.contract.deadline);
+  const auto end = load_started_at_ + scenario_.run_time;
   while (clock_.now() < end && !gave_up_) loop_.run(ev::ONCE);
   // What is open has its time, and as long again for a loop that is behind.
-  while (!tries_.empty() && !gave_up_ && clock_.now() < end + longest + std::chrono::seconds(2))
+  while (!open_attempts_.empty() && !gave_up_ && clock_.now() < end + longest + std::chrono::seconds(2))
     loop_.run(ev::ONCE);
   running_ = false;
-  if (!gave_up_) rules_->look(timeline_.now() + std::chrono::hours(1));
+  if (!gave_up_) rules_->check_timeouts(timeline_.now() + std::chrono::hours(1));
   stopping_ = true;
-  for (int g = 0; g < s_.gateways; ++g) signal(g, SIGCONT), signal(g, SIGTERM);
+  for (int g = 0; g < scenario_.gateways; ++g) {
+    signal_gateway(g, SIGCONT);
+    signal_gateway(g, SIGTERM);
+  }
   const auto running = [this] {
     return std::any_of(gateways_.begin(), gateways_.end(),
-                       [](const Gateway& g) { return g.pid > 0 || g.before > 0; });
+                       [](const Gateway& g) { return g.pid > 0 || g.previous_pid > 0; });
   };
   for (const auto until = clock_.now() + std::chrono::seconds(4); running() && clock_.now() < until;) {
     timeline_.after(std::chrono::milliseconds(20), [] {});
     loop_.run(ev::ONCE);
-    watch_processes();
+    reap_processes();
   }
-  prepare_.stop(), check_.stop(), due_.stop();
-  finish();
+  prepare_.stop();
+  check_.stop();
+  timer_.stop();
+  summarize();
   return std::move(result_);
 }
 
-void Rig::finish() {
-  result_.broken = rules_->broken();
+void Rig::summarize() {
+  result_.violation_count = rules_->violation_count();
   result_.violations = rules_->violations();
-  double asked = 0, got = 0;
-  for (std::size_t i = 0; i < s_.classes.size(); ++i) {
-    const auto& k = s_.classes[i].contract;
+  double possible_value = 0, earned_value = 0;
+  for (std::size_t i = 0; i < scenario_.classes.size(); ++i) {
+    const auto& k = scenario_.classes[i].contract;
     const auto& c = result_.classes[i];
-    asked += k.value * static_cast<double>(c.asked);
-    got += k.value * (static_cast<double>(c.in_time) + k.late_value * static_cast<double>(c.late));
+    possible_value += k.value * static_cast<double>(c.asked);
+    earned_value += k.value * (static_cast<double>(c.in_time) + k.late_value * static_cast<double>(c.late));
   }
-  result_.served_worth = asked > 0 ? got / asked : 0;
-  for (auto& sec : result_.seconds) sec.p99_ms = quantile(sec.ms, 0.99);
-  result_.lateness_p99_ms = quantile(lateness_, 0.99);
-  const auto late =
-      std::count_if(lateness_.begin(), lateness_.end(), [](float ms) { return ms > lateness_most_ms; });
-  result_.too_slow =
-      result_.too_slow || static_cast<double>(late) > late_share_most * static_cast<double>(lateness_.size());
+  result_.value_served = possible_value > 0 ? earned_value / possible_value : 0;
+  for (auto& sec : result_.seconds) sec.p99_ms = quantile(sec.latencies_ms, 0.99);
+  result_.send_delay_p99_ms = quantile(send_delays_, 0.99);
+  const auto late = std::count_if(send_delays_.begin(), send_delays_.end(),
+                                  [](float ms) { return ms > max_send_delay_ms; });
+  result_.too_slow = result_.too_slow ||
+                     static_cast<double>(late) > max_delayed_share * static_cast<double>(send_delays_.size());
 }
 
 }  // namespace cedarring::rig
--- a/src/tools/rig/scenario.cpp
+++ b/src/tools/rig/scenario.cpp
@@ -62,31 +62,32 @@
   }
 })";
 
-constexpr const char* words[] = {"kill",  "term",  "stop", "hup",   "upgrade", "slow",    "fail",  "silent",
-                                 "lag",   "drain", "cut",  "delay", "refuse",  "break",   "spoil", "late",
-                                 "hurry", "mute",  "tear", "loss",  "twice",   "disorder"};
+constexpr const char* fault_words[] = {
+    "kill",  "term",   "stop",  "hup",   "upgrade", "slow",  "fail", "silent", "lag",  "drain", "cut",
+    "delay", "refuse", "break", "spoil", "late",    "hurry", "mute", "tear",   "loss", "twice", "disorder"};
 
 Duration seconds(double s) { return Duration(static_cast<std::int64_t>(s * 1e6)); }
 
-Pick pick_of(const rapidjson::Value& v, const std::string& file, const std::string& at, const Scenario& s) {
-  Pick p;
+Target parse_target(const rapidjson::Value& v, const std::string& file, const std::string& at,
+                    const Scenario& s) {
+  Target p;
   const std::string of = v["of"].GetString();
-  p.kind = of == "gateways"  ? Pick::Kind::gateways
-           : of == "hosts"   ? Pick::Kind::hosts
-           : of == "primary" ? Pick::Kind::primary
-                             : Pick::Kind::discovery;
+  p.kind = of == "gateways"  ? Target::Kind::gateways
+           : of == "hosts"   ? Target::Kind::hosts
+           : of == "primary" ? Target::Kind::primary
+                             : Target::Kind::discovery;
   if (const auto* z = app::member(v, "zone")) {
     p.zone = z->GetString();
     if (std::find(s.zones.begin(), s.zones.end(), p.zone) == s.zones.end())
       throw app::flaw_at(file, at + "/zone", "one of the zones", app::shown(*z));
   }
   if (const auto* n = app::member(v, "numbers")) {
-    const int most = p.kind == Pick::Kind::gateways ? s.gateways
-                     : p.kind == Pick::Kind::hosts  ? s.groups * s.members
-                                                    : s.groups;
+    const int limit = p.kind == Target::Kind::gateways ? s.gateways
+                      : p.kind == Target::Kind::hosts  ? s.groups * s.members
+                                                       : s.groups;
     for (const auto& x : n->GetArray()) {
-      if (x.GetInt() >= most)
-        throw app::flaw_at(file, at + "/numbers", "numbers below " + std::to_string(most), app::shown(x));
+      if (x.GetInt() >= limit)
+        throw app::flaw_at(file, at + "/numbers", "numbers below " + std::to_string(limit), app::shown(x));
       p.numbers.push_back(x.GetInt());
     }
   }
@@ -95,28 +96,28 @@
 }
 
 /// What can be done to what.
-bool fits(Do what, Pick::Kind kind) {
-  switch (what) {
-    case Do::term:
-    case Do::stop:
-    case Do::hup:
-    case Do::upgrade:
-    case Do::loss:
-    case Do::twice:
-    case Do::disorder:
-    case Do::cut:
-    case Do::delay:
-      return kind == Pick::Kind::gateways;
-    case Do::mute:
-    case Do::tear:
-    case Do::refuse:
-      return kind == Pick::Kind::discovery;
-    case Do::kill:
-      return kind != Pick::Kind::discovery;
-    case Do::silent:
-      return kind != Pick::Kind::gateways;
+bool fault_applies_to(FaultKind fault, Target::Kind kind) {
+  switch (fault) {
+    case FaultKind::terminate:
+    case FaultKind::pause:
+    case FaultKind::reload:
+    case FaultKind::upgrade:
+    case FaultKind::loss:
+    case FaultKind::duplicate:
+    case FaultKind::reorder:
+    case FaultKind::cut:
+    case FaultKind::delay:
+      return kind == Target::Kind::gateways;
+    case FaultKind::stall_discovery:
+    case FaultKind::truncate_list:
+    case FaultKind::refuse:
+      return kind == Target::Kind::discovery;
+    case FaultKind::kill:
+      return kind != Target::Kind::discovery;
+    case FaultKind::silent:
+      return kind != Target::Kind::gateways;
     default:
-      return kind == Pick::Kind::hosts || kind == Pick::Kind::primary;
+      return kind == Target::Kind::hosts || kind == Target::Kind::primary;
   }
 }
 
@@ -127,11 +128,12 @@
   app::check_schema(d, schema, file);
   Scenario s;
   const auto world = lab::sapporo();
-  s.classes = world.classes, s.tenants = world.tenants;
+  s.classes = world.classes;
+  s.tenants = world.tenants;
   s.name = d["name"].GetString();
-  const auto number = [&](const char* key, double otherwise) {
+  const auto number = [&](const char* key, double default_value) {
     const auto* v = app::member(d, key);
-    return v ? v->GetDouble() : otherwise;
+    return v ? v->GetDouble() : default_value;
   };
   s.seed = static_cast<std::uint64_t>(number("seed", 1));
   s.gateways = static_cast<int>(number("gateways", s.gateways));
@@ -141,24 +143,28 @@
     s.zones.clear();
     for (const auto& x : z->GetArray()) s.zones.emplace_back(x.GetString());
   }
-  s.length = seconds(number("seconds", 10)), s.warm_up = seconds(number("warm_up_s", 2));
-  s.load = number("load", s.load), s.ramp = number("ramp", s.ramp);
-  s.takeover = seconds(number("takeover_s", 2)), s.list_late = seconds(number("list_late_s", 0.5));
-  s.front_late = seconds(number("front_late_s", 1));
-  s.cold = seconds(number("cold_s", 14)), s.cold_from = number("cold_from", s.cold_from);
+  s.run_time = seconds(number("seconds", 10));
+  s.warm_up = seconds(number("warm_up_s", 2));
+  s.load = number("load", s.load);
+  s.ramp = number("ramp", s.ramp);
+  s.takeover = seconds(number("takeover_s", 2));
+  s.discovery_delay = seconds(number("list_late_s", 0.5));
+  s.balancer_delay = seconds(number("front_late_s", 1));
+  s.warm_up_duration = seconds(number("cold_s", 14));
+  s.cold_capacity_share = number("cold_from", s.cold_capacity_share);
   s.memory_mb = static_cast<int>(number("memory_mb", s.memory_mb));
   s.sockets = static_cast<int>(number("sockets", s.sockets));
   s.host.cores = static_cast<int>(number("cores", s.host.cores));
   s.host.room = static_cast<int>(number("room", s.host.room));
   s.host.speed = number("speed", s.host.speed);
-  if (const auto* p = app::member(d, "peers")) s.peers = p->GetBool();
-  s.leaving = number("leaving", 0);
+  if (const auto* p = app::member(d, "peers")) s.peer_links = p->GetBool();
+  s.client_exit_share = number("leaving", 0);
   if (const auto* c = app::member(d, "checks")) s.host.checks = c->GetBool();
   s.host.connections = static_cast<int>(number("connections", 0));
   s.host.handshake = seconds(number("handshake_ms", 0) / 1000);
-  s.probe_price = number("probe_price", s.probe_price);
-  s.served_least = number("served_least", 0);
-  if (s.warm_up >= s.length)
+  s.probe_cost = number("probe_price", s.probe_cost);
+  s.min_value_served = number("served_least", 0);
+  if (s.warm_up >= s.run_time)
     throw app::flaw_at(file, "/warm_up_s", "less than seconds", std::to_string(number("warm_up_s", 2)));
   if (const auto* g = app::member(d, "gateway_file")) {
     rapidjson::StringBuffer b;
@@ -172,102 +178,142 @@
       const auto at = "/faults/" + std::to_string(i);
       Fault f;
       f.at = seconds(v["at_s"].GetDouble());
-      f.what =
-          static_cast<Do>(std::find(std::begin(words), std::end(words), std::string(v["do"].GetString())) -
-                          std::begin(words));
-      f.on = pick_of(v["on"], file, at + "/on", s);
-      if (!fits(f.what, f.on.kind))
+      f.kind = static_cast<FaultKind>(
+          std::find(std::begin(fault_words), std::end(fault_words), std::string(v["do"].GetString())) -
+          std::begin(fault_words));
+      f.target = parse_target(v["on"], file, at + "/on", s);
+      if (!fault_applies_to(f.kind, f.target.kind))
         throw app::flaw_at(file, at + "/on/of",
                            "what '" + std::string(v["do"].GetString()) + "' can be done to",
                            app::shown(v["on"]["of"]));
-      const bool datagrams = f.what == Do::loss || f.what == Do::twice || f.what == Do::disorder;
-      const bool link = f.what == Do::cut || f.what == Do::delay || datagrams;
-      if (link != v.HasMember("to"))
-        throw app::flaw_at(file, at + "/to", link ? "the hosts of the link" : "none", link ? "none" : "one");
-      if (link) {
-        f.to = pick_of(v["to"], file, at + "/to", s);
-        if (datagrams && f.to.kind != Pick::Kind::gateways)
+      const bool datagram_fault =
+          f.kind == FaultKind::loss || f.kind == FaultKind::duplicate || f.kind == FaultKind::reorder;
+      const bool link_fault = f.kind == FaultKind::cut || f.kind == FaultKind::delay || datagram_fault;
+      if (link_fault != v.HasMember("to"))
+        throw app::flaw_at(file, at + "/to", link_fault ? "the hosts of the link" : "none",
+                           link_fault ? "none" : "one");
+      if (link_fault) {
+        f.link_end = parse_target(v["to"], file, at + "/to", s);
+        if (datagram_fault && f.link_end.kind != Target::Kind::gateways)
           throw app::flaw_at(file, at + "/to/of", "gateways, as only they send datagrams",
                              app::shown(v["to"]["of"]));
-        if (f.to.kind == Pick::Kind::gateways && !s.peers)
+        if (f.link_end.kind == Target::Kind::gateways && !s.peer_links)
           throw app::flaw_at(file, "/peers", "true, where links between gateways have faults", "none");
       }
-      if (const auto* x = app::member(v, "for_s")) f.lasts = seconds(x->GetDouble());
+      if (const auto* x = app::member(v, "for_s")) f.duration = seconds(x->GetDouble());
       if (const auto* x = app::member(v, "factor")) f.factor = x->GetDouble();
       if (const auto* x = app::member(v, "reset")) f.reset = x->GetBool();
       if (const auto* x = app::member(v, "way")) {
         const std::string way = x->GetString();
-        f.there = way != "back", f.back = way != "there";
+        f.forward = way != "back";
+        f.reverse = way != "there";
       }
-      if (f.at >= s.length) throw app::flaw_at(file, at + "/at_s", "before the end", app::shown(v["at_s"]));
+      if (f.at >= s.run_time) throw app::flaw_at(file, at + "/at_s", "before the end", app::shown(v["at_s"]));
       s.faults.push_back(f);
     }
   return s;
 }
 
-double mean_work(const Scenario& s) {
+double mean_work_seconds(const Scenario& s) {
   double mean = 0, shares = 0;
-  for (const auto& k : s.classes)
-    mean += k.share * static_cast<double>((k.work_from + k.work_to).count()) / 2e6, shares += k.share;
+  for (const auto& k : s.classes) {
+    mean += k.share * static_cast<double>((k.work_from + k.work_to).count()) / 2e6;
+    shares += k.share;
+  }
   return mean / shares;
 }
 
-double full_rate(const Scenario& s) {
-  return 0.92 * s.groups * s.members * s.host.cores * s.host.speed / mean_work(s);
+double full_load_rate(const Scenario& s) {
+  return 0.92 * s.groups * s.members * s.host.cores * s.host.speed / mean_work_seconds(s);
 }
 
 std::string gateway_config(const Scenario& s, int gateway, const std::string& listen,
                            const std::string& control, const std::string& discovery,
-                           const std::string& known) {
+                           const std::string& initial_list) {
   rapidjson::StringBuffer b;
   rapidjson::Writer<rapidjson::StringBuffer> w(b);
-  const auto text = [&](const char* k, const std::string& v) { w.Key(k), w.String(v.c_str()); };
-  const auto whole = [&](const char* k, std::int64_t v) { w.Key(k), w.Int64(v); };
-  const auto real = [&](const char* k, double v) { w.Key(k), w.Double(v); };
-  const auto yes = [&](const char* k) { w.Key(k), w.Bool(true); };
+  const auto write_string = [&](const char* k, const std::string& v) {
+    w.Key(k);
+    w.String(v.c_str());
+  };
+  const auto write_integer = [&](const char* k, std::int64_t v) {
+    w.Key(k);
+    w.Int64(v);
+  };
+  const auto write_number = [&](const char* k, double v) {
+    w.Key(k);
+    w.Double(v);
+  };
+  const auto write_true = [&](const char* k) {
+    w.Key(k);
+    w.Bool(true);
+  };
   w.StartObject();
-  text("name", "g" + std::to_string(gateway)), text("listen", listen), text("control", control);
-  text("discovery", discovery);
+  write_string("name", "g" + std::to_string(gateway));
+  write_string("listen", listen);
+  write_string("control", control);
+  write_string("discovery", discovery);
   char seed[17];
   std::snprintf(seed, sizeof seed, "%llx",
                 static_cast<unsigned long long>(s.seed * 1000 + static_cast<std::uint64_t>(gateway)));
-  text("seed", seed);
-  w.Key("known"), w.RawValue(known.data(), known.size(), rapidjson::kObjectType);
-  w.Key("limits"), w.StartObject(), whole("memory_mb", s.memory_mb), whole("sockets", s.sockets),
-      w.EndObject();
-  w.Key("settings"), w.StartObject();
-  text("az", s.zones[static_cast<std::size_t>(gateway) % s.zones.size()]);
-  w.Key("zones"), w.StartArray();
+  write_string("seed", seed);
+  w.Key("known");
+  w.RawValue(initial_list.data(), initial_list.size(), rapidjson::kObjectType);
+  w.Key("limits");
+  w.StartObject();
+  write_integer("memory_mb", s.memory_mb);
+  write_integer("sockets", s.sockets);
+  w.EndObject();
+  w.Key("settings");
+  w.StartObject();
+  write_string("az", s.zones[static_cast<std::size_t>(gateway) % s.zones.size()]);
+  w.Key("zones");
+  w.StartArray();
   for (const auto& z : s.zones) w.String(z.c_str());
   w.EndArray();
-  whole("balancers", s.gateways), whole("position", gateway), text("registry_mode", "subscribe");
-  w.Key("classes"), w.StartArray();
+  write_integer("balancers", s.gateways);
+  write_integer("position", gateway);
+  write_string("registry_mode", "subscribe");
+  w.Key("classes");
+  w.StartArray();
   for (const auto& k : s.classes) {
     const auto& c = k.contract;
     w.StartObject();
-    text("name", c.name), whole("aim", c.latency_target.count() / 1000),
-        whole("deadline", c.deadline.count() / 1000);
-    real("importance", c.value), real("late_worth", c.late_value);
-    text("effect", c.idempotency == Idempotency::safe    ? "read_like"
-                   : c.idempotency == Idempotency::keyed ? "idempotency_key"
-                                                         : "non_idempotent");
-    text("group", "cell"), whole("window", c.dedup_window.count() / 1000);
+    write_string("name", c.name);
+    write_integer("aim", c.latency_target.count() / 1000);
+    write_integer("deadline", c.deadline.count() / 1000);
+    write_number("importance", c.value);
+    write_number("late_worth", c.late_value);
+    write_string("effect", c.idempotency == Idempotency::safe    ? "read_like"
+                           : c.idempotency == Idempotency::keyed ? "idempotency_key"
+                                                                 : "non_idempotent");
+    write_string("group", "cell");
+    write_integer("window", c.dedup_window.count() / 1000);
     w.EndObject();
   }
   w.EndArray();
-  w.Key("realms"), w.StartArray();
-  for (const auto& t : s.tenants)
-    w.StartObject(), text("name", t.name), real("quota_per_s", full_rate(s) * t.share / s.gateways),
-        w.EndObject();
+  w.Key("realms");
+  w.StartArray();
+  for (const auto& t : s.tenants) {
+    w.StartObject();
+    write_string("name", t.name);
+    write_number("quota_per_s", full_load_rate(s) * t.share / s.gateways);
+    w.EndObject();
+  }
   w.EndArray();
-  w.Key("specifics"), w.StartObject();
-  text("checks", s.host.checks ? "bounce" : "none"), text("list_role", "trailing"), yes("stamps"),
-      text("token_mode", "brought");
-  w.Key("class_bound"), w.StartArray();
+  w.Key("specifics");
+  w.StartObject();
+  write_string("checks", s.host.checks ? "bounce" : "none");
+  write_string("list_role", "trailing");
+  write_true("stamps");
+  write_string("token_mode", "brought");
+  w.Key("class_bound");
+  w.StartArray();
   for (const auto& k : s.classes)
     w.Int64(k.contract.freshness == Freshness::bounded ? k.contract.staleness_bound.count() / 1000 : 0);
   w.EndArray();
-  w.Key("needs_by_class"), w.StartArray();
+  w.Key("needs_by_class");
+  w.StartArray();
   for (const auto& k : s.classes) {
     const auto f = k.contract.freshness;
     w.String(f == Freshness::write     ? "mutate"
@@ -278,15 +324,30 @@
   }
   w.EndArray();
   w.EndObject();
-  w.Key("limits"), w.StartObject(), yes("may_probe"), yes("cancel"), yes("retry_after"),
-      whole("max_retry_after", 500);
-  whole("send_cap", 6), whole("connect_timeout", 250), whole("idle_close", 15000), w.EndObject();
-  w.Key("guarantees"), w.StartObject(), whole("ask_within", 10000), whole("cold", s.cold.count() / 1000);
-  real("cold_from", s.cold_from), real("tip_multiple", 2), whole("tip_after", 2000),
-      whole("stop_sending_within", 1000);
+  w.Key("limits");
+  w.StartObject();
+  write_true("may_probe");
+  write_true("cancel");
+  write_true("retry_after");
+  write_integer("max_retry_after", 500);
+  write_integer("send_cap", 6);
+  write_integer("connect_timeout", 250);
+  write_integer("idle_close", 15000);
+  w.EndObject();
+  w.Key("guarantees");
+  w.StartObject();
+  write_integer("ask_within", 10000);
+  write_integer("cold", s.warm_up_duration.count() / 1000);
+  write_number("cold_from", s.cold_capacity_share);
+  write_number("tip_multiple", 2);
+  write_integer("tip_after", 2000);
+  write_integer("stop_sending_within", 1000);
+  w.EndObject();
+  w.Key("prices");
+  w.StartObject();
+  write_number("probe", s.probe_cost);
   w.EndObject();
-  w.Key("prices"), w.StartObject(), real("probe", s.probe_price), w.EndObject();
-  whole("quantum", 5);
+  write_integer("quantum", 5);
   w.EndObject();
   w.EndObject();
   return b.GetString();
--- a/src/tools/rig/scenario.h
+++ b/src/tools/rig/scenario.h
@@ -11,18 +11,18 @@
 namespace cedarring::rig {
 
 /// Some of the gateways or hosts: of a zone, a group, by number; of those a share, drawn by the seed.
-struct Pick {
+struct Target {
   enum class Kind { gateways, hosts, primary, discovery } kind = Kind::gateways;
   std::string zone;          // empty: any
   std::vector<int> numbers;  // empty: any; of `primary`: groups
   double share = 1;
 };
 
-enum class Do {
+enum class FaultKind {
   kill,
-  term,
-  stop,
-  hup,
+  terminate,
+  pause,
+  reload,
   upgrade,
   slow,
   fail,
@@ -32,28 +32,28 @@
   cut,
   delay,
   refuse,
-  break_off,  // requests in work are reset, some behind a part of their answer
-  spoil,      // answers that are not what they should be, or never end
-  late,       // connections come up late
-  hurry,      // idle connections are closed early
-  mute,       // watches that are open fall silent and stay open
-  tear,       // watches end in the middle of a list
-  loss,       // of datagrams between gateways, as all that follow
-  twice,      // some come two times
-  disorder    // some come behind later ones
+  abort_request,    // requests in work are reset, some behind a part of their answer
+  bad_answer,       // answers that are not what they should be, or never end
+  slow_handshake,   // connections come up late
+  early_close,      // idle connections are closed early
+  stall_discovery,  // watches that are open fall silent and stay open
+  truncate_list,    // watches end in the middle of a list
+  loss,             // of datagrams between gateways, as all that follow
+  duplicate,        // some come two times
+  reorder           // some come behind later ones
 };
 
 struct Fault {
   Duration at{};
-  Do what = Do::kill;
-  Pick on;           // of a link: its gateways
-  Pick to;           // of a link: its hosts
-  Duration lasts{};  // 0: to the end
+  FaultKind kind = FaultKind::kill;
+  Target target;        // of a link: its gateways
+  Target link_end;      // of a link: its hosts
+  Duration duration{};  // 0: to the end
   // slow, lag: times as long; fail, break_off, spoil: share of the requests; loss, twice, disorder: of the
   // datagrams; delay, late, hurry: milliseconds
   double factor = 1;
-  bool reset = false;              // of a cut: connections are reset, and not silent
-  bool there = true, back = true;  // of a cut: which ways
+  bool reset = false;                   // of a cut: connections are reset, and not silent
+  bool forward = true, reverse = true;  // of a cut: which ways
 };
 
 struct Scenario {
@@ -61,26 +61,26 @@
   std::uint64_t seed = 1;
   int gateways = 3, groups = 3, members = 3;
   std::vector<std::string> zones{"a"};
-  Duration length{10'000'000}, warm_up{2'000'000};
+  Duration run_time{10'000'000}, warm_up{2'000'000};
   double load = 0.5;  // of what the hosts can do
   double ramp = 1;    // times that at the end
   Duration takeover{2'000'000};
-  Duration list_late{500'000};     // from a change to when discovery tells of it
-  Duration front_late{1'000'000};  // from a gateway's death to when the front sends elsewhere
-  Duration cold{14'000'000};
-  double cold_from = 0.17;
+  Duration discovery_delay{500'000};   // from a change to when discovery tells of it
+  Duration balancer_delay{1'000'000};  // from a gateway's death to when the front sends elsewhere
+  Duration warm_up_duration{14'000'000};
+  double cold_capacity_share = 0.17;
   int memory_mb = 64, sockets = 512;
   lab::HostSpec host;
   std::vector<lab::ClassSpec> classes;
   std::vector<lab::TenantSpec> tenants;
-  double leaving = 0;         // share of the requests whose clients leave before their time is up
-  double probe_price = 0.05;  // of a request's worth, as the settings tell it
+  double client_exit_share = 0;  // share of the requests whose clients leave before their time is up
+  double probe_cost = 0.05;      // of a request's worth, as the settings tell it
   // Of each gateway, as JSON; empty: none. Where gateways talk, @REAL@ is the address that it talks at,
   // @SHOWN@ the one that others reach it at, and "@SEEDS@" a list of the first three of those.
   std::string gateway_file;
-  bool peers = false;  // they do
+  bool peer_links = false;  // they do
   std::vector<Fault> faults;
-  double served_least = 0;  // of the worth, in time, for a verdict on figures; 0: none
+  double min_value_served = 0;  // of the worth, in time, for a verdict on figures; 0: none
 };
 
 /// Throws app::ConfigError, one line with the pointer.
@@ -90,10 +90,10 @@
 /// tells it.
 std::string gateway_config(const Scenario& s, int gateway, const std::string& listen,
                            const std::string& control, const std::string& discovery,
-                           const std::string& known);
+                           const std::string& initial_list);
 
 /// Mean seconds of a host's work that a request takes, and requests a second at `load` 1.
-double mean_work(const Scenario& s);
-double full_rate(const Scenario& s);
+double mean_work_seconds(const Scenario& s);
+double full_load_rate(const Scenario& s);
 
 }  // namespace cedarring::rig
--- a/tests/support/bad_gateway.cpp
+++ b/tests/support/bad_gateway.cpp
@@ -25,25 +25,25 @@
 
 std::string defect, discovery;
 std::mutex mutex;
-broker::MemberList known;
+broker::MemberList cached_members;
 
-broker::MemberList list() {
+broker::MemberList fetch_members() {
   const std::lock_guard lock(mutex);
-  if (!known.members.empty() && defect == "deaf") return known;
+  if (!cached_members.members.empty() && defect == "deaf") return cached_members;
   auto s = Socket::to(discovery);
   s.send("GET /catalog/members HTTP/1.1\r\nHost: d\r\n\r\n");
   std::string all;
   while (all.find("\r\n\r\n") == std::string::npos) {
     const auto c = s.read(1);
-    if (!c) return known;
+    if (!c) return cached_members;
     all += *c;
   }
   const auto body = s.read(std::strtoul(all.c_str() + all.find("Content-Length: ") + 16, nullptr, 10));
-  if (const auto l = body ? wire::parse_members(*body) : std::nullopt) known = *l;
-  return known;
+  if (const auto l = body ? wire::parse_members(*body) : std::nullopt) cached_members = *l;
+  return cached_members;
 }
 
-std::string message(Socket& s, char& type) {
+std::string read_message(Socket& s, char& type) {
   const auto head = s.read(5);
   if (!head) return type = 0, "";
   type = (*head)[0];
@@ -53,7 +53,7 @@
   return s.read(size - 4).value_or("");
 }
 
-Socket sent(const std::string& address, const std::string& sql) {
+Socket send_statement(const std::string& address, const std::string& sql) {
   auto s = Socket::to(address);
   std::string out;
   wire::pg::put_startup(out, "svc", "main");
@@ -63,11 +63,11 @@
 }
 
 /// What a host says to a statement, behind its welcome, up to the end of that answer.
-std::string answer(Socket& s) {
+std::string read_answer(Socket& s) {
   std::string all;
   for (int ready = 0; ready < 2;) {
     char type = 0;
-    const auto body = message(s, type);
+    const auto body = read_message(s, type);
     if (type == 0) return "";
     if (ready == 1) {
       all += type;
@@ -93,20 +93,23 @@
   client.send(out);
   for (std::size_t turn = 0;; ++turn) {
     char type = 0;
-    auto sql = message(client, type);
+    auto sql = read_message(client, type);
     if (type != 'Q') return;
     sql.pop_back();
     if (sql.empty()) {
-      out.clear(), wire::pg::put_empty(out), wire::pg::put_ready(out), client.send(out);
+      out.clear();
+      wire::pg::put_empty(out);
+      wire::pg::put_ready(out);
+      client.send(out);
       continue;
     }
     wire::StatementInfo info;
     std::string missing;
     wire::parse_statement(sql, info, missing);
     const bool read = info.contract == "history" || (defect == "stale" && info.contract == "desk-view");
-    const auto all = list();
+    const auto members = fetch_members();
     std::vector<std::string> hosts;
-    for (const auto& m : all.members)
+    for (const auto& m : members.members)
       if (m.group.value == *info.cluster && m.state == HostState::ready && m.primary != read)
         hosts.push_back(m.address);
     if (hosts.empty()) return;
@@ -114,18 +117,19 @@
     if (defect == "mute") continue;
     if (defect == "unseen") std::this_thread::sleep_for(450ms);  // does not look whether its client is there
     if (defect == "repeat" && info.contract == "bid-submit") {
-      sent(to, sql);
+      send_statement(to, sql);
       std::this_thread::sleep_for(1400ms);  // its window is over, its time is not
     }
     if (defect == "seven")
-      for (int i = 0; i < 6; ++i) sent(to, sql);
-    std::optional<Socket> other;
-    if (defect == "twice" && read) other = sent(hosts[(turn + 1) % hosts.size()], sql);
-    auto host = sent(to, sql);
-    auto said = answer(host);
-    if (said.empty()) return;
-    if (const auto at = said.find(info.id); defect == "invents" && at != std::string::npos) said[at] = '?';
-    client.send(said);
+      for (int i = 0; i < 6; ++i) send_statement(to, sql);
+    std::optional<Socket> second_host;
+    if (defect == "twice" && read) second_host = send_statement(hosts[(turn + 1) % hosts.size()], sql);
+    auto host = send_statement(to, sql);
+    auto host_answer = read_answer(host);
+    if (host_answer.empty()) return;
+    if (const auto at = host_answer.find(info.id); defect == "invents" && at != std::string::npos)
+      host_answer[at] = '?';
+    client.send(host_answer);
   }
 }
 
@@ -141,7 +145,7 @@
   discovery = d["discovery"].GetString();
   auto listener = wire::listen_on(d["listen"].GetString());
   if (listener.get() < 0) return 1;
-  list();
+  fetch_members();
   std::thread([] {  // is told of all changes; `deaf` takes no notice
     auto s = Socket::to(discovery);
     s.send("GET /catalog/members?follow=1&since=0 HTTP/1.1\r\nHost: d\r\n\r\n");
