--- a/src/tools/rig/links.cpp
+++ b/src/tools/rig/links.cpp
@@ -84,7 +84,7 @@
 
 bool HostLink::requests_cut() const {
   const auto& h = rig_.hosts_[static_cast<std::size_t>(host_)];
-  return rig_.link_fault_of(gateway_, host_).requests_cut || h.model->silent();
+  return rig_.link_fault_of(gateway_, host_).requests_cut || h.model->unresponsive();
 }
 
 void HostLink::on_link_change() {
@@ -221,7 +221,7 @@
   const auto now = rig_.timeline_.now();
   std::string out;
   if (sql == "SHOW health") {
-    const auto r = h.model->report();
+    const auto r = h.model->load_report();
     char text[96];
     std::snprintf(text, sizeof text, "x0=%.3f,x1=%d,pending=%d",
                   static_cast<double>(r.position->count()) / 1e6, r.role == Role::primary ? 1 : 0,
@@ -253,31 +253,31 @@
   aborts_at_answer_ = false;
   if (h.abort_share > 0 && draw(rig_.fault_random_) < h.abort_share) schedule_abort(work);
   if (h.failure_share > 0 && draw(rig_.fault_random_) < h.failure_share)
-    return send_answer(job, Outcome::error, h.model->note());
+    return send_answer(job, Outcome::error, h.model->metadata());
   lab::Job j;
   j.work = Duration(static_cast<std::int64_t>(static_cast<double>(work.count()) * h.slowdown));
   if (request) {
-    const auto& c = rig_.scenario_.classes[request->class_index].contract;
+    const auto& c = rig_.scenario_.classes[request->class_index].request_class;
     j.write = c.freshness == Freshness::write;
     j.freshness = c.freshness;
-    j.bound = c.staleness_bound;
+    j.staleness_bound = c.staleness_bound;
   }
-  j.done = [&rig = rig_, number = number_, job](Outcome outcome, AnswerMetadata note) {
+  j.on_done = [&rig = rig_, number = number_, job](Outcome outcome, AnswerMetadata metadata) {
     const auto link = rig.host_links_.find(number);
-    if (link != rig.host_links_.end()) link->second->send_answer(job, outcome, note);
+    if (link != rig.host_links_.end()) link->second->send_answer(job, outcome, metadata);
   };
   job_ = 0;
-  const auto offered_job = h.model->offer(std::move(j));
+  const auto offered_job = h.model->submit(std::move(j));
   if (!closed() && !request_.empty() && job_count_ == job) job_ = offered_job;
 }
 
-void HostLink::send_answer(std::uint64_t job, Outcome outcome, AnswerMetadata note) {
+void HostLink::send_answer(std::uint64_t job, Outcome outcome, AnswerMetadata metadata) {
   if (closed() || job != job_count_ || request_.empty()) return;
   job_ = 0;
   std::string out;
   const auto status = [&] {
-    put_status(out, "recovery", note.role == Role::primary ? "off" : "on");
-    if (note.position) put_status(out, "lsn_ms", std::to_string(note.position->count() / 1000));
+    put_status(out, "recovery", metadata.role == Role::primary ? "off" : "on");
+    if (metadata.position) put_status(out, "lsn_ms", std::to_string(metadata.position->count() / 1000));
     wire::pg::put_ready(out);
   };
   const auto it = rig_.open_attempts_.find(request_);
@@ -286,13 +286,13 @@
       outcome == Outcome::ok && h.bad_answer_share > 0 && draw(rig_.fault_random_) < h.bad_answer_share;
   const bool write =
       it != rig_.open_attempts_.end() &&
-      rig_.scenario_.classes[it->second.request->class_index].contract.freshness == Freshness::write;
+      rig_.scenario_.classes[it->second.request->class_index].request_class.freshness == Freshness::write;
   switch (outcome) {
     case Outcome::ok:
       put_row(out, request_);
       // A bad answer was executed all the same; its attempt is open until the connection ends.
       if (!bad_answer)
-        end_attempt(aborts_at_answer_ ? AttemptEnd::closed : AttemptEnd::served, note.position);
+        end_attempt(aborts_at_answer_ ? AttemptEnd::closed : AttemptEnd::served, metadata.position);
       break;
     case Outcome::too_stale:
       wire::pg::put_error(out, false, write ? "25006" : "72000", "not here");
--- a/src/tools/rig/links.h
+++ b/src/tools/rig/links.h
@@ -35,7 +35,7 @@
   void on_input() override;
   void on_end(int error) override;
   void on_query(std::string_view sql);
-  void send_answer(std::uint64_t job, Outcome outcome, AnswerMetadata note);
+  void send_answer(std::uint64_t job, Outcome outcome, AnswerMetadata metadata);
   void send(const std::string& bytes);
   void end_attempt(AttemptEnd end, std::optional<Time> position);
   [[nodiscard]] bool requests_cut() const;
--- a/src/tools/rig/main.cpp
+++ b/src/tools/rig/main.cpp
@@ -101,33 +101,33 @@
 /// Runs the scenario in simulated time, without processes. Of its faults only the loss of a single primary is
 /// simulated.
 void simulate(const rig::Scenario& scenario) {
-  auto config = lab::sapporo();
+  auto config = lab::reference_deployment();
   config.seed = scenario.seed;
   config.gateways = scenario.gateways;
   config.groups = scenario.groups;
-  config.members = scenario.members;
+  config.hosts_per_group = scenario.members;
   config.host = scenario.host;
   config.classes = scenario.classes;
   config.tenants = scenario.tenants;
   config.load = scenario.load;
-  config.length = scenario.run_time;
+  config.duration = scenario.run_time;
   config.warm_up = scenario.warm_up;
-  config.probe_price = scenario.probe_cost;
+  config.probe_cost = scenario.probe_cost;
   std::size_t left_out = 0;
   for (const auto& f : scenario.faults)
     if (f.kind == rig::FaultKind::kill && f.target.kind == rig::Target::Kind::primary &&
         f.target.numbers.size() == 1)
-      config.losses.push_back({f.at, f.target.numbers[0], scenario.takeover});
+      config.primary_failures.push_back({f.at, f.target.numbers[0], scenario.takeover});
     else
       ++left_out;
-  const auto result = lab::run(config);
+  const auto result = lab::simulate(config);
   std::printf("%s in simulated time, %zu faults left out\n%-12s %8s %8s\n", scenario.name.c_str(), left_out,
               "class", "asked", "in time");
   for (std::size_t k = 0; k < config.classes.size(); ++k) {
     const auto &in = result.within[k], &beyond = result.beyond[k];
-    const auto asked = in.asked + beyond.asked;
+    const auto asked = in.requests + beyond.requests;
     std::printf(
-        "%-12s %8llu %8.4f\n", config.classes[k].contract.name.c_str(),
+        "%-12s %8llu %8.4f\n", config.classes[k].request_class.name.c_str(),
         static_cast<unsigned long long>(asked),
         static_cast<double>(in.in_time + beyond.in_time) / std::max<double>(1, static_cast<double>(asked)));
   }
--- a/src/tools/rig/report.cpp
+++ b/src/tools/rig/report.cpp
@@ -60,7 +60,7 @@
     auto& class_result = result.classes[i];
     const auto n = [](std::uint64_t v) { return static_cast<unsigned long long>(v); };
     print("%-12s %8llu %8llu %7llu %8llu %7llu %6llu %8.1f %8.1f\n",
-          scenario.classes[i].contract.name.c_str(), n(class_result.asked), n(class_result.in_time),
+          scenario.classes[i].request_class.name.c_str(), n(class_result.asked), n(class_result.in_time),
           n(class_result.late), n(class_result.refused), n(class_result.failed), n(class_result.lost),
           quantile(class_result.latencies_ms, 0.5), quantile(class_result.latencies_ms, 0.99));
   }
@@ -125,7 +125,7 @@
   for (std::size_t i = 0; i < result.classes.size(); ++i) {
     auto& class_result = result.classes[i];
     writer.StartObject();
-    write_string("class", scenario.classes[i].contract.name);
+    write_string("class", scenario.classes[i].request_class.name);
     write_integer("asked", class_result.asked);
     write_integer("in_time", class_result.in_time);
     write_integer("late", class_result.late);
--- a/src/tools/rig/rig.cpp
+++ b/src/tools/rig/rig.cpp
@@ -66,8 +66,8 @@
 std::vector<ClassRule> class_rules(const Scenario& s) {
   std::vector<ClassRule> all;
   for (const auto& k : s.classes)
-    all.push_back({k.contract.idempotency, k.contract.dedup_scope, k.contract.dedup_window,
-                   k.contract.freshness, k.contract.staleness_bound});
+    all.push_back({k.request_class.idempotency, k.request_class.dedup_scope, k.request_class.dedup_window,
+                   k.request_class.freshness, k.request_class.staleness_bound});
   return all;
 }
 
@@ -104,7 +104,7 @@
 // ---- clock ----
 void Rig::advance() {
   const auto now = clock_.now();
-  if (const auto due = timeline_.due(); due && rules_ && now - *due > stall_threshold)
+  if (const auto due = timeline_.next_due(); due && rules_ && now - *due > stall_threshold)
     rules_->excuse_all(*due, now + stall_threshold);
   timeline_.run_until(now);
 }
@@ -112,7 +112,7 @@
 void Rig::before_blocking(ev::prepare&, int) {
   advance();
   timer_.stop();
-  if (const auto next = timeline_.due())
+  if (const auto next = timeline_.next_due())
     timer_.start(std::max(0.0, static_cast<double>((*next - clock_.now()).count()) / 1e6));
 }
 
@@ -212,7 +212,7 @@
     m.group = h.group->id();
     m.state = h.draining ? HostState::draining : HostState::ready;
     m.primary = h.group->primary() == h.model;
-    if (h.model->started() > Time{}) m.started_at = h.model->started();
+    if (h.model->started_at() > Time{}) m.started_at = h.model->started_at();
     l.members.push_back(m);
   }
   return wire::members_json(l);
@@ -259,14 +259,14 @@
   h.accept_watchers.clear();
   h.listeners.clear();
   if (h.group->primary() == h.model) {
-    h.group->lose_primary(
+    h.group->fail_primary(
         scenario_.takeover,
         [this](lab::HostModel&) {
           add_event("a group has a primary again");
           on_list_change();
         });
   } else {
-    h.model->die();
+    h.model->crash();
   }
   std::vector<HostLink*> links;
   for (const auto& [n, link] : host_links_)
@@ -457,11 +457,10 @@
   const auto& k = scenario_.classes[r->class_index];
   r->group = static_cast<int>(draw(arrival_random_) * scenario_.groups);
   r->key = std::to_string(static_cast<int>(draw(arrival_random_) * 5000));
-  r->work =
-      k.work_from + Duration(static_cast<std::int64_t>(
-                        static_cast<double>((k.work_to - k.work_from).count()) * draw(arrival_random_)));
+  r->work = k.min_work + Duration(static_cast<std::int64_t>(
+                             static_cast<double>((k.max_work - k.min_work).count()) * draw(arrival_random_)));
   r->arrived_at = intended;
-  r->deadline = intended + k.contract.deadline;
+  r->deadline = intended + k.request_class.deadline;
   const double delay_ms = static_cast<double>((clock_.now() - intended).count()) / 1000;
   send_delays_.push_back(static_cast<float>(delay_ms));
   current_second().worst_send_delay_ms = std::max(current_second().worst_send_delay_ms, delay_ms);
@@ -518,7 +517,7 @@
   char id[24];
   std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(next_id_++));
   attempt.id = id;
-  const auto& k = scenario_.classes[r->class_index].contract;
+  const auto& k = scenario_.classes[r->class_index].request_class;
   const bool write = k.freshness == Freshness::write;
   std::string sql = write ? "INSERT INTO records (k, v) VALUES ('" + r->key + "', '\\x9f') RETURNING v"
                           : "SELECT v FROM records WHERE k = '" + r->key + "'";
@@ -572,7 +571,7 @@
 void Rig::terminate_gateway(int n) {
   auto& g = gateways_[static_cast<std::size_t>(n)];
   Duration longest{};
-  for (const auto& k : scenario_.classes) longest = std::max(longest, k.contract.deadline);
+  for (const auto& k : scenario_.classes) longest = std::max(longest, k.request_class.deadline);
   const auto pid = g.pid;
   g.should_run = false;
   g.terminating = true;
@@ -611,7 +610,7 @@
     open_attempts_.erase(attempt.id);
   }
   const auto& r = *attempt.request;
-  const auto& k = scenario_.classes[r.class_index].contract;
+  const auto& k = scenario_.classes[r.class_index].request_class;
   if (answer == Answer::refused && r.attempts < 2) {
     const auto wait = retry_after > Duration::zero() ? retry_after : Duration(200'000);
     if (now + wait < r.deadline) {
@@ -814,8 +813,8 @@
       break;
     }
     case FaultKind::lag:
-      for_hosts([&](int h) { host(h).model->set_slow_apply(fault.factor); },
-                [this](int h) { hosts_[static_cast<std::size_t>(h)].model->set_slow_apply(1); });
+      for_hosts([&](int h) { host(h).model->set_apply_slowdown(fault.factor); },
+                [this](int h) { hosts_[static_cast<std::size_t>(h)].model->set_apply_slowdown(1); });
       break;
     case FaultKind::silent: {
       std::set<std::pair<int, int>> pairs;
@@ -824,7 +823,7 @@
       const auto set = [this, pairs, targets](bool silent) {
         for (const int h : targets)
           if (h >= 0)
-            hosts_[static_cast<std::size_t>(h)].model->set_silent(silent);
+            hosts_[static_cast<std::size_t>(h)].model->set_unresponsive(silent);
           else
             for (int g = 0; g < scenario_.gateways; ++g) link_fault(g, -1) = {silent, silent, {}};
         update_links(pairs, false);
@@ -939,7 +938,7 @@
   }
   hosts_.resize(static_cast<std::size_t>(count));
   for (int g = 0; g < scenario_.groups; ++g) {
-    groups_.push_back(std::make_unique<lab::Ledger>(timeline_, GroupId{g + 1}));
+    groups_.push_back(std::make_unique<lab::ReplicaGroup>(timeline_, GroupId{g + 1}));
     for (int m = 0; m < scenario_.members; ++m) {
       auto& h = hosts_[static_cast<std::size_t>(g * scenario_.members + m)];
       h.id = "h" + std::to_string(g * scenario_.members + m);
@@ -1008,7 +1007,7 @@
     timeline_.after(scenario_.faults[f].at, [this, f] { apply_fault(f); });
   next_arrival();
   Duration longest{};
-  for (const auto& k : scenario_.classes) longest = std::max(longest, k.contract.deadline);
+  for (const auto& k : scenario_.classes) longest = std::max(longest, k.request_class.deadline);
   const auto end = load_started_at_ + scenario_.run_time;
   while (clock_.now() < end && !gave_up_) loop_.run(ev::ONCE);
   // Waits for open requests until their deadlines, plus a margin for a delayed event loop.
@@ -1042,7 +1041,7 @@
   result_.violations = rules_->violations();
   double possible_value = 0, earned_value = 0;
   for (std::size_t i = 0; i < scenario_.classes.size(); ++i) {
-    const auto& k = scenario_.classes[i].contract;
+    const auto& k = scenario_.classes[i].request_class;
     const auto& c = result_.classes[i];
     possible_value += k.value * static_cast<double>(c.asked);
     earned_value += k.value * (static_cast<double>(c.in_time) + k.late_value * static_cast<double>(c.late));
--- a/src/tools/rig/rig.h
+++ b/src/tools/rig/rig.h
@@ -100,7 +100,7 @@
   /// An emulated host: its model, its listeners and the faults in effect.
   struct Host {
     lab::HostModel* model = nullptr;
-    lab::Ledger* group = nullptr;
+    lab::ReplicaGroup* group = nullptr;
     int group_index = 0;
     std::vector<wire::Fd> listeners;  // one for each gateway, or a single one for all
     std::vector<std::unique_ptr<ev::io>> accept_watchers;
@@ -197,7 +197,7 @@
   ev::check check_;
   ev::timer timer_;
   std::vector<Gateway> gateways_;
-  std::vector<std::unique_ptr<lab::Ledger>> groups_;
+  std::vector<std::unique_ptr<lab::ReplicaGroup>> groups_;
   std::vector<Host> hosts_;
   std::map<std::pair<int, int>, LinkFault> link_faults_;
   std::map<std::pair<int, int>, LinkState> peer_links_;  // by sending and receiving gateway
--- a/src/tools/rig/scenario.cpp
+++ b/src/tools/rig/scenario.cpp
@@ -127,7 +127,7 @@
   const auto document = app::parse_object(text, file);
   app::check_schema(document, schema, file);
   Scenario scenario;
-  const auto world = lab::sapporo();
+  const auto world = lab::reference_deployment();
   scenario.classes = world.classes;
   scenario.tenants = world.tenants;
   scenario.name = document["name"].GetString();
@@ -155,13 +155,13 @@
   scenario.memory_mb = static_cast<int>(number("memory_mb", scenario.memory_mb));
   scenario.sockets = static_cast<int>(number("sockets", scenario.sockets));
   scenario.host.cores = static_cast<int>(number("cores", scenario.host.cores));
-  scenario.host.room = static_cast<int>(number("room", scenario.host.room));
+  scenario.host.max_requests = static_cast<int>(number("room", scenario.host.max_requests));
   scenario.host.speed = number("speed", scenario.host.speed);
   if (const auto* p = app::member(document, "peers")) scenario.peer_links = p->GetBool();
   scenario.client_exit_share = number("leaving", 0);
-  if (const auto* c = app::member(document, "checks")) scenario.host.checks = c->GetBool();
-  scenario.host.connections = static_cast<int>(number("connections", 0));
-  scenario.host.handshake = to_duration(number("handshake_ms", 0) / 1000);
+  if (const auto* c = app::member(document, "checks")) scenario.host.checks_staleness = c->GetBool();
+  scenario.host.max_connections = static_cast<int>(number("connections", 0));
+  scenario.host.handshake_work = to_duration(number("handshake_ms", 0) / 1000);
   scenario.probe_cost = number("probe_price", scenario.probe_cost);
   scenario.min_value_served = number("served_least", 0);
   if (scenario.warm_up >= scenario.run_time)
@@ -218,7 +218,7 @@
 double mean_work_seconds(const Scenario& scenario) {
   double mean = 0, shares = 0;
   for (const auto& k : scenario.classes) {
-    mean += k.share * static_cast<double>((k.work_from + k.work_to).count()) / 2e6;
+    mean += k.share * static_cast<double>((k.min_work + k.max_work).count()) / 2e6;
     shares += k.share;
   }
   return mean / shares;
@@ -279,7 +279,7 @@
   writer.Key("classes");
   writer.StartArray();
   for (const auto& k : scenario.classes) {
-    const auto& c = k.contract;
+    const auto& c = k.request_class;
     writer.StartObject();
     write_string("name", c.name);
     write_integer("aim", c.latency_target.count() / 1000);
@@ -305,19 +305,20 @@
   writer.EndArray();
   writer.Key("specifics");
   writer.StartObject();
-  write_string("checks", scenario.host.checks ? "bounce" : "none");
+  write_string("checks", scenario.host.checks_staleness ? "bounce" : "none");
   write_string("list_role", "trailing");
   write_true("stamps");
   write_string("token_mode", "brought");
   writer.Key("class_bound");
   writer.StartArray();
   for (const auto& k : scenario.classes)
-    writer.Int64(k.contract.freshness == Freshness::bounded ? k.contract.staleness_bound.count() / 1000 : 0);
+    writer.Int64(
+        k.request_class.freshness == Freshness::bounded ? k.request_class.staleness_bound.count() / 1000 : 0);
   writer.EndArray();
   writer.Key("needs_by_class");
   writer.StartArray();
   for (const auto& k : scenario.classes) {
-    const auto f = k.contract.freshness;
+    const auto f = k.request_class.freshness;
     writer.String(f == Freshness::write     ? "mutate"
                   : f == Freshness::fresh   ? "strong"
                   : f == Freshness::session ? "causal"
