--- a/src/tools/rig/links.cpp
+++ b/src/tools/rig/links.cpp
@@ -17,15 +17,15 @@
 // Share of the connections that the slow_handshake fault delays.
 constexpr double slow_handshake_share = 0.34;
 
-double draw(lab::Random& r) { return static_cast<double>(r() >> 11U) * 0x1p-53; }
+double draw(lab::Random& random) { return static_cast<double>(random() >> 11U) * 0x1p-53; }
 /// Size line of the HTTP chunk for a list and its newline.
 std::string chunk_head(const std::string& list) {
   char size[20];
   std::snprintf(size, sizeof size, "%zx\r\n", list.size() + 1);
   return size;
 }
-Duration scaled(Duration d, double share) {
-  return Duration(static_cast<std::int64_t>(static_cast<double>(d.count()) * share));
+Duration scaled(Duration duration, double share) {
+  return Duration(static_cast<std::int64_t>(static_cast<double>(duration.count()) * share));
 }
 
 void put_int(std::string& out, std::uint64_t v, int bytes) {
@@ -68,8 +68,8 @@
 
 bool Link::peer_closed() const {
   if (closed()) return true;
-  pollfd p{descriptor(), POLLRDHUP, 0};
-  return ::poll(&p, 1, 0) > 0 && (p.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+  pollfd poll_entry{descriptor(), POLLRDHUP, 0};
+  return ::poll(&poll_entry, 1, 0) > 0 && (poll_entry.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
 // ---- hosts ----
@@ -83,8 +83,8 @@
 }
 
 bool HostLink::requests_cut() const {
-  const auto& h = rig_.hosts_[static_cast<std::size_t>(host_)];
-  return rig_.link_fault_of(gateway_, host_).requests_cut || h.model->unresponsive();
+  const auto& host = rig_.hosts_[static_cast<std::size_t>(host_)];
+  return rig_.link_fault_of(gateway_, host_).requests_cut || host.model->unresponsive();
 }
 
 void HostLink::on_link_change() {
@@ -96,16 +96,16 @@
 
 void HostLink::send(const std::string& bytes) {
   if (closed()) return;
-  const auto& t = rig_.link_fault_of(gateway_, host_);
-  if (t.answers_cut) {
+  const auto& fault = rig_.link_fault_of(gateway_, host_);
+  if (fault.answers_cut) {
     unsent_ += bytes;
     return;
   }
-  if (t.delay <= Duration::zero()) {
+  if (fault.delay <= Duration::zero()) {
     write(bytes);
     return;
   }
-  rig_.timeline_.after(t.delay, [&rig = rig_, number = number_, bytes] {
+  rig_.timeline_.after(fault.delay, [&rig = rig_, number = number_, bytes] {
     if (const auto it = rig.host_links_.find(number); it != rig.host_links_.end() && !it->second->closed())
       it->second->write(bytes);
   });
@@ -121,10 +121,10 @@
 }
 
 void HostLink::on_idle() {
-  const auto& h = rig_.hosts_[static_cast<std::size_t>(host_)];
-  if (h.idle_timeout > Duration::zero())
-    after(h.idle_timeout, [job_count = job_count_](HostLink& me) {
-      if (me.request_.empty() && me.job_count_ == job_count) me.shut_down(false);
+  const auto& host = rig_.hosts_[static_cast<std::size_t>(host_)];
+  if (host.idle_timeout > Duration::zero())
+    after(host.idle_timeout, [job_count = job_count_](HostLink& link) {
+      if (link.request_.empty() && link.job_count_ == job_count) link.shut_down(false);
     });
 }
 
@@ -134,8 +134,8 @@
     aborts_at_answer_ = true;
     return;
   }
-  after(scaled(work, draw(draws) * 1.5), [job = job_count_](HostLink& me) {
-    if (!me.request_.empty() && me.job_count_ == job) me.shut_down(true);
+  after(scaled(work, draw(draws) * 1.5), [job = job_count_](HostLink& link) {
+    if (!link.request_.empty() && link.job_count_ == job) link.shut_down(true);
   });
 }
 
@@ -170,7 +170,7 @@
   std::string out;
   put_status(out, "more", "and more");
   send(out);
-  after(Duration(20'000), [](HostLink& me) { me.send_endlessly(); });
+  after(Duration(20'000), [](HostLink& link) { link.send_endlessly(); });
 }
 
 void HostLink::on_input() {
@@ -185,24 +185,24 @@
         return shut_down(false);
       in_.consume(startup.size);
       startup_received_ = true;
-      const auto& h = rig_.hosts_[static_cast<std::size_t>(host_)];
-      const auto up = [&rig = rig_, number = number_] {
+      const auto& host = rig_.hosts_[static_cast<std::size_t>(host_)];
+      const auto on_connected = [&rig = rig_, number = number_] {
         const auto it = rig.host_links_.find(number);
         if (it != rig.host_links_.end()) it->second->on_host_connected();
       };
-      if (counted_ = h.model->connect(up); counted_) return;
+      if (counted_ = host.model->connect(on_connected); counted_) return;
       std::string out;
       wire::pg::put_error(out, true, "53300", "too many connections");
       write(out);
       return shut_down(false);
     }
-    wire::pg::Message m;
-    const auto frame = wire::pg::next_message(in, max_message_bytes, m);
+    wire::pg::Message message;
+    const auto frame = wire::pg::next_message(in, max_message_bytes, message);
     if (frame == wire::pg::Frame::partial) return;
-    if (frame == wire::pg::Frame::bad || m.type == 'X') return shut_down(false);
-    std::string sql(m.body.substr(0, m.body.empty() ? 0 : m.body.size() - 1));
-    const char type = m.type;
-    in_.consume(m.size);
+    if (frame == wire::pg::Frame::bad || message.type == 'X') return shut_down(false);
+    std::string sql(message.body.substr(0, message.body.empty() ? 0 : message.body.size() - 1));
+    const char type = message.type;
+    in_.consume(message.size);
     if (type == 'Q') on_query(sql);
   }
 }
@@ -210,22 +210,23 @@
 /// Called by the host model when the connection handshake is over.
 
 void HostLink::on_host_connected() {
-  const auto& h = rig_.hosts_[static_cast<std::size_t>(host_)];
-  if (h.handshake_delay <= Duration::zero() || draw(rig_.fault_random_) >= slow_handshake_share)
+  const auto& host = rig_.hosts_[static_cast<std::size_t>(host_)];
+  if (host.handshake_delay <= Duration::zero() || draw(rig_.fault_random_) >= slow_handshake_share)
     return complete_handshake();
-  after(scaled(h.handshake_delay, draw(rig_.fault_random_)), [](HostLink& me) { me.complete_handshake(); });
+  after(scaled(host.handshake_delay, draw(rig_.fault_random_)),
+        [](HostLink& link) { link.complete_handshake(); });
 }
 
 void HostLink::on_query(std::string_view sql) {
-  auto& h = rig_.hosts_[static_cast<std::size_t>(host_)];
+  auto& host = rig_.hosts_[static_cast<std::size_t>(host_)];
   const auto now = rig_.timeline_.now();
   std::string out;
   if (sql == "SHOW health") {
-    const auto r = h.model->load_report();
+    const auto report = host.model->load_report();
     char text[96];
     std::snprintf(text, sizeof text, "x0=%.3f,x1=%d,pending=%d",
-                  static_cast<double>(r.position->count()) / 1e6, r.role == Role::primary ? 1 : 0,
-                  static_cast<int>(*r.queue_length));
+                  static_cast<double>(report.position->count()) / 1e6, report.role == Role::primary ? 1 : 0,
+                  static_cast<int>(*report.queue_length));
     put_row(out, text);
     wire::pg::put_ready(out);
     return send(out);
@@ -244,30 +245,30 @@
   const auto work = request ? request->work : Duration(50'000);
   const bool connection_ended = peer_closed();
   request_ = id;
-  attempt_ = rig_.rules_->on_attempt(id, gateway_, host_, h.group_index, work, now, connection_ended);
+  attempt_ = rig_.rules_->on_attempt(id, gateway_, host_, host.group_index, work, now, connection_ended);
   ++rig_.result_.attempts;
   if (rig_.running_) ++rig_.current_second().attempts_by_host[static_cast<std::size_t>(host_)];
   rig_.links_by_request_[id].push_back(this);
   const auto job = ++job_count_;
   if (connection_ended) return;  // on_end() follows
   aborts_at_answer_ = false;
-  if (h.abort_share > 0 && draw(rig_.fault_random_) < h.abort_share) schedule_abort(work);
-  if (h.failure_share > 0 && draw(rig_.fault_random_) < h.failure_share)
-    return send_answer(job, Outcome::error, h.model->metadata());
-  lab::Job j;
-  j.work = Duration(static_cast<std::int64_t>(static_cast<double>(work.count()) * h.slowdown));
+  if (host.abort_share > 0 && draw(rig_.fault_random_) < host.abort_share) schedule_abort(work);
+  if (host.failure_share > 0 && draw(rig_.fault_random_) < host.failure_share)
+    return send_answer(job, Outcome::error, host.model->metadata());
+  lab::Job host_job;
+  host_job.work = Duration(static_cast<std::int64_t>(static_cast<double>(work.count()) * host.slowdown));
   if (request) {
-    const auto& c = rig_.scenario_.classes[request->class_index].request_class;
-    j.write = c.freshness == Freshness::write;
-    j.freshness = c.freshness;
-    j.staleness_bound = c.staleness_bound;
+    const auto& request_class = rig_.scenario_.classes[request->class_index].request_class;
+    host_job.write = request_class.freshness == Freshness::write;
+    host_job.freshness = request_class.freshness;
+    host_job.staleness_bound = request_class.staleness_bound;
   }
-  j.on_done = [&rig = rig_, number = number_, job](Outcome outcome, AnswerMetadata metadata) {
+  host_job.on_done = [&rig = rig_, number = number_, job](Outcome outcome, AnswerMetadata metadata) {
     const auto link = rig.host_links_.find(number);
     if (link != rig.host_links_.end()) link->second->send_answer(job, outcome, metadata);
   };
   job_ = 0;
-  const auto offered_job = h.model->submit(std::move(j));
+  const auto offered_job = host.model->submit(std::move(host_job));
   if (!closed() && !request_.empty() && job_count_ == job) job_ = offered_job;
 }
 
@@ -281,9 +282,9 @@
     wire::pg::put_ready(out);
   };
   const auto it = rig_.open_attempts_.find(request_);
-  const auto& h = rig_.hosts_[static_cast<std::size_t>(host_)];
+  const auto& host = rig_.hosts_[static_cast<std::size_t>(host_)];
   const bool bad_answer =
-      outcome == Outcome::ok && h.bad_answer_share > 0 && draw(rig_.fault_random_) < h.bad_answer_share;
+      outcome == Outcome::ok && host.bad_answer_share > 0 && draw(rig_.fault_random_) < host.bad_answer_share;
   const bool write =
       it != rig_.open_attempts_.end() &&
       rig_.scenario_.classes[it->second.request->class_index].request_class.freshness == Freshness::write;
@@ -355,10 +356,10 @@
 
 void DiscoveryLink::on_link_change() {
   if (closed()) return;
-  const auto& t = rig_.link_fault_of(gateway_, -1);
-  hold(t.requests_cut);
-  if (!t.requests_cut && !in_.empty()) on_input();
-  if (!t.answers_cut && watching_) rig_.send_list(gateway_);
+  const auto& fault = rig_.link_fault_of(gateway_, -1);
+  hold(fault.requests_cut);
+  if (!fault.requests_cut && !in_.empty()) on_input();
+  if (!fault.answers_cut && watching_) rig_.send_list(gateway_);
 }
 
 void DiscoveryLink::on_input() {
@@ -470,31 +471,31 @@
   if (left_) return in_.clear();
   while (!closed()) {
     const auto in = in_.view();
-    wire::pg::Message m;
-    const auto frame = wire::pg::next_message(in, max_message_bytes, m);
+    wire::pg::Message message;
+    const auto frame = wire::pg::next_message(in, max_message_bytes, message);
     if (frame == wire::pg::Frame::partial) return;
     if (frame == wire::pg::Frame::bad) return shut_down();
-    if (m.type == 'D') {
+    if (message.type == 'D') {
       row_received_ = true;
       // The row has one column; hosts return the id of the request in it.
-      if (attempt_ && (m.body.size() < 6 || m.body.substr(6) != attempt_->id))
+      if (attempt_ && (message.body.size() < 6 || message.body.substr(6) != attempt_->id))
         rig_.rules_->on_wrong_value(attempt_->id);
     }
-    if (m.type == 'I' && probe_) rig_.gateways_[static_cast<std::size_t>(gateway_)].in_rotation = true;
-    if (m.type == 'E') {
-      code_ = wire::pg::error_field(m.body, 'C');
-      detail_ = wire::pg::error_field(m.body, 'D');
+    if (message.type == 'I' && probe_) rig_.gateways_[static_cast<std::size_t>(gateway_)].in_rotation = true;
+    if (message.type == 'E') {
+      code_ = wire::pg::error_field(message.body, 'C');
+      detail_ = wire::pg::error_field(message.body, 'D');
     }
-    const char type = m.type;
-    in_.consume(m.size);
+    const char type = message.type;
+    in_.consume(message.size);
     if (type != 'Z') continue;
     if (!std::exchange(handshake_done_, true)) continue;
     if (probe_) return shut_down();
     if (!attempt_) continue;
-    const auto t = *std::exchange(attempt_, std::nullopt);
+    const auto attempt = *std::exchange(attempt_, std::nullopt);
     const auto retry_after_ms = wire::to_int(detail_).value_or(0);
     rig_.gateways_[static_cast<std::size_t>(gateway_)].idle_clients.push_back(this);
-    rig_.on_answer(t, outcome(row_received_ ? Answer::served : Answer::failed),
+    rig_.on_answer(attempt, outcome(row_received_ ? Answer::served : Answer::failed),
                    Duration(std::max<std::int64_t>(0, retry_after_ms) * 1000));
   }
 }
@@ -519,12 +520,13 @@
   *it = std::move(links.back());
   links.pop_back();
   if (!attempt_) return;
-  const auto t = *std::exchange(attempt_, std::nullopt);
+  const auto attempt = *std::exchange(attempt_, std::nullopt);
   // The gateway did not accept a connection that never opened, and it may have closed a reused one before it
   // read the request.
-  const bool in_time = rig_.timeline_.now() < t.request->deadline;
-  if (in_time && (!open_ || (reused_ && code_.empty() && !row_received_))) return rig_.on_not_accepted(t);
-  rig_.on_answer(t, outcome(Answer::lost), {});
+  const bool in_time = rig_.timeline_.now() < attempt.request->deadline;
+  if (in_time && (!open_ || (reused_ && code_.empty() && !row_received_)))
+    return rig_.on_not_accepted(attempt);
+  rig_.on_answer(attempt, outcome(Answer::lost), {});
 }
 
 }  // namespace cedarring::rig
--- a/src/tools/rig/relay.cpp
+++ b/src/tools/rig/relay.cpp
@@ -122,9 +122,9 @@
 }
 
 Relay::~Relay() {
-  for (auto& s : streams_) {
-    s->client_side->end();
-    s->server_side->end();
+  for (auto& stream : streams_) {
+    stream->client_side->end();
+    stream->server_side->end();
   }
 }
 
@@ -204,37 +204,37 @@
     }
     auto out = wire::connect_to(peers_[static_cast<std::size_t>(to)].bound_address);
     if (out.get() < 0) continue;
-    auto s = std::make_unique<Stream>();
-    s->from = from;
-    s->to = to;
-    s->client_side = std::make_unique<Endpoint>(*this, std::move(fd), false, *s, from);
-    s->server_side = std::make_unique<Endpoint>(*this, std::move(out), true, *s, to);
-    auto* raw = s.get();
-    streams_.push_back(std::move(s));
+    auto stream = std::make_unique<Stream>();
+    stream->from = from;
+    stream->to = to;
+    stream->client_side = std::make_unique<Endpoint>(*this, std::move(fd), false, *stream, from);
+    stream->server_side = std::make_unique<Endpoint>(*this, std::move(out), true, *stream, to);
+    auto* raw = stream.get();
+    streams_.push_back(std::move(stream));
     raw->client_side->update();
   }
 }
 
 void Relay::update_streams() {
   for (std::size_t i = 0; i < streams_.size(); ++i) {
-    auto* s = streams_[i].get();
-    s->client_side->update();
-    if (i < streams_.size() && streams_[i].get() == s) s->server_side->update();
+    auto* stream = streams_[i].get();
+    stream->client_side->update();
+    if (i < streams_.size() && streams_[i].get() == stream) stream->server_side->update();
   }
 }
 
 void Relay::reset(int gateway, int other) {
   std::vector<Stream*> matching;
-  for (const auto& s : streams_)
-    if ((s->from == gateway && s->to == other) || (s->from == other && s->to == gateway))
-      matching.push_back(s.get());
-  for (auto* s : matching) close_stream(s, true);
+  for (const auto& stream : streams_)
+    if ((stream->from == gateway && stream->to == other) || (stream->from == other && stream->to == gateway))
+      matching.push_back(stream.get());
+  for (auto* stream : matching) close_stream(stream, true);
 }
 
 /// Closes both sides of a stream.
 void Relay::close_stream(Stream* stream, bool with_reset) {
-  const auto it =
-      std::find_if(streams_.begin(), streams_.end(), [&](const auto& s) { return s.get() == stream; });
+  const auto it = std::find_if(streams_.begin(), streams_.end(),
+                               [&](const auto& stream_entry) { return stream_entry.get() == stream; });
   if (it == streams_.end()) return;
   for (auto* end : {stream->client_side.get(), stream->server_side.get()})
     if (!end->closed()) with_reset ? end->reset() : end->end();
--- a/src/tools/rig/rig.cpp
+++ b/src/tools/rig/rig.cpp
@@ -41,8 +41,21 @@
 constexpr double abort_send_delay_ms = 2000;
 constexpr double max_delayed_share = 0.01;
 constexpr int wildcard_listener_links = 2000;  // with more links, a host has a single listener
+constexpr int addresses_per_block = 250;       // gateways whose addresses differ only in the last byte
+constexpr int max_accepts_per_event = 64;
+constexpr int max_redirects = 20;  // of a request whose gateways do not accept it
+constexpr int immediate_redirects = 4;
+constexpr Duration immediate_redirect_delay{1000};
+constexpr Duration later_redirect_delay{50'000};
+constexpr Duration default_retry_delay{200'000};  // after a refusal without a retry-after
+constexpr Duration process_poll_interval = std::chrono::milliseconds(20);
+constexpr Duration probe_interval = std::chrono::milliseconds(50);
+constexpr Duration term_rotation_delay =
+    std::chrono::milliseconds(300);  // from SIGTERM until out of rotation
+constexpr Duration max_drain_time = std::chrono::seconds(3);
+constexpr Duration drain_margin = std::chrono::milliseconds(700);
 
-double draw(lab::Random& r) { return boost::random::uniform_01<double>()(r); }
+double draw(lab::Random& random) { return boost::random::uniform_01<double>()(random); }
 
 /// Opens a listener at all loopback addresses and at no other interface.
 wire::Fd listen_on_all_loopback(int port) {
@@ -65,9 +78,10 @@
 
 std::vector<ClassRule> class_rules(const Scenario& s) {
   std::vector<ClassRule> all;
-  for (const auto& k : s.classes)
-    all.push_back({k.request_class.idempotency, k.request_class.dedup_scope, k.request_class.dedup_window,
-                   k.request_class.freshness, k.request_class.staleness_bound});
+  for (const auto& class_spec : s.classes)
+    all.push_back({class_spec.request_class.idempotency, class_spec.request_class.dedup_scope,
+                   class_spec.request_class.dedup_window, class_spec.request_class.freshness,
+                   class_spec.request_class.staleness_bound});
   return all;
 }
 
@@ -91,8 +105,8 @@
 }
 
 Rig::~Rig() {
-  for (auto& g : gateways_)
-    for (const pid_t pid : {g.pid, g.previous_pid})
+  for (auto& process : gateways_)
+    for (const pid_t pid : {process.pid, process.previous_pid})
       if (pid > 0) {
         ::kill(pid, SIGKILL);
         ::waitpid(pid, nullptr, 0);
@@ -138,25 +152,26 @@
 }
 
 // ---- hosts and discovery ----
-void Rig::open_listeners(Host& h) {
+void Rig::open_listeners(Host& emulated_host) {
   const bool wildcard = static_cast<int>(hosts_.size()) * scenario_.gateways > wildcard_listener_links;
   const auto count = wildcard ? 1 : gateways_.size();
-  const bool reopening = !h.ports.empty();
+  const bool reopening = !emulated_host.ports.empty();
   for (std::size_t i = 0; i < count; ++i) {
-    const int port = reopening ? h.ports[i] : 0;
+    const int port = reopening ? emulated_host.ports[i] : 0;
     auto fd = wildcard ? listen_on_all_loopback(port)
                        : wire::listen_on(gateways_[i].link_address + ':' + std::to_string(port));
     if (fd.get() < 0) {
       result_.error = std::string("cannot open a listener: ") + std::strerror(errno);
       return;
     }
-    if (!reopening) h.ports.push_back(port_of(fd));
+    if (!reopening) emulated_host.ports.push_back(port_of(fd));
     auto io = std::make_unique<ev::io>(loop_);
     io->set<Rig, &Rig::on_connection>(this);
     io->start(fd.get(), ev::READ);
-    host_by_watcher_[io.get()] = &h == &discovery_ ? -1 : static_cast<int>(&h - hosts_.data());
-    h.accept_watchers.push_back(std::move(io));
-    h.listeners.push_back(std::move(fd));
+    host_by_watcher_[io.get()] =
+        &emulated_host == &discovery_ ? -1 : static_cast<int>(&emulated_host - hosts_.data());
+    emulated_host.accept_watchers.push_back(std::move(io));
+    emulated_host.listeners.push_back(std::move(fd));
   }
 }
 
@@ -165,14 +180,15 @@
   socklen_t size = sizeof at;
   ::getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
   const auto low = ntohl(at.sin_addr.s_addr) & 0xffffU;
-  const int g = static_cast<int>((low >> 8U) * 250 + (low & 0xffU)) - 1;
+  const int g =
+      static_cast<int>((low >> 8U) * static_cast<unsigned>(addresses_per_block) + (low & 0xffU)) - 1;
   return g >= 0 && g < scenario_.gateways ? g : -1;
 }
 
 void Rig::on_connection(ev::io& watcher, int) {
   const auto it = host_by_watcher_.find(&watcher);
   if (it == host_by_watcher_.end()) return;
-  for (int i = 0; i < 64; ++i) {
+  for (int i = 0; i < max_accepts_per_event; ++i) {
     auto fd = wire::accept_from(watcher.fd);
     if (fd.get() < 0) {
       if ((errno == EMFILE || errno == ENFILE) && !std::exchange(result_.too_slow, true))
@@ -198,32 +214,32 @@
 
 /// Returns the member list for one gateway, with the host addresses of that gateway's own links.
 std::string Rig::member_list_for(int gateway) {
-  broker::MemberList l;
-  l.version = version_;
-  l.full = true;
+  broker::MemberList list;
+  list.version = version_;
+  list.full = true;
   for (std::size_t i = 0; i < hosts_.size(); ++i) {
-    const auto& h = hosts_[i];
-    if (h.removed) continue;
-    broker::Member m;
-    m.id = h.id;
-    m.address =
-        gateways_[static_cast<std::size_t>(gateway)].link_address + ':' + std::to_string(h.port_for(gateway));
-    m.zone = h.model->zone();
-    m.group = h.group->id();
-    m.state = h.draining ? HostState::draining : HostState::ready;
-    m.primary = h.group->primary() == h.model;
-    if (h.model->started_at() > Time{}) m.started_at = h.model->started_at();
-    l.members.push_back(m);
+    const auto& emulated_host = hosts_[i];
+    if (emulated_host.removed) continue;
+    broker::Member member;
+    member.id = emulated_host.id;
+    member.address = gateways_[static_cast<std::size_t>(gateway)].link_address + ':' +
+                     std::to_string(emulated_host.port_for(gateway));
+    member.zone = emulated_host.model->zone();
+    member.group = emulated_host.group->id();
+    member.state = emulated_host.draining ? HostState::draining : HostState::ready;
+    member.primary = emulated_host.group->primary() == emulated_host.model;
+    if (emulated_host.model->started_at() > Time{}) member.started_at = emulated_host.model->started_at();
+    list.members.push_back(member);
   }
-  return wire::members_json(l);
+  return wire::members_json(list);
 }
 
 /// On a delayed link the gateway keeps an older list than others until the list arrives.
 void Rig::send_list(int gateway) {
-  const auto& t = link_fault_of(gateway, -1);
-  if (t.answers_cut) return;
-  if (t.delay > Duration::zero())
-    timeline_.after(t.delay, [this, gateway] { send_list_now(gateway); });
+  const auto& fault = link_fault_of(gateway, -1);
+  if (fault.answers_cut) return;
+  if (fault.delay > Duration::zero())
+    timeline_.after(fault.delay, [this, gateway] { send_list_now(gateway); });
   else
     send_list_now(gateway);
 }
@@ -232,8 +248,8 @@
   if (link_fault_of(gateway, -1).answers_cut) return;
   const auto list = member_list_for(gateway);
   bool delivered = false;
-  for (auto* w : discovery_links_)
-    if (w->gateway() == gateway) delivered = w->send_list(list) || delivered;
+  for (auto* watch : discovery_links_)
+    if (watch->gateway() == gateway) delivered = watch->send_list(list) || delivered;
   if (delivered) record_list_delivery(gateway);
 }
 
@@ -253,36 +269,37 @@
 }
 
 void Rig::stop_host(int host) {
-  auto& h = hosts_[static_cast<std::size_t>(host)];
-  if (!h.model->alive()) return;
-  for (auto& io : h.accept_watchers) host_by_watcher_.erase(io.get());
-  h.accept_watchers.clear();
-  h.listeners.clear();
-  if (h.group->primary() == h.model) {
-    h.group->fail_primary(
+  auto& emulated_host = hosts_[static_cast<std::size_t>(host)];
+  if (!emulated_host.model->alive()) return;
+  for (auto& io : emulated_host.accept_watchers) host_by_watcher_.erase(io.get());
+  emulated_host.accept_watchers.clear();
+  emulated_host.listeners.clear();
+  if (emulated_host.group->primary() == emulated_host.model) {
+    emulated_host.group->fail_primary(
         scenario_.takeover,
         [this](lab::HostModel&) {
           add_event("a group has a primary again");
           on_list_change();
         });
   } else {
-    h.model->crash();
+    emulated_host.model->crash();
   }
   std::vector<HostLink*> links;
   for (const auto& [n, link] : host_links_)
     if (link->host() == host) links.push_back(link);
   for (auto* link : links) link->shut_down(true);
-  h.removed = true;
+  emulated_host.removed = true;
   on_list_change();
 }
 
 void Rig::start_host(int host) {
-  auto& h = hosts_[static_cast<std::size_t>(host)];
-  if (h.model->alive()) return;
-  h.model->start(scenario_.warm_up_duration, scenario_.cold_capacity_share);
-  h.removed = h.draining = false;
-  rules_->on_host_start(host, h.model->spec().cores * h.model->spec().speed, timeline_.now());
-  open_listeners(h);
+  auto& emulated_host = hosts_[static_cast<std::size_t>(host)];
+  if (emulated_host.model->alive()) return;
+  emulated_host.model->start(scenario_.warm_up_duration, scenario_.cold_capacity_share);
+  emulated_host.removed = emulated_host.draining = false;
+  rules_->on_host_start(host, emulated_host.model->spec().cores * emulated_host.model->spec().speed,
+                        timeline_.now());
+  open_listeners(emulated_host);
   on_list_change();
 }
 
@@ -293,9 +310,9 @@
     if (pairs.count({link->gateway(), link->host()}) > 0) links.push_back(link);
   for (auto* link : links) with_reset ? link->shut_down(true) : link->on_link_change();
   std::vector<DiscoveryLink*> watches;
-  for (auto* w : discovery_links_)
-    if (pairs.count({w->gateway(), -1}) > 0) watches.push_back(w);
-  for (auto* w : watches) with_reset ? w->shut_down(true) : w->on_link_change();
+  for (auto* watch : discovery_links_)
+    if (pairs.count({watch->gateway(), -1}) > 0) watches.push_back(watch);
+  for (auto* watch : watches) with_reset ? watch->shut_down(true) : watch->on_link_change();
 }
 
 void Rig::close_ended_links(const std::string& id) {
@@ -311,8 +328,8 @@
   const auto& links = gateways_[static_cast<std::size_t>(gateway)].link_address;
   const auto net = links.substr(0, links.find('.', 4));
   const int n = gateway + 1;
-  return net + "." + std::to_string((advertised ? 200 : 150) + n / 250) + "." + std::to_string(n % 250) +
-         ":7100";
+  return net + "." + std::to_string((advertised ? 200 : 150) + n / addresses_per_block) + "." +
+         std::to_string(n % addresses_per_block) + ":7100";
 }
 
 void Rig::set_peer_links(const Fault& fault, const std::vector<int>& from, const std::vector<int>& to,
@@ -349,17 +366,18 @@
 
 // ---- processes ----
 void Rig::start_gateway(int gateway, bool upgrade) {
-  auto& g = gateways_[static_cast<std::size_t>(gateway)];
-  const auto low = "." + std::to_string((gateway + 1) / 250) + "." + std::to_string((gateway + 1) % 250);
-  const auto net = g.link_address.substr(0, g.link_address.find('.', 4));
+  auto& process = gateways_[static_cast<std::size_t>(gateway)];
+  const auto low = "." + std::to_string((gateway + 1) / addresses_per_block) + "." +
+                   std::to_string((gateway + 1) % addresses_per_block);
+  const auto net = process.link_address.substr(0, process.link_address.find('.', 4));
   // Each process has a control port of its own, as two may run at once.
-  const auto control = net + "." + std::to_string(100 + (gateway + 1) / 250) + low.substr(low.rfind('.')) +
-                       ":" + std::to_string(7001 + g.starts++ % 900);
-  std::ofstream(g.folder + "/config.json") << gateway_config(
-      scenario_, gateway, g.listen_address, control,
-      g.link_address + ':' + std::to_string(discovery_.port_for(gateway)), member_list_for(gateway));
-  std::vector<std::pair<std::string, std::string>> variables = {{"ROUTER_CONFIG", g.folder + "/config.json"},
-                                                                {"TMPDIR", g.folder}};
+  const auto control = net + "." + std::to_string(100 + (gateway + 1) / addresses_per_block) +
+                       low.substr(low.rfind('.')) + ":" + std::to_string(7001 + process.starts++ % 900);
+  std::ofstream(process.folder + "/config.json") << gateway_config(
+      scenario_, gateway, process.listen_address, control,
+      process.link_address + ':' + std::to_string(discovery_.port_for(gateway)), member_list_for(gateway));
+  std::vector<std::pair<std::string, std::string>> variables = {
+      {"ROUTER_CONFIG", process.folder + "/config.json"}, {"TMPDIR", process.folder}};
   if (!scenario_.gateway_file.empty()) {
     auto file = scenario_.gateway_file;
     const auto replace_all = [&](const std::string& placeholder, const std::string& value) {
@@ -373,15 +391,17 @@
     replace_all("\"@SEEDS@\"", '[' + seeds + ']');
     replace_all("@REAL@", peer_address(gateway, false));
     replace_all("@SHOWN@", peer_address(gateway, true));
-    std::ofstream(g.folder + "/gateway.json") << file;
-    variables.emplace_back("CEDARRING_GATEWAY", g.folder + "/gateway.json");
+    std::ofstream(process.folder + "/gateway.json") << file;
+    variables.emplace_back("CEDARRING_GATEWAY", process.folder + "/gateway.json");
   }
-  if (upgrade || g.pid > 0) g.previous_pid = g.pid;  // a terminating process may still be running
-  g.terminating = false;
-  g.in_rotation = g.in_rotation && upgrade;
-  g.pid = start_program(options_.gateway, variables, options_.out + "/g" + std::to_string(gateway) + ".log");
-  g.should_run = true;
-  if (g.pid < 0) result_.error = "cannot start the gateway program";
+  if (upgrade || process.pid > 0)
+    process.previous_pid = process.pid;  // a terminating process may still be running
+  process.terminating = false;
+  process.in_rotation = process.in_rotation && upgrade;
+  process.pid =
+      start_program(options_.gateway, variables, options_.out + "/g" + std::to_string(gateway) + ".log");
+  process.should_run = true;
+  if (process.pid < 0) result_.error = "cannot start the gateway program";
   if (upgrade) return rules_->on_upgrade(gateway, timeline_.now() + upgrade_binding_delay);
   rules_->on_new_process(gateway);
   probe_gateway(gateway);
@@ -389,21 +409,21 @@
 
 /// Probes a gateway until it answers an empty query, which takes it into rotation.
 void Rig::probe_gateway(int gateway) {
-  auto& g = gateways_[static_cast<std::size_t>(gateway)];
-  if (g.in_rotation || !g.should_run || stopping_) return;
-  auto link = std::make_unique<ClientLink>(*this, g.listen_address, gateway, true);
+  auto& process = gateways_[static_cast<std::size_t>(gateway)];
+  if (process.in_rotation || !process.should_run || stopping_) return;
+  auto link = std::make_unique<ClientLink>(*this, process.listen_address, gateway, true);
   if (!link->closed()) clients_.push_back(std::move(link));
-  timeline_.after(std::chrono::milliseconds(50), [this, gateway] { probe_gateway(gateway); });
+  timeline_.after(probe_interval, [this, gateway] { probe_gateway(gateway); });
 }
 
 void Rig::signal_gateway(int gateway, int number) {
-  const auto& g = gateways_[static_cast<std::size_t>(gateway)];
-  if (g.pid > 0) ::kill(g.pid, number);
+  const auto& process = gateways_[static_cast<std::size_t>(gateway)];
+  if (process.pid > 0) ::kill(process.pid, number);
 }
 
 void Rig::reap_processes() {
   for (int i = 0; i < scenario_.gateways; ++i) {
-    auto& g = gateways_[static_cast<std::size_t>(i)];
+    auto& process = gateways_[static_cast<std::size_t>(i)];
     int status = 0;
     rusage used{};
     const auto add_usage = [&] {
@@ -412,55 +432,59 @@
           static_cast<double>(used.ru_utime.tv_usec + used.ru_stime.tv_usec) / 1e6;
       result_.gateways_mb += static_cast<double>(used.ru_maxrss) / 1024;
     };
-    if (g.previous_pid > 0 && ::wait4(g.previous_pid, &status, WNOHANG, &used) == g.previous_pid) {
-      g.previous_pid = -1;
+    if (process.previous_pid > 0 &&
+        ::wait4(process.previous_pid, &status, WNOHANG, &used) == process.previous_pid) {
+      process.previous_pid = -1;
       add_usage();
       if (!WIFEXITED(status) || WEXITSTATUS(status) != 0) {
         ++result_.crashes;
         add_event("g" + std::to_string(i) + " has crashed");
       }
     }
-    if (g.pid > 0 && ::wait4(g.pid, &status, WNOHANG, &used) == g.pid) {
-      g.pid = -1;
+    if (process.pid > 0 && ::wait4(process.pid, &status, WNOHANG, &used) == process.pid) {
+      process.pid = -1;
       add_usage();
-      if (g.should_run && !stopping_) {
+      if (process.should_run && !stopping_) {
         ++result_.crashes;
         add_event("g" + std::to_string(i) + " has crashed");
         rules_->excuse_gateway(i, timeline_.now(), timeline_.now() + std::chrono::hours(1));
-        g.in_rotation = false;
+        process.in_rotation = false;
       }
     }
   }
-  if (!stopping_) timeline_.after(std::chrono::milliseconds(20), [this] { reap_processes(); });
+  if (!stopping_) timeline_.after(process_poll_interval, [this] { reap_processes(); });
 }
 
 // ---- clients ----
 /// Open-loop arrivals: each request and the time of the next one are drawn before the request is sent,
 /// whatever the state of earlier requests.
 void Rig::next_arrival() {
-  const double elapsed = elapsed_seconds(),
-               run_seconds = static_cast<double>(scenario_.run_time.count()) / 1e6;
+  const double elapsed = elapsed_seconds();
+  const double run_seconds = static_cast<double>(scenario_.run_time.count()) / 1e6;
   const double rate =
       full_load_rate(scenario_) * scenario_.load * (1 + (scenario_.ramp - 1) * elapsed / run_seconds);
   const auto intended = timeline_.now();
   const auto gap = boost::random::exponential_distribution<double>(rate)(arrival_random_);
-  auto r = std::make_shared<Request>();
+  auto request = std::make_shared<Request>();
   double shares = 0;
-  for (const auto& k : scenario_.classes) shares += k.share;
-  double pick = draw(arrival_random_) * shares;
-  while (r->class_index + 1 < scenario_.classes.size() &&
-         (pick -= scenario_.classes[r->class_index].share) >= 0)
-    ++r->class_index;
-  pick = draw(arrival_random_);
-  while (r->tenant + 1 < scenario_.tenants.size() && (pick -= scenario_.tenants[r->tenant].share) >= 0)
-    ++r->tenant;
-  const auto& k = scenario_.classes[r->class_index];
-  r->group = static_cast<int>(draw(arrival_random_) * scenario_.groups);
-  r->key = std::to_string(static_cast<int>(draw(arrival_random_) * 5000));
-  r->work = k.min_work + Duration(static_cast<std::int64_t>(
-                             static_cast<double>((k.max_work - k.min_work).count()) * draw(arrival_random_)));
-  r->arrived_at = intended;
-  r->deadline = intended + k.request_class.deadline;
+  for (const auto& class_spec : scenario_.classes) shares += class_spec.share;
+  double position = draw(arrival_random_) * shares;
+  while (request->class_index + 1 < scenario_.classes.size() &&
+         (position -= scenario_.classes[request->class_index].share) >= 0)
+    ++request->class_index;
+  position = draw(arrival_random_);
+  while (request->tenant + 1 < scenario_.tenants.size() &&
+         (position -= scenario_.tenants[request->tenant].share) >= 0)
+    ++request->tenant;
+  const auto& class_spec = scenario_.classes[request->class_index];
+  request->group = static_cast<int>(draw(arrival_random_) * scenario_.groups);
+  request->key = std::to_string(static_cast<int>(draw(arrival_random_) * 5000));
+  request->work =
+      class_spec.min_work +
+      Duration(static_cast<std::int64_t>(
+          static_cast<double>((class_spec.max_work - class_spec.min_work).count()) * draw(arrival_random_)));
+  request->arrived_at = intended;
+  request->deadline = intended + class_spec.request_class.deadline;
   const double delay_ms = static_cast<double>((clock_.now() - intended).count()) / 1000;
   send_delays_.push_back(static_cast<float>(delay_ms));
   current_second().worst_send_delay_ms = std::max(current_second().worst_send_delay_ms, delay_ms);
@@ -471,36 +495,36 @@
   }
   ++result_.requests;
   ++current_second().asked;
-  if (intended >= load_started_at_ + scenario_.warm_up) ++result_.classes[r->class_index].asked;
-  send_request(r);
+  if (intended >= load_started_at_ + scenario_.warm_up) ++result_.classes[request->class_index].asked;
+  send_request(request);
   if (intended + Duration(static_cast<std::int64_t>(gap * 1e6)) < load_started_at_ + scenario_.run_time)
     timeline_.at(intended + Duration(static_cast<std::int64_t>(gap * 1e6)), [this] { next_arrival(); });
 }
 
 std::optional<int> Rig::choose_gateway() {
-  const auto weight = [](const Gateway& g) {
-    return g.in_rotation || (g.terminating && !g.idle_clients.empty()) ? g.weight : 0;
+  const auto weight = [](const Gateway& process) {
+    return process.in_rotation || (process.terminating && !process.idle_clients.empty()) ? process.weight : 0;
   };
   double total_weight = 0;
-  for (const auto& g : gateways_) total_weight += weight(g);
+  for (const auto& process : gateways_) total_weight += weight(process);
   double position = draw(fault_random_) * total_weight;
   for (std::size_t i = 0; i < gateways_.size(); ++i)
     if (weight(gateways_[i]) > 0 && (position -= gateways_[i].weight) < 0) return static_cast<int>(i);
   return std::nullopt;
 }
 
-ClientLink* Rig::take_idle_client(Gateway& g) {
-  while (!g.idle_clients.empty()) {
-    auto* link = g.idle_clients.back();
-    g.idle_clients.pop_back();
+ClientLink* Rig::take_idle_client(Gateway& process) {
+  while (!process.idle_clients.empty()) {
+    auto* link = process.idle_clients.back();
+    process.idle_clients.pop_back();
     if (!link->closed() && !link->peer_closed()) return link;  // otherwise on_end() is about to remove it
   }
   return nullptr;
 }
 
-void Rig::send_request(const std::shared_ptr<Request>& r) {
+void Rig::send_request(const std::shared_ptr<Request>& request) {
   ClientAttempt attempt;
-  attempt.request = r;
+  attempt.request = request;
   attempt.sent = timeline_.now();
   std::optional<int> g;
   ClientLink* idle = nullptr;
@@ -509,7 +533,7 @@
     g = choose_gateway();
     idle = g ? take_idle_client(gateways_[static_cast<std::size_t>(*g)]) : nullptr;
   } while (g && !idle && !gateways_[static_cast<std::size_t>(*g)].in_rotation);
-  if (!g || attempt.sent >= r->deadline) {
+  if (!g || attempt.sent >= request->deadline) {
     on_answer(attempt, Answer::lost, {});
     return;
   }
@@ -517,24 +541,26 @@
   char id[24];
   std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(next_id_++));
   attempt.id = id;
-  const auto& k = scenario_.classes[r->class_index].request_class;
-  const bool write = k.freshness == Freshness::write;
-  std::string sql = write ? "INSERT INTO records (k, v) VALUES ('" + r->key + "', '\\x9f') RETURNING v"
-                          : "SELECT v FROM records WHERE k = '" + r->key + "'";
-  sql += " /* id=" + attempt.id + ",c=" + k.name + ",t=" + scenario_.tenants[r->tenant].name +
-         ",d=" + std::to_string(std::max<std::int64_t>(1, (r->deadline - attempt.sent).count() / 1000));
-  if (k.idempotency == Idempotency::keyed) sql += ",k=key-" + attempt.id;
-  if (r->attempts > 0) sql += ",r=1";
-  sql += ",cluster=" + std::to_string(r->group + 1) + " */";
-  ++r->attempts;
-  rules_->on_request(attempt.id, attempt.gateway, r->class_index, attempt.sent, r->deadline);
+  const auto& request_class = scenario_.classes[request->class_index].request_class;
+  const bool write = request_class.freshness == Freshness::write;
+  std::string sql = write ? "INSERT INTO records (k, v) VALUES ('" + request->key + "', '\\x9f') RETURNING v"
+                          : "SELECT v FROM records WHERE k = '" + request->key + "'";
+  sql += " /* id=" + attempt.id + ",c=" + request_class.name +
+         ",t=" + scenario_.tenants[request->tenant].name +
+         ",d=" + std::to_string(std::max<std::int64_t>(1, (request->deadline - attempt.sent).count() / 1000));
+  if (request_class.idempotency == Idempotency::keyed) sql += ",k=key-" + attempt.id;
+  if (request->attempts > 0) sql += ",r=1";
+  sql += ",cluster=" + std::to_string(request->group + 1) + " */";
+  ++request->attempts;
+  rules_->on_request(attempt.id, attempt.gateway, request->class_index, attempt.sent, request->deadline);
   open_attempts_[attempt.id] = attempt;
-  timeline_.at(r->deadline + answer_grace, [this, id = attempt.id] { abandon(id); });
+  timeline_.at(request->deadline + answer_grace, [this, id = attempt.id] { abandon(id); });
   if (scenario_.client_exit_share > 0) {
-    const double whether = draw(exit_random_), when = draw(exit_random_);
-    const auto delay =
-        Duration(static_cast<std::int64_t>(when * static_cast<double>((r->deadline - attempt.sent).count())));
-    if (whether < scenario_.client_exit_share)
+    const double exit_draw = draw(exit_random_);
+    const double time_draw = draw(exit_random_);
+    const auto delay = Duration(static_cast<std::int64_t>(
+        time_draw * static_cast<double>((request->deadline - attempt.sent).count())));
+    if (exit_draw < scenario_.client_exit_share)
       timeline_.after(delay, [this, id = attempt.id] { leave_early(id); });
   }
   if (idle) return idle->send_request(attempt, sql);
@@ -549,58 +575,60 @@
 /// The client gives up after its deadline and closes the connection.
 void Rig::abandon(const std::string& id) {
   if (open_attempts_.count(id) == 0) return;
-  for (const auto& c : clients_)
-    if (c->waits_for(id)) return c->shut_down();
+  for (const auto& client : clients_)
+    if (client->waits_for(id)) return client->shut_down();
 }
 
 /// The client leaves before its deadline, in one of the ways of ClientExit.
 void Rig::leave_early(const std::string& id) {
   const auto it = open_attempts_.find(id);
   if (it == open_attempts_.end()) return;
-  for (const auto& c : clients_) {
-    if (!c->waits_for(id)) continue;
-    const auto& r = *it->second.request;
-    if (r.arrived_at >= load_started_at_ + scenario_.warm_up) ++result_.classes[r.class_index].client_left;
+  for (const auto& client : clients_) {
+    if (!client->waits_for(id)) continue;
+    const auto& request = *it->second.request;
+    if (request.arrived_at >= load_started_at_ + scenario_.warm_up)
+      ++result_.classes[request.class_index].client_left;
     rules_->on_client_exit(id, timeline_.now());
     open_attempts_.erase(it);
-    return c->leave(static_cast<ClientLink::ClientExit>(exit_random_() % 4));
+    return client->leave(static_cast<ClientLink::ClientExit>(exit_random_() % 4));
   }
 }
 
 /// Sends SIGTERM, and SIGKILL if the process has not exited within the time allowed for draining.
-void Rig::terminate_gateway(int n) {
-  auto& g = gateways_[static_cast<std::size_t>(n)];
+void Rig::terminate_gateway(int gateway) {
+  auto& process = gateways_[static_cast<std::size_t>(gateway)];
   Duration longest{};
-  for (const auto& k : scenario_.classes) longest = std::max(longest, k.request_class.deadline);
-  const auto pid = g.pid;
-  g.should_run = false;
-  g.terminating = true;
-  signal_gateway(n, SIGTERM);
-  timeline_.after(std::chrono::milliseconds(300), [this, n, pid] {
-    auto& terminating = gateways_[static_cast<std::size_t>(n)];
+  for (const auto& class_spec : scenario_.classes)
+    longest = std::max(longest, class_spec.request_class.deadline);
+  const auto pid = process.pid;
+  process.should_run = false;
+  process.terminating = true;
+  signal_gateway(gateway, SIGTERM);
+  timeline_.after(term_rotation_delay, [this, gateway, pid] {
+    auto& terminating = gateways_[static_cast<std::size_t>(gateway)];
     if (terminating.pid == pid || terminating.pid < 0) terminating.in_rotation = false;
   });
-  timeline_.after(std::min(longest, Duration(std::chrono::seconds(3))) + std::chrono::milliseconds(700),
-                  [this, n, pid] {
-                    auto& overdue = gateways_[static_cast<std::size_t>(n)];
-                    if (overdue.pid != pid && overdue.previous_pid != pid) return;
-                    add_event('g' + std::to_string(n) + " had not ended, killed");
-                    ::kill(pid, SIGKILL);
-                  });
+  timeline_.after(std::min(longest, max_drain_time) + drain_margin, [this, gateway, pid] {
+    auto& overdue = gateways_[static_cast<std::size_t>(gateway)];
+    if (overdue.pid != pid && overdue.previous_pid != pid) return;
+    add_event('g' + std::to_string(gateway) + " had not ended, killed");
+    ::kill(pid, SIGKILL);
+  });
 }
 
 /// The gateway never read the request, so the client sends it again through another connection. Clients learn
 /// late that a gateway is dead.
 void Rig::on_not_accepted(const ClientAttempt& attempt) {
-  if (rules_->reached_host(attempt.id) || attempt.request->redirects >= 20)
+  if (rules_->reached_host(attempt.id) || attempt.request->redirects >= max_redirects)
     return on_answer(attempt, Answer::lost, {});
   rules_->forget(attempt.id);
   open_attempts_.erase(attempt.id);
   ++attempt.request->redirects;
   --attempt.request->attempts;
   // The first redirects are immediate; later ones pause, so that refused connections cause no busy loop.
-  timeline_.after(attempt.request->redirects < 4 ? Duration(1000) : Duration(50'000),
-                  [this, r = attempt.request] { send_request(r); });
+  timeline_.after(
+      attempt.request->redirects < immediate_redirects ? immediate_redirect_delay : later_redirect_delay,
+      [this, request = attempt.request] { send_request(request); });
 }
 
 void Rig::on_answer(const ClientAttempt& attempt, Answer answer, Duration retry_after) {
@@ -609,38 +637,38 @@
     rules_->on_answer(attempt.id, answer, now);
     open_attempts_.erase(attempt.id);
   }
-  const auto& r = *attempt.request;
-  const auto& k = scenario_.classes[r.class_index].request_class;
-  if (answer == Answer::refused && r.attempts < 2) {
-    const auto wait = retry_after > Duration::zero() ? retry_after : Duration(200'000);
-    if (now + wait < r.deadline) {
+  const auto& request = *attempt.request;
+  const auto& request_class = scenario_.classes[request.class_index].request_class;
+  if (answer == Answer::refused && request.attempts < 2) {
+    const auto wait = retry_after > Duration::zero() ? retry_after : default_retry_delay;
+    if (now + wait < request.deadline) {
       timeline_.after(wait, [this, request = attempt.request] { send_request(request); });
       return;
     }
   }
-  const double ms = static_cast<double>((now - r.arrived_at).count()) / 1000;
-  auto& sec = current_second();
-  const bool in_time = answer == Answer::served && now - r.arrived_at <= k.latency_target;
-  sec.served += answer == Answer::served;
-  sec.in_time += in_time;
-  sec.refused += answer == Answer::refused;
-  sec.failed += answer == Answer::failed || answer == Answer::lost;
-  if (answer == Answer::served) sec.latencies_ms.push_back(static_cast<float>(ms));
-  if (r.arrived_at < load_started_at_ + scenario_.warm_up) return;
-  auto& c = result_.classes[r.class_index];
+  const double ms = static_cast<double>((now - request.arrived_at).count()) / 1000;
+  auto& second = current_second();
+  const bool in_time = answer == Answer::served && now - request.arrived_at <= request_class.latency_target;
+  second.served += answer == Answer::served;
+  second.in_time += in_time;
+  second.refused += answer == Answer::refused;
+  second.failed += answer == Answer::failed || answer == Answer::lost;
+  if (answer == Answer::served) second.latencies_ms.push_back(static_cast<float>(ms));
+  if (request.arrived_at < load_started_at_ + scenario_.warm_up) return;
+  auto& class_result = result_.classes[request.class_index];
   switch (answer) {
     case Answer::served:
-      ++(in_time ? c.in_time : c.late);
-      c.latencies_ms.push_back(static_cast<float>(ms));
+      ++(in_time ? class_result.in_time : class_result.late);
+      class_result.latencies_ms.push_back(static_cast<float>(ms));
       break;
     case Answer::refused:
-      ++c.refused;
+      ++class_result.refused;
       break;
     case Answer::failed:
-      ++c.failed;
+      ++class_result.failed;
       break;
     case Answer::lost:
-      ++c.lost;
+      ++class_result.lost;
       break;
   }
 }
@@ -733,8 +761,8 @@
           });
           continue;
         }
-        auto& g = gateways_[static_cast<std::size_t>(n)];
-        g.should_run = false;
+        auto& process = gateways_[static_cast<std::size_t>(n)];
+        process.should_run = false;
         signal_gateway(n, SIGKILL);
         rules_->excuse_gateway(n, now - std::chrono::milliseconds(1), now + std::chrono::milliseconds(200));
         timeline_.after(scenario_.balancer_delay, [this, n] {
@@ -773,8 +801,8 @@
       for (const int n : targets) {
         start_gateway(n, true);
         timeline_.after(upgrade_term_delay, [this, n] {
-          const auto& g = gateways_[static_cast<std::size_t>(n)];
-          if (g.previous_pid > 0) ::kill(g.previous_pid, SIGTERM);
+          const auto& process = gateways_[static_cast<std::size_t>(n)];
+          if (process.previous_pid > 0) ::kill(process.previous_pid, SIGTERM);
         });
       }
       break;
@@ -805,11 +833,11 @@
           [this](int h) { hosts_[static_cast<std::size_t>(h)].idle_timeout = {}; });
       break;
     case FaultKind::stall_discovery:
-      for (auto* w : discovery_links_) w->stall();
+      for (auto* watch : discovery_links_) watch->stall();
       break;
     case FaultKind::truncate_list: {
       const auto all = discovery_links_;
-      for (auto* w : all) w->truncate_list();
+      for (auto* watch : all) watch->truncate_list();
       break;
     }
     case FaultKind::lag:
@@ -863,13 +891,13 @@
       std::set<std::pair<int, int>> pairs;
       for (const int g : targets)
         for (const int h : select_targets(fault.link_end, index * 2 + 1)) {
-          LinkFault t;
+          LinkFault fault_state;
           if (fault.kind == FaultKind::cut) {
-            t.requests_cut = fault.forward;
-            t.answers_cut = fault.reverse;
+            fault_state.requests_cut = fault.forward;
+            fault_state.answers_cut = fault.reverse;
           } else
-            t.delay = Duration(static_cast<std::int64_t>(fault.factor * 1000));
-          link_fault(g, h) = t;
+            fault_state.delay = Duration(static_cast<std::int64_t>(fault.factor * 1000));
+          link_fault(g, h) = fault_state;
           pairs.emplace(g, h);
         }
       update_links(pairs, fault.reset);
@@ -883,7 +911,7 @@
     case FaultKind::refuse: {
       discovery_refuses_ = true;
       const auto all = discovery_links_;
-      for (auto* w : all) w->shut_down(true);
+      for (auto* watch : all) watch->shut_down(true);
       at_fault_end([this] { discovery_refuses_ = false; });
       break;
     }
@@ -928,9 +956,10 @@
   lab::Random weights(scenario_.seed, 3);
   for (int g = 0; g < scenario_.gateways; ++g) {
     Gateway gateway;
-    const auto low = std::to_string((g + 1) % 250);
-    gateway.link_address = net + "." + std::to_string((g + 1) / 250) + "." + low;
-    gateway.listen_address = net + "." + std::to_string(100 + (g + 1) / 250) + "." + low + ":7000";
+    const auto low = std::to_string((g + 1) % addresses_per_block);
+    gateway.link_address = net + "." + std::to_string((g + 1) / addresses_per_block) + "." + low;
+    gateway.listen_address =
+        net + "." + std::to_string(100 + (g + 1) / addresses_per_block) + "." + low + ":7000";
     gateway.folder = out + "/g" + std::to_string(g);
     gateway.weight = 0.5 + draw(weights);
     ::mkdir(gateway.folder.c_str(), 0755);
@@ -940,16 +969,16 @@
   for (int g = 0; g < scenario_.groups; ++g) {
     groups_.push_back(std::make_unique<lab::ReplicaGroup>(timeline_, GroupId{g + 1}));
     for (int m = 0; m < scenario_.members; ++m) {
-      auto& h = hosts_[static_cast<std::size_t>(g * scenario_.members + m)];
-      h.id = "h" + std::to_string(g * scenario_.members + m);
-      h.group = groups_.back().get();
-      h.group_index = g;
-      h.model =
-          &h.group->add(HostId{static_cast<std::uint32_t>(g * scenario_.members + m + 1)}, scenario_.host,
-                        scenario_.zones[static_cast<std::size_t>(g + m) % scenario_.zones.size()]);
+      auto& emulated_host = hosts_[static_cast<std::size_t>(g * scenario_.members + m)];
+      emulated_host.id = "h" + std::to_string(g * scenario_.members + m);
+      emulated_host.group = groups_.back().get();
+      emulated_host.group_index = g;
+      emulated_host.model = &emulated_host.group->add(
+          HostId{static_cast<std::uint32_t>(g * scenario_.members + m + 1)}, scenario_.host,
+          scenario_.zones[static_cast<std::size_t>(g + m) % scenario_.zones.size()]);
     }
   }
-  for (auto& h : hosts_) open_listeners(h);
+  for (auto& emulated_host : hosts_) open_listeners(emulated_host);
   open_listeners(discovery_);
   if (scenario_.peer_links) {
     std::vector<Relay::Peer> peers;
@@ -969,9 +998,10 @@
   timeline_.run_until(from);
   for (int g = 0; g < scenario_.gateways; ++g) start_gateway(g, false);
   timeline_.after(
-      std::chrono::milliseconds(20), [this] { reap_processes(); });
+      process_poll_interval, [this] { reap_processes(); });
   const auto all_in_rotation = [this] {
-    return std::all_of(gateways_.begin(), gateways_.end(), [](const Gateway& g) { return g.in_rotation; });
+    return std::all_of(gateways_.begin(), gateways_.end(),
+                       [](const Gateway& process) { return process.in_rotation; });
   };
   while (!all_in_rotation() && clock_.now() - from < startup_timeout && result_.error.empty() &&
          result_.crashes == 0)
@@ -988,7 +1018,7 @@
   running_ = true;
   result_.events.clear();
   const std::function<void()> tick = [this, &tick] {
-    for (auto* w : discovery_links_) w->send_heartbeat();
+    for (auto* watch : discovery_links_) watch->send_heartbeat();
     rules_->check_timeouts(timeline_.now());
     timeline_.after(std::chrono::seconds(1), tick);
   };
@@ -996,18 +1026,20 @@
   if (options_.live)
     for (int i = 1; i <= static_cast<int>(scenario_.run_time.count() / 1'000'000); ++i)
       timeline_.after(std::chrono::seconds(i), [this, i] {
-        const auto& sec = result_.seconds[std::min(result_.seconds.size(), static_cast<std::size_t>(i)) - 1];
-        std::printf("%6d s  asked %5llu  in time %5llu  refused %4llu  failed %4llu\n", i,
-                    static_cast<unsigned long long>(sec.asked), static_cast<unsigned long long>(sec.in_time),
-                    static_cast<unsigned long long>(sec.refused),
-                    static_cast<unsigned long long>(sec.failed));
+        const auto& second =
+            result_.seconds[std::min(result_.seconds.size(), static_cast<std::size_t>(i)) - 1];
+        std::printf(
+            "%6d s  asked %5llu  in time %5llu  refused %4llu  failed %4llu\n", i,
+            static_cast<unsigned long long>(second.asked), static_cast<unsigned long long>(second.in_time),
+            static_cast<unsigned long long>(second.refused), static_cast<unsigned long long>(second.failed));
         std::fflush(stdout);
       });
   for (std::size_t f = 0; f < scenario_.faults.size(); ++f)
     timeline_.after(scenario_.faults[f].at, [this, f] { apply_fault(f); });
   next_arrival();
   Duration longest{};
-  for (const auto& k : scenario_.classes) longest = std::max(longest, k.request_class.deadline);
+  for (const auto& class_spec : scenario_.classes)
+    longest = std::max(longest, class_spec.request_class.deadline);
   const auto end = load_started_at_ + scenario_.run_time;
   while (clock_.now() < end && !gave_up_) loop_.run(ev::ONCE);
   // Waits for open requests until their deadlines, plus a margin for a delayed event loop.
@@ -1022,10 +1054,10 @@
   }
   const auto running = [this] {
     return std::any_of(gateways_.begin(), gateways_.end(),
-                       [](const Gateway& g) { return g.pid > 0 || g.previous_pid > 0; });
+                       [](const Gateway& process) { return process.pid > 0 || process.previous_pid > 0; });
   };
   for (const auto until = clock_.now() + std::chrono::seconds(4); running() && clock_.now() < until;) {
-    timeline_.after(std::chrono::milliseconds(20), [] {});
+    timeline_.after(process_poll_interval, [] {});
     loop_.run(ev::ONCE);
     reap_processes();
   }
@@ -1041,13 +1073,14 @@
   result_.violations = rules_->violations();
   double possible_value = 0, earned_value = 0;
   for (std::size_t i = 0; i < scenario_.classes.size(); ++i) {
-    const auto& k = scenario_.classes[i].request_class;
-    const auto& c = result_.classes[i];
-    possible_value += k.value * static_cast<double>(c.asked);
-    earned_value += k.value * (static_cast<double>(c.in_time) + k.late_value * static_cast<double>(c.late));
+    const auto& request_class = scenario_.classes[i].request_class;
+    const auto& class_result = result_.classes[i];
+    possible_value += request_class.value * static_cast<double>(class_result.asked);
+    earned_value += request_class.value * (static_cast<double>(class_result.in_time) +
+                                           request_class.late_value * static_cast<double>(class_result.late));
   }
   result_.value_served = possible_value > 0 ? earned_value / possible_value : 0;
-  for (auto& sec : result_.seconds) sec.p99_ms = quantile(sec.latencies_ms, 0.99);
+  for (auto& second : result_.seconds) second.p99_ms = quantile(second.latencies_ms, 0.99);
   result_.send_delay_p99_ms = quantile(send_delays_, 0.99);
   const auto late = std::count_if(send_delays_.begin(), send_delays_.end(),
                                   [](float ms) { return ms > max_send_delay_ms; });
--- a/src/tools/rig/rig.h
+++ b/src/tools/rig/rig.h
@@ -179,7 +179,7 @@
   void abandon(const std::string& id);
   // faults
   void apply_fault(std::size_t index);
-  [[nodiscard]] std::vector<int> select_targets(const Target& pick, std::uint64_t stream) const;
+  [[nodiscard]] std::vector<int> select_targets(const Target& position, std::uint64_t stream) const;
   void add_event(const std::string& text);
   [[nodiscard]] double elapsed_seconds() const;
   SecondResult& current_second();
--- a/src/tools/rig/rules.cpp
+++ b/src/tools/rig/rules.cpp
@@ -12,9 +12,9 @@
   constexpr const char* names[] = {"served", "miss", "full", "error", "closed"};
   return names[static_cast<int>(end)];
 }
-const char* name_of(Answer a) {
+const char* name_of(Answer answer) {
   constexpr const char* names[] = {"served", "refused", "failed", "lost"};
-  return names[static_cast<int>(a)];
+  return names[static_cast<int>(answer)];
 }
 double seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
 
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -43,14 +43,14 @@
                      {Idempotency::unsafe, DedupScope::group, {}, Freshness::write, {}}},
                     start};
   Time now = start;
-  void request(const std::string& id, std::size_t cls, int gateway = 0) {
-    rules.on_request(id, gateway, cls, now, now + 1s);
+  void request(const std::string& id, std::size_t class_index, int gateway = 0) {
+    rules.on_request(id, gateway, class_index, now, now + 1s);
   }
   std::size_t send(const std::string& id, int host = 1, int gateway = 0, int group = 0) {
     return rules.on_attempt(id, gateway, host, group, 50ms, now += 1ms);
   }
-  void end_attempt(const std::string& id, std::size_t n, AttemptEnd how, std::optional<Time> position = {}) {
-    rules.on_attempt_end(id, n, how, position, now += 1ms);
+  void end_attempt(const std::string& id, std::size_t n, AttemptEnd end, std::optional<Time> position = {}) {
+    rules.on_attempt_end(id, n, end, position, now += 1ms);
   }
   void answer(const std::string& id, Answer a = Answer::served) { rules.on_answer(id, a, now += 1ms); }
   /// The only rule violated, after checking that the violation names the request; empty: none.
@@ -65,23 +65,23 @@
 };
 
 TEST(RigRules, CorrectBehaviourGivesNoViolation) {
-  RuleFixture j;
-  j.request("a", 0);
+  RuleFixture fixture;
+  fixture.request("a", 0);
   for (int i = 0; i < 5; ++i)
-    j.end_attempt("a", j.send("a", i), i < 3 ? AttemptEnd::too_stale : AttemptEnd::error);
-  j.end_attempt("a", j.send("a", 1), AttemptEnd::served, j.now - 100ms);
-  j.answer("a");
-  j.request("b", 1);
-  j.end_attempt("b", j.send("b"), AttemptEnd::closed);
-  j.end_attempt("b", j.send("b"), AttemptEnd::served);
-  j.answer("b");
-  j.request("c", 2);
-  j.end_attempt("c", j.send("c"), AttemptEnd::full);  // was not executed
-  j.end_attempt("c", j.send("c"), AttemptEnd::served);
-  j.answer("c");
-  j.rules.check_timeouts(j.now + 1h);
-  EXPECT_EQ(j.violated_rule(""), "");
-  EXPECT_EQ(j.rules.tracked_requests(), 0U) << "finished requests must be forgotten";
+    fixture.end_attempt("a", fixture.send("a", i), i < 3 ? AttemptEnd::too_stale : AttemptEnd::error);
+  fixture.end_attempt("a", fixture.send("a", 1), AttemptEnd::served, fixture.now - 100ms);
+  fixture.answer("a");
+  fixture.request("b", 1);
+  fixture.end_attempt("b", fixture.send("b"), AttemptEnd::closed);
+  fixture.end_attempt("b", fixture.send("b"), AttemptEnd::served);
+  fixture.answer("b");
+  fixture.request("c", 2);
+  fixture.end_attempt("c", fixture.send("c"), AttemptEnd::full);  // was not executed
+  fixture.end_attempt("c", fixture.send("c"), AttemptEnd::served);
+  fixture.answer("c");
+  fixture.rules.check_timeouts(fixture.now + 1h);
+  EXPECT_EQ(fixture.violated_rule(""), "");
+  EXPECT_EQ(fixture.rules.tracked_requests(), 0U) << "finished requests must be forgotten";
 }
 
 TEST(RigRules, EachViolationIsReportedWithItsRequest) {
@@ -89,156 +89,157 @@
     const char* rule;
     std::function<void(RuleFixture&)> run;
   };
-  for (const auto& c : std::vector<Case>{
+  for (const auto& test_case : std::vector<Case>{
            {"never again what may have run",
-            [](RuleFixture& j) {
-              j.request("x", 2);
-              j.end_attempt("x", j.send("x"), AttemptEnd::closed);
-              j.send("x");
+            [](RuleFixture& fixture) {
+              fixture.request("x", 2);
+              fixture.end_attempt("x", fixture.send("x"), AttemptEnd::closed);
+              fixture.send("x");
             }},
            {"never again what may have run",
-            [](RuleFixture& j) {
-              j.request("x", 1);
-              j.end_attempt("x", j.send("x"), AttemptEnd::error);
-              j.now += 1300ms;
-              j.send("x");
+            [](RuleFixture& fixture) {
+              fixture.request("x", 1);
+              fixture.end_attempt("x", fixture.send("x"), AttemptEnd::error);
+              fixture.now += 1300ms;
+              fixture.send("x");
             }},
            {"never again what may have run",
-            [](RuleFixture& j) {
-              j.request("x", 1);
-              j.end_attempt("x", j.send("x"), AttemptEnd::error);
-              j.send("x", 9, 0, 1);
+            [](RuleFixture& fixture) {
+              fixture.request("x", 1);
+              fixture.end_attempt("x", fixture.send("x"), AttemptEnd::error);
+              fixture.send("x", 9, 0, 1);
             }},
            {"never two at once",
-            [](RuleFixture& j) {
-              j.request("x", 0);
-              j.send("x");
-              j.send("x", 2);
+            [](RuleFixture& fixture) {
+              fixture.request("x", 0);
+              fixture.send("x");
+              fixture.send("x", 2);
             }},
            {"six at most",
-            [](RuleFixture& j) {
-              j.request("x", 0);
-              for (int i = 0; i < 7; ++i) j.end_attempt("x", j.send("x"), AttemptEnd::too_stale);
+            [](RuleFixture& fixture) {
+              fixture.request("x", 0);
+              for (int i = 0; i < 7; ++i) fixture.end_attempt("x", fixture.send("x"), AttemptEnd::too_stale);
             }},
            {"nothing new after a drain",
-            [](RuleFixture& j) {
-              j.request("x", 0);
-              j.rules.on_listing(0, 1, false, j.now);
-              j.now += 1060ms;
-              j.send("x");
+            [](RuleFixture& fixture) {
+              fixture.request("x", 0);
+              fixture.rules.on_listing(0, 1, false, fixture.now);
+              fixture.now += 1060ms;
+              fixture.send("x");
             }},
            {"no read too old",
-            [](RuleFixture& j) {
-              j.request("x", 0);
-              j.end_attempt("x", j.send("x"), AttemptEnd::served, j.now - 400ms);
+            [](RuleFixture& fixture) {
+              fixture.request("x", 0);
+              fixture.end_attempt("x", fixture.send("x"), AttemptEnd::served, fixture.now - 400ms);
             }},
            {"one final answer",
-            [](RuleFixture& j) {
-              j.request("x", 0);
-              j.send("x");
-              j.answer("x", Answer::lost);
+            [](RuleFixture& fixture) {
+              fixture.request("x", 0);
+              fixture.send("x");
+              fixture.answer("x", Answer::lost);
             }},
            {"one final answer",
-            [](RuleFixture& j) {
-              j.request("x", 0);
-              j.rules.check_timeouts(j.now + 10s);
+            [](RuleFixture& fixture) {
+              fixture.request("x", 0);
+              fixture.rules.check_timeouts(fixture.now + 10s);
             }},
            {"one final answer",
-            [](RuleFixture& j) {
-              j.request("x", 0);
-              j.answer("x");
-              j.answer("x");
+            [](RuleFixture& fixture) {
+              fixture.request("x", 0);
+              fixture.answer("x");
+              fixture.answer("x");
             }},
            {"nothing for one that left",
-            [](RuleFixture& j) {
-              j.request("x", 0);
-              j.rules.on_client_exit("x", j.now);
-              j.now += 360ms;
-              j.send("x");
+            [](RuleFixture& fixture) {
+              fixture.request("x", 0);
+              fixture.rules.on_client_exit("x", fixture.now);
+              fixture.now += 360ms;
+              fixture.send("x");
             }},
            {"a host's value",
-            [](RuleFixture& j) {
-              j.request("x", 0);
-              j.rules.on_wrong_value("x");
+            [](RuleFixture& fixture) {
+              fixture.request("x", 0);
+              fixture.rules.on_wrong_value("x");
             }},
            {"in time",
-            [](RuleFixture& j) {
-              j.request("x", 0);
-              j.now += 1060ms;
-              j.answer("x");
+            [](RuleFixture& fixture) {
+              fixture.request("x", 0);
+              fixture.now += 1060ms;
+              fixture.answer("x");
             }},
            {"refused what may have run",
-            [](RuleFixture& j) {
-              j.request("x", 2);
-              j.end_attempt("x", j.send("x"), AttemptEnd::closed);
-              j.answer("x", Answer::refused);
+            [](RuleFixture& fixture) {
+              fixture.request("x", 2);
+              fixture.end_attempt("x", fixture.send("x"), AttemptEnd::closed);
+              fixture.answer("x", Answer::refused);
             }},
        }) {
-    RuleFixture j;
-    c.run(j);
-    EXPECT_EQ(j.violated_rule("x"), c.rule);
+    RuleFixture fixture;
+    test_case.run(fixture);
+    EXPECT_EQ(fixture.violated_rule("x"), test_case.rule);
   }
 }
 
 TEST(RigRules, AttemptOnAnEndedConnectionDoesNotCountAsConcurrent) {
-  RuleFixture j;
-  j.request("x", 0);
-  j.send("x", 2);  // the later attempt, over a healthy link
-  j.rules.on_attempt("x", 0, 1, 0, 50ms, j.now += 1ms, true);
-  EXPECT_EQ(j.violated_rule(""), "");
-  j.rules.on_attempt("x", 0, 3, 0, 50ms, j.now += 1ms, false);
-  EXPECT_EQ(j.violated_rule("x"), "never two at once");
+  RuleFixture fixture;
+  fixture.request("x", 0);
+  fixture.send("x", 2);  // the later attempt, over a healthy link
+  fixture.rules.on_attempt("x", 0, 1, 0, 50ms, fixture.now += 1ms, true);
+  EXPECT_EQ(fixture.violated_rule(""), "");
+  fixture.rules.on_attempt("x", 0, 3, 0, 50ms, fixture.now += 1ms, false);
+  EXPECT_EQ(fixture.violated_rule("x"), "never two at once");
 }
 
 TEST(RigRules, DrainBindsEachGatewayFromItsOwnNotification) {
-  RuleFixture j;
-  j.rules.on_listing(0, 1, false, j.now);
-  j.rules.on_listing(0, 1, false, j.now + 900ms);  // a repeat: the first notice counts
-  j.request("other", 0, 1);
-  j.now += 2s;
-  j.end_attempt("other", j.send("other", 1, 1), AttemptEnd::too_stale);  // this gateway got no notice
-  j.rules.on_listing(0, 1, true, j.now);
-  j.request("back", 0);
-  j.end_attempt("back", j.send("back", 1, 0), AttemptEnd::too_stale);
-  EXPECT_EQ(j.violated_rule(""), "");
+  RuleFixture fixture;
+  fixture.rules.on_listing(0, 1, false, fixture.now);
+  fixture.rules.on_listing(0, 1, false, fixture.now + 900ms);  // a repeat: the first notice counts
+  fixture.request("other", 0, 1);
+  fixture.now += 2s;
+  fixture.end_attempt("other", fixture.send("other", 1, 1),
+                      AttemptEnd::too_stale);  // this gateway got no notice
+  fixture.rules.on_listing(0, 1, true, fixture.now);
+  fixture.request("back", 0);
+  fixture.end_attempt("back", fixture.send("back", 1, 0), AttemptEnd::too_stale);
+  EXPECT_EQ(fixture.violated_rule(""), "");
 }
 
 TEST(RigRules, ColdHostIsOverloadedByTheSumOverAllGateways) {
   // 3 cores at a share of 0.17, and twice that for 2 s, allow 2.04 s of work: 40 requests of 50 ms.
   for (const int many : {40, 41}) {
-    RuleFixture j;
-    j.rules.on_host_start(1, 3, j.now);
+    RuleFixture fixture;
+    fixture.rules.on_host_start(1, 3, fixture.now);
     for (int g = 0; g < many; ++g) {
       const auto id = "g" + std::to_string(g);
-      j.request(id, 0, g);
-      j.end_attempt(id, j.send(id, 1, g), AttemptEnd::served, j.now);
+      fixture.request(id, 0, g);
+      fixture.end_attempt(id, fixture.send(id, 1, g), AttemptEnd::served, fixture.now);
     }
-    EXPECT_EQ(j.violated_rule("g40"), many > 40 ? "no cold host tipped" : "");
+    EXPECT_EQ(fixture.violated_rule("g40"), many > 40 ? "no cold host tipped" : "");
   }
 }
 
 TEST(RigRules, AttemptsAroundAClientExitAreAllowed) {
-  RuleFixture j;
-  j.request("x", 0);
-  j.send("x");
-  j.rules.on_client_exit("x", j.now);
-  j.end_attempt("x", 0, AttemptEnd::closed);
-  j.now += 290ms;
-  j.send("x");
-  j.rules.check_timeouts(j.now + 1h);
-  EXPECT_EQ(j.violated_rule(""), "");
-  EXPECT_EQ(j.rules.tracked_requests(), 0U);
+  RuleFixture fixture;
+  fixture.request("x", 0);
+  fixture.send("x");
+  fixture.rules.on_client_exit("x", fixture.now);
+  fixture.end_attempt("x", 0, AttemptEnd::closed);
+  fixture.now += 290ms;
+  fixture.send("x");
+  fixture.rules.check_timeouts(fixture.now + 1h);
+  EXPECT_EQ(fixture.violated_rule(""), "");
+  EXPECT_EQ(fixture.rules.tracked_requests(), 0U);
 }
 
 TEST(RigRules, FaultsInjectedByTheRigAreExcused) {
-  RuleFixture j;
-  j.request("x", 0, 3);
-  j.request("y", 0, 4);
-  j.rules.excuse_gateway(3, j.now + 10ms, j.now + 3s);
-  j.now += 3s;
-  j.answer("x");
-  j.rules.check_timeouts(j.now);
-  EXPECT_EQ(j.violated_rule("y"), "one final answer");
+  RuleFixture fixture;
+  fixture.request("x", 0, 3);
+  fixture.request("y", 0, 4);
+  fixture.rules.excuse_gateway(3, fixture.now + 10ms, fixture.now + 3s);
+  fixture.now += 3s;
+  fixture.answer("x");
+  fixture.rules.check_timeouts(fixture.now);
+  EXPECT_EQ(fixture.violated_rule("y"), "one final answer");
   RuleFixture slow;
   slow.request("z", 0);
   slow.rules.excuse_all(slow.now + 1ms, slow.now + 2s);
@@ -248,16 +249,16 @@
 }
 
 TEST(RigRules, PausedGatewayLearnsOfADrainWhenResumed) {
-  RuleFixture j;
-  j.rules.excuse_gateway(3, j.now, j.now + 3s);
-  j.now += 1s;
-  for (const int g : {3, 4}) j.rules.on_listing(g, 1, false, j.now);
-  j.now += 2500ms;
-  j.request("late", 0, 3);
-  j.end_attempt("late", j.send("late", 1, 3), AttemptEnd::too_stale);
-  j.request("x", 0, 4);
-  j.end_attempt("x", j.send("x", 1, 4), AttemptEnd::too_stale);
-  EXPECT_EQ(j.violated_rule("x"), "nothing new after a drain");
+  RuleFixture fixture;
+  fixture.rules.excuse_gateway(3, fixture.now, fixture.now + 3s);
+  fixture.now += 1s;
+  for (const int g : {3, 4}) fixture.rules.on_listing(g, 1, false, fixture.now);
+  fixture.now += 2500ms;
+  fixture.request("late", 0, 3);
+  fixture.end_attempt("late", fixture.send("late", 1, 3), AttemptEnd::too_stale);
+  fixture.request("x", 0, 4);
+  fixture.end_attempt("x", fixture.send("x", 1, 4), AttemptEnd::too_stale);
+  EXPECT_EQ(fixture.violated_rule("x"), "nothing new after a drain");
 }
 
 // ---- scenarios ----
@@ -270,8 +271,8 @@
     }
     return "";
   };
-  const auto fault = [](const std::string& f) {
-    return R"({"name":"x","zones":["a"],"faults":[)" + f + "]}";
+  const auto fault = [](const std::string& fault_json) {
+    return R"({"name":"x","zones":["a"],"faults":[)" + fault_json + "]}";
   };
   EXPECT_EQ(error_of(R"({"name":"x"})"), "");
   EXPECT_EQ(
@@ -350,35 +351,35 @@
 };
 
 TEST(RigRelay, DatagramsKeepTheirSenderAndFaultsApplyPerDirection) {
-  RelayFixture t;
-  ASSERT_EQ(t.relay->error(), "");
-  t.send_datagram(0, 1, "a");
-  t.send_datagram(2, 1, "b");
-  EXPECT_EQ(t.received_by(1), (std::vector<std::string>{"0a", "2b"}));
-  t.links[{0, 1}].cut = true;
-  t.send_datagram(0, 1, "lost");
-  t.send_datagram(1, 0, "back");
-  t.send_datagram(0, 2, "other");
-  EXPECT_EQ(t.received_by(1), std::vector<std::string>{});
-  EXPECT_EQ(t.received_by(0), std::vector<std::string>{"1back"});
-  EXPECT_EQ(t.received_by(2), std::vector<std::string>{"0other"});
-  t.links[{0, 1}] = {};
-  t.links[{0, 1}].delay = 500ms;
-  t.send_datagram(0, 1, "late");
-  EXPECT_TRUE(t.received_by(1).empty());
-  t.run_loop(500ms);
-  EXPECT_EQ(t.received_by(1), std::vector<std::string>{"0late"});
-  t.links[{0, 1}] = {};
-  t.links[{0, 1}].loss = 0.3;
-  t.links[{0, 1}].duplicate = 0.2;
-  t.links[{0, 1}].reorder = 0.2;
+  RelayFixture fixture;
+  ASSERT_EQ(fixture.relay->error(), "");
+  fixture.send_datagram(0, 1, "a");
+  fixture.send_datagram(2, 1, "b");
+  EXPECT_EQ(fixture.received_by(1), (std::vector<std::string>{"0a", "2b"}));
+  fixture.links[{0, 1}].cut = true;
+  fixture.send_datagram(0, 1, "lost");
+  fixture.send_datagram(1, 0, "back");
+  fixture.send_datagram(0, 2, "other");
+  EXPECT_EQ(fixture.received_by(1), std::vector<std::string>{});
+  EXPECT_EQ(fixture.received_by(0), std::vector<std::string>{"1back"});
+  EXPECT_EQ(fixture.received_by(2), std::vector<std::string>{"0other"});
+  fixture.links[{0, 1}] = {};
+  fixture.links[{0, 1}].delay = 500ms;
+  fixture.send_datagram(0, 1, "late");
+  EXPECT_TRUE(fixture.received_by(1).empty());
+  fixture.run_loop(500ms);
+  EXPECT_EQ(fixture.received_by(1), std::vector<std::string>{"0late"});
+  fixture.links[{0, 1}] = {};
+  fixture.links[{0, 1}].loss = 0.3;
+  fixture.links[{0, 1}].duplicate = 0.2;
+  fixture.links[{0, 1}].reorder = 0.2;
   std::map<std::string, int> receive_counts;
   std::size_t total = 0, out_of_order = 0;
   std::string last;
   for (int i = 100; i < 600; ++i) {
-    t.send_datagram(0, 1, std::to_string(i));
-    t.run_loop(10ms);
-    for (const auto& h : t.received_by(1)) {
+    fixture.send_datagram(0, 1, std::to_string(i));
+    fixture.run_loop(10ms);
+    for (const auto& h : fixture.received_by(1)) {
       ++receive_counts[h];
       ++total;
       out_of_order += h < last;
@@ -389,33 +390,33 @@
   EXPECT_NEAR(static_cast<double>(total - receive_counts.size()), 70, 30);
   EXPECT_GT(out_of_order, 20U);
   wire::Fd unknown_sender = wire::bind_datagram("127.9.3.1:0");
-  const auto to = RelayFixture::socket_address(t.peers[1].advertised_address);
+  const auto to = RelayFixture::socket_address(fixture.peers[1].advertised_address);
   ::sendto(unknown_sender.get(), "x", 1, 0, reinterpret_cast<const sockaddr*>(&to), sizeof to);
-  t.run_loop();
-  EXPECT_EQ(t.relay->counts().unknown_sender, 1U);
+  fixture.run_loop();
+  EXPECT_EQ(fixture.relay->counts().unknown_sender, 1U);
 }
 
 TEST(RigRelay, ConnectionsPauseDuringACutAndResumeAfterIt) {
-  RelayFixture t;
-  ASSERT_EQ(t.relay->error(), "");
-  auto listener = wire::listen_on(t.peers[1].bound_address);
+  RelayFixture fixture;
+  ASSERT_EQ(fixture.relay->error(), "");
+  auto listener = wire::listen_on(fixture.peers[1].bound_address);
   // From the address of the first peer, as its gateway would connect.
   wire::Fd client_side(::socket(AF_INET, SOCK_STREAM, 0));
   auto from = RelayFixture::socket_address("127.9.1.1:0"),
-       to = RelayFixture::socket_address(t.peers[1].advertised_address);
+       to = RelayFixture::socket_address(fixture.peers[1].advertised_address);
   ASSERT_EQ(::bind(client_side.get(), reinterpret_cast<sockaddr*>(&from), sizeof from), 0);
   ASSERT_EQ(::connect(client_side.get(), reinterpret_cast<sockaddr*>(&to), sizeof to), 0);
-  t.run_loop();
+  fixture.run_loop();
   wire::Fd server_side;
   for (int i = 0; i < 1000 && server_side.get() < 0; ++i) {
-    t.run_loop();
+    fixture.run_loop();
     server_side = wire::accept_from(listener.get());
   }
   ASSERT_GE(server_side.get(), 0);
   const auto receive = [&](const wire::Fd& at) {
     std::string all(64, '\0');
     for (int i = 0; i < 50; ++i) {
-      t.run_loop();
+      fixture.run_loop();
       const auto n = ::recv(at.get(), all.data(), all.size(), MSG_DONTWAIT);
       if (n >= 0) return n == 0 ? std::string("end") : all.substr(0, static_cast<std::size_t>(n));
       if (errno == ECONNRESET) return std::string("reset");
@@ -424,16 +425,16 @@
   };
   ::send(client_side.get(), "one", 3, 0);
   EXPECT_EQ(receive(server_side), "one");
-  t.links[{0, 1}].cut = true;
-  t.relay->update_streams();
+  fixture.links[{0, 1}].cut = true;
+  fixture.relay->update_streams();
   ::send(client_side.get(), "two", 3, 0);
   ::send(server_side.get(), "back", 4, 0);
   EXPECT_EQ(receive(server_side), "");
   EXPECT_EQ(receive(client_side), "back");
-  t.links.clear();
-  t.relay->update_streams();
+  fixture.links.clear();
+  fixture.relay->update_streams();
   EXPECT_EQ(receive(server_side), "two");
-  t.relay->reset(1, 0);
+  fixture.relay->reset(1, 0);
   EXPECT_EQ(receive(server_side), "reset");
   EXPECT_EQ(receive(client_side), "reset");
 }
@@ -474,23 +475,24 @@
 RunOutcome run_scenario(const std::string& text, const std::vector<std::string>& more = {}) {
   const auto out = make_temp_folder();
   std::ofstream(out + "/scenario.json") << text;
-  RunOutcome p;
+  RunOutcome outcome;
   int status = 0;
   ::waitpid(start_rig(out + "/scenario.json", out, more), &status, 0);
-  p.exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-  p.output = read_file(out + "/said");
-  p.result.Parse(read_file(out + "/result.json").c_str());
+  outcome.exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+  outcome.output = read_file(out + "/said");
+  outcome.result.Parse(read_file(out + "/result.json").c_str());
   std::system(("rm -rf " + out).c_str());
-  return p;
+  return outcome;
 }
 /// Exit code 3 means that the machine was too slow for metrics; the rules were checked all the same.
-void expect_rules_kept(const RunOutcome& p) {
-  EXPECT_TRUE(p.exit_code == 0 || p.exit_code == 3) << p.exit_code << '\n' << p.output;
-  ASSERT_TRUE(p.result.IsObject()) << p.output;
-  EXPECT_TRUE(p.result["complete"].GetBool());
-  EXPECT_EQ(p.result["broken"].GetUint64(), 0U) << p.output;
-  EXPECT_EQ(p.result["crashes"].GetUint64(), 0U) << p.output;
-  EXPECT_GT(p.result["requests"].GetUint64(), 100U);
+void expect_rules_kept(const RunOutcome& outcome) {
+  EXPECT_TRUE(outcome.exit_code == 0 || outcome.exit_code == 3) << outcome.exit_code << '\n'
+                                                                << outcome.output;
+  ASSERT_TRUE(outcome.result.IsObject()) << outcome.output;
+  EXPECT_TRUE(outcome.result["complete"].GetBool());
+  EXPECT_EQ(outcome.result["broken"].GetUint64(), 0U) << outcome.output;
+  EXPECT_EQ(outcome.result["crashes"].GetUint64(), 0U) << outcome.output;
+  EXPECT_GT(outcome.result["requests"].GetUint64(), 100U);
 }
 
 TEST(Rig, ReportsEachDefectOfAFaultyGateway) {
@@ -508,43 +510,44 @@
   struct Case {
     std::string defect, scenario, rule;
   };
-  for (const auto& c : std::vector<Case>{{"none", head + "}", ""},
-                                         {"mute", head + "}", "one final answer"},
-                                         {"repeat", head + "}", "never again what may have run"},
-                                         {"twice", head + "}", "never two at once"},
-                                         {"seven", head + "}", "six at most"},
-                                         {"deaf", head + drained + "}", "nothing new after a drain"},
-                                         {"unseen", head + leaving, "nothing for one that left"},
-                                         {"none", head + leaving, ""},
-                                         {"invents", head + "}", "a host's value"},
-                                         {"stale", head + behind, "no read too old"},
-                                         {"none", flood, "no cold host tipped"}}) {
-    ::setenv("DEFECT", c.defect.c_str(), 1);
-    const auto p = run_scenario(c.scenario, {"--gateway", CEDARRING_BAD_GATEWAY});
+  for (const auto& test_case : std::vector<Case>{{"none", head + "}", ""},
+                                                 {"mute", head + "}", "one final answer"},
+                                                 {"repeat", head + "}", "never again what may have run"},
+                                                 {"twice", head + "}", "never two at once"},
+                                                 {"seven", head + "}", "six at most"},
+                                                 {"deaf", head + drained + "}", "nothing new after a drain"},
+                                                 {"unseen", head + leaving, "nothing for one that left"},
+                                                 {"none", head + leaving, ""},
+                                                 {"invents", head + "}", "a host's value"},
+                                                 {"stale", head + behind, "no read too old"},
+                                                 {"none", flood, "no cold host tipped"}}) {
+    ::setenv("DEFECT", test_case.defect.c_str(), 1);
+    const auto outcome = run_scenario(test_case.scenario, {"--gateway", CEDARRING_BAD_GATEWAY});
     ::unsetenv("DEFECT");
-    ASSERT_TRUE(p.result.IsObject()) << p.output;
+    ASSERT_TRUE(outcome.result.IsObject()) << outcome.output;
     std::set<std::string> rules;
-    for (const auto& v : p.result["violations"].GetArray()) {
+    for (const auto& v : outcome.result["violations"].GetArray()) {
       rules.insert(v["rule"].GetString());
       EXPECT_NE(std::string(v["course"].GetString()).find("g"), std::string::npos);
     }
-    EXPECT_EQ(c.rule.empty() ? rules.empty() : rules.count(c.rule) == 1, true) << c.defect << '\n'
-                                                                               << p.output;
-    EXPECT_EQ(p.exit_code, c.rule.empty() ? p.exit_code : 1) << p.output;
+    EXPECT_EQ(test_case.rule.empty() ? rules.empty() : rules.count(test_case.rule) == 1, true)
+        << test_case.defect << '\n'
+        << outcome.output;
+    EXPECT_EQ(outcome.exit_code, test_case.rule.empty() ? outcome.exit_code : 1) << outcome.output;
   }
 }
 
 TEST(Rig, RulesHoldWhenAPrimaryIsLostAndRestartsCold) {
-  const auto p = run_scenario(
+  const auto outcome = run_scenario(
       R"({"name":"lost","gateways":3,"groups":2,"members":3,"zones":["a","b"],"seconds":6,"warm_up_s":1,
     "load":0.3,"takeover_s":1,"cold_s":3,"faults":[{"at_s":2,"do":"kill","on":{"of":"primary","numbers":[0]},"for_s":1.5}]})");
-  expect_rules_kept(p);
-  EXPECT_NE(p.output.find("a group has a primary again"), std::string::npos) << p.output;
-  EXPECT_GT(p.result["worth_served"].GetDouble(), 0.8);
+  expect_rules_kept(outcome);
+  EXPECT_NE(outcome.output.find("a group has a primary again"), std::string::npos) << outcome.output;
+  EXPECT_GT(outcome.result["worth_served"].GetDouble(), 0.8);
 }
 
 TEST(Rig, RulesHoldWhenCutLinksHealWhileAttemptsWait) {
-  const auto p = run_scenario(
+  const auto outcome = run_scenario(
       R"({"name":"cuts","gateways":6,"groups":2,"members":3,"zones":["a","b","c"],"seconds":7,"warm_up_s":1,
     "load":0.3,"faults":[
       {"at_s":1.5,"do":"cut","on":{"of":"gateways","zone":"a"},"to":{"of":"hosts","zone":"b"},"for_s":0.4},
@@ -553,35 +556,35 @@
       {"at_s":4.5,"do":"cut","on":{"of":"gateways"},"to":{"of":"hosts","numbers":[1]},"reset":true,"for_s":1},
       {"at_s":5,"do":"cut","on":{"of":"gateways","zone":"a"},"to":{"of":"discovery"},"for_s":1},
       {"at_s":5.2,"do":"drain","on":{"of":"hosts","numbers":[4]},"for_s":1.5}]})");
-  expect_rules_kept(p);
-  EXPECT_GT(p.result["worth_served"].GetDouble(), 0.8);
+  expect_rules_kept(outcome);
+  EXPECT_GT(outcome.result["worth_served"].GetDouble(), 0.8);
 }
 
 TEST(Rig, RulesHoldWhenAThirdOfThirtyGatewaysPausesAndResumes) {
-  const auto p = run_scenario(
+  const auto outcome = run_scenario(
       R"({"name":"stop","gateways":30,"groups":3,"members":3,"zones":["a","b","c"],"seconds":8,"warm_up_s":1,
     "load":0.4,"sockets":256,"memory_mb":32,"faults":[
       {"at_s":2,"do":"stop","on":{"of":"gateways","share":0.33},"for_s":3},
       {"at_s":3,"do":"drain","on":{"of":"hosts","numbers":[4]}}]})");
-  expect_rules_kept(p);
+  expect_rules_kept(outcome);
 }
 
 TEST(Rig, RulesHoldWhenGatewaysAreKilledUpgradedAndReloaded) {
-  const auto p = run_scenario(
+  const auto outcome = run_scenario(
       R"({"name":"processes","gateways":6,"groups":2,"members":3,"seconds":7,"warm_up_s":1,"load":0.3,
     "faults":[{"at_s":1.5,"do":"upgrade","on":{"of":"gateways","share":0.5}},
       {"at_s":3,"do":"hup","on":{"of":"gateways"}},
       {"at_s":3.5,"do":"kill","on":{"of":"gateways","numbers":[1,2]},"for_s":1},
       {"at_s":4,"do":"term","on":{"of":"gateways","numbers":[3]},"for_s":1.5},
       {"at_s":4.5,"do":"refuse","on":{"of":"discovery"},"for_s":1}]})");
-  expect_rules_kept(p);
+  expect_rules_kept(outcome);
 }
 
 /// Guards against rules broken where faults overlap: slow handshakes, early closes, resets during requests
 /// and answers, bad answers, watches that stall or end within a list just before hosts drain, clients that
 /// leave early, and gateways that terminate while hosts are silent.
 TEST(Rig, RulesHoldUnderOverlappingConnectionAndDiscoveryFaults) {
-  const auto p = run_scenario(
+  const auto outcome = run_scenario(
       R"({"name":"moments","gateways":6,"groups":2,"members":3,"zones":["a","b","c"],"seconds":11,
     "warm_up_s":1,"load":0.35,"takeover_s":1,"cold_s":3,"leaving":0.25,"connections":40,"handshake_ms":3,"faults":[
       {"at_s":1,"do":"mute","on":{"of":"discovery"}},
@@ -598,17 +601,17 @@
       {"at_s":8.2,"do":"drain","on":{"of":"hosts","numbers":[1]}},
       {"at_s":8.5,"do":"upgrade","on":{"of":"gateways","numbers":[0,4]}},
       {"at_s":9,"do":"refuse","on":{"of":"discovery"},"for_s":1}]})");
-  expect_rules_kept(p);
-  EXPECT_EQ(p.output.find("had not ended"), std::string::npos) << p.output;
-  EXPECT_GT(p.result["worth_served"].GetDouble(), 0.6);
+  expect_rules_kept(outcome);
+  EXPECT_EQ(outcome.output.find("had not ended"), std::string::npos) << outcome.output;
+  EXPECT_GT(outcome.result["worth_served"].GetDouble(), 0.6);
 }
 
 TEST(Rig, EqualSeedsGiveEqualRequests) {
   const std::string s =
       R"({"name":"equal","gateways":2,"groups":1,"members":3,"seconds":3,"warm_up_s":0.5,"load":0.5})";
-  const auto asked = [](const RunOutcome& p) {
-    std::vector<std::uint64_t> all = {p.result["requests"].GetUint64()};
-    for (const auto& c : p.result["classes"].GetArray()) all.push_back(c["asked"].GetUint64());
+  const auto asked = [](const RunOutcome& outcome) {
+    std::vector<std::uint64_t> all = {outcome.result["requests"].GetUint64()};
+    for (const auto& c : outcome.result["classes"].GetArray()) all.push_back(c["asked"].GetUint64());
     return all;
   };
   const auto one = run_scenario(s), two = run_scenario(s), other = run_scenario(s, {"--seed", "2"});
@@ -619,10 +622,10 @@
 }
 
 TEST(Rig, ScenarioNeedingTooManyDescriptorsIsRejected) {
-  const auto p = run_scenario(
+  const auto outcome = run_scenario(
       R"({"name":"many","gateways":500,"groups":100,"members":9,"sockets":1024,"speed":1000,"load":5})");
-  EXPECT_EQ(p.exit_code, 2);
-  EXPECT_NE(p.output.find("descriptors, may have"), std::string::npos) << p.output;
+  EXPECT_EQ(outcome.exit_code, 2);
+  EXPECT_NE(outcome.output.find("descriptors, may have"), std::string::npos) << outcome.output;
 }
 
 /// Processes with the folder in their environment, as TMPDIR or in another variable.
@@ -682,9 +685,9 @@
 }
 
 TEST(Rig, ScenarioThatCannotRunPrintsOneLine) {
-  const auto p = run_scenario(R"({"name":"x","gateways":1000})");
-  EXPECT_EQ(p.exit_code, 2);
-  EXPECT_EQ(std::count(p.output.begin(), p.output.end(), '\n'), 1) << p.output;
+  const auto outcome = run_scenario(R"({"name":"x","gateways":1000})");
+  EXPECT_EQ(outcome.exit_code, 2);
+  EXPECT_EQ(std::count(outcome.output.begin(), outcome.output.end(), '\n'), 1) << outcome.output;
   const auto none = run_scenario(R"({"name":"x","seconds":3})", {"--gateway", "/nowhere/cedarring"});
   EXPECT_EQ(none.exit_code, 2) << none.output;
 }
