--- a/src/tools/rig/links.cpp
+++ b/src/tools/rig/links.cpp
@@ -11,7 +11,14 @@
 namespace cedarring::rig {
 namespace {
 
-constexpr std::size_t max_message_bytes = 65536, max_output_bytes = 1 << 20;
+constexpr std::size_t max_message_bytes = 65536;
+constexpr std::size_t max_output_bytes = 1 << 20;
+// Work of a statement whose request is unknown.
+constexpr Duration default_work{50'000};
+// Share of the aborted requests that are aborted within the answer, and not during the work.
+constexpr double abort_at_answer_share = 0.4;
+// Interval between the messages of an endless answer.
+constexpr Duration endless_answer_interval{20'000};
 // A gateway must notice within this time that its watch has gone silent.
 constexpr Duration missed_list_grace{6'000'000};
 // Share of the connections that the slow_handshake fault delays.
@@ -130,7 +137,7 @@
 
 void HostLink::schedule_abort(Duration work) {
   auto& draws = rig_.fault_random_;
-  if (draw(draws) < 0.4) {
+  if (draw(draws) < abort_at_answer_share) {
     aborts_at_answer_ = true;
     return;
   }
@@ -170,7 +177,7 @@
   std::string out;
   put_status(out, "more", "and more");
   send(out);
-  after(Duration(20'000), [](HostLink& link) { link.send_endlessly(); });
+  after(endless_answer_interval, [](HostLink& link) { link.send_endlessly(); });
 }
 
 void HostLink::on_input() {
@@ -242,7 +249,7 @@
   rig_.close_ended_links(id);
   const auto it = rig_.open_attempts_.find(id);
   const Rig::Request* request = it == rig_.open_attempts_.end() ? nullptr : it->second.request.get();
-  const auto work = request ? request->work : Duration(50'000);
+  const auto work = request ? request->work : default_work;
   const bool connection_ended = peer_closed();
   request_ = id;
   attempt_ = rig_.rules_->on_attempt(id, gateway_, host_, host.group_index, work, now, connection_ended);
--- a/src/tools/rig/main.cpp
+++ b/src/tools/rig/main.cpp
@@ -1,4 +1,5 @@
-// cedarring rig: runs many gateway processes against emulated hosts and injects faults. See docs/rig.md.
+// Entry point of cedarring rig: runs many gateway processes against emulated hosts and injects faults. See
+// docs/rig.md.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
--- a/src/tools/rig/rig.cpp
+++ b/src/tools/rig/rig.cpp
@@ -710,8 +710,8 @@
 void Rig::apply_fault(std::size_t index) {
   const auto& fault = scenario_.faults[index];
   const auto now = timeline_.now();
-  const auto at_fault_end = [&](auto text) {
-    if (fault.duration > Duration::zero()) timeline_.after(fault.duration, text);
+  const auto at_fault_end = [&](auto action) {
+    if (fault.duration > Duration::zero()) timeline_.after(fault.duration, action);
   };
   static constexpr const char* fault_texts[] = {"killed",
                                                 "sent SIGTERM",
@@ -752,56 +752,57 @@
   const auto host = [this](int h) -> Host& { return hosts_[static_cast<std::size_t>(h)]; };
   switch (fault.kind) {
     case FaultKind::kill:
-      for (const int n : targets) {
+      for (const int target : targets) {
         if (fault.target.kind != Target::Kind::gateways) {
-          stop_host(n);
-          at_fault_end([this, n] {
-            add_event('h' + std::to_string(n) + " started, cold");
-            start_host(n);
+          stop_host(target);
+          at_fault_end([this, target] {
+            add_event('h' + std::to_string(target) + " started, cold");
+            start_host(target);
           });
           continue;
         }
-        auto& process = gateways_[static_cast<std::size_t>(n)];
+        auto& process = gateways_[static_cast<std::size_t>(target)];
         process.should_run = false;
-        signal_gateway(n, SIGKILL);
-        rules_->excuse_gateway(n, now - std::chrono::milliseconds(1), now + std::chrono::milliseconds(200));
-        timeline_.after(scenario_.balancer_delay, [this, n] {
-          auto& killed = gateways_[static_cast<std::size_t>(n)];
+        signal_gateway(target, SIGKILL);
+        rules_->excuse_gateway(target, now - std::chrono::milliseconds(1),
+                               now + std::chrono::milliseconds(200));
+        timeline_.after(scenario_.balancer_delay, [this, target] {
+          auto& killed = gateways_[static_cast<std::size_t>(target)];
           if (!killed.should_run) killed.in_rotation = false;
         });
-        at_fault_end([this, n] {
-          auto& restarted = gateways_[static_cast<std::size_t>(n)];
+        at_fault_end([this, target] {
+          auto& restarted = gateways_[static_cast<std::size_t>(target)];
           restarted.in_rotation = false;
-          start_gateway(n, false);
+          start_gateway(target, false);
         });
       }
       if (fault.target.kind == Target::Kind::gateways)
         at_fault_end([this] { add_event("killed gateways start again"); });
       break;
     case FaultKind::terminate:
-      for (const int n : targets) {
-        terminate_gateway(n);
-        at_fault_end([this, n] { start_gateway(n, false); });
+      for (const int target : targets) {
+        terminate_gateway(target);
+        at_fault_end([this, target] { start_gateway(target, false); });
       }
       break;
     case FaultKind::pause:
-      for (const int n : targets) {
-        signal_gateway(n, SIGSTOP);
-        rules_->excuse_gateway(n, now,
+      for (const int target : targets) {
+        signal_gateway(target, SIGSTOP);
+        rules_->excuse_gateway(target, now,
                                now + (fault.duration > Duration::zero() ? fault.duration + resume_grace
                                                                         : Duration(std::chrono::hours(1))));
-        at_fault_end([this, n] { signal_gateway(n, SIGCONT); });
+        at_fault_end([this, target] { signal_gateway(target, SIGCONT); });
       }
       at_fault_end([this] { add_event("stopped gateways resume"); });
       break;
     case FaultKind::reload:
-      for (const int n : targets) signal_gateway(n, SIGHUP);
+      for (const int target : targets) signal_gateway(target, SIGHUP);
       break;
     case FaultKind::upgrade:
-      for (const int n : targets) {
-        start_gateway(n, true);
-        timeline_.after(upgrade_term_delay, [this, n] {
-          const auto& process = gateways_[static_cast<std::size_t>(n)];
+      for (const int target : targets) {
+        start_gateway(target, true);
+        timeline_.after(upgrade_term_delay, [this, target] {
+          const auto& process = gateways_[static_cast<std::size_t>(target)];
           if (process.previous_pid > 0) ::kill(process.previous_pid, SIGTERM);
         });
       }
--- a/src/tools/rig/rig.h
+++ b/src/tools/rig/rig.h
@@ -137,24 +137,32 @@
 
   // clock
 
+  /// Runs what is due on the timeline. Periods in which the loop was delayed are excused.
   void advance();
   void before_blocking(ev::prepare&, int);
   void after_blocking(ev::check&, int) { advance(); }
   void on_timer(ev::timer&, int) { advance(); }
   // processes
+  /// Starts a process of the gateway; an upgrade keeps the previous process running for the handover.
   void start_gateway(int gateway, bool upgrade);
   void signal_gateway(int gateway, int number);
+  /// Collects exited processes and their resource usage; counts crashes.
   void reap_processes();
   void probe_gateway(int gateway);
   // hosts and discovery
+  /// Opens the listeners of a host, at its former ports if it had any. Sets RunResult::error on failure.
   void open_listeners(Host& host);
   void on_connection(ev::io& watcher, int);
+  /// The gateway to whose link address a connection was made; -1: none.
   [[nodiscard]] int gateway_of(int fd) const;
   [[nodiscard]] std::string member_list_for(int gateway);
+  /// Publishes a new version of the list after the discovery delay.
   void on_list_change();
   void send_list(int gateway);
   void send_list_now(int gateway);
+  /// Tells the rule checker that the gateway has received the present list.
   void record_list_delivery(int gateway);
+  /// Crashes a host and resets its connections; the loss of a primary starts a takeover.
   void stop_host(int host);
   void start_host(int host);
   /// Applies a fault to the links between two sets of gateways, or removes it if not `active`.
@@ -163,26 +171,36 @@
   [[nodiscard]] std::string peer_address(int gateway, bool advertised) const;
   LinkFault& link_fault(int gateway, int host) { return link_faults_[{gateway, host}]; }
   [[nodiscard]] const LinkFault& link_fault_of(int gateway, int host) const;
+  /// Applies changed faults to the open connections of these links, or resets them.
   void update_links(const std::set<std::pair<int, int>>& pairs, bool with_reset);
   /// Closes the connections of this request that its gateway has already closed.
   void close_ended_links(const std::string& id);
   // clients
+  /// Sends a newly drawn request and schedules the next one.
   void next_arrival();
+  /// Starts an attempt at a gateway drawn by weight.
   void send_request(const std::shared_ptr<Request>& request);
   [[nodiscard]] std::optional<int> choose_gateway();
   /// Takes an open idle connection to the gateway; null if there is none.
   [[nodiscard]] ClientLink* take_idle_client(Gateway& gateway);
+  /// Sends SIGTERM, later SIGKILL.
   void terminate_gateway(int gateway);
   void leave_early(const std::string& id);
+  /// Retries a refused request once, or counts the outcome.
   void on_answer(const ClientAttempt& attempt, Answer answer, Duration retry_after);
   void on_not_accepted(const ClientAttempt& attempt);
   void abandon(const std::string& id);
   // faults
+  /// Starts a fault of the scenario and schedules its end.
   void apply_fault(std::size_t index);
-  [[nodiscard]] std::vector<int> select_targets(const Target& position, std::uint64_t stream) const;
+  /// Indexes of the targets, sorted; -1 for discovery. `stream` selects the random stream for the share.
+  [[nodiscard]] std::vector<int> select_targets(const Target& target, std::uint64_t stream) const;
+  /// Adds an event to the result at the present time.
   void add_event(const std::string& text);
   [[nodiscard]] double elapsed_seconds() const;
+  /// The entry of the present second; added if missing.
   SecondResult& current_second();
+  /// Computes the figures of the result after the run.
   void summarize();
 
   Scenario scenario_;
--- a/src/tools/rig/scenario.cpp
+++ b/src/tools/rig/scenario.cpp
@@ -10,6 +10,7 @@
 namespace cedarring::rig {
 namespace {
 
+/// JSON schema of a scenario file.
 constexpr const char* schema = R"({
   "type": "object", "additionalProperties": false, "required": ["name"],
   "definitions": {
@@ -62,6 +63,7 @@
   }
 })";
 
+/// Words for the faults in a scenario file, in the order of FaultKind.
 constexpr const char* fault_words[] = {
     "kill",  "term",   "stop",  "hup",   "upgrade", "slow",  "fail", "silent", "lag",  "drain", "cut",
     "delay", "refuse", "break", "spoil", "late",    "hurry", "mute", "tear",   "loss", "twice", "disorder"};
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -206,15 +206,15 @@
 
 TEST(RigRules, ColdHostIsOverloadedByTheSumOverAllGateways) {
   // 3 cores at a share of 0.17, and twice that for 2 s, allow 2.04 s of work: 40 requests of 50 ms.
-  for (const int many : {40, 41}) {
+  for (const int requests : {40, 41}) {
     RuleFixture fixture;
     fixture.rules.on_host_start(1, 3, fixture.now);
-    for (int g = 0; g < many; ++g) {
+    for (int g = 0; g < requests; ++g) {
       const auto id = "g" + std::to_string(g);
       fixture.request(id, 0, g);
       fixture.end_attempt(id, fixture.send(id, 1, g), AttemptEnd::served, fixture.now);
     }
-    EXPECT_EQ(fixture.violated_rule("g40"), many > 40 ? "no cold host tipped" : "");
+    EXPECT_EQ(fixture.violated_rule("g40"), requests > 40 ? "no cold host tipped" : "");
   }
 }
 
--- a/tests/support/bad_gateway.cpp
+++ b/tests/support/bad_gateway.cpp
@@ -30,63 +30,64 @@
 broker::MemberList fetch_members() {
   const std::lock_guard lock(mutex);
   if (!cached_members.members.empty() && defect == "deaf") return cached_members;
-  auto s = Socket::to(discovery);
-  s.send("GET /catalog/members HTTP/1.1\r\nHost: d\r\n\r\n");
-  std::string all;
-  while (all.find("\r\n\r\n") == std::string::npos) {
-    const auto c = s.read(1);
-    if (!c) return cached_members;
-    all += *c;
+  auto socket = Socket::to(discovery);
+  socket.send("GET /catalog/members HTTP/1.1\r\nHost: d\r\n\r\n");
+  std::string response;
+  while (response.find("\r\n\r\n") == std::string::npos) {
+    const auto byte = socket.read(1);
+    if (!byte) return cached_members;
+    response += *byte;
   }
-  const auto body = s.read(std::strtoul(all.c_str() + all.find("Content-Length: ") + 16, nullptr, 10));
-  if (const auto l = body ? wire::parse_members(*body) : std::nullopt) cached_members = *l;
+  const auto body =
+      socket.read(std::strtoul(response.c_str() + response.find("Content-Length: ") + 16, nullptr, 10));
+  if (const auto list = body ? wire::parse_members(*body) : std::nullopt) cached_members = *list;
   return cached_members;
 }
 
-std::string read_message(Socket& s, char& type) {
-  const auto head = s.read(5);
+std::string read_message(Socket& socket, char& type) {
+  const auto head = socket.read(5);
   if (!head) return type = 0, "";
   type = (*head)[0];
   std::uint32_t size = 0;
   for (int i = 1; i < 5; ++i)
     size = size << 8U | static_cast<unsigned char>((*head)[static_cast<std::size_t>(i)]);
-  return s.read(size - 4).value_or("");
+  return socket.read(size - 4).value_or("");
 }
 
 Socket send_statement(const std::string& address, const std::string& sql) {
-  auto s = Socket::to(address);
+  auto socket = Socket::to(address);
   std::string out;
   wire::pg::put_startup(out, "svc", "main");
   wire::pg::put_query(out, sql);
-  s.send(out);
-  return s;
+  socket.send(out);
+  return socket;
 }
 
 /// Reads past the greeting of a host and returns the messages of the answer that follows; empty on failure.
-std::string read_answer(Socket& s) {
-  std::string all;
+std::string read_answer(Socket& socket) {
+  std::string response;
   for (int ready = 0; ready < 2;) {
     char type = 0;
-    const auto body = read_message(s, type);
+    const auto body = read_message(socket, type);
     if (type == 0) return "";
     if (ready == 1) {
-      all += type;
+      response += type;
       for (int shift = 24; shift >= 0; shift -= 8)
-        all += static_cast<char>((body.size() + 4) >> static_cast<unsigned>(shift));
-      all += body;
+        response += static_cast<char>((body.size() + 4) >> static_cast<unsigned>(shift));
+      response += body;
     }
     ready += type == 'Z' ? 1 : 0;
   }
-  return all;
+  return response;
 }
 
 void serve(Socket client) {
   wire::pg::Startup startup;
   std::string first;
   do {
-    const auto c = client.read(1);
-    if (!c) return;
-    first += *c;
+    const auto byte = client.read(1);
+    if (!byte) return;
+    first += *byte;
   } while (wire::pg::next_startup(first, startup) == wire::pg::Frame::partial);
   std::string out;
   wire::pg::put_welcome(out);
@@ -109,9 +110,9 @@
     const bool read = info.contract == "history" || (defect == "stale" && info.contract == "desk-view");
     const auto members = fetch_members();
     std::vector<std::string> hosts;
-    for (const auto& m : members.members)
-      if (m.group.value == *info.cluster && m.state == HostState::ready && m.primary != read)
-        hosts.push_back(m.address);
+    for (const auto& member : members.members)
+      if (member.group.value == *info.cluster && member.state == HostState::ready && member.primary != read)
+        hosts.push_back(member.address);
     if (hosts.empty()) return;
     const auto& to = hosts[turn % hosts.size()];
     if (defect == "mute") continue;
@@ -139,17 +140,17 @@
   std::ifstream in(std::getenv("ROUTER_CONFIG"));
   std::stringstream text;
   text << in.rdbuf();
-  rapidjson::Document d;
-  d.Parse(text.str().c_str());
-  if (const char* v = std::getenv("DEFECT")) defect = v;
-  discovery = d["discovery"].GetString();
-  auto listener = wire::listen_on(d["listen"].GetString());
+  rapidjson::Document config;
+  config.Parse(text.str().c_str());
+  if (const char* value = std::getenv("DEFECT")) defect = value;
+  discovery = config["discovery"].GetString();
+  auto listener = wire::listen_on(config["listen"].GetString());
   if (listener.get() < 0) return 1;
   fetch_members();
   std::thread([] {  // watches for changes, and ignores them
-    auto s = Socket::to(discovery);
-    s.send("GET /catalog/members?follow=1&since=0 HTTP/1.1\r\nHost: d\r\n\r\n");
-    while (s.read(1)) {
+    auto socket = Socket::to(discovery);
+    socket.send("GET /catalog/members?follow=1&since=0 HTTP/1.1\r\nHost: d\r\n\r\n");
+    while (socket.read(1)) {
     }
   })
       .detach();
