--- a/src/tools/rig/links.cpp
+++ b/src/tools/rig/links.cpp
@@ -86,7 +86,7 @@
       number_(number),
       gateway_(gateway),
       host_(host) {
-  if (requests_cut()) hold(true);
+  if (requests_cut()) pause_reading(true);
 }
 
 bool HostLink::requests_cut() const {
@@ -96,7 +96,7 @@
 
 void HostLink::on_link_change() {
   if (closed()) return;
-  hold(requests_cut());
+  pause_reading(requests_cut());
   if (!rig_.link_fault_of(gateway_, host_).answers_cut && !unsent_.empty()) write(std::exchange(unsent_, {}));
   if (!requests_cut() && !in_.empty()) on_input();
 }
@@ -181,7 +181,7 @@
 }
 
 void HostLink::on_input() {
-  while (!closed() && !held()) {
+  while (!closed() && !reading_paused()) {
     const auto in = in_.view();
     if (startup_received_ && !handshake_done_) return;
     if (!handshake_done_) {
@@ -352,25 +352,25 @@
   if (job_ != 0) model.cancel(job_);
   if (counted_) model.disconnect();
   end_attempt(AttemptEnd::closed, {});
-  rig_.reaper_.take(std::unique_ptr<wire::Connection>(this));
+  rig_.reaper_.add(std::unique_ptr<wire::Connection>(this));
 }
 
 // ---- discovery ----
 DiscoveryLink::DiscoveryLink(Rig& rig, wire::Fd fd, int gateway)
     : Link(rig.loop_, std::move(fd), false, 8192, max_output_bytes), rig_(rig), gateway_(gateway) {
-  if (rig.link_fault_of(gateway, -1).requests_cut) hold(true);
+  if (rig.link_fault_of(gateway, -1).requests_cut) pause_reading(true);
 }
 
 void DiscoveryLink::on_link_change() {
   if (closed()) return;
   const auto& fault = rig_.link_fault_of(gateway_, -1);
-  hold(fault.requests_cut);
+  pause_reading(fault.requests_cut);
   if (!fault.requests_cut && !in_.empty()) on_input();
   if (!fault.answers_cut && watching_) rig_.send_list(gateway_);
 }
 
 void DiscoveryLink::on_input() {
-  if (held() || watching_) return;
+  if (reading_paused() || watching_) return;
   const auto in = in_.view();
   const auto end = in.find("\r\n\r\n");
   if (end == std::string_view::npos) return;
@@ -427,7 +427,7 @@
   const auto it = std::find(links.begin(), links.end(), this);
   if (it == links.end()) return;
   links.erase(it);
-  rig_.reaper_.take(std::unique_ptr<wire::Connection>(this));
+  rig_.reaper_.add(std::unique_ptr<wire::Connection>(this));
 }
 
 // ---- clients ----
@@ -523,7 +523,7 @@
   auto& links = rig_.clients_;
   const auto it = std::find_if(links.begin(), links.end(), [&](const auto& c) { return c.get() == this; });
   if (it == links.end()) return;
-  rig_.reaper_.take(std::move(*it));
+  rig_.reaper_.add(std::move(*it));
   *it = std::move(links.back());
   links.pop_back();
   if (!attempt_) return;
--- a/src/tools/rig/relay.cpp
+++ b/src/tools/rig/relay.cpp
@@ -71,18 +71,18 @@
 void Relay::Endpoint::update() {
   if (closed()) return;
   const int to = peer_ == stream_.from ? stream_.to : stream_.from;
-  hold(relay_.link_state_(peer_, to).cut);
+  pause_reading(relay_.link_state_(peer_, to).cut);
   on_input();
 }
 
 void Relay::Endpoint::on_input() {
   auto& other = stream_.other(*this);
-  if (held() || in_.empty() || other.closed()) return;
+  if (reading_paused() || in_.empty() || other.closed()) return;
   const auto bytes = in_.view();
   if (!other.put(bytes)) return;  // resumes when the other side has sent its output
   relay_.counts_.bytes += bytes.size();
   in_.consume(bytes.size());
-  input_taken();
+  input_consumed();
 }
 
 void Relay::Endpoint::on_open() { stream_.other(*this).update(); }
@@ -238,8 +238,8 @@
   if (it == streams_.end()) return;
   for (auto* end : {stream->client_side.get(), stream->server_side.get()})
     if (!end->closed()) with_reset ? end->reset() : end->end();
-  reaper_.take(std::move(stream->client_side));
-  reaper_.take(std::move(stream->server_side));
+  reaper_.add(std::move(stream->client_side));
+  reaper_.add(std::move(stream->server_side));
   // Callbacks of the endpoints may still be running and refer to the stream until the loop blocks next.
   timeline_.after(Duration(1000), [gone = std::shared_ptr<Stream>(std::move(*it))] {});
   streams_.erase(it);
