--- a/src/main.cpp
+++ b/src/main.cpp
@@ -38,7 +38,7 @@
       std::cout << front << " listens at " << service.listen << ", " << service.settings.classes.size()
                 << " classes, " << tenants.size() << " tenants\n"
                 << front << " levels: "
-                << (service.levels ? levels_json(*service.levels, service.levels_service_info(), tenants)
+                << (service.levels ? levels_to_json(*service.levels, service.levels_service_info(), tenants)
                                    : "off")
                 << '\n';
     };
--- a/src/tools/lab/world.cpp
+++ b/src/tools/lab/world.cpp
@@ -438,11 +438,12 @@
         gateway->contracts->step(timeline.now(), contracts::resource_loads(views), breaches);
       }
       if (!gateway->levels) continue;
-      levels::tell_views(views, timeline.now(), state);
+      levels::add_group_views(views, timeline.now(), state);
       std::vector<levels::AxisChange> axis_changes;
       gateway->levels->step(timeline.now(), state, axis_changes);
-      const auto changes = gateway->levels->changes();
-      gateway->broker->set_tuning({changes.probe_rate, changes.retry_budget, changes.spill});
+      const auto adjustments = gateway->levels->adjustments();
+      gateway->broker->set_tuning(
+          {adjustments.probe_rate, adjustments.retry_budget, adjustments.read_spillover});
       if (gateway->index == 0)
         result.level_changes.insert(result.level_changes.end(), axis_changes.begin(), axis_changes.end());
     }
--- a/src/tools/rig/scenario.cpp
+++ b/src/tools/rig/scenario.cpp
@@ -81,7 +81,7 @@
   if (const auto* z = app::member(v, "zone")) {
     target.zone = z->GetString();
     if (std::find(scenario.zones.begin(), scenario.zones.end(), target.zone) == scenario.zones.end())
-      throw app::flaw_at(file, at + "/zone", "one of the zones", app::shown(*z));
+      throw app::config_error_at(file, at + "/zone", "one of the zones", app::to_excerpt(*z));
   }
   if (const auto* n = app::member(v, "numbers")) {
     const int limit = target.kind == Target::Kind::gateways ? scenario.gateways
@@ -89,7 +89,8 @@
                                                             : scenario.groups;
     for (const auto& x : n->GetArray()) {
       if (x.GetInt() >= limit)
-        throw app::flaw_at(file, at + "/numbers", "numbers below " + std::to_string(limit), app::shown(x));
+        throw app::config_error_at(file, at + "/numbers", "numbers below " + std::to_string(limit),
+                                   app::to_excerpt(x));
       target.numbers.push_back(x.GetInt());
     }
   }
@@ -167,7 +168,8 @@
   scenario.probe_cost = number("probe_price", scenario.probe_cost);
   scenario.min_value_served = number("served_least", 0);
   if (scenario.warm_up >= scenario.run_time)
-    throw app::flaw_at(file, "/warm_up_s", "less than seconds", std::to_string(number("warm_up_s", 2)));
+    throw app::config_error_at(file, "/warm_up_s", "less than seconds",
+                               std::to_string(number("warm_up_s", 2)));
   if (const auto* g = app::member(document, "gateway_file")) {
     rapidjson::StringBuffer buffer;
     rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
@@ -185,22 +187,24 @@
           std::begin(fault_words));
       fault.target = parse_target(v["on"], file, at + "/on", scenario);
       if (!fault_applies_to(fault.kind, fault.target.kind))
-        throw app::flaw_at(file, at + "/on/of", "a target of '" + std::string(v["do"].GetString()) + "'",
-                           app::shown(v["on"]["of"]));
+        throw app::config_error_at(file, at + "/on/of",
+                                   "a target of '" + std::string(v["do"].GetString()) + "'",
+                                   app::to_excerpt(v["on"]["of"]));
       const bool datagram_fault = fault.kind == FaultKind::loss || fault.kind == FaultKind::duplicate ||
                                   fault.kind == FaultKind::reorder;
       const bool link_fault =
           fault.kind == FaultKind::cut || fault.kind == FaultKind::delay || datagram_fault;
       if (link_fault != v.HasMember("to"))
-        throw app::flaw_at(file, at + "/to", link_fault ? "the hosts of the link" : "none",
-                           link_fault ? "none" : "one");
+        throw app::config_error_at(file, at + "/to", link_fault ? "the hosts of the link" : "none",
+                                   link_fault ? "none" : "one");
       if (link_fault) {
         fault.link_end = parse_target(v["to"], file, at + "/to", scenario);
         if (datagram_fault && fault.link_end.kind != Target::Kind::gateways)
-          throw app::flaw_at(file, at + "/to/of", "gateways, as only they send datagrams",
-                             app::shown(v["to"]["of"]));
+          throw app::config_error_at(file, at + "/to/of", "gateways, as only they send datagrams",
+                                     app::to_excerpt(v["to"]["of"]));
         if (fault.link_end.kind == Target::Kind::gateways && !scenario.peer_links)
-          throw app::flaw_at(file, "/peers", "true, where links between gateways have faults", "none");
+          throw app::config_error_at(file, "/peers", "true, where links between gateways have faults",
+                                     "none");
       }
       if (const auto* x = app::member(v, "for_s")) fault.duration = to_duration(x->GetDouble());
       if (const auto* x = app::member(v, "factor")) fault.factor = x->GetDouble();
@@ -211,7 +215,7 @@
         fault.reverse = way != "there";
       }
       if (fault.at >= scenario.run_time)
-        throw app::flaw_at(file, at + "/at_s", "before the end", app::shown(v["at_s"]));
+        throw app::config_error_at(file, at + "/at_s", "before the end", app::to_excerpt(v["at_s"]));
       scenario.faults.push_back(fault);
     }
   return scenario;
