--- a/include/cedarring/router.h
+++ b/include/cedarring/router.h
@@ -15,6 +15,8 @@
 /// A length of time in microseconds.
 using Duration = std::chrono::microseconds;
 /// A point in time in microseconds on the caller's monotonic clock, counted from any fixed instant.
+/// Replication positions are points in time too: the commit time up to which a host has applied its
+/// replication log.
 using Time = std::chrono::microseconds;
 
 /// A numeric identifier; identifiers with different tags are different types and do not convert.
@@ -44,8 +46,9 @@
 /// How a host treats a read that needs a later position than it has: not checked, refused at once
 /// (Outcome::too_stale), or delayed until the host has caught up.
 enum class StaleReadPolicy { none, refuse, wait };
-/// Meaning of HostEntry::listed_primary: not maintained, follows role changes with a delay, or shows the role
-/// at start-up.
+/// Meaning of HostEntry::listed_primary: `none`: not maintained, so it is ignored; `late`: follows role
+/// changes with a delay; `start`: the role at start-up, not updated afterwards. A listed role is the weakest
+/// evidence: it applies only while no role of the host is known.
 enum class ListedRole { none, late, start };
 /// Where the position of a session's last write is kept: in the router, or in a token that the client sends.
 enum class TokenMode { remembered, carried };
@@ -59,7 +62,8 @@
 /// failed request without entries.
 enum class ListKind { delta, full, cached, failed };
 /// Result of an attempt or a probe. `full`: the host rejected it for lack of capacity; `not_sent`: never
-/// written, through no fault of the host; `too_stale`: the host's position is too old for the read.
+/// written, through no fault of the host, and written "moot" in logs and in the simulator's protocol;
+/// `too_stale`: the host's position is too old for the read, and written "miss" there.
 enum class Outcome { ok, error, full, timeout, connect_failed, reset, cancelled, not_sent, too_stale };
 /// The outcome's name in logs and records. Two names differ from their enumerators: `not_sent` is written
 /// "moot" and `too_stale` is written "miss".
@@ -107,10 +111,12 @@
   std::uint32_t max_attempts = 8;          // per request, 1 or more; see RequestClass::max_attempts
   Duration max_retry_after{1'000'000};     // upper limit of Refuse::retry_after
   Duration max_poll_interval{10'000'000};  // between two requests for the member list; above 0
-  Duration drain_grace{1'000'000};  // a host listed as draining or gone gets no new attempt after this time
-  Duration warm_up_duration{};      // a started host reaches its full capacity after this time; 0 or more
-  double cold_capacity_share = 1;   // share of its capacity that a host has at its start, above 0 to 1
-  double overload_multiple = 3;     // multiple of a cold host's capacity that overloads it; above 0
+  // The longest tolerated time in which a host that is draining or gone may still get new attempts. The
+  // router sends none from the member list on; the time is left for the list to arrive.
+  Duration drain_grace{1'000'000};
+  Duration warm_up_duration{};          // a started host reaches its full capacity after this time; 0 or more
+  double cold_capacity_share = 1;       // share of its capacity that a host has at its start, above 0 to 1
+  double overload_multiple = 3;         // multiple of a cold host's capacity that overloads it; above 0
   Duration overload_window{1'000'000};  // period over which the overload of a cold host is counted; above 0
   Duration quantum{5'000};              // resolution of the caller's clock and timers; 0 or more
   double probe_cost = 0;                // of one probe, in values of a request; 0 makes probes free
@@ -146,11 +152,12 @@
   GroupId group;
   Duration time_left{};               // until the client gives up
   std::optional<SessionId> session;   // required for session consistency
-  std::optional<Duration> token_age;  // TokenMode::carried: age of the last write; absent or zero: no write
+  std::optional<Duration> token_age;  // TokenMode::carried: age of the session's last write;
+                                      // absent or zero: the session has not written
 };
 /// A host's load report; a field that the host did not report is absent.
 struct LoadReport {
-  std::optional<Time> position;  // replication position
+  std::optional<Time> position;  // replication position, see Time
   std::optional<Role> role;
   std::optional<double> queue_length;  // requests waiting at the host, 0 or more
   std::optional<double> utilization;   // of the host's processor cores, 0 to 1
@@ -205,8 +212,8 @@
   RequestId request;
   HostId host;
   Time give_up_at{};  // end the attempt at this time; zero: no limit of its own
-  // No other host can take the request, or an attempt elsewhere has failed already: wait the full connect
-  // timeout.
+  // Only the primary can take the request, or the request has had an attempt before: a slow connection is
+  // waited for during the full connect timeout.
   bool sole_candidate = false;
 };
 /// Cancel an attempt in flight.
@@ -232,7 +239,8 @@
   std::uint64_t timer = 0;
   Time due{};
 };
-/// Request the member list, with updates where the source supports them.
+/// Request the member list: in poll mode the next list, and in either mode again after a failed request. A
+/// source that supports updates sends them from then on.
 struct OpenWatch {};
 using Action = std::variant<Send, Cancel, Refuse, Fail, Probe, SetTimer, OpenWatch>;
 
@@ -254,7 +262,7 @@
   double primary_concurrency_limit = 0;
   int primary_waiting = 0;  // of `waiting`: requests that only the primary can serve
 };
-/// Factors on the router's internal budgets, lowered while service is degraded.
+/// Factors on the router's internal budgets, set while service is degraded.
 struct Tuning {
   double probe_rate = 1;      // 0.1 to 10
   double retry_budget = 1;    // 0 to 1
@@ -263,8 +271,9 @@
 };
 
 struct RouterSnapshot;  // cedarring/snapshot.h
-/// Content of a snapshot. `hosts`: host state only. `split`: everything but the sessions, and all budgets are
-/// halved between this router and the one that receives the snapshot.
+/// Content of a snapshot. `all`: everything. `hosts`: host state only. `split`: everything but the sessions;
+/// taking the snapshot halves the budgets: this router keeps one half, and the receiver of the snapshot gets
+/// the other.
 enum class SnapshotScope { all, hosts, split };
 
 /// The routing state machine: takes events, returns actions. Not thread-safe; instances share no state.
@@ -301,13 +310,15 @@
   /// Merges newer state from a predecessor, for the hosts and classes that this router knows.
   void merge_snapshot(Time now, const RouterSnapshot& snapshot);
   /// Sets the retry, probe and slow-start budgets to zero, because a predecessor that still runs has not yet
-  /// reported its share.
+  /// reported its share. The retry and probe budgets are earned anew by requests that arrive; the slow-start
+  /// share is set again by merge_snapshot or set_slow_start_share.
   void suspend_spending();
   /// Sets this router's share (0 to 1) of the slow-start budgets, from one overload window after `now` on: 1
   /// if no other router spends them any more, less if another one does and its usage is unknown.
   void set_slow_start_share(Time now, double share);
 
-  /// Number of requests, hosts and sessions held; it is bounded.
+  /// Number of hosts, requests, waiting requests and remembered session writes held, to verify that memory
+  /// stays bounded. Waiting requests count twice.
   [[nodiscard]] std::size_t entry_count() const;
 
  private:
--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -136,12 +136,12 @@
         descriptors, "mysql", log_, listener("mysql"), state_of_front("mysql"), listener("mysql updates")));
   admin_path_ = config.file.admin_socket;
   for (auto& service : services_) {
-    service->broker().on_role_change([this](const std::string& host, Role role) {
+    service->broker().set_role_change_callback([this](const std::string& host, Role role) {
       if (link_) link_->send("role", std::string(role_name(role)) + ' ' + host);
     });
     // Sent before the client gets its answer, so that its next request finds the commit known in the other
     // process.
-    service->broker().on_commit([this, front = service->front()](const SessionSnapshot& session) {
+    service->broker().set_commit_callback([this, front = service->front()](const SessionSnapshot& session) {
       if (link_) link_->send("commit", front + ' ' + handover::to_text(session));
     });
     if (const auto* received = state_of_front(service->front()); received && !received->sections.empty()) {
@@ -235,10 +235,10 @@
   const bool on = log_.config().min_level == telemetry::Level::debug;
   for (auto& service : services_) {
     if (!on) {
-      service->broker().on_request_trace(nullptr);
+      service->broker().set_request_trace_callback(nullptr);
       continue;
     }
-    service->broker().on_request_trace([this](const broker::RequestTrace& trace) {
+    service->broker().set_request_trace_callback([this](const broker::RequestTrace& trace) {
       const auto milliseconds = [](Duration duration) {
         char text[32];
         std::snprintf(text, sizeof text, "%.1f", static_cast<double>(duration.count()) / 1000);
@@ -250,7 +250,7 @@
                     '+' + milliseconds(attempt.duration) + '=' + name_of(attempt.outcome);
       log_.write(telemetry::Level::debug, "request", "is over",
                  {{"id", trace.name},
-                  {"class", trace.contract},
+                  {"class", trace.class_name},
                   {"group", std::to_string(trace.group.value)},
                   {"retry", trace.retry ? "1" : "0"},
                   {"end", gates::name_of(trace.end)},
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -113,13 +113,13 @@
 Rejection Broker::accept(const ClientRequest& request, FrontEnd& front_end, RequestId& id) {
   const Time now = clock_();
   const auto entry = std::find_if(classes_.begin(), classes_.end(), [&](const ClassEntry& candidate) {
-    return candidate.request_class.name == request.contract && now < candidate.expires_at;
+    return candidate.request_class.name == request.class_name && now < candidate.expires_at;
   });
-  if (entry == classes_.end()) return Rejection::unknown_contract;
+  if (entry == classes_.end()) return Rejection::unknown_class;
   const auto rejection =
       admit(request, ClassId{static_cast<std::int32_t>(entry - classes_.begin())}, front_end, id);
   // The front end words these two rejections as refusals, so they count as refused.
-  if (rejection == Rejection::overfull || rejection == Rejection::late)
+  if (rejection == Rejection::too_many_requests || rejection == Rejection::late)
     ++entry->counts->shed;
   else if (rejection != Rejection::none)
     ++entry->counts->errors;
@@ -133,7 +133,7 @@
   });
   if (!budgets_.empty() && budget == budgets_.end()) return Rejection::unknown_tenant;
   if (!hosts_.has_group(client_request.group)) return Rejection::unknown_group;
-  if (requests_.size() >= max_requests_) return Rejection::overfull;
+  if (requests_.size() >= max_requests_) return Rejection::too_many_requests;
   const Time now = clock_();
   const Time deadline = std::min(client_request.arrived.value_or(now), now) + client_request.time_left;
   if (deadline <= now || shutting_down_) return Rejection::late;
@@ -177,7 +177,8 @@
   event.session = client_request.session;
   // A commit stamped by a clock ahead of this one is still a write that the read has to see, so its age is
   // never zero.
-  if (client_request.after) event.token_age = std::max(now - *client_request.after, Duration(1));
+  if (client_request.required_position)
+    event.token_age = std::max(now - *client_request.required_position, Duration(1));
   handle_event(event);
   return Rejection::none;
 }
@@ -558,7 +559,8 @@
 void Broker::report_trace(const Request& request) const {
   RequestTrace trace;
   trace.name = request.name;
-  trace.contract = classes_[static_cast<std::size_t>(request.gate_request.class_id.value)].request_class.name;
+  trace.class_name =
+      classes_[static_cast<std::size_t>(request.gate_request.class_id.value)].request_class.name;
   trace.group = request.gate_request.group;
   trace.retry = request.gate_request.retry;
   trace.elapsed = request.ended_at - request.accepted_at;
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -24,23 +24,23 @@
 
 namespace cedarring::broker {
 
-/// The statement of a request. The broker passes it on unread; the upstream of the front end's protocol
-/// interprets it.
+/// The statement of a request with its parameters, opaque to the broker. The upstream of the front end's
+/// protocol interprets it.
 struct RequestPayload {
   virtual ~RequestPayload() = default;
 };
 
 /// A request as a front end hands it to the broker.
 struct ClientRequest {
-  std::string name;      // the client's id for the request, unique among the open requests
-  std::string contract;  // name of the request class
+  std::string name;        // the client's id for the request, unique among the open requests
+  std::string class_name;  // of the request class
   std::string tenant;
   GroupId group;
   Duration time_left{};         // how long the client waits, counted from `arrived`
   std::optional<Time> arrived;  // when the request's last byte arrived; absent: now
   std::optional<SessionId> session;
-  std::optional<Time> after;  // replication position that the read has to see
-  bool retry = false;         // marked by the client as a retry
+  std::optional<Time> required_position;  // replication position that the read has to see
+  bool retry = false;                     // marked by the client as a retry
   std::shared_ptr<const RequestPayload> payload;
 };
 
@@ -92,8 +92,8 @@
 class Upstream {
  public:
   virtual ~Upstream() = default;
-  /// Starts an attempt, which ends by `give_up_at` at the latest. `sole_candidate`: no other host can take
-  /// the request, so the attempt waits for a connection as long as its time allows.
+  /// Starts an attempt, which ends by `give_up_at` at the latest. `sole_candidate`: see
+  /// cedarring::Send; a slow connection is waited for during the full connect timeout.
   virtual void start(AttemptKey key, HostId host, const std::string& address,
                      const std::shared_ptr<const RequestPayload>& payload, Time give_up_at,
                      bool sole_candidate) = 0;
@@ -139,8 +139,17 @@
 }
 using BudgetSnapshots = std::map<std::string, BudgetSnapshot>;  // by tenant
 
-/// Why a request was not accepted. late: its deadline passed before it was accepted, and nothing has run.
-enum class Rejection { none, unknown_contract, unknown_tenant, unknown_group, name_in_use, overfull, late };
+/// Why a request was not accepted. name_in_use: an open request has the same name; too_many_requests: the
+/// limit on open requests is reached; late: its deadline passed before it was accepted, and nothing has run.
+enum class Rejection {
+  none,
+  unknown_class,
+  unknown_tenant,
+  unknown_group,
+  name_in_use,
+  too_many_requests,
+  late
+};
 
 /// The course of a request that has ended, for the log.
 struct RequestTrace {
@@ -149,7 +158,7 @@
     Duration sent_after{}, duration{};  // sent_after: since the request was accepted
     Outcome outcome = Outcome::ok;
   };
-  std::string name, contract;
+  std::string name, class_name;
   GroupId group;
   bool retry = false;
   Duration elapsed{};  // until the final answer, or until the client disconnected
@@ -176,8 +185,8 @@
   Rejection accept(const ClientRequest& request, FrontEnd& front_end, RequestId& id);
   /// The client has disconnected: cancels the request's attempts.
   void client_left(RequestId id);
-  /// The process is about to end: answers all open requests at once, refused where nothing may have run, and
-  /// rejects further ones. A long answer that is already being passed on continues.
+  /// The process is about to end: answers all open requests immediately, refused where nothing may have run,
+  /// and rejects further ones. A long answer that is already being passed on continues.
   void begin_shutdown();
   /// The last byte of an attempt has been written to its host.
   void attempt_written(AttemptKey key);
@@ -194,8 +203,9 @@
   void on_member_list(const MemberList& list);
   /// Discovery failed to deliver a list.
   void on_member_list_failed();
-  /// Disables or re-enables a host by operator command. Returns false if no host has the id, unless `force`:
-  /// another process of this gateway has verified the id.
+  /// Disables or re-enables a host by operator command. Returns false if no host has the id
+  /// or too many hosts are disabled. With `force` the id is accepted unchecked, because another process of
+  /// this gateway has verified it.
   bool set_disabled(const std::string& host, bool disabled, bool force = false);
   [[nodiscard]] const HostTable& hosts() const { return hosts_; }
   /// Applies what the other process of this gateway has observed of a host.
@@ -209,7 +219,8 @@
   BudgetSnapshots split_budgets();
   /// Takes over the budgets received. A tenant that is missing there gets its share without tokens.
   void restore_budgets(const BudgetSnapshots& received);
-  /// Another process may be spending the budgets and has not reported yet: spends nothing until then.
+  /// Another process may be spending the budgets and has not reported yet: spends nothing until
+  /// restore_budgets, assume_own_share or resume_full_spending.
   void suspend_spending();
   /// The other process does not report: uses this process's share from now on, without saved tokens.
   void assume_own_share();
@@ -219,13 +230,15 @@
   /// The other process has stopped spending: uses the whole budgets.
   void resume_full_spending();
   /// Sets the callback for each successful write, called before the client is answered.
-  void on_commit(std::function<void(const SessionSnapshot&)> callback) { on_commit_ = std::move(callback); }
+  void set_commit_callback(std::function<void(const SessionSnapshot&)> callback) {
+    on_commit_ = std::move(callback);
+  }
   /// Sets the callback for a host that reports another role than was known.
-  void on_role_change(std::function<void(const std::string& host, Role role)> callback) {
+  void set_role_change_callback(std::function<void(const std::string& host, Role role)> callback) {
     on_role_change_ = std::move(callback);
   }
   /// Sets the callback for each request that has ended and has no attempt in flight; empty: no traces.
-  void on_request_trace(std::function<void(const RequestTrace&)> callback) {
+  void set_request_trace_callback(std::function<void(const RequestTrace&)> callback) {
     on_request_trace_ = std::move(callback);
   }
   /// The timer set by Upstream::set_timer has expired.
--- a/src/broker/connection_limits.h
+++ b/src/broker/connection_limits.h
@@ -9,9 +9,10 @@
 
 namespace cedarring::broker {
 
-/// The idle timeout of client connections, which shrinks as the connection limit fills up. Clients that send
-/// one request and then keep their connection open would use up what clients may hold together long before
-/// they use up our connection limit: with a fixed timeout, a crowd of them keeps all other clients out.
+/// The idle timeout of client connections, which shrinks as the connection limit fills up. The
+/// number of connections that all clients together may hold is reached long before this gateway's connection
+/// limit: with a fixed timeout, a crowd of clients that send one request and then keep their connection open
+/// keeps all other clients out.
 struct IdleConnectionLimits {
   Duration max_idle{2'000'000};  // allowed while few connections are open
   // Allowed from `strict_share` on: long enough that a client that sends its next request at once keeps its
@@ -29,8 +30,8 @@
     return max_idle - Duration(static_cast<std::int64_t>(static_cast<double>((max_idle - min_idle).count()) *
                                                          strictness));
   }
-  /// Whether to close a connection that has been idle for `idle`. Only above the relaxed share, so that
-  /// closing stops there.
+  /// Whether to close a connection that has been idle for `idle`. False while the open connections do not
+  /// exceed `relaxed_share` of the limit, so that closing stops there.
   [[nodiscard]] bool should_close(Duration idle, std::size_t open, std::size_t limit) const {
     return static_cast<double>(open) > static_cast<double>(limit) * relaxed_share &&
            idle > idle_timeout(open, limit);
@@ -38,19 +39,22 @@
 };
 
 /// How a front end's connection limit is split: clients may have three quarters and hosts a quarter. Hosts
-/// may also use what clients leave unused, up to a half. An eighth stays free between them, so that a burst
-/// of clients can connect before host connections have been closed.
+/// may also use what clients leave unused, up to a half. Above their quarter, hosts leave an eighth of the
+/// limit free beyond the open clients, so that a burst of clients can connect before host connections have
+/// been closed.
 struct ConnectionSplit {
-  std::size_t clients = 0, hosts = 0;
+  std::size_t clients = 0;  // limit on client connections
+  std::size_t hosts = 0;    // limit on host connections
 };
-/// How many of `limit` connections clients and hosts may have now, with `clients` and `hosts` open. Together
-/// they exceed `limit` by no more than the host connections still to be closed. Hosts always get their
-/// quarter and clients their half.
-inline ConnectionSplit split_connections(std::size_t limit, std::size_t clients, std::size_t hosts) {
-  const auto reserved = clients + limit / 8;
+/// How many of `limit` connections clients and hosts may have now, with `open_clients` and `open_hosts` open.
+/// Open connections exceed `limit` by no more than the host connections still to be closed. Hosts always get
+/// their quarter and clients their half.
+inline ConnectionSplit split_connections(std::size_t limit, std::size_t open_clients,
+                                         std::size_t open_hosts) {
+  const auto reserved = open_clients + limit / 8;
   ConnectionSplit split;
   split.hosts = std::clamp(reserved < limit ? limit - reserved : 0, limit / 4, limit / 2);
-  split.clients = std::min(limit * 3 / 4, limit - std::min(limit / 2, std::max(hosts, limit / 4)));
+  split.clients = std::min(limit * 3 / 4, limit - std::min(limit / 2, std::max(open_hosts, limit / 4)));
   return split;
 }
 
--- a/src/fleet/outlier_detector.h
+++ b/src/fleet/outlier_detector.h
@@ -1,7 +1,7 @@
 // Outlier detection: turns the outcomes of requests at a host into a failure score, ejects the host above a
-// threshold, and lets the score decay. An outcome among many changes the score a little; one after a long
-// pause stands for all the outcomes that this gateway, one of hundreds, did not see. No I/O, no clock, no
-// randomness of its own.
+// threshold, and lets the score decay. An outcome that follows soon after the last one changes the score a
+// little; one after a long pause stands for all the outcomes that this gateway, one of hundreds, did not see.
+// No I/O, no clock, no randomness of its own.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,7 @@
  public:
   /// Parameters of the score and the ejection.
   struct Config {
-    double gain;  // weight of one outcome among many, 0 to 1
+    double gain;  // weight of an outcome that follows soon after the last one, 0 to 1
     // Seconds, above 0: time constant of an outcome's weight after a pause, and of the score's decay after an
     // ejection.
     double time_constant_s;
@@ -44,22 +44,24 @@
     state_.ejected_until = other.ejected_until;
     state_.backoff = std::max(state_.backoff, other.backoff);
   }
-  /// Clears the score and the ejection, because the host's process was restarted.
+  /// Clears the score and the ejection, because the host's process was restarted. Keeps the backoff,
+  /// from which the length of the next ejection is computed.
   void reset() {
     state_.failure_score = 0;
     state_.ejected_until = unset;
   }
-  /// Records a failed request that counts as `weight` ordinary ones. `observed_since` is when this process
-  /// began to send requests. Returns whether the host should be ejected.
+  /// Records a failed request that counts as `weight` ordinary ones; `weight` is above 0. `observed_since`:
+  /// when this router, or the predecessor whose state it merged, received its first event; the pause before
+  /// the first outcome counts from there. Returns whether the host should be ejected.
   bool record_failure(Time now, Time observed_since, double weight) {
     state_.failure_score += std::min(1.0, gain(now, observed_since) * weight) * (1 - state_.failure_score);
     state_.last_outcome_at = now;
     return state_.failure_score >= config_.eject_at;
   }
-  /// Ejects the host for `first`, or for twice the last ejection but at most `max_backoff`, whichever is
+  /// Ejects the host for `min_length`, or for twice the last ejection but at most `max_backoff`, whichever is
   /// longer; multiplied by `jitter`.
-  void eject(Time now, Duration first, Duration max_backoff, double jitter) {
-    state_.backoff = std::max(first, std::min(state_.backoff * 2, max_backoff));
+  void eject(Time now, Duration min_length, Duration max_backoff, double jitter) {
+    state_.backoff = std::max(min_length, std::min(state_.backoff * 2, max_backoff));
     state_.ejected_until =
         now + Duration(static_cast<std::int64_t>(static_cast<double>(state_.backoff.count()) * jitter));
   }
@@ -79,7 +81,7 @@
   [[nodiscard]] bool ready_for_trial(Time now) const { return ejected() && now >= state_.ejected_until; }
   /// The score at `now`, 0 to 1. It decays after an expired ejection; otherwise no request would test the
   /// host again.
-  [[nodiscard]] double failure_score(Time now) const {
+  [[nodiscard]] double decayed_failure_score(Time now) const {
     if (!ejected() || now <= state_.ejected_until) return state_.failure_score;
     return state_.failure_score * std::exp(-seconds(now - state_.ejected_until) / config_.time_constant_s);
   }
--- a/src/fleet/replica_lag.h
+++ b/src/fleet/replica_lag.h
@@ -14,11 +14,11 @@
 namespace cedarring::fleet {
 
 /// The estimated lag of a replica that was `lag` behind at its last report, `age` ago. Its progress since
-/// then is unknown: with `assume_current` it is taken to have kept up, otherwise to have stood still at its
+/// then is unknown: with `assume_kept_up` it is taken to have kept up, otherwise to have stood still at its
 /// last known position. Standing still alone would always rank the replica that reported last as the most
 /// current one, and each of many gateways would stay with one replica.
-[[nodiscard]] inline Duration estimated_lag(Duration lag, Duration age, bool assume_current) {
-  return assume_current ? lag : lag + age;
+[[nodiscard]] inline Duration estimated_lag(Duration lag, Duration age, bool assume_kept_up) {
+  return assume_kept_up ? lag : lag + age;
 }
 
 /// Removes all candidates but the one with the least lag and those within `tolerance` of it.
@@ -39,20 +39,21 @@
 class StaleReadSuccessRate {
  public:
   static constexpr double min_weight = 0.05;
-  static constexpr double max_weight = 0.5;  // of the step before: never above a replica within the bound
+  static constexpr double max_weight = 0.5;  // never above lag_weight of a replica within the bound
 
   explicit StaleReadSuccessRate(double initial_rate) : rate_(initial_rate) {}
   /// Records a read at such a replica: answered, or rejected as too stale.
   void record(bool answered) { rate_ += gain * ((answered ? 1.0 : 0.0) - rate_); }
   /// Weight of such a replica, `min_weight` to `max_weight`, from the rates of its group and of all groups.
   /// One of hundreds of gateways sees too few reads of a group by itself, and other groups must not hide a
-  /// group that lags. One rejected read in five gives about 0.2, every second one the minimum.
+  /// group that lags. With a rate of 1 for one of the two, one rejected read in five gives
+  /// about 0.2 for the other, every second one the minimum.
   [[nodiscard]] static double weight(const StaleReadSuccessRate& group, const StaleReadSuccessRate& all) {
-    const double both = group.rate_ * all.rate_;
-    return std::max(min_weight, max_weight * both * both * both * both);
+    const double combined_rate = group.rate_ * all.rate_;
+    return std::max(min_weight, max_weight * combined_rate * combined_rate * combined_rate * combined_rate);
   }
   /// Whether such replicas may be assumed to have kept up: their weight is at least half of the maximum.
-  [[nodiscard]] static bool assume_current(const StaleReadSuccessRate& group,
+  [[nodiscard]] static bool assume_kept_up(const StaleReadSuccessRate& group,
                                            const StaleReadSuccessRate& all) {
     return weight(group, all) >= max_weight / 2;
   }
--- a/src/handover/budget_share.h
+++ b/src/handover/budget_share.h
@@ -29,28 +29,29 @@
   /// Another process starts: leaves it half of this process's share. Returns the share before the split.
   double split(Time now) {
     const double total = share_at(now);
-    set(total, total / 2);
+    set_shares(total, total / 2);
     return total;
   }
   /// Sets the share of both processes together, `total`, and of this process, `share`; both 0 to 1. The other
   /// process has reported its spending so far.
-  void set(double total, double share) {
+  void set_shares(double total, double share) {
     total_ = total;
     share_ = share;
     increase_scheduled_ = false;
   }
-  /// Raises this process's share to `share` from `at` on.
-  void schedule_increase(Time at, double share) {
+  /// Sets this process's share to `share` from `at` on. The caller chooses `at` after the end of every window
+  /// in which another process may have spent the rest.
+  void schedule_share(Time at, double share) {
     increase_scheduled_ = true;
     increase_at_ = at;
     increased_share_ = share;
   }
   [[nodiscard]] double share_at(Time now) const { return increased(now) ? increased_share_ : share_; }
   /// What this process may still spend of `limit` in the current window, in which it has spent `own` and the
-  /// other process had reported spending `others`; may be negative.
-  [[nodiscard]] double remaining(Time now, double limit, double own, double others) const {
-    if (increased(now)) return limit * increased_share_ - own - others;
-    return std::min(limit * share_ - own, limit * total_ - own - others);
+  /// other process had reported spending `other`; may be negative.
+  [[nodiscard]] double remaining(Time now, double limit, double own, double other) const {
+    if (increased(now)) return limit * increased_share_ - own - other;
+    return std::min(limit * share_ - own, limit * total_ - own - other);
   }
 
  private:
--- a/src/handover/router_snapshot.cpp
+++ b/src/handover/router_snapshot.cpp
@@ -101,14 +101,14 @@
     for (const auto& [session, commit] : group.session_writes)
       snapshot.sessions.push_back({id, session, commit});
   }
-  state.arrived_.decayed_sum(now);
-  state.served_.decayed_sum(now);
-  for (auto& demand : state.demand_) demand.decayed_sum(now);
+  state.arrived_.decay_and_sum(now);
+  state.served_work_.decay_and_sum(now);
+  for (auto& demand : state.demand_) demand.decay_and_sum(now);
   for (std::size_t i = 0; i < settings.classes.size(); ++i)
     snapshot.classes.push_back({settings.classes[i].name,
                                 state.class_latency_[i],
                                 state.arrived_.by_class[i],
-                                state.served_.by_class[i],
+                                state.served_work_.by_class[i],
                                 {state.demand_[0].by_class[i], state.demand_[1].by_class[i]}});
   if (state.first_event_at_ != never) snapshot.age = now - state.first_event_at_;
   if (scope != SnapshotScope::split) return snapshot;
@@ -140,11 +140,11 @@
           *class_snapshot.latency < max_age)
         state.class_latency_[i] = *class_snapshot.latency;
       const auto raise = [&](DecayingTotals& totals, double amount) {
-        totals.decayed_sum(now);
+        totals.decay_and_sum(now);
         totals.by_class[i] = std::max(totals.by_class[i], in_range_or_least(amount, 0, max_work));
       };
       raise(state.arrived_, class_snapshot.arrived);
-      raise(state.served_, class_snapshot.served);
+      raise(state.served_work_, class_snapshot.served);
       raise(state.demand_[0], class_snapshot.demand[0]);
       raise(state.demand_[1], class_snapshot.demand[1]);
     }
@@ -154,8 +154,9 @@
   if (!(snapshot.slow_start_share > 0)) return;
   state.retry_tokens_ = in_range_or_least(snapshot.retry_tokens, 0, max_tokens);
   state.probe_budget_.set_balance(in_range_or_least(snapshot.probe_tokens, 0, max_tokens));
-  state.slow_start_share_.set(std::min(1.0, snapshot.slow_start_share_total),
-                              std::min({1.0, snapshot.slow_start_share_total, snapshot.slow_start_share}));
+  state.slow_start_share_.set_shares(
+      std::min(1.0, snapshot.slow_start_share_total),
+      std::min({1.0, snapshot.slow_start_share_total, snapshot.slow_start_share}));
 }
 
 }  // namespace cedarring::handover
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -42,14 +42,15 @@
 constexpr int max_ejection_interval_targets = 8;  // longest targets; caps the first ejection
 constexpr int max_ejection_targets = 16;          // longest targets; caps repeated ejections
 constexpr double min_ejection_jitter = 0.75;      // factor on an ejection; 0.5 above it at most
-constexpr int suspect_lost_probes = 2;            // probes lost in a row that make a host suspect
-// Lost probes are ignored above this share of probes lost at hosts that answer requests.
+constexpr int unresponsive_lost_probes = 2;       // probes lost in a row that make a host unresponsive
+// If more than this share of lost probes were lost at hosts that answer requests, lost probes are not taken
+// as a sign of failure.
 constexpr double max_probe_unreliability = 0.5;
 constexpr double response_timeout_latencies = 5;  // typical latencies without an answer: host unresponsive
 constexpr double max_timeout_relative_latency = 2;
-constexpr double trial_interval_timeouts = 4;  // response timeouts between trials of an unresponsive host
-constexpr double lost_attempt_latencies = 12;  // expected latencies after which a single attempt is lost
-constexpr double stale_report_multiple = 3;    // of the usual report age, from which a role claim is stale
+constexpr double trial_interval_timeouts = 4;   // response timeouts between trials of an unresponsive host
+constexpr double lost_attempt_latencies = 12;   // expected latencies after which a single attempt is lost
+constexpr double outdated_report_multiple = 3;  // of the usual report age: above it a role claim is outdated
 
 // Concurrency limits.
 constexpr double initial_fleet_concurrency = 12;  // requests in flight at a host from all routers together
@@ -133,9 +134,9 @@
           request_class.max_attempts > 0 ? request_class.max_attempts : settings_.max_attempts;
     std::tie(longest_target_, mean_target_, shortest_target_, tightest_staleness_bound_) =
         summarize_targets(settings_.classes);
-    for (auto* totals : {&demand_[0], &demand_[1], &arrived_, &served_}) {
+    for (auto* totals : {&demand_[0], &demand_[1], &arrived_, &served_work_}) {
       totals->by_class.resize(settings_.classes.size());
-      totals->memory_seconds = totals == &served_ ? group_load_memory_seconds : rate_memory_seconds;
+      totals->memory_seconds = totals == &served_work_ ? group_load_memory_seconds : rate_memory_seconds;
     }
     for (auto i = class_latency_.size(); i < settings_.classes.size(); ++i)
       class_latency_.push_back(scale(settings_.classes[i].latency_target, initial_latency_share));
@@ -166,7 +167,7 @@
       for (const auto request : group.waiting)
         view.primary_waiting += requires_primary(requests_.at(request).class_id.value) ? 1 : 0;
       for (const Host* member : group.members) {
-        if (!accepts_requests(*member)) continue;
+        if (!listed_ready(*member)) continue;
         ++view.hosts;
         view.unavailable += healthy(*member) ? 0 : 1;
         view.in_flight += member->in_flight();
@@ -193,10 +194,10 @@
   void suspend_spending() {
     retry_tokens_ = 0;
     probe_budget_.set_balance(0);
-    slow_start_share_.set(0, 0);
+    slow_start_share_.set_shares(0, 0);
   }
   void set_slow_start_share(Time now, double share) {
-    slow_start_share_.schedule_increase(now + settings_.overload_window, share);
+    slow_start_share_.schedule_share(now + settings_.overload_window, share);
   }
   bool tracks(HostId id) const { return hosts_.count(id) > 0; }
   std::size_t entry_count() const {
@@ -231,8 +232,8 @@
     for (auto it = hosts_.begin(); it != hosts_.end();) {
       Host& host = (it++)->second;
       if (!host.listed) apply_listed_state(host, HostState::gone);
-      ready_hosts_ += accepts_requests(host) ? 1 : 0;
-      if (accepts_requests(host) && capacity_share(host) < 1)
+      ready_hosts_ += listed_ready(host) ? 1 : 0;
+      if (listed_ready(host) && capacity_share(host) < 1)
         warm_up_ends_.insert(host.started_at + settings_.warm_up_duration);
       if (host.state != HostState::gone || host.in_flight() > 0) continue;
       groups_[host.group].remove_member(host);
@@ -327,7 +328,7 @@
   Host* primary(GroupId id) {
     Host* best = nullptr;
     for (Host* member : groups_[id].members)
-      if (member->role == Role::primary && accepts_requests(*member) &&
+      if (member->role == Role::primary && listed_ready(*member) &&
           (!best || member->role_as_of > best->role_as_of))
         best = member;
     return best;
@@ -354,7 +355,7 @@
            now_ + queue_delay(host) > latest_useful_send(request);
   }
 
-  /// How long a host with requests in flight may send no answer at all before it is suspect.
+  /// How long a host with requests in flight may send no answer at all before it is unresponsive.
   Duration response_timeout(const Host& host) const {
     const double relative_latency = std::min(host.relative_latency, max_timeout_relative_latency);
     return std::max(shortest_target_ / 2,
@@ -372,21 +373,21 @@
   /// long queries looks the same, and gets no further requests until it answers.
   bool unresponsive(const Host& host) const {
     const auto timeout = response_timeout(host);
-    const bool stale_claim =
+    const bool outdated_primary_claim =
         host.role == Role::primary &&
-        host.report_age > std::max(timeout, scale(usual_report_age_, stale_report_multiple)) &&
+        host.report_age > std::max(timeout, scale(usual_report_age_, outdated_report_multiple)) &&
         now_ - host.last_response_at > timeout;
     const bool probes_answered =
-        host.lost_probes < suspect_lost_probes || probe_unreliability_ > max_probe_unreliability;
-    if (probes_answered && !stale_claim) {
+        host.lost_probes < unresponsive_lost_probes || probe_unreliability_ > max_probe_unreliability;
+    if (probes_answered && !outdated_primary_claim) {
       if (host.time_without_response(now_) <= timeout) return false;
       if (now_ - host.position_advanced_at <= timeout)
         return now_ - *host.in_flight_sends.rbegin() <= timeout;
     }
-    // The advance of a stale claim does not delay its trial: one that advances now and then would never get
-    // one, and the host would stay out of use for good.
-    const auto last_sign =
-        std::max({host.last_send_at, host.last_response_at, stale_claim ? never : host.position_advanced_at});
+    // The advance of the position of an outdated primary does not delay its trial: with a position that
+    // advances now and then it would never get one, and the host would stay out of use for good.
+    const auto last_sign = std::max({host.last_send_at, host.last_response_at,
+                                     outdated_primary_claim ? never : host.position_advanced_at});
     return !host.in_flight_sends.empty() || now_ - last_sign <= scale(timeout, trial_interval_timeouts);
   }
 
@@ -397,9 +398,9 @@
     return !host.outlier.ejected() || trial_allowed;
   }
 
-  /// Requests that only a primary can take use it in spite of its errors, unless it is unresponsive or
-  /// refuses connections: while an ejected primary got none, all writes waited although some would have been
-  /// answered.
+  /// Whether the primary `host` may take requests. Requests that only the primary can take use it in spite of
+  /// its errors, unless it is unresponsive or refuses connections: while an ejected primary got none, all
+  /// writes waited although some would have been answered.
   bool usable(const Host& host) const {
     return healthy(host) || (host.refused_connections == 0 && !unresponsive(host));
   }
@@ -495,7 +496,7 @@
     const double own_usage = usage.own(window_start);
     const double left = slow_start_share_.remaining(now_, budget, own_usage, usage.others(window_start));
     if (left >= relative_work(request.class_id.value)) return true;
-    const double arrivals = std::max(1.0, arrived_.decayed_sum(now_));
+    const double arrivals = std::max(1.0, arrived_.decay_and_sum(now_));
     const double seconds = arrived_.effective_seconds(now_ - first_event_at_);
     const double group_arrivals = groups_[request.group].arrival_rate * seconds;
     const double group_share = std::max(1.0 / groups_.size(), std::min(1.0, group_arrivals / arrivals));
@@ -517,7 +518,8 @@
   double work_rate_per_warm_host() {
     warm_up_ends_.erase(warm_up_ends_.begin(), warm_up_ends_.upper_bound(now_));
     const auto warm_hosts = std::max(1, ready_hosts_ - static_cast<int>(warm_up_ends_.size()));
-    return served_.decayed_sum(now_) / served_.effective_seconds(now_ - first_event_at_) / warm_hosts;
+    return served_work_.decay_and_sum(now_) / served_work_.effective_seconds(now_ - first_event_at_) /
+           warm_hosts;
   }
   /// Work of one request of a class, in typical requests.
   double relative_work(std::size_t class_index) const {
@@ -535,7 +537,7 @@
     return settings_.classes[class_index].freshness >= Freshness::fresh;
   }
 
-  bool accepts_requests(const Host& host) const { return host.state == HostState::ready; }
+  bool listed_ready(const Host& host) const { return host.state == HostState::ready; }
   /// Whether the host's attempts in flight are below `share` of its concurrency limit. Old attempts at a host
   /// that answers others are lost and do not count.
   bool below_concurrency_limit(const Host& host, double share = 1) const {
@@ -554,7 +556,7 @@
     double pooled_limit = 0;
     int in_flight = 0;
     for (const Host* member : group.members)
-      if (member != group_primary && accepts_requests(*member)) {
+      if (member != group_primary && listed_ready(*member)) {
         pooled_limit += member->concurrency_limit;
         in_flight += member->in_flight();
       }
@@ -568,7 +570,7 @@
     Duration total{};
     std::int64_t known = 0;
     for (const Host* member : group.members)
-      if (member != group_primary && accepts_requests(*member) && queue_known(*member)) {
+      if (member != group_primary && listed_ready(*member) && queue_known(*member)) {
         total += queue_delay(*member);
         ++known;
       }
@@ -594,9 +596,9 @@
     return fleet::weighted_choice(candidates, random_unit());
   }
 
-  /// Probes replicas (a single one where answers report positions too), or the primary, if too little is
-  /// known of them to send a request. Returns whether a probe's answer is awaited. Keeps reads off the
-  /// primary where traffic is too thin to keep positions current; the read waits for one probe.
+  /// Probes replicas (a single one where answers report positions too), or the primary. To be called when too
+  /// little is known of them to send a request. Returns whether a probe's answer is awaited. Keeps reads off
+  /// the primary where traffic is too thin to keep positions current; the read waits for one probe.
   bool probe_on_demand(Group& group, Host* group_primary, bool probe_primary) {
     if (!settings_.probes_allowed || !probe_budget_.available(urgent_probe_reserve)) return false;
     auto& probes = group.on_demand_probes[probe_primary ? 1 : 0];
@@ -606,8 +608,8 @@
     if (now_ < probes.until) return std::any_of(group.members.begin(), group.members.end(), pending);
     std::vector<std::pair<Host*, double>> candidates;
     for (Host* member : group.members)
-      if ((member == group_primary) == probe_primary && accepts_requests(*member) &&
-          !member->probe_in_flight && healthy(*member) &&
+      if ((member == group_primary) == probe_primary && listed_ready(*member) && !member->probe_in_flight &&
+          healthy(*member) &&
           now_ - member->last_probe_at >= std::max(normal_probe_period(), min_probe_interval(*member)))
         candidates.emplace_back(member, capacity_share(*member));
     if (candidates.empty()) return false;
@@ -632,15 +634,15 @@
 
   /// A host to which a write is sent in search of the primary, where no usable one is known and probing all
   /// members costs too much; null without one. A replica refuses the write at once and executes nothing. Each
-  /// host gets such a write at most once in the shortest target: the listed primary first, then hosts whose
-  /// role is known least recently. A write that does not find the primary has used up attempts.
+  /// host gets such a write at most once in the shortest target: the listed primary first, then hosts
+  /// whose role was learnt longest ago. A write that does not find the primary has used up attempts.
   Host* primary_candidate(const Request& request, Group& group, const Host* group_primary) {
     const double cost_of_all = settings_.probe_cost * static_cast<double>(group.members.size());
     const bool probes_affordable = settings_.probes_allowed && cost_of_all <= probe_cost_share;
     if (probes_affordable || request.attempts.size() + 1 >= max_attempts(request)) return nullptr;
     Host* best = nullptr;
     for (Host* member : group.members) {
-      if (member == group_primary || !accepts_requests(*member) || !healthy(*member) ||
+      if (member == group_primary || !listed_ready(*member) || !healthy(*member) ||
           !below_concurrency_limit(*member))
         continue;
       if (now_ - std::max(member->role_as_of, member->last_send_at) < shortest_target_) continue;
@@ -680,7 +682,7 @@
         bool busy = false;
         for (Host* member : group.members) {
           auto& host = *member;
-          if (&host == group_primary || !accepts_requests(host)) continue;
+          if (&host == group_primary || !listed_ready(host)) continue;
           const double lag_weight = staleness_weight(host, request);
           const bool excluded = healthy_only ? !healthy(host) || request.tried(host.id)
                                              : host.refused_connections > 0 && !healthy(host);
@@ -694,7 +696,7 @@
           const auto queue = queue_known(host) ? Duration::zero() : assumed_queue_delay;
           const double latency =
               std::max(min_latency_ms, to_ms(expected_latency(host, request.class_id) + queue));
-          const double health_weight = std::pow(1 - host.outlier.failure_score(now_), 2);
+          const double health_weight = std::pow(1 - host.outlier.decayed_failure_score(now_), 2);
           const double base_weight = lag_weight * capacity_share(host) * health_weight;
           const double weight = base_weight / (latency * (host.in_flight() + 1));
           eligible.emplace_back(&host, weight);
@@ -707,7 +709,7 @@
         // Only where replicas check reads themselves are there stale candidates: the most current ones first.
         if (!eligible.empty() && !busy) {
           const bool assume_kept_up =
-              fleet::StaleReadSuccessRate::assume_current(group.stale_read_success, stale_read_success_);
+              fleet::StaleReadSuccessRate::assume_kept_up(group.stale_read_success, stale_read_success_);
           const auto tolerance = assume_kept_up ? request_class.staleness_bound / 4 : Duration::zero();
           fleet::retain_most_current(eligible, tolerance,
                                      [&](const Host& host) { return host.lag(now_, assume_kept_up); });
@@ -800,7 +802,7 @@
     for (std::size_t i = 0; i < demand.by_class.size(); ++i)
       if (value_per_cost(i) > value_per_cost(class_index)) more_valuable += demand.by_class[i];
     return request.random_draw * demand.by_class[class_index] <
-           share * demand.decayed_sum(now_) - more_valuable;
+           share * demand.decay_and_sum(now_) - more_valuable;
   }
 
   /// Value over cost of an answer to a request sent now.
@@ -1094,7 +1096,7 @@
     record_response(host);
     record_latency(host, request, now_ - attempt.sent_at);
     if (capacity_share(host) >= 1)
-      served_.add(now_, request.class_id.value, relative_work(request.class_id.value));
+      served_work_.add(now_, request.class_id.value, relative_work(request.class_id.value));
     const auto target = std::min(settings_.classes[request.class_id.value].latency_target, mean_target_);
     if (!attempt.load_recorded) record_load(host, to_ms(now_ - attempt.sent_at) / to_ms(target));
   }
@@ -1319,7 +1321,7 @@
       shortest = std::min(shortest, group.probe_period);
       for (Host* member : group.members) {
         auto& host = *member;
-        if (host.probe_in_flight || !accepts_requests(host) ||
+        if (host.probe_in_flight || !listed_ready(host) ||
             !probe_budget_.available(primary_needed ? 0 : urgent_probe_reserve))
           continue;
         const bool urgent = primary_needed || host.time_without_response(now_) > response_timeout(host) / 2;
--- a/src/router/state.h
+++ b/src/router/state.h
@@ -1,4 +1,4 @@
-// State records of the router: hosts, requests, groups and recent load. Nothing is decided here.
+// State records of the router: hosts, requests, groups and recent load. Makes no routing decisions.
 #pragma once
 
 #include <algorithm>
@@ -16,6 +16,7 @@
 #include "fleet/slow_start_usage.h"
 #include "handover/budget_share.h"
 
+/// In the arrays of two by role, element 0 is of replicas and element 1 of primaries.
 namespace cedarring::state {
 
 /// A time before any clock value, and a time or duration beyond any; both can be subtracted without overflow.
@@ -163,7 +164,7 @@
   double memory_seconds = 1;
 
   /// Decays all amounts to `now` and returns their sum.
-  double decayed_sum(Time now) {
+  double decay_and_sum(Time now) {
     const double decay = std::exp(-to_ms(now - updated_at) / 1000 / memory_seconds);
     updated_at = now;
     double sum = 0;
@@ -178,7 +179,7 @@
     return memory_seconds * (1 - std::exp(-to_ms(age) / 1000 / memory_seconds)) + 0.001;
   }
   void add(Time now, std::size_t class_index, double amount) {
-    decayed_sum(now);
+    decay_and_sum(now);
     by_class[class_index] += amount;
   }
 };
@@ -241,8 +242,8 @@
   DecayingTotals demand_[2];             // work requested of replicas, of primaries
   // Of all groups. One half at the start: nothing is known yet.
   fleet::StaleReadSuccessRate stale_read_success_{0.5};
-  DecayingTotals arrived_;  // requests, retries included
-  DecayingTotals served_;   // work answered by warm hosts
+  DecayingTotals arrived_;      // requests, retries included
+  DecayingTotals served_work_;  // work answered by warm hosts
   Time first_event_at_ = never;
   double retry_tokens_ = 0;
   // Requests pay for probes: one of hundreds of routers sees few requests, and a probe for each of its reads
--- a/src/tools/lab/world.cpp
+++ b/src/tools/lab/world.cpp
@@ -346,7 +346,7 @@
     payload->class_index = request->class_index;
     broker::ClientRequest client_request;
     client_request.name = std::to_string(++request_names);
-    client_request.contract = config.classes[request->class_index].request_class.name;
+    client_request.class_name = config.classes[request->class_index].request_class.name;
     client_request.tenant = request->tenant;
     client_request.group = request->group;
     client_request.time_left = request->deadline - timeline.now();
--- a/src/wire/client.cpp
+++ b/src/wire/client.cpp
@@ -244,14 +244,14 @@
                                          std::shared_ptr<const broker::RequestPayload> payload) {
   broker::ClientRequest request;
   request.name = info.id;
-  request.contract = info.contract;
+  request.class_name = info.contract;
   request.tenant = info.tenant;
   request.group = GroupId{*info.cluster};
   request.time_left = std::chrono::milliseconds(*info.deadline_ms);
   request.arrived = arrival_time();
   if (!info.session.empty()) request.session = session_id_of(info.session);
   request.retry = info.retry;
-  if (info.after_ms) request.after = std::chrono::milliseconds(*info.after_ms);
+  if (info.after_ms) request.required_position = std::chrono::milliseconds(*info.after_ms);
   request.payload = std::move(payload);
   slots_.push_back({{}, true, {}});
   ++pending_requests_;
--- a/src/wire/mysql_client.cpp
+++ b/src/wire/mysql_client.cpp
@@ -331,7 +331,7 @@
   switch (submit_request(request->info, request)) {
     case broker::Rejection::none:
       return;
-    case broker::Rejection::unknown_contract:
+    case broker::Rejection::unknown_class:
       return send_error(er_wrong_arguments, "HY000", "unknown class in c");
     case broker::Rejection::unknown_tenant:
       return send_error(er_wrong_arguments, "HY000", "unknown tenant in t");
@@ -339,7 +339,7 @@
       return send_error(er_unknown_database, "42000", "unknown group in cluster");
     case broker::Rejection::name_in_use:
       return send_error(er_wrong_arguments, "HY000", "id of another open request");
-    case broker::Rejection::overfull:
+    case broker::Rejection::too_many_requests:
       return send_error(er_too_many_connections, "08004", "Too many requests");
     case broker::Rejection::late:
       return send_error(er_server_unavailable, "HY000", "Its time ran out before its turn, nothing has run");
--- a/src/wire/mysql_host.h
+++ b/src/wire/mysql_host.h
@@ -43,7 +43,9 @@
   void execute_prepared(std::uint32_t id);
   /// Writes a command; `is_request`: from its last byte on the job's request may run.
   void write_command(std::string_view payload, bool is_request);
-  [[nodiscard]] const MysqlRequest& request() const { return static_cast<const MysqlRequest&>(*job_->work); }
+  [[nodiscard]] const MysqlRequest& request() const {
+    return static_cast<const MysqlRequest&>(*job_->payload);
+  }
 
   State state_ = State::greeting;
   std::list<Prepared> statements_;         // most recently used first
--- a/src/wire/pg_client.cpp
+++ b/src/wire/pg_client.cpp
@@ -139,7 +139,7 @@
   switch (submit_request(request->info, request)) {
     case broker::Rejection::none:
       return;
-    case broker::Rejection::unknown_contract:
+    case broker::Rejection::unknown_class:
       return send_error(pg::sqlstate::protocol_violation, "unknown class in c");
     case broker::Rejection::unknown_tenant:
       return send_error(pg::sqlstate::protocol_violation, "unknown tenant in t");
@@ -147,7 +147,7 @@
       return send_error(pg::sqlstate::invalid_catalog_name, "unknown group in cluster");
     case broker::Rejection::name_in_use:
       return send_error(pg::sqlstate::protocol_violation, "id of another open request");
-    case broker::Rejection::overfull:
+    case broker::Rejection::too_many_requests:
       return send_error(pg::sqlstate::too_many_connections, "too many requests");
     case broker::Rejection::late:
       return send_error(pg::sqlstate::too_many_connections,
--- a/src/wire/pg_host.cpp
+++ b/src/wire/pg_host.cpp
@@ -19,7 +19,7 @@
 /// Only the last chunk is written as the request: until then the host cannot have run the statement.
 void PgHost::write_statement() {
   if (!writing_statement_ || closed() || !job_) return;
-  const auto& request = static_cast<const PgRequest&>(*job_->work);
+  const auto& request = static_cast<const PgRequest&>(*job_->payload);
   const std::string_view sql = request.sql;
   const std::string_view pieces[] = {sql.substr(0, request.info.deadline_offset), deadline_digits_,
                                      sql.substr(request.info.deadline_offset + request.info.deadline_length)};
@@ -52,7 +52,7 @@
 void PgHost::submit() {
   std::string out;
   if (job_->attempt) {
-    const auto& request = static_cast<const PgRequest&>(*job_->work);
+    const auto& request = static_cast<const PgRequest&>(*job_->payload);
     if (request.sql.size() > pg_max_message_size) {
       deadline_digits_ = std::to_string(remaining_ms());
       statement_written_ = 0;
--- a/src/wire/upstream.cpp
+++ b/src/wire/upstream.cpp
@@ -186,9 +186,9 @@
 }
 
 void SocketUpstream::start(broker::AttemptKey key, HostId host, const std::string& address,
-                           const std::shared_ptr<const broker::RequestPayload>& work, Time give_up_at,
+                           const std::shared_ptr<const broker::RequestPayload>& payload, Time give_up_at,
                            bool sole_candidate) {
-  run(host, address, {key, work, clock_(), give_up_at, sole_candidate});
+  run(host, address, {key, payload, clock_(), give_up_at, sole_candidate});
 }
 
 void SocketUpstream::probe(HostId host, const std::string& address) {
--- a/src/wire/upstream.h
+++ b/src/wire/upstream.h
@@ -19,12 +19,12 @@
 
 class SocketUpstream;
 
-/// The work of a host connection: an attempt of a request, or a probe.
+/// The task of a host connection: an attempt of a request, or a probe.
 struct Job {
   std::optional<broker::AttemptKey> attempt;  // absent: a probe
-  std::shared_ptr<const broker::RequestPayload> work;
+  std::shared_ptr<const broker::RequestPayload> payload;
   Time started_at{}, give_up_at{};
-  bool sole_candidate = true;  // no other host can serve the request: wait the full connect time-out
+  bool sole_candidate = true;  // see cedarring::Send; also set for probes
 };
 
 /// One connection to a host. It executes a job from connecting to the complete answer and never resends a
@@ -133,7 +133,7 @@
   void on_limit_reached(std::function<void()> callback) { limit_reached_ = std::move(callback); }
 
   void start(broker::AttemptKey key, HostId host, const std::string& address,
-             const std::shared_ptr<const broker::RequestPayload>& work, Time give_up_at,
+             const std::shared_ptr<const broker::RequestPayload>& payload, Time give_up_at,
              bool sole_candidate) override;
   void cancel(broker::AttemptKey key) override;
   void resume(broker::AttemptKey key) override;
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -113,7 +113,7 @@
                    const std::string& tenant = "acme", std::int64_t group = 1, const std::string& name = "") {
     ClientRequest request;
     request.name = name.empty() ? "r" + std::to_string(++request_count) : name;
-    request.contract = contract;
+    request.class_name = contract;
     request.tenant = tenant;
     request.group = GroupId{group};
     request.time_left = 1s;
@@ -203,7 +203,7 @@
 TEST(Broker, DeadlineCountsFromArrivalAndExpiredRequestIsRejected) {
   BrokerFixture fixture;
   ClientRequest request;
-  request.contract = "pay";
+  request.class_name = "pay";
   request.tenant = "acme";
   request.group = GroupId{1};
   request.time_left = 1s;
@@ -309,11 +309,11 @@
 
 TEST(Broker, UnknownNamesAndExcessRequestsAreRejected) {
   BrokerFixture fixture;
-  fixture.submit("nothing", Rejection::unknown_contract);
+  fixture.submit("nothing", Rejection::unknown_class);
   fixture.submit("pay", Rejection::unknown_tenant, "nobody");
   fixture.submit("pay", Rejection::unknown_group, "acme", 9);
   for (int i = 0; i < 50; ++i) fixture.submit("pay");
-  fixture.submit("pay", Rejection::overfull);
+  fixture.submit("pay", Rejection::too_many_requests);
 }
 
 TEST(Broker, BudgetCountsRequestsBeyondIt) {
@@ -387,7 +387,7 @@
 TEST(Broker, RequestTraceIsReportedOnceRequestHasEnded) {
   BrokerFixture fixture;
   std::vector<RequestTrace> traces;
-  fixture.broker.on_request_trace([&](const RequestTrace& trace) { traces.push_back(trace); });
+  fixture.broker.set_request_trace_callback([&](const RequestTrace& trace) { traces.push_back(trace); });
   fixture.submit("history");
   ASSERT_EQ(fixture.upstream.started.size(), 1U);
   fixture.now += 5ms;
@@ -397,7 +397,7 @@
   fixture.now += 20ms;
   fixture.upstream.end(fixture.upstream.started[1].key, Outcome::ok);
   ASSERT_EQ(traces.size(), 1U);
-  EXPECT_EQ(traces[0].contract, "history");
+  EXPECT_EQ(traces[0].class_name, "history");
   EXPECT_EQ(traces[0].end, gates::RequestEnd::served);
   EXPECT_EQ(traces[0].elapsed, 25ms);
   ASSERT_EQ(traces[0].attempts.size(), 2U);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -192,7 +192,8 @@
   EXPECT_TRUE(quiet.ejected());
   EXPECT_FALSE(quiet.ready_for_trial(now + 999ms));
   EXPECT_TRUE(quiet.ready_for_trial(now + 1s));
-  EXPECT_GT(quiet.failure_score(now + 1s), quiet.failure_score(now + 4s));  // decays after the ejection
+  EXPECT_GT(quiet.decayed_failure_score(now + 1s),
+            quiet.decayed_failure_score(now + 4s));  // decays after the ejection
   quiet.record_success(now + 5s, 0s);
   EXPECT_FALSE(quiet.ejected());
 }
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -130,14 +130,14 @@
     double total_share = 0;
     std::deque<fleet::SlowStartUsage::SentWork> sends;
   };
-  void suspend_spending(Time) { share.set(0, 0); }
+  void suspend_spending(Time) { share.set_shares(0, 0); }
   State split(Time now) { return {share.split(now), usage.all()}; }
   void restore(State state, Time) {
     std::sort(state.sends.begin(), state.sends.end());
-    share.set(state.total_share, state.total_share / 2);
+    share.set_shares(state.total_share, state.total_share / 2);
     usage.set_others(state.sends);
   }
-  void resume_full_spending(Time now) { share.schedule_increase(now + overload_window, 1); }
+  void resume_full_spending(Time now) { share.schedule_share(now + overload_window, 1); }
   bool send(double work, Time now) {
     const auto from = now - overload_window;
     if (share.remaining(now, slow_start_limit, usage.own(from), usage.others(from)) < work) return false;
@@ -340,7 +340,7 @@
     now = at;
     broker::ClientRequest request;
     request.name = std::to_string(++last_request);
-    request.contract = "bid";
+    request.class_name = "bid";
     request.tenant = "acme";
     request.group = GroupId{1};
     request.time_left = 1s;
