--- a/src/app/contracts_runner.cpp
+++ b/src/app/contracts_runner.cpp
@@ -152,8 +152,8 @@
       add_count("refused_levels", entry.refused_levels);
       add_count("refused_router", entry.refused_router);
       add_count("failed", entry.failed);
-      add_number("p50_ms", contracts_.times(t, c).quantile(0.5));
-      add_number("p99_ms", contracts_.times(t, c).quantile(0.99));
+      add_number("p50_ms", contracts_.answer_times(t, c).quantile(0.5));
+      add_number("p99_ms", contracts_.answer_times(t, c).quantile(0.99));
       add_number("cost_ms", entry.cost);
       add_number("part", contracts_.gateway_share(t));
       writer.EndObject();
--- a/src/app/gateway_file.cpp
+++ b/src/app/gateway_file.cpp
@@ -170,8 +170,8 @@
     }
     rule.only_beyond_budget = text_or(value, "budget", "any") == "beyond";
     if (const auto* flag = member(value, "without_primary")) rule.only_without_primary = flag->GetBool();
-    if (const auto* flag = member(value, "only_hopeless")) rule.only_hopeless = flag->GetBool();
-    if (rule.only_hopeless && !rule.only_without_primary)
+    if (const auto* flag = member(value, "only_hopeless")) rule.only_past_takeover_deadline = flag->GetBool();
+    if (rule.only_past_takeover_deadline && !rule.only_without_primary)
       throw config_error_at(file_, pointer + "/only_hopeless", "without_primary beside it", "none");
     rule.share = number_or(value, "share", 1);
     return rule;
@@ -199,13 +199,13 @@
     file.log.format = form == "json"    ? telemetry::LogConfig::Format::json
                       : form == "plain" ? telemetry::LogConfig::Format::plain
                                         : telemetry::LogConfig::Format::automatic;
-    if (const auto* value = member(*log, "per_cause")) file.log.per_cause = value->GetUint();
+    if (const auto* value = member(*log, "per_cause")) file.log.max_lines_per_cause = value->GetUint();
   }
   if (const auto* records = file.section("records")) {
     file.log.records_file = text_or(*records, "file", "");
-    if (const auto* value = member(*records, "bytes")) file.log.records_bytes = value->GetUint();
-    if (const auto* value = member(*records, "files")) file.log.records_files = value->GetUint();
-    if (const auto* value = member(*records, "kept")) file.log.records_kept = value->GetUint();
+    if (const auto* value = member(*records, "bytes")) file.log.max_records_file_bytes = value->GetUint();
+    if (const auto* value = member(*records, "files")) file.log.rotated_records_files = value->GetUint();
+    if (const auto* value = member(*records, "kept")) file.log.records_in_memory = value->GetUint();
   }
   if (const auto* admin = file.section("admin")) file.admin_socket = text_or(*admin, "socket", "");
   return file;
@@ -228,7 +228,8 @@
   config.pressure.min_change_interval = config.faults.min_change_interval =
       milliseconds_or(*section, "apart_ms", config.pressure.min_change_interval);
   config.pressure.damping = config.faults.damping = number_or(*section, "damping", config.pressure.damping);
-  config.takeover_hint = milliseconds_or(*section, "takeover_hint_ms", config.takeover_hint);
+  config.initial_takeover_estimate =
+      milliseconds_or(*section, "takeover_hint_ms", config.initial_takeover_estimate);
   config.reading_decay_time = milliseconds_or(*section, "memory_ms", config.reading_decay_time);
   std::map<std::string, std::vector<std::string>> pointers_by_axis;
   for (const auto* axis : {"pressure", "faults"})
@@ -314,7 +315,7 @@
             writer.Key("without_primary");
             writer.Bool(true);
           }
-          if (rule.only_hopeless) {
+          if (rule.only_past_takeover_deadline) {
             writer.Key("only_hopeless");
             writer.Bool(true);
           }
@@ -350,7 +351,7 @@
   write_milliseconds("apart_ms", config.pressure.min_change_interval);
   writer.Key("damping");
   writer.Double(config.pressure.damping);
-  write_milliseconds("takeover_hint_ms", config.takeover_hint);
+  write_milliseconds("takeover_hint_ms", config.initial_takeover_estimate);
   write_milliseconds("memory_ms", config.reading_decay_time);
   write_ladder("pressure", config.pressure);
   write_ladder("faults", config.faults);
--- a/src/app/levels_runner.cpp
+++ b/src/app/levels_runner.cpp
@@ -144,7 +144,7 @@
   const auto write_ladder = [&](const levels::Ladder& ladder) {
     writer.Key("level");
     writer.String(ladder.current_level().name.c_str());
-    write_milliseconds("since_ms", ladder.since());
+    write_milliseconds("since_ms", ladder.entered_at());
     write_milliseconds("least_stay_ms", std::max(ladder.min_dwell(), ladder.config().min_change_interval));
     writer.Key("held");
     writer.Bool(ladder.is_held());
--- a/src/contracts/contracts.cpp
+++ b/src/contracts/contracts.cpp
@@ -15,7 +15,7 @@
 constexpr double min_answer_ms = 0.1;          // quicker answers count as this, so that a cost stays above 0
 
 // Allocation of contended resources.
-constexpr double flow_memory = 1;  // seconds: time constant of demand and served cost
+constexpr double resource_use_decay_time = 1;  // seconds: time constant of demand and served cost
 constexpr double min_capacity = 1;
 constexpr double headroom = 1.05;          // first limit of a contended resource, over the cost it served
 constexpr double capacity_growth = 1.05;   // for each step without contention
@@ -25,10 +25,10 @@
 constexpr double min_lend_share = 0.02;    // of the served cost: lending less than this counts as none
 constexpr double lend_restart_ratio = 10;  // lending grows by at least min_lend_share / this a step
 // Seconds of an allocation that may come at once: lent capacity returns to its owner within this time.
-constexpr double flow_burst = 0.1;
+constexpr double resource_use_burst = 0.1;
 constexpr Duration relief_period{2'000'000};  // without contention, after which a limit is removed
-constexpr Duration flow_retention{10'000'000};
-constexpr std::size_t max_flows = 65536;
+constexpr Duration resource_use_retention{10'000'000};
+constexpr std::size_t max_resource_uses = 65536;
 constexpr double full_share = 0.95;  // of a concurrency limit, from which on a resource is contended
 
 constexpr Duration min_jitter_width{100'000};
@@ -38,7 +38,7 @@
 // Upper bounds of values accepted from another process.
 constexpr double max_snapshot_cost = 1e9;
 constexpr double max_snapshot_demand = 1e9;
-constexpr double max_snapshot_flow = 1e12;
+constexpr double max_snapshot_cost_rate = 1e12;
 
 double seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
 
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-std::size_t Contracts::FlowHash::operator()(const FlowKey& key) const {
+std::size_t Contracts::ResourceUseHash::operator()(const ResourceUseKey& key) const {
   auto hash = static_cast<std::uint64_t>(key.group) * 0x9e3779b97f4a7c15ULL;
   hash ^= (static_cast<std::uint64_t>(static_cast<std::uint32_t>(key.team)) << 1U | (key.primary ? 1U : 0U)) +
           (hash >> 29U);
@@ -118,9 +118,9 @@
     teams[t] = teams_[from];
     for (std::size_t c = 0; c < classes; ++c) cells[t * classes + c] = std::move(cell_at(from, c));
   }
-  // Flows are keyed by the old team indices, which may now belong to other teams. Open requests are charged
-  // to no team.
-  flows_.clear();
+  // Resource uses are keyed by the old team indices, which may now belong to other teams. Open requests are
+  // charged to no team.
+  resource_uses_.clear();
   resources_.clear();
   open_requests_.clear();
   config_ = std::move(config);
@@ -130,7 +130,7 @@
   // During a hand-over each of the two processes spends its own share of an added team's rates.
   for (std::size_t t = 0; t < teams_.size(); ++t)
     for (std::size_t c = 0; c < classes; ++c)
-      if (added[t]) cell_at(t, c).share = handover::budget_share(stage_, burst_of(t, c));
+      if (added[t]) cell_at(t, c).process_share = handover::budget_share(stage_, burst_of(t, c));
   update_rates(now);
 }
 
@@ -152,7 +152,7 @@
   closure_ = in_closure(now);
   for (std::size_t t = 0; t < teams_.size(); ++t)
     for (std::size_t c = 0; c < service_.classes.size(); ++c)
-      cell_at(t, c).rate = rate_of(t, c, cell_at(t, c).share);
+      cell_at(t, c).rate = rate_of(t, c, cell_at(t, c).process_share);
 }
 
 /// A share of the team's own demand at this gateway, with a small burst. Never charged to another team.
@@ -190,22 +190,22 @@
       copy.debt = cell.limiter.debt(now);
       copy.demand = cell.demand;
       copy.share = handover::budget_share(HandoverStage::incoming, burst_of(t, c));
-      cell.share = handover::budget_share(HandoverStage::outgoing, burst_of(t, c));
+      cell.process_share = handover::budget_share(HandoverStage::outgoing, burst_of(t, c));
     }
   }
   for (const auto& [key, resource] : resources_)
     snapshot.resources.push_back(
-        {GroupId{key.first}, key.second, resource.served, resource.capacity, resource.lend});
-  for (const auto& [key, flow] : flows_)
+        {GroupId{key.first}, key.second, resource.served, resource.capacity, resource.lent_capacity});
+  for (const auto& [key, use] : resource_uses_)
     snapshot.flows.push_back({GroupId{key.group}, config_.teams[static_cast<std::size_t>(key.team)].name,
-                              key.primary, flow.demand_within, flow.demand_beyond});
+                              key.primary, use.demand_within, use.demand_beyond});
   update_rates(now);
   return snapshot;
 }
 
 void Contracts::suspend_spending(Time now) {
   stage_ = handover::HandoverStage::waiting;
-  for (auto& cell : cells_) cell.share = 0;
+  for (auto& cell : cells_) cell.process_share = 0;
   update_rates(now);
 }
 
@@ -213,7 +213,7 @@
   stage_ = handover::HandoverStage::incoming;
   for (std::size_t t = 0; t < teams_.size(); ++t)
     for (std::size_t c = 0; c < service_.classes.size(); ++c)
-      cell_at(t, c).share = handover::budget_share(stage_, burst_of(t, c));
+      cell_at(t, c).process_share = handover::budget_share(stage_, burst_of(t, c));
   update_rates(now);
   for (std::size_t t = 0; t < teams_.size(); ++t) teams_[t].retry_limiter.exhaust(retry_rate(t, stage_), now);
   for (auto& cell : cells_) cell.limiter.exhaust(cell.rate, now);
@@ -235,27 +235,27 @@
       const auto it = team->second.classes.find(service_.classes[c].name);
       if (it == team->second.classes.end()) continue;
       auto& cell = cell_at(t, c);
-      cell.share = sanitized(it->second.share, 1);
+      cell.process_share = sanitized(it->second.share, 1);
       cell.demand = sanitized(it->second.demand, max_snapshot_demand);
       cell.limiter.set_debt(it->second.debt, now);
     }
   }
   for (const auto& received : snapshot.resources) {
     auto& resource = resources_[{received.group.value, received.primary}];
-    resource.served = sanitized(received.served, max_snapshot_flow);
+    resource.served = sanitized(received.served, max_snapshot_cost_rate);
     resource.capacity = received.capacity;
-    resource.lend = received.lend;
+    resource.lent_capacity = received.lent_capacity;
     resource.last_contended = now;
   }
   for (const auto& received : snapshot.flows) {
     const auto team = std::find_if(config_.teams.begin(), config_.teams.end(),
                                    [&](const Team& candidate) { return candidate.name == received.team; });
-    if (team == config_.teams.end() || flows_.size() >= max_flows) continue;
+    if (team == config_.teams.end() || resource_uses_.size() >= max_resource_uses) continue;
     const auto team_index = static_cast<std::int32_t>(team - config_.teams.begin());
-    auto& flow = flows_[{received.group.value, team_index, received.primary}];
-    flow.demand_within = sanitized(received.within, max_snapshot_flow);
-    flow.demand_beyond = sanitized(received.beyond, max_snapshot_flow);
-    flow.last_used = now;
+    auto& use = resource_uses_[{received.group.value, team_index, received.primary}];
+    use.demand_within = sanitized(received.within, max_snapshot_cost_rate);
+    use.demand_beyond = sanitized(received.beyond, max_snapshot_cost_rate);
+    use.last_used = now;
   }
   if (snapshot.window && *snapshot.window >= Duration::zero() && *snapshot.window < config_.window) {
     started_ = true;
@@ -299,11 +299,12 @@
   const auto previous_stage = std::exchange(stage_, HandoverStage::single);
   if (previous_stage == HandoverStage::single) return;
   for (std::size_t t = 0; t < teams_.size(); ++t) {
-    teams_[t].retry_limiter.grow_to(retry_rate(t, HandoverStage::single),
-                                    handover::budget_share(previous_stage, config_.retry_burst), now);
+    teams_[t].retry_limiter.restore_full_rate(retry_rate(t, HandoverStage::single),
+                                              handover::budget_share(previous_stage, config_.retry_burst),
+                                              now);
     for (std::size_t c = 0; c < service_.classes.size(); ++c) {
       auto& cell = cell_at(t, c);
-      cell.limiter.grow_to(rate_of(t, c, 1), std::exchange(cell.share, 1), now);
+      cell.limiter.restore_full_rate(rate_of(t, c, 1), std::exchange(cell.process_share, 1), now);
     }
   }
   update_rates(now);
@@ -336,24 +337,25 @@
   const bool within = !terms || cell.limiter.conforms(cell.rate, now);
   ++(within ? records.current.within : records.current.beyond);
   const double cost = costs_[class_index];
-  const FlowKey key{request.group.value, team, needs_primary(class_index)};
-  auto flow_it = flows_.find(key);
-  if (flow_it == flows_.end() && flows_.size() < max_flows) flow_it = flows_.emplace(key, Flow{}).first;
-  if (flow_it != flows_.end()) {
-    flow_it->second.last_used = now;
-    (within ? flow_it->second.demand_within : flow_it->second.demand_beyond) += cost;
+  const ResourceUseKey key{request.group.value, team, needs_primary(class_index)};
+  auto use_it = resource_uses_.find(key);
+  if (use_it == resource_uses_.end() && resource_uses_.size() < max_resource_uses)
+    use_it = resource_uses_.emplace(key, ResourceUse{}).first;
+  if (use_it != resource_uses_.end()) {
+    use_it->second.last_used = now;
+    (within ? use_it->second.demand_within : use_it->second.demand_beyond) += cost;
   }
   gates::Verdict verdict;
   verdict.beyond_contract = !within;
   if (config_.mode == Mode::enforce) {
     if (!within && terms->beyond == BeyondPolicy::refuse)
       return refuse(gates::Reason::over_contract, cell.limiter.wait(cell.rate, now));
-    if (flow_it != flows_.end()) {
-      auto& flow = flow_it->second;
-      const double limit = within ? flow.limit_within : flow.limit_beyond;
-      auto& limiter = within ? flow.limiter_within : flow.limiter_beyond;
+    if (use_it != resource_uses_.end()) {
+      auto& use = use_it->second;
+      const double limit = within ? use.limit_within : use.limit_beyond;
+      auto& limiter = within ? use.limiter_within : use.limiter_beyond;
       if (limit >= 0 && (within || terms->beyond == BeyondPolicy::borrow)) {
-        const auto rate = Rate::of(limit, std::max(cost, limit * flow_burst));
+        const auto rate = Rate::of(limit, std::max(cost, limit * resource_use_burst));
         if (!limiter.conforms(rate, now))
           return refuse(within ? gates::Reason::contention : gates::Reason::over_contract,
                         limiter.wait(rate, now));
@@ -475,7 +477,7 @@
   const double passed = seconds(now - last_step_);
   last_step_ = now;
   if (passed > 0) {
-    const double decay = std::exp(-passed / flow_memory);
+    const double decay = std::exp(-passed / resource_use_decay_time);
     // A gateway's share of a team's rates is even until more than that arrives here for a while. A gateway
     // does not know what arrives at the others, so its share never exceeds `max_share_multiple` even shares:
     // all gateways together exceed the contract by at most that factor.
@@ -495,15 +497,16 @@
         }
       }
       const double target =
-          promised_cost > 0 ? std::clamp(demanded_cost / flow_memory / promised_cost, even_share, max_share)
-                            : even_share;
+          promised_cost > 0
+              ? std::clamp(demanded_cost / resource_use_decay_time / promised_cost, even_share, max_share)
+              : even_share;
       teams_[t].gateway_share += (target - teams_[t].gateway_share) * gain;
     }
     allocate_resources(now, loads);
-    for (auto it = flows_.begin(); it != flows_.end();) {
+    for (auto it = resource_uses_.begin(); it != resource_uses_.end();) {
       it->second.demand_within *= decay;
       it->second.demand_beyond *= decay;
-      it = now - it->second.last_used > flow_retention ? flows_.erase(it) : std::next(it);
+      it = now - it->second.last_used > resource_use_retention ? resource_uses_.erase(it) : std::next(it);
     }
     for (auto& [key, resource] : resources_) resource.served *= decay;
   }
@@ -515,13 +518,15 @@
 /// Weighted max-min fairness over teams: first for demand within contracts, then, out of what is lent, for
 /// demand beyond them.
 void Contracts::allocate_resources(Time now, const std::vector<ResourceLoad>& loads) {
-  std::map<std::pair<std::int64_t, bool>, std::vector<std::pair<Flow*, std::int32_t>>> flows_by_resource;
-  for (auto& [key, flow] : flows_) flows_by_resource[{key.group, key.primary}].emplace_back(&flow, key.team);
+  std::map<std::pair<std::int64_t, bool>, std::vector<std::pair<ResourceUse*, std::int32_t>>>
+      uses_by_resource;
+  for (auto& [key, use] : resource_uses_)
+    uses_by_resource[{key.group, key.primary}].emplace_back(&use, key.team);
   for (const auto& load : loads) {
     auto& resource = resources_[{load.group.value, load.primary}];
-    auto& flows = flows_by_resource[{load.group.value, load.primary}];
-    std::sort(flows.begin(), flows.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
-    const double served = resource.served / flow_memory;
+    auto& uses = uses_by_resource[{load.group.value, load.primary}];
+    std::sort(uses.begin(), uses.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
+    const double served = resource.served / resource_use_decay_time;
     // Admitted requests that the router refuses, or a full concurrency limit, show that more is admitted than
     // the resource can serve. Lending is cut first, by half at each step, and recovers slowly. Only once next
     // to nothing is lent is the capacity for demand within contracts limited: to a little more than the
@@ -530,18 +535,23 @@
     const bool overloaded = refused || load.contended;
     double demand_within = 0;
     double demand_beyond = 0;
-    for (const auto& [flow, team] : flows) {
-      demand_within += flow->demand_within / flow_memory;
-      demand_beyond += flow->demand_beyond / flow_memory;
+    for (const auto& [use, team] : uses) {
+      demand_within += use->demand_within / resource_use_decay_time;
+      demand_beyond += use->demand_beyond / resource_use_decay_time;
     }
-    const bool lending = (resource.lend < 0 ? demand_beyond : std::min(resource.lend, demand_beyond)) >
-                         min_lend_share * served;
+    const bool lending =
+        (resource.lent_capacity < 0 ? demand_beyond : std::min(resource.lent_capacity, demand_beyond)) >
+        min_lend_share * served;
     if (overloaded) {
       resource.last_contended = now;
-      resource.lend = (resource.lend < 0 ? demand_beyond : std::min(resource.lend, demand_beyond)) * lend_cut;
-    } else if (resource.lend >= 0) {
-      resource.lend = resource.lend * lend_growth + served * min_lend_share / lend_restart_ratio;
-      if (now - resource.last_contended > relief_period && demand_beyond < resource.lend) resource.lend = -1;
+      resource.lent_capacity =
+          (resource.lent_capacity < 0 ? demand_beyond : std::min(resource.lent_capacity, demand_beyond)) *
+          lend_cut;
+    } else if (resource.lent_capacity >= 0) {
+      resource.lent_capacity =
+          resource.lent_capacity * lend_growth + served * min_lend_share / lend_restart_ratio;
+      if (now - resource.last_contended > relief_period && demand_beyond < resource.lent_capacity)
+        resource.lent_capacity = -1;
     }
     if (overloaded && !lending) {
       if (resource.capacity < 0)
@@ -556,23 +566,23 @@
         resource.capacity = -1;
     }
     std::vector<Claim> claims;
-    for (const auto& [flow, team] : flows) {
+    for (const auto& [use, team] : uses) {
       double weight = 0;
       for (std::size_t c = 0; c < service_.classes.size(); ++c)
         if (needs_primary(c) == load.primary)
           if (const auto* terms = terms_of(static_cast<std::size_t>(team), c, closure_))
             weight = std::max(weight, terms->weight);
-      claims.push_back({flow->demand_within / flow_memory, weight > 0 ? weight : 1, 0});
+      claims.push_back({use->demand_within / resource_use_decay_time, weight > 0 ? weight : 1, 0});
     }
-    const auto set_limits = [&](double capacity, double Flow::*limit) {
+    const auto set_limits = [&](double capacity, double ResourceUse::*limit) {
       if (capacity >= 0) allocate_max_min(claims, capacity);
-      for (std::size_t i = 0; i < flows.size(); ++i)
-        flows[i].first->*limit = capacity < 0 || claims[i].share >= claims[i].demand ? -1 : claims[i].share;
+      for (std::size_t i = 0; i < uses.size(); ++i)
+        uses[i].first->*limit = capacity < 0 || claims[i].share >= claims[i].demand ? -1 : claims[i].share;
     };
-    set_limits(resource.capacity, &Flow::limit_within);
-    for (std::size_t i = 0; i < flows.size(); ++i)
-      claims[i].demand = flows[i].first->demand_beyond / flow_memory;
-    set_limits(resource.lend, &Flow::limit_beyond);
+    set_limits(resource.capacity, &ResourceUse::limit_within);
+    for (std::size_t i = 0; i < uses.size(); ++i)
+      claims[i].demand = uses[i].first->demand_beyond / resource_use_decay_time;
+    set_limits(resource.lent_capacity, &ResourceUse::limit_beyond);
   }
 }
 
--- a/src/contracts/contracts.h
+++ b/src/contracts/contracts.h
@@ -1,6 +1,10 @@
 // Enforcement of contracts between teams: a gate that limits each team to its contracted rates, divides
 // contended resources fairly and records how every request ended. A state machine without I/O: requests and
 // times come in, verdicts go out.
+//
+// Terms: a window is an accounting period of the ledger (Config::window); its counts are checked against the
+// contracts when it closes. A closure is a period around a gate closure of the business, in which other terms
+// may hold than usual (ClassTerms::closure).
 #pragma once
 
 #include <cstdint>
@@ -41,7 +45,8 @@
   gates::Verdict admit(const gates::GateRequest& request, Time now) override;
   void on_request_end(const gates::GateRequest& request, const gates::RequestResult& result,
                       Time now) override;
-  /// Whether the team's retry budget allows another attempt for this request. The first attempt is free.
+  /// Whether the team's retry budget allows another attempt for this request. If so, charges the attempt to
+  /// the budget. The first attempt is free.
   bool may_retry(const gates::GateRequest& request, Time now) override;
 
   /// Allocates contended resources, adjusts this gateway's shares and closes windows. To be called every
@@ -84,15 +89,15 @@
   }
   /// The sum over all windows.
   [[nodiscard]] LedgerEntry total(std::size_t team, std::size_t class_index) const;
-  [[nodiscard]] const AnswerTimes& times(std::size_t team, std::size_t class_index) const {
+  [[nodiscard]] const AnswerTimes& answer_times(std::size_t team, std::size_t class_index) const {
     return records_at(team, class_index).times;
   }
   /// This gateway's share of the team's rates, 0 to 1.
   [[nodiscard]] double gateway_share(std::size_t team) const { return teams_[team].gateway_share; }
   /// The cost of a request of the class in milliseconds of host work, learnt from answers.
   [[nodiscard]] double cost(std::size_t class_index) const { return costs_[class_index]; }
-  /// The number of open requests and flows in memory.
-  [[nodiscard]] std::size_t entry_count() const { return open_requests_.size() + flows_.size(); }
+  /// The number of open requests and resource uses in memory.
+  [[nodiscard]] std::size_t entry_count() const { return open_requests_.size() + resource_uses_.size(); }
 
  private:
   struct Records {
@@ -104,7 +109,9 @@
   struct Cell {
     Gcra limiter;
     Rate rate;
-    double share = 1;                  // of the rate and its burst that this process may spend
+    // Share of the gateway's rate and burst that this process may spend; below 1 during a hand-over. The
+    // gateway's own share of the contract is TeamState::gateway_share.
+    double process_share = 1;
     double demand = 0;                 // requests a second that arrive here, decaying
     std::unique_ptr<Records> records;  // created by the first request: most of many teams are idle
   };
@@ -119,11 +126,11 @@
     return cell.records ? *cell.records : none;
   }
   struct TeamState {
-    double gateway_share = 1;
+    double gateway_share = 1;  // this gateway's share of the contract's rates, 0 to 1
     Gcra retry_limiter;
   };
   /// One team's use of one resource. Removed after a period without use.
-  struct Flow {
+  struct ResourceUse {
     double demand_within = 0;  // cost requested within the contract, decaying
     double demand_beyond = 0;  // cost requested beyond the contract, decaying
     double limit_within = -1;  // cost a second; below zero: no limit
@@ -132,21 +139,21 @@
     Gcra limiter_beyond;
     Time last_used{};
   };
-  struct FlowKey {
+  struct ResourceUseKey {
     std::int64_t group;
     std::int32_t team;
     bool primary;
-    bool operator==(const FlowKey& other) const {
+    bool operator==(const ResourceUseKey& other) const {
       return group == other.group && team == other.team && primary == other.primary;
     }
   };
-  struct FlowHash {
-    std::size_t operator()(const FlowKey& key) const;
+  struct ResourceUseHash {
+    std::size_t operator()(const ResourceUseKey& key) const;
   };
   struct Resource {
-    double served = 0;     // cost of served requests, decaying
-    double capacity = -1;  // cost a second allocated within contracts; below zero: no limit
-    double lend = -1;      // cost a second allocated beyond contracts; below zero: no limit
+    double served = 0;          // cost of served requests, decaying
+    double capacity = -1;       // cost a second allocated within contracts; below zero: no limit
+    double lent_capacity = -1;  // cost a second allocated beyond contracts; below zero: no limit
     Time last_contended{};
     int router_refusals = 0;  // since the last step
   };
@@ -178,7 +185,7 @@
   std::vector<TeamState> teams_;
   std::vector<Cell> cells_;
   std::vector<double> costs_;  // by class, milliseconds
-  std::unordered_map<FlowKey, Flow, FlowHash> flows_;
+  std::unordered_map<ResourceUseKey, ResourceUse, ResourceUseHash> resource_uses_;
   std::map<std::pair<std::int64_t, bool>, Resource> resources_;   // by group and whether it is the primary
   std::unordered_map<std::uint64_t, OpenRequest> open_requests_;  // by request id
   handover::HandoverStage stage_ = handover::HandoverStage::single;
--- a/src/contracts/gcra.h
+++ b/src/contracts/gcra.h
@@ -1,5 +1,5 @@
 // The generic cell rate algorithm (ITU-T I.371): a rate limit with a burst whose whole state is one integer.
-// Integer arithmetic avoids drift: the units admitted in any window never exceed rate x window + burst.
+// Integer arithmetic avoids drift: the units admitted in any period never exceed rate x period + burst.
 #pragma once
 
 #include <algorithm>
@@ -10,12 +10,12 @@
 
 namespace cedarring::contracts {
 
-/// A rate limit in the units of the algorithm. All values are nanoseconds.
+/// A rate limit in the terms of the algorithm: the interval between units and the tolerance, in nanoseconds.
 struct Rate {
   std::int64_t interval = 0;   // per unit, rounded up so that the rate is never exceeded; 0: no limit
   std::int64_t tolerance = 0;  // how early a unit may arrive
-  static constexpr std::int64_t never = INT64_MAX / 4;  // interval of a rate that admits nothing
-  static constexpr double max_nanoseconds = 1e17;       // three years: sums stay within 63 bits
+  static constexpr std::int64_t blocked_interval = INT64_MAX / 4;  // of a rate that admits nothing
+  static constexpr double max_nanoseconds = 1e17;                  // three years: sums stay within 63 bits
   static constexpr double min_per_second = 1e-6;  // a lower rate, one unit in eleven days, counts as none
   static constexpr double nanoseconds_per_second = 1e9;
 
@@ -23,7 +23,7 @@
   static Rate of(double per_second, double burst) {
     Rate rate;
     if (!(per_second > min_per_second)) {
-      rate.interval = never;
+      rate.interval = blocked_interval;
       return rate;
     }
     rate.interval =
@@ -35,18 +35,20 @@
   }
 };
 
-/// The state of one limiter. The rate is passed to each call because it changes over time.
+/// The state of one limiter. The rate is passed to each call because it changes over time. The limit is
+/// guaranteed only for units that are charged one at a time after conforms() returned true: charge() itself
+/// refuses nothing.
 class Gcra {
  public:
   /// Whether a unit conforms now. Charges nothing.
   [[nodiscard]] bool conforms(const Rate& rate, Time now) const {
     if (rate.interval == 0) return true;
-    if (rate.interval >= Rate::never) return false;
+    if (rate.interval >= Rate::blocked_interval) return false;
     return due_ - to_nanoseconds(now) <= rate.tolerance;
   }
   /// Charges `units` even if they do not conform; later units then wait longer, up to a maximum debt.
   void charge(const Rate& rate, double units, Time now) {
-    if (rate.interval == 0 || rate.interval >= Rate::never) return;
+    if (rate.interval == 0 || rate.interval >= Rate::blocked_interval) return;
     const auto cost = static_cast<std::int64_t>(
         std::min(Rate::max_nanoseconds, std::ceil(static_cast<double>(rate.interval) * units)));
     due_ = std::min(std::max(due_, to_nanoseconds(now)) + cost,
@@ -54,20 +56,21 @@
   }
   /// Returns units that were charged and not used. The saved credit never exceeds the burst.
   void refund(const Rate& rate, double units) {
-    if (rate.interval == 0 || rate.interval >= Rate::never) return;
+    if (rate.interval == 0 || rate.interval >= Rate::blocked_interval) return;
     due_ -= static_cast<std::int64_t>(
         std::min(Rate::max_nanoseconds, static_cast<double>(rate.interval) * units));
   }
   /// Time until a unit conforms; zero if one conforms now.
   [[nodiscard]] Duration wait(const Rate& rate, Time now) const {
     if (rate.interval == 0) return Duration::zero();
-    if (rate.interval >= Rate::never) return Duration::max();
+    if (rate.interval >= Rate::blocked_interval) return Duration::max();
     const auto left = due_ - to_nanoseconds(now) - rate.tolerance;
     return left <= 0 ? Duration::zero() : Duration((left + 999) / 1000);  // microseconds, rounded up
   }
   /// Whether no debt is left, so that a limiter in its initial state behaves the same.
-  [[nodiscard]] bool idle(Time now) const { return due_ <= to_nanoseconds(now); }
-  /// The part of the rate that is used up, in nanoseconds. Handed to another process of this gateway.
+  [[nodiscard]] bool has_no_debt(Time now) const { return due_ <= to_nanoseconds(now); }
+  /// The time in nanoseconds until the burst is whole again: includes the part of the burst that is used, so
+  /// units may conform while there is debt. Handed to another process of this gateway.
   [[nodiscard]] std::int64_t debt(Time now) const {
     return std::max<std::int64_t>(0, due_ - to_nanoseconds(now));
   }
@@ -78,19 +81,21 @@
   }
   /// Uses up the whole burst: the next unit conforms one interval from now.
   void exhaust(const Rate& rate, Time now) {
-    if (rate.interval == 0 || rate.interval >= Rate::never) return;
+    if (rate.interval == 0 || rate.interval >= Rate::blocked_interval) return;
     due_ = to_nanoseconds(now) + rate.tolerance + rate.interval;
   }
-  /// Grows from a share (0 to 1) of `full_rate` to all of it. The rate applies at once; the burst of the
-  /// other share counts as used, because another process may have spent it.
-  void grow_to(const Rate& full_rate, double share, Time now) {
-    if (full_rate.interval == 0 || full_rate.interval >= Rate::never) return;
+  /// Changes the limiter from a share (0 to 1) of `full_rate` to all of it, once no other process spends the
+  /// rest. The rate applies at once; the burst of the rest counts as used, because the other process may have
+  /// spent it.
+  void restore_full_rate(const Rate& full_rate, double share, Time now) {
+    if (full_rate.interval == 0 || full_rate.interval >= Rate::blocked_interval) return;
     const double burst = static_cast<double>(full_rate.tolerance) + static_cast<double>(full_rate.interval);
     set_debt(static_cast<std::int64_t>((1 - share) * burst + share * static_cast<double>(debt(now))), now);
   }
 
  private:
-  // Nanoseconds: a correction delays later units by at most 10 s, or by one unit if that is longer.
+  // Nanoseconds, beyond the tolerance. A charge that does not conform delays later units by at most 10 s, or
+  // by its own cost if that is longer.
   static constexpr std::int64_t max_debt = 10'000'000'000;
   static std::int64_t to_nanoseconds(Time t) { return t.count() * 1000; }
   std::int64_t due_ = 0;  // theoretical arrival time of the next unit
--- a/src/contracts/snapshot.h
+++ b/src/contracts/snapshot.h
@@ -29,14 +29,14 @@
   std::int64_t retry_debt = 0;  // nanoseconds
   std::map<std::string, CellSnapshot> classes;
 };
-/// The state of one resource. Rates of cost, in milliseconds of host work a second; capacity and lend below
-/// zero mean no limit.
+/// The state of one resource. Rates of cost, in milliseconds of host work a second; capacity and
+/// lent_capacity below zero mean no limit.
 struct ResourceSnapshot {
   GroupId group;
   bool primary = false;
   double served = 0;
   double capacity = -1;
-  double lend = -1;
+  double lent_capacity = -1;
 };
 /// A team's decayed demand for one resource, in milliseconds of host work.
 struct FlowSnapshot {
@@ -95,7 +95,7 @@
   archive("primary", resource.primary);
   archive("served", resource.served);
   archive("capacity", resource.capacity);
-  archive("lend", resource.lend);
+  archive("lend", resource.lent_capacity);
 }
 template <class Archive>
 void serialize(Archive& archive, FlowSnapshot& flow) {
--- a/src/levels/ladder.cpp
+++ b/src/levels/ladder.cpp
@@ -43,7 +43,7 @@
 }
 
 bool Ladder::may_change() const {
-  return !has_changed_ || now_ - since_ >= std::max(config_.min_change_interval, min_dwell_);
+  return !has_changed_ || now_ - entered_at_ >= std::max(config_.min_change_interval, min_dwell_);
 }
 
 void Ladder::move(std::size_t to, Cause cause, LevelChange change, std::vector<LevelChange>& out) {
@@ -72,7 +72,7 @@
   }
   change.min_dwell = min_dwell_;
   level_ = to;
-  since_ = now_;
+  entered_at_ = now_;
   has_changed_ = true;
   hold_reported_ = false;
   // Exit conditions have to hold from the entry on.
@@ -99,7 +99,7 @@
       for (auto* timers : {&state.enter, &state.exit})
         for (auto& timer : *timers) timer.running = false;
   now_ = now;
-  if (!std::exchange(started_, true)) since_ = now;
+  if (!std::exchange(started_, true)) entered_at_ = now;
 
   bool unknown = false;
   LevelChange unknown_change;
@@ -177,7 +177,7 @@
 LadderSnapshot Ladder::snapshot(Time now) const {
   LadderSnapshot snapshot;
   snapshot.level = current_level().name;
-  snapshot.time_in_level = started_ ? std::max(Duration::zero(), now - since_) : Duration::zero();
+  snapshot.time_in_level = started_ ? std::max(Duration::zero(), now - entered_at_) : Duration::zero();
   snapshot.min_dwell = min_dwell_;
   snapshot.has_changed = has_changed_;
   if (pin_) {
@@ -195,7 +195,7 @@
   level_ = static_cast<std::size_t>(found - levels.begin());
   now_ = started_ ? std::max(now, now_) : now;
   started_ = true;
-  since_ = now_ - std::max(Duration::zero(), snapshot.time_in_level);
+  entered_at_ = now_ - std::max(Duration::zero(), snapshot.time_in_level);
   min_dwell_ =
       std::clamp(snapshot.min_dwell, Duration::zero(), std::max(config_.max_damped_dwell, found->min_dwell));
   has_changed_ = snapshot.has_changed;
@@ -244,7 +244,7 @@
   change.from = from;
   change.to = config_.levels[to].name;
   min_dwell_ = change.min_dwell = config_.levels[to].min_dwell;
-  since_ = now_;
+  entered_at_ = now_;
   has_changed_ = true;
   out.push_back(std::move(change));
 }
--- a/src/levels/ladder.h
+++ b/src/levels/ladder.h
@@ -23,7 +23,8 @@
   Duration hold_time{};
 };
 
-/// Holds if all or any of its conditions hold. A rule without conditions never holds.
+/// Holds if all of its conditions hold (`require_all`) or else if any of them holds. A rule without
+/// conditions never holds.
 struct Rule {
   bool require_all = false;
   std::vector<Condition> conditions;
@@ -35,14 +36,18 @@
   std::int32_t tenant = -1;           // -1: every tenant
   bool only_beyond_budget = false;    // only requests beyond their tenant's budget
   bool only_without_primary = false;  // only while the group has no usable primary
-  bool only_hopeless = false;         // only requests whose deadline passes before a primary is expected
-  double share = 1;                   // share of the callers whose requests are refused, 0 to 1
+  // Only requests whose deadline passes before a primary is expected. Written "only_hopeless" in the
+  // configuration.
+  bool only_past_takeover_deadline = false;
+  // Share of the callers whose requests are refused, 0 to 1. A caller is a hash of the session or key of a
+  // request; a request without one counts as a caller of its own.
+  double share = 1;
 };
 
 /// Factors that a level applies to the gateway's normal operating values.
 struct Adjustments {
   double probe_rate = 1;    // 0.1 to 10
-  double retry_budget = 1;  // 0 to 1: attempts after the first
+  double retry_budget = 1;  // 0 to 1: factor on retries, which are attempts after the first
   double pool_size = 1;     // 0.1 to 1: connections to hosts
   // 0 to 1: share of the primary's concurrency limit that reads may use while all replicas are merely busy.
   double read_spillover = 1;
@@ -63,11 +68,14 @@
   Duration min_change_interval{10'000'000};  // 10 s: minimum time between two changes
   Duration max_evaluation_gap{1'000'000};    // 1 s: evaluations further apart restart every hold time
   bool step_by_step = true;  // up by one level at a time, else to the highest that may be entered
-  double damping = 2;        // factor on the dwell time of a level re-entered soon after it was left
+  // Factor on the dwell time of a level that is entered again within twice its last dwell time (or twice
+  // min_change_interval, if longer) after it was left downwards. 1: no extension.
+  double damping = 2;
   Duration max_damped_dwell{120'000'000};  // 120 s: limit of the dwell time that damping extends
 };
 
-/// The reason for a level change, or for a record without one.
+/// The reason for a level change, or for a record without one. `held`: the level is kept because a reading
+/// that it depends on is unusable; not related to a condition's `hold_time`.
 enum class Cause : std::uint8_t { entered, left, pinned, pin_ended, reloaded, held };
 
 /// The text written to records.
@@ -89,7 +97,8 @@
   return "held";
 }
 
-/// A decision on a level with the samples behind it. Records for operators are made from this alone.
+/// A decision on a level with the samples behind it: a change, or a record that the level is kept, in which
+/// case `from` equals `to`. Records for operators are made from this alone.
 struct LevelChange {
   struct Observation {
     Condition condition;
@@ -136,10 +145,10 @@
   [[nodiscard]] std::optional<Time> pinned_until() const;
   [[nodiscard]] std::optional<std::string> pinned_level() const;
   /// When the current level was reached.
-  [[nodiscard]] Time since() const { return since_; }
+  [[nodiscard]] Time entered_at() const { return entered_at_; }
   /// Minimum time in the current level, with damping.
   [[nodiscard]] Duration min_dwell() const { return min_dwell_; }
-  /// Whether the level is kept because samples that it depends on cannot be used.
+  /// Whether the level is kept because samples that it depends on cannot be used (Cause::held).
   [[nodiscard]] bool is_held() const { return hold_reported_; }
 
  private:
@@ -167,7 +176,7 @@
   std::vector<LevelState> level_states_;
   std::size_t level_ = 0;
   Time now_{};  // time of the last evaluation
-  Time since_{};
+  Time entered_at_{};
   Duration min_dwell_{};
   bool started_ = false;  // an evaluation has taken place
   bool has_changed_ = false;
@@ -186,7 +195,8 @@
   std::string problem;
 };
 
-/// The first error of a ladder on an axis of this scope; nothing if the ladder can be used.
+/// The first error of a ladder; nothing if the ladder can be used. `scope` is Scope::group for the faults
+/// axis, whose conditions may use readings of a group only; any other scope excludes these readings.
 std::optional<ConfigIssue> find_config_issue(const LadderConfig& config, Scope scope);
 
 }  // namespace cedarring::levels
--- a/src/levels/levels.cpp
+++ b/src/levels/levels.cpp
@@ -33,9 +33,9 @@
 
 /// Precomputes the shares that a level sheds by class, budget and primary state, so that a verdict is a
 /// single table look-up. Rules for a tenant go to `tenants`, or are ignored if it is null.
-void Levels::compile(const Level& level, std::vector<ShedCell>& table,
+void Levels::compile(const Level& level, std::vector<ShedEntry>& table,
                      std::vector<TenantShed>* tenants) const {
-  table.assign(service_.classes.size() * 4, ShedCell{});
+  table.assign(service_.classes.size() * 4, ShedEntry{});
   if (tenants) tenants->clear();
   const auto class_count = static_cast<std::int32_t>(service_.classes.size());
   for (const auto& rule : level.shed_rules) {
@@ -55,10 +55,10 @@
         for (const bool without_primary : {false, true}) {
           if ((rule.only_beyond_budget && !beyond_budget) || (rule.only_without_primary && !without_primary))
             continue;
-          auto& cell = table[cell_index(class_index, beyond_budget, without_primary)];
+          auto& entry = table[entry_index(class_index, beyond_budget, without_primary)];
           // Of two rules with equal shares, the unconditional rule is the stricter.
-          if (share > cell.share || (share == cell.share && !rule.only_hopeless))
-            cell = {share, rule.only_hopeless};
+          if (share > entry.share || (share == entry.share && !rule.only_past_takeover_deadline))
+            entry = {share, rule.only_past_takeover_deadline};
         }
     }
   }
@@ -86,22 +86,22 @@
   recent_retries_ += request.retry ? 1 : 0;
   const auto group = groups_.find(request.group);
   const bool without_primary = group != groups_.end() && !group->second.has_primary;
-  const auto index = cell_index(request.class_id.value, request.beyond_budget, without_primary);
+  const auto index = entry_index(request.class_id.value, request.beyond_budget, without_primary);
   const auto takeover_remaining = [&] {
     return group->second.takeover.remaining(std::max(Duration::zero(), now - group->second.primary_lost_at));
   };
   double fault_share = 0;
   if (group != groups_.end()) {
-    const auto& cell = group->second.shed_table[index];
+    const auto& entry = group->second.shed_table[index];
     // A request that the router can hold until a primary is expected is better served late than refused.
-    if (cell.share > 0 && !(cell.only_hopeless && takeover_remaining() < request.time_left))
-      fault_share = static_cast<double>(cell.share);
+    if (entry.share > 0 && !(entry.only_past_takeover_deadline && takeover_remaining() < request.time_left))
+      fault_share = static_cast<double>(entry.share);
   }
   double share = static_cast<double>(shed_table_[index].share);
   auto reason = gates::Reason::class_shed;
   if (request.beyond_budget &&
       share >
-          static_cast<double>(shed_table_[cell_index(request.class_id.value, false, without_primary)].share))
+          static_cast<double>(shed_table_[entry_index(request.class_id.value, false, without_primary)].share))
     reason = gates::Reason::budget_shed;
   for (const auto& shed : tenant_sheds_)
     if (shed.tenant == request.tenant &&
@@ -126,10 +126,10 @@
     ++counter.shed;
   if (!service_.retry_after_allowed) return verdict;
   // Until a primary is expected, or until the pressure level may change at the earliest.
-  const auto expected =
-      reason == gates::Reason::no_primary
-          ? takeover_remaining()
-          : pressure_.since() + std::max(pressure_.min_dwell(), config_.pressure.min_change_interval) - now;
+  const auto expected = reason == gates::Reason::no_primary
+                            ? takeover_remaining()
+                            : pressure_.entered_at() +
+                                  std::max(pressure_.min_dwell(), config_.pressure.min_change_interval) - now;
   verdict.retry_after = spread_retry_after(expected, service_.max_retry_after, random_fraction());
   return verdict;
 }
@@ -155,7 +155,7 @@
       break;
   }
   if (!group) return {};
-  return condition.reading == Reading::primary_lost ? group->primary_lost
+  return condition.reading == Reading::primary_lost ? group->primary_lost_sample
          : condition.reading == Reading::group_out  ? group->unavailable
                                                     : group->lagging;
 }
@@ -167,7 +167,7 @@
     if (groups_.size() >= config_.max_groups) return nullptr;
     found = groups_
                 .emplace(id, Group{Ladder(config_.faults),
-                                   TakeoverEstimator(config_.takeover_hint),
+                                   TakeoverEstimator(config_.initial_takeover_estimate),
                                    true,
                                    {},
                                    false,
@@ -213,7 +213,7 @@
       group.primary_returned_at = observed_at;
     }
     group.has_primary = observed.has_primary;
-    group.primary_lost = {
+    group.primary_lost_sample = {
         group.has_primary ? 0.0 : static_cast<double>((observed_at - group.primary_lost_at).count()) / 1e6,
         observed_at, true};
     group.unavailable = {observed.unavailable_share, observed_at, true};
--- a/src/levels/levels.h
+++ b/src/levels/levels.h
@@ -15,22 +15,24 @@
 
 namespace cedarring::levels {
 
-/// In `watch`, levels change and are recorded, but nothing is shed or adjusted.
+/// `watch`: ladders are evaluated and changes recorded, but nothing is shed or adjusted. `on`: levels also
+/// take effect. `off`: as `watch`; the configuration has no levels (any more).
 enum class Mode : std::uint8_t { off, watch, on };
 
 struct Config {
   Mode mode = Mode::off;
   LadderConfig pressure;
   LadderConfig faults;
-  Duration takeover_hint{5'000'000};       // 5 s: estimate until a takeover has been seen
-  Duration reading_decay_time{2'000'000};  // 2 s: time constant of the smoothed class readings
-  Duration evaluation_interval{100'000};   // 100 ms
-  std::size_t max_groups = 1024;           // groups tracked; further groups stay on the normal level
+  Duration initial_takeover_estimate{5'000'000};  // 5 s: estimate until a takeover has been seen
+  Duration reading_decay_time{2'000'000};         // 2 s: time constant of the smoothed class readings
+  Duration evaluation_interval{100'000};          // 100 ms
+  std::size_t max_groups = 1024;                  // groups tracked; further groups stay on the normal level
 };
 
 using gates::ServiceInfo;
 
-/// State of a replica group at an evaluation.
+/// State of a replica group at an evaluation: the parts of a router's GroupView that the fault readings use,
+/// as shares (0 to 1) instead of counts of hosts.
 struct GroupState {
   GroupId group;
   bool has_primary = true;  // a usable primary is known
@@ -62,8 +64,8 @@
 /// Requests of one class since the start, including those counted by previous processes.
 struct Counters {
   std::uint64_t requests = 0;
-  std::uint64_t shed = 0;
-  std::uint64_t refused_without_primary = 0;
+  std::uint64_t shed = 0;                     // refused by a level for any reason but a missing primary
+  std::uint64_t refused_without_primary = 0;  // refused because the group has no primary; not in `shed`
 };
 
 /// The gate of both axes. Sheds requests by precomputed tables; `step` evaluates the ladders.
@@ -93,9 +95,9 @@
   [[nodiscard]] const Ladder& pressure() const { return pressure_; }
 
   /// The part of a class that a level sheds, for one combination of budget and primary state.
-  struct ShedCell {
+  struct ShedEntry {
     float share = 0;
-    bool only_hopeless = false;  // see ShedRule
+    bool only_past_takeover_deadline = false;  // see ShedRule
   };
   /// A tracked replica group.
   struct Group {
@@ -105,16 +107,17 @@
     Time primary_lost_at{};             // valid while there is no primary
     bool primary_has_returned = false;  // a primary was lost and has come back
     Time primary_returned_at{};         // valid if primary_has_returned
-    Sample primary_lost;
+    Sample primary_lost_sample;         // seconds without a usable primary
     Sample unavailable;
     Sample lagging;
-    std::vector<ShedCell> shed_table;  // of the current level of `faults`, by cell_index
+    std::vector<ShedEntry> shed_table;  // of the current level of `faults`, by entry_index
   };
   [[nodiscard]] const std::map<GroupId, Group>& groups() const { return groups_; }
   [[nodiscard]] const std::vector<Counters>& counters() const { return counters_; }
   /// The adjustments of the current levels: the strictest of all axes. Neutral unless the mode is `on`.
   [[nodiscard]] Adjustments adjustments() const;
-  /// The sample that a condition is compared with. `group`: for readings of a group, else null.
+  /// The sample that is compared with the condition's bound. `group` must be set for readings of a group and
+  /// is null for all others.
   [[nodiscard]] Sample sample(const Condition& condition, const Group* group, Time now);
 
  private:
@@ -124,11 +127,11 @@
     bool only_beyond_budget;
     float share;
   };
-  void compile(const Level& level, std::vector<ShedCell>& table, std::vector<TenantShed>* tenants) const;
+  void compile(const Level& level, std::vector<ShedEntry>& table, std::vector<TenantShed>* tenants) const;
   void compile_all();
   Group* find_or_add_group(GroupId id);
-  [[nodiscard]] std::size_t cell_index(std::int32_t class_index, bool beyond_budget,
-                                       bool without_primary) const {
+  [[nodiscard]] std::size_t entry_index(std::int32_t class_index, bool beyond_budget,
+                                        bool without_primary) const {
     return static_cast<std::size_t>(class_index) * 4 + (beyond_budget ? 2 : 0) + (without_primary ? 1 : 0);
   }
   /// Uniform in [0, 1).
@@ -140,8 +143,8 @@
   Ladder pressure_;
   std::map<GroupId, Group> groups_;
   ClassMeter meter_;
-  std::vector<Sample> samples_;       // of the gateway, by reading
-  std::vector<ShedCell> shed_table_;  // of the current pressure level, by cell_index
+  std::vector<Sample> samples_;        // of the gateway, by reading
+  std::vector<ShedEntry> shed_table_;  // of the current pressure level, by entry_index
   std::vector<TenantShed> tenant_sheds_;
   std::vector<Counters> counters_;  // by class
   double recent_requests_ = 0;      // since the last evaluation, plus earlier ones with decay
--- a/src/telemetry/log.cpp
+++ b/src/telemetry/log.cpp
@@ -58,9 +58,9 @@
   std::shared_ptr<spdlog::logger> records_logger;
   try {
     if (!config.records_file.empty())
-      records_logger =
-          make_logger("records", std::make_shared<spdlog::sinks::rotating_file_sink_st>(
-                                     config.records_file, config.records_bytes, config.records_files));
+      records_logger = make_logger(
+          "records", std::make_shared<spdlog::sinks::rotating_file_sink_st>(
+                         config.records_file, config.max_records_file_bytes, config.rotated_records_files));
   } catch (const spdlog::spdlog_ex& e) {
     throw std::runtime_error(std::string("records.file: ") + e.what());
   }
@@ -88,7 +88,7 @@
     suppressed = window.suppressed;
     window = {now, 0, 0};
   }
-  if (++window.lines <= config_.per_cause) return true;
+  if (++window.lines <= config_.max_lines_per_cause) return true;
   ++window.suppressed;
   return false;
 }
@@ -134,7 +134,7 @@
     stderr_logger_->info(plain_ ? to_text(record) : line);
   if (records_logger_) records_logger_->info(line);
   records_.push_back(std::move(record));
-  if (records_.size() > config_.records_kept) records_.pop_front();
+  if (records_.size() > config_.records_in_memory) records_.pop_front();
 }
 
 }  // namespace cedarring::telemetry
--- a/src/telemetry/log.h
+++ b/src/telemetry/log.h
@@ -1,5 +1,7 @@
 // The structured log: one JSON object per line on standard error (plain text on a terminal), rate-limited
-// per cause. Decision records go to the same log and to a file of their own.
+// per cause. Decision records go to the same log and to a file of their own. A decision record states one
+// automatic or operator decision, such as a level change: the state before and after, the rule that applied
+// and the readings behind it (record.h).
 #pragma once
 
 #include <chrono>
@@ -28,16 +30,17 @@
 struct LogConfig {
   Level min_level = Level::info;
   enum class Format { automatic, json, plain };
-  Format format = Format::automatic;       // automatic: plain on a terminal, else JSON
-  std::uint32_t per_cause = 20;            // lines per cause in ten seconds
-  std::string records_file;                // JSON lines; empty: no file
-  std::size_t records_bytes = 16U << 20U;  // size at which the file is rotated
-  std::size_t records_files = 4;           // rotated files kept beside the current one
-  std::size_t records_kept = 256;          // records kept in memory for queries
+  Format format = Format::automatic;                // automatic: plain on a terminal, else JSON
+  std::uint32_t max_lines_per_cause = 20;           // lines per cause in ten seconds
+  std::string records_file;                         // JSON lines; empty: no file
+  std::size_t max_records_file_bytes = 16U << 20U;  // size in bytes at which the file is rotated
+  std::size_t rotated_records_files = 4;            // rotated files kept beside the current one
+  std::size_t records_in_memory = 256;              // records kept in memory for queries
   friend bool operator==(const LogConfig& a, const LogConfig& b) {
-    return a.min_level == b.min_level && a.format == b.format && a.per_cause == b.per_cause &&
-           a.records_file == b.records_file && a.records_bytes == b.records_bytes &&
-           a.records_files == b.records_files && a.records_kept == b.records_kept;
+    return a.min_level == b.min_level && a.format == b.format &&
+           a.max_lines_per_cause == b.max_lines_per_cause && a.records_file == b.records_file &&
+           a.max_records_file_bytes == b.max_records_file_bytes &&
+           a.rotated_records_files == b.rotated_records_files && a.records_in_memory == b.records_in_memory;
   }
 };
 
@@ -52,8 +55,9 @@
   Log(const Log&) = delete;
   Log& operator=(const Log&) = delete;
 
-  /// Writes one line. `cause` is a constant that names what caused the line. Beyond `per_cause` lines of a
-  /// cause in ten seconds, lines are suppressed; the next line of the cause that is written tells how many.
+  /// Writes one line. `cause` is a constant that names what caused the line. Beyond `max_lines_per_cause`
+  /// lines of a cause in ten seconds, lines are suppressed; the next line of the cause that is written tells
+  /// how many.
   void write(Level level, std::string_view cause, const std::string& message,
              std::initializer_list<Field> fields = {});
   /// Keeps the record in memory, logs it, and appends it to the records file. A file that can no longer be
--- a/src/tools/lab/ledger.cpp
+++ b/src/tools/lab/host_model.cpp
@@ -1,4 +1,4 @@
-#include "tools/lab/ledger.h"
+#include "tools/lab/host_model.h"
 
 #include <algorithm>
 
@@ -40,7 +40,7 @@
   return received;
 }
 
-void HostModel::replicate(Time commit) {
+void HostModel::receive_write(Time commit) {
   const auto now = timeline_.now();
   while (!log_.empty() && log_.front().second <= now) log_.pop_front();
   const auto apply_time =
@@ -135,7 +135,7 @@
     if (group_.primary() == this) {
       // The position of a commit is rounded up, so that it includes the write.
       answer_metadata.position = std::chrono::ceil<std::chrono::milliseconds>(timeline_.now());
-      group_.replicate(timeline_.now());
+      group_.replicate_to_replicas(timeline_.now());
     } else {
       outcome = Outcome::error;  // the host was the primary when the job began
     }
@@ -202,9 +202,9 @@
   return nullptr;
 }
 
-void ReplicaGroup::replicate(Time commit) {
+void ReplicaGroup::replicate_to_replicas(Time commit) {
   for (const auto& host : hosts_)
-    if (host.get() != primary_ && host->alive()) host->replicate(commit);
+    if (host.get() != primary_ && host->alive()) host->receive_write(commit);
 }
 
 void ReplicaGroup::fail_primary(Duration takeover,
--- a/src/tools/lab/ledger.h
+++ b/src/tools/lab/host_model.h
@@ -1,6 +1,6 @@
 // A model of database hosts: cores, a request queue, service times, log replication from the primary to its
-// replicas, and the metadata and load reports that a host sends. Uses simulated time only and draws no random
-// numbers.
+// replicas, and the metadata and load reports that a host sends. Uses simulated time only. Its results do
+// not depend on random numbers.
 #pragma once
 
 #include <algorithm>
@@ -17,13 +17,15 @@
 
 namespace cedarring::lab {
 
+/// The random number generator of the simulation and the rig, which both include this file. The host model
+/// itself does not use it.
 using Random = pcg64;
 
 /// The capacity and behaviour of a host.
 struct HostSpec {
   int cores = 3;
   int max_requests = 24;              // running and queued; further requests are refused
-  double speed = 1;                   // of a core
+  double speed = 1;                   // of each core: a job runs for its work divided by this
   Duration replication_delay{5'000};  // until the log arrives at a replica
   Duration apply_time{4'000};         // of one write on a replica, which applies writes one by one
   bool checks_staleness = true;       // refuses a read that it is too stale for; else answers it all the same
@@ -59,6 +61,7 @@
   void crash();
   /// Starts a new process with `initial_capacity` (0 to 1), which grows evenly to 1 over `warm_up`.
   void start(Duration warm_up, double initial_capacity);
+  /// A draining host refuses new requests with Outcome::full and completes the requests that it has.
   void set_draining(bool draining) { draining_ = draining; }
   /// Multiplies the time that a replica takes to apply a write.
   void set_apply_slowdown(double factor) { apply_slowdown_ = factor; }
@@ -71,8 +74,9 @@
   [[nodiscard]] LoadReport load_report() const;
   /// The replication position, as the commit time up to which the host has the log applied.
   [[nodiscard]] Time position() const;
-  /// Receives a write of the primary by replication.
-  void replicate(Time commit);
+  /// Receives a write of the primary by replication: it is applied after the replication delay and all
+  /// earlier writes.
+  void receive_write(Time commit);
   [[nodiscard]] HostId id() const { return id_; }
   [[nodiscard]] const std::string& zone() const { return zone_; }
   [[nodiscard]] const HostSpec& spec() const { return spec_; }
@@ -129,8 +133,8 @@
   /// Crashes the primary. After `takeover` the replica with the most advanced position is promoted and passed
   /// to `on_promoted`.
   void fail_primary(Duration takeover, const std::function<void(HostModel& promoted)>& on_promoted);
-  /// Replicates a write of the primary.
-  void replicate(Time commit);
+  /// Sends a write of the primary to all replicas that are alive.
+  void replicate_to_replicas(Time commit);
   [[nodiscard]] const std::vector<std::unique_ptr<HostModel>>& hosts() const { return hosts_; }
   /// Null if the group has no such host.
   [[nodiscard]] HostModel* find(HostId id) const;
--- a/src/tools/lab/main.cpp
+++ b/src/tools/lab/main.cpp
@@ -8,7 +8,7 @@
 #include <thread>
 #include <vector>
 
-#include "tools/lab/world.h"
+#include "tools/lab/simulation.h"
 
 namespace {
 
--- a/src/tools/lab/world.cpp
+++ b/src/tools/lab/simulation.cpp
@@ -1,4 +1,4 @@
-#include "tools/lab/world.h"
+#include "tools/lab/simulation.h"
 
 #include <algorithm>
 #include <boost/random/exponential_distribution.hpp>
--- a/src/tools/lab/world.h
+++ b/src/tools/lab/simulation.h
@@ -13,7 +13,7 @@
 #include "broker/broker.h"
 #include "contracts/contracts.h"
 #include "levels/levels.h"
-#include "tools/lab/ledger.h"
+#include "tools/lab/host_model.h"
 #include "tools/lab/timeline.h"
 
 namespace cedarring::lab {
@@ -51,7 +51,7 @@
   double load = 1;                   // as a share of what the hosts can serve
   std::vector<double> load_factors;  // by class, on its share of the requests; empty: all 1
   Duration duration{30'000'000};
-  Duration warm_up{5'000'000};  // requests that arrive earlier are not counted
+  Duration warm_up{5'000'000};  // start of `duration`; requests that arrive in it are not counted
   double probe_cost = 0.01;     // of the value of a request, as in the settings
   bool client_retries = true;   // once, after the retry-after time or 200 ms
   std::optional<levels::Config> levels;
@@ -73,18 +73,21 @@
   };
   std::vector<PrimaryFailure> primary_failures;
   ReadPlacement read_placement = ReadPlacement::router;
-  /// Ratio of the largest gateway's traffic to the middle one's, and of the middle one's to the smallest's;
-  /// 1: all equal.
+  /// The gateways' traffic falls geometrically: in relation to the geometric mean, the first gateway has
+  /// `traffic_skew` and the last 1 / `traffic_skew`. 1: all equal. No effect with a single gateway.
   double traffic_skew = 1;
 };
 
-/// Counts of the requests of one class.
+/// Counts of the requests of one class. Each request counts once as in_time, late, refused or failed, unless
+/// it is still open at the end.
 struct Tally {
   std::uint64_t requests = 0;
-  std::uint64_t in_time = 0;
-  std::uint64_t late = 0;
-  std::uint64_t refused = 0;
-  std::uint64_t failed = 0;
+  std::uint64_t in_time = 0;  // served within the latency target of the class
+  std::uint64_t late = 0;     // served after the latency target
+  std::uint64_t refused = 0;  // last answer to the client: a refusal by a gate or the router
+  std::uint64_t failed = 0;   // neither served nor refused
+  // Refusals by a gate: the final ones, also counted in `refused`, and, in SimulationResult::within and
+  // beyond, those that the client retries.
   std::uint64_t shed = 0;
   double offered_value = 0;  // of all requests
   double earned_value = 0;   // of those served
@@ -124,7 +127,7 @@
   std::uint64_t overlapping_attempts = 0;  // two attempts of a request at the same time
   std::uint64_t excess_attempts = 0;       // beyond the maximum number of attempts
   std::uint64_t unanswered = 0;            // requests still open at the end
-  std::uint64_t late_answers = 0;          // after the deadline
+  std::uint64_t late_answers = 0;          // more than 50 ms after the deadline
   /// Earned over offered value of all requests. A request beyond its tenant's budget counts a twentieth.
   [[nodiscard]] double value_share() const;
   /// The share of the requests of a class, within their tenant's budget, that were served in time.
--- a/src/tools/plan/main.cpp
+++ b/src/tools/plan/main.cpp
@@ -52,7 +52,7 @@
 Fleet fleet_of(const rapidjson::Document& json) {
   Fleet fleet;
   if (json.HasMember("use")) fleet.max_utilization = json["use"].GetDouble();
-  if (json.HasMember("lose_host")) fleet.survive_host_loss = json["lose_host"].GetBool();
+  if (json.HasMember("lose_host")) fleet.survive_replica_loss = json["lose_host"].GetBool();
   if (json.HasMember("lose_room")) fleet.survive_room_loss = json["lose_room"].GetBool();
   for (const auto& entry : json["groups"].GetArray()) {
     Group group;
--- a/src/tools/plan/plan.cpp
+++ b/src/tools/plan/plan.cpp
@@ -37,7 +37,7 @@
   };
   std::vector<bool> none(group.cores.size(), false);
   add("all well", none);
-  if (fleet.survive_host_loss && group.cores.size() > 1) {
+  if (fleet.survive_replica_loss && group.cores.size() > 1) {
     auto lost = none;
     const auto largest_replica = std::max_element(group.cores.begin() + 1, group.cores.end());
     lost[static_cast<std::size_t>(largest_replica - group.cores.begin())] = true;
@@ -102,7 +102,7 @@
       glp_set_col_bnds(problem.get(), i, GLP_DB, 0, rate.rate);
     else
       glp_set_col_bnds(problem.get(), i, GLP_FX, 0, 0);
-    glp_set_obj_coef(problem.get(), i, rate.value);
+    glp_set_obj_coef(problem.get(), i, rate.reduction_penalty);
   }
   glp_add_rows(problem.get(), row_count);
   std::vector<int> columns(1);
@@ -128,13 +128,13 @@
   // A feasible solution always exists: limits are never below zero and all rates may be reduced to zero.
   if (glp_simplex(problem.get(), &parameters) != 0 || glp_get_status(problem.get()) != GLP_OPT)
     throw std::runtime_error("the linear programming solver found no optimum");
-  solution.cost = glp_get_obj_val(problem.get());
+  solution.total_penalty = glp_get_obj_val(problem.get());
   for (int i = 1; i <= column_count; ++i)
     solution.reductions[static_cast<std::size_t>(i - 1)] = glp_get_col_prim(problem.get(), i);
   for (int j = 1; j <= row_count; ++j)
     solution.shadow_prices[static_cast<std::size_t>(j - 1)] =
         std::max(0.0, glp_get_row_dual(problem.get(), j));
-  solution.fits = solution.cost <= tolerance;
+  solution.fits = solution.total_penalty <= tolerance;
   solution.certificate_error = check_certificate(rates, limits, solution);
   return solution;
 }
@@ -145,18 +145,18 @@
 std::string check_certificate(const std::vector<ContractedRate>& rates,
                               const std::vector<CapacityLimit>& limits, const Solution& solution) {
   double scale = 1;
-  for (const auto& rate : rates) scale = std::max(scale, rate.rate * rate.value);
+  for (const auto& rate : rates) scale = std::max(scale, rate.rate * rate.reduction_penalty);
   const double slack = tolerance * scale;
   double primal_objective = 0;
   double dual_objective = 0;
   for (std::size_t i = 0; i < rates.size(); ++i) {
     if (solution.reductions[i] < -slack || solution.reductions[i] > rates[i].rate + slack)
       return "a reduction is out of range";
-    primal_objective += solution.reductions[i] * rates[i].value;
+    primal_objective += solution.reductions[i] * rates[i].reduction_penalty;
     double price = 0;
     for (std::size_t j = 0; j < limits.size(); ++j)
       price += limits[j].coefficients[i] * solution.shadow_prices[j];
-    dual_objective -= rates[i].rate * std::max(0.0, price - rates[i].value);
+    dual_objective -= rates[i].rate * std::max(0.0, price - rates[i].reduction_penalty);
   }
   for (std::size_t j = 0; j < limits.size(); ++j) {
     if (solution.shadow_prices[j] < 0) return "a dual value is below zero";
--- a/src/tools/rig/relay.h
+++ b/src/tools/rig/relay.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "tools/lab/ledger.h"
+#include "tools/lab/host_model.h"
 #include "tools/lab/timeline.h"
 #include "wire/connection.h"
 
--- a/src/tools/rig/rig.h
+++ b/src/tools/rig/rig.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "app/clock.h"
-#include "tools/lab/ledger.h"
+#include "tools/lab/host_model.h"
 #include "tools/lab/timeline.h"
 #include "tools/rig/relay.h"
 #include "tools/rig/rules.h"
--- a/src/tools/rig/scenario.h
+++ b/src/tools/rig/scenario.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "tools/lab/world.h"
+#include "tools/lab/simulation.h"
 
 namespace cedarring::rig {
 
--- a/tests/contracts_test.cpp
+++ b/tests/contracts_test.cpp
@@ -7,7 +7,7 @@
 
 #include <chrono>
 
-#include "tools/lab/world.h"
+#include "tools/lab/simulation.h"
 
 namespace cedarring::test {
 namespace {
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -14,7 +14,7 @@
 #include "fleet/outlier_detector.h"
 #include "fleet/probe_budget.h"
 #include "fleet/replica_lag.h"
-#include "tools/lab/world.h"
+#include "tools/lab/simulation.h"
 
 namespace cedarring::test {
 namespace {
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -268,7 +268,7 @@
   new_process.restore(old_process.split(start), start);
   EXPECT_EQ(new_process.contracts.total(0, 0).asked, 14U);
   EXPECT_EQ(new_process.contracts.total(0, 0).refused_contract, 4U);
-  EXPECT_EQ(new_process.contracts.times(0, 0).count(), 10U);
+  EXPECT_EQ(new_process.contracts.answer_times(0, 0).count(), 10U);
   EXPECT_EQ(old_process.contracts.total(0, 0).asked, 0U);
   old_process.admit(start + 1s);
   new_process.admit(start + 1s);
@@ -276,7 +276,7 @@
   ASSERT_TRUE(rest);
   new_process.contracts.merge_records(*rest);
   EXPECT_EQ(new_process.contracts.total(0, 0).asked, 16U);
-  EXPECT_EQ(new_process.contracts.times(0, 0).count(), 12U);
+  EXPECT_EQ(new_process.contracts.answer_times(0, 0).count(), 12U);
 }
 
 // ---- tenants ----
--- a/tests/levels_test.cpp
+++ b/tests/levels_test.cpp
@@ -43,7 +43,8 @@
   return config;
 }
 
-/// Both axes under artificial readings. Records every change.
+/// Drives the gate of both axes in simulated time with synthetic requests and group states, and collects the
+/// level changes and records.
 struct LevelsHarness {
   Levels levels;
   Time now{1'000'000'000'000};
@@ -69,8 +70,8 @@
                        bool beyond_budget = false) {
     return levels.admit(make_request(class_index, group, caller, beyond_budget), now);
   }
-  /// Runs for `length`; at each evaluation the share `refused` of 20 gate-check requests fails at the hosts.
-  /// They go to the second group, since tests take the primary of the first group away.
+  /// Runs for `length`; at each evaluation the share `refused` of 20 gate-check requests is refused by
+  /// the router. They go to the second group, since tests take the primary of the first group away.
   void run(Duration length, double refused) {
     for (const Time end = now + length; now < end;) {
       now += evaluation_interval;
@@ -86,8 +87,8 @@
   }
   /// Runs until the pressure level is reached, for at most two minutes.
   void reach(const std::string& level, double refused) {
-    for (int i = 0; i < 120 && pressure() != level; ++i) run(1s, refused);
-    ASSERT_EQ(pressure(), level);
+    for (int i = 0; i < 120 && pressure_level() != level; ++i) run(1s, refused);
+    ASSERT_EQ(pressure_level(), level);
   }
   void step() {
     GatewayState state;
@@ -104,8 +105,8 @@
       step();
     }
   }
-  [[nodiscard]] std::string pressure() const { return levels.pressure().current_level().name; }
-  [[nodiscard]] std::string faults(std::int64_t group) const {
+  [[nodiscard]] std::string pressure_level() const { return levels.pressure().current_level().name; }
+  [[nodiscard]] std::string faults_level(std::int64_t group) const {
     return levels.groups().at(GroupId{group}).faults.current_level().name;
   }
   /// The level changes of one axis, without records that keep the level.
@@ -137,7 +138,7 @@
   }
 }
 
-TEST(Levels, MinimumChangeIntervalHoldsWithoutAnyOtherDamping) {
+TEST(Levels, MinimumChangeIntervalHoldsWithoutDwellAndHoldTimes) {
   auto config = make_config();
   config.reading_decay_time = 50ms;
   config.pressure.damping = 1;
@@ -190,7 +191,7 @@
   EXPECT_EQ(harness.admit(bid_submit, 1, 0, true).reason,
             gates::Reason::budget_shed);  // beyond its tenant's budget
   for (int i = 0; i < 60; ++i) harness.run(10s, 0.0);
-  EXPECT_EQ(harness.pressure(), "normal");  // returns to normal once the load is gone
+  EXPECT_EQ(harness.pressure_level(), "normal");  // returns to normal once the load is gone
   EXPECT_TRUE(harness.admit(history).admitted);
   EXPECT_GE(harness.shortest_interval(), 10s);
 }
@@ -207,7 +208,7 @@
       harness.levels.on_request_end(harness.make_request(gate_check), result, harness.now);
     harness.step();
   }
-  EXPECT_EQ(harness.pressure(), "normal");
+  EXPECT_EQ(harness.pressure_level(), "normal");
 }
 
 TEST(Levels, WatchModeChangesLevelsAndShedsNothing) {
@@ -216,7 +217,7 @@
   LevelsHarness harness(config);
   harness.primary[1] = false;
   harness.run_idle(5s);
-  EXPECT_EQ(harness.faults(1), "no-writes");
+  EXPECT_EQ(harness.faults_level(1), "no-writes");
   harness.primary[1] = true;
   harness.reach("survive", 0.9);
   harness.primary[1] = false;
@@ -235,15 +236,15 @@
     harness.reach("shed-history", 0.3);
     harness.primary[1] = false;
     harness.run(1s, 0.3);
-    EXPECT_EQ(harness.faults(1), "no-writes");
-    EXPECT_EQ(harness.pressure(), "shed-history");  // the other axis is unaffected
+    EXPECT_EQ(harness.faults_level(1), "no-writes");
+    EXPECT_EQ(harness.pressure_level(), "shed-history");  // the other axis is unaffected
     EXPECT_EQ(harness.admit(history).reason, gates::Reason::class_shed);
     EXPECT_EQ(harness.admit(bid_submit).reason, gates::Reason::no_primary);
     EXPECT_TRUE(harness.admit(desk_view).admitted);
     EXPECT_TRUE(harness.admit(bid_submit, 2).admitted);  // the other group has its primary
     harness.groups_reported = false;
     harness.run(15s, 0.3);
-    EXPECT_EQ(harness.faults(1), "no-writes");  // held, with the reason recorded
+    EXPECT_EQ(harness.faults_level(1), "no-writes");  // held, with the reason recorded
     EXPECT_TRUE(std::any_of(harness.events.begin(), harness.events.end(), [](const AxisChange& event) {
       return event.group && event.change.cause == Cause::held && !event.change.observations.empty() &&
              event.change.observations[0].usability == Usability::stale;
@@ -252,21 +253,21 @@
       harness.groups_reported = true;
       harness.primary[1] = true;
       harness.run(15s, 0.3);
-      EXPECT_EQ(harness.faults(1), "normal");
-      EXPECT_NE(harness.pressure(), "normal");
+      EXPECT_EQ(harness.faults_level(1), "normal");
+      EXPECT_NE(harness.pressure_level(), "normal");
       EXPECT_FALSE(harness.admit(history).admitted);
       harness.run(120s, 0);
     } else {
       harness.run(120s, 0);
-      EXPECT_EQ(harness.pressure(), "normal");
-      EXPECT_EQ(harness.faults(1), "no-writes");
+      EXPECT_EQ(harness.pressure_level(), "normal");
+      EXPECT_EQ(harness.faults_level(1), "no-writes");
       EXPECT_EQ(harness.admit(bid_submit).reason, gates::Reason::no_primary);
       harness.groups_reported = true;
       harness.primary[1] = true;
       harness.run(15s, 0);
     }
-    EXPECT_EQ(harness.pressure(), "normal");
-    EXPECT_EQ(harness.faults(1), "normal");
+    EXPECT_EQ(harness.pressure_level(), "normal");
+    EXPECT_EQ(harness.faults_level(1), "normal");
     for (const auto class_index : {history, desk_view, gate_check, bid_submit})
       EXPECT_TRUE(harness.admit(class_index).admitted);
     EXPECT_GE(harness.shortest_interval(), 10s);
@@ -287,7 +288,7 @@
       const bool admitted = harness.admit(bid_submit).admitted;
       if (harness.primary[1])
         refused_with_primary += admitted ? 0 : 1;
-      else if (harness.faults(1) == "no-writes")
+      else if (harness.faults_level(1) == "no-writes")
         admitted_without_primary += admitted ? 1 : 0;
     }
   }
@@ -308,7 +309,7 @@
   LevelsHarness harness;
   harness.primary[1] = false;
   harness.run_idle(600s);
-  EXPECT_EQ(harness.faults(1), "no-writes");
+  EXPECT_EQ(harness.faults_level(1), "no-writes");
   EXPECT_EQ(harness.changes(GroupId{1}).size(), 1U);
   EXPECT_EQ(harness.admit(gate_check).reason, gates::Reason::no_primary);
   EXPECT_GT(harness.admit(gate_check).retry_after, 0ms);
@@ -325,8 +326,8 @@
   EXPECT_EQ(harness.admit(bid_submit, 2).reason, gates::Reason::no_primary);
   harness.primary[1] = true;
   harness.run_idle(20s);
-  EXPECT_EQ(harness.faults(1), "normal");
-  EXPECT_EQ(harness.faults(2), "no-writes");
+  EXPECT_EQ(harness.faults_level(1), "normal");
+  EXPECT_EQ(harness.faults_level(2), "no-writes");
   EXPECT_TRUE(harness.admit(bid_submit, 1).admitted);
   EXPECT_FALSE(harness.admit(bid_submit, 2).admitted);
   EXPECT_EQ(harness.levels.groups().at(GroupId{1}).takeover.count(), 1);
@@ -351,7 +352,7 @@
   harness.run_idle(1s);
   harness.primary[1] = false;
   harness.run_idle(4500ms);  // of an expected 5 s
-  ASSERT_EQ(harness.faults(1), "no-writes");
+  ASSERT_EQ(harness.faults_level(1), "no-writes");
   auto request = harness.make_request(bid_submit);
   request.time_left = 2s;
   // The router holds the request: a primary is expected within half a second.
@@ -385,16 +386,16 @@
   const double infinity = std::numeric_limits<double>::infinity();
   for (const auto invalid : {nan, infinity, -1.0, 1e9}) {
     report(invalid, 5s);  // must not enter a level
-    EXPECT_EQ(harness.pressure(), "normal") << invalid;
+    EXPECT_EQ(harness.pressure_level(), "normal") << invalid;
   }
   report(0.95, 11s);
-  ASSERT_EQ(harness.pressure(), "tight");
+  ASSERT_EQ(harness.pressure_level(), "tight");
   std::size_t event_count = 0;
   for (const auto& [value, usability] : {std::pair{nan, Usability::out_of_range},
                                          {-0.1, Usability::out_of_range},
                                          {1e9, Usability::out_of_range}}) {
     report(value, 15s);
-    EXPECT_EQ(harness.pressure(), "tight");
+    EXPECT_EQ(harness.pressure_level(), "tight");
     EXPECT_EQ(harness.events.back().change.cause, Cause::held);
     EXPECT_EQ(last_usability(), usability);
     report(0.95, 1s);
@@ -403,31 +404,31 @@
     EXPECT_EQ(harness.events.size(), event_count);
   }
   report(0.1, 15s, 5s);  // stale
-  EXPECT_EQ(harness.pressure(), "tight");
+  EXPECT_EQ(harness.pressure_level(), "tight");
   EXPECT_EQ(last_usability(), Usability::stale);
   report(0.95, 1s);
   report(0.1, 15s, -1h);  // from the future, as after a clock that was set back
-  EXPECT_EQ(harness.pressure(), "tight");
+  EXPECT_EQ(harness.pressure_level(), "tight");
   EXPECT_EQ(last_usability(), Usability::in_future);
   report(0.95, 1s);
   report(0, 15s, 0ms, false);  // no samples any more
-  EXPECT_EQ(harness.pressure(), "tight");
+  EXPECT_EQ(harness.pressure_level(), "tight");
   EXPECT_EQ(last_usability(), Usability::stale);
   report(0.1, 1s);
-  EXPECT_EQ(harness.pressure(), "normal");
+  EXPECT_EQ(harness.pressure_level(), "normal");
   EXPECT_EQ(harness.changes().size(), 2U);
 }
 
 TEST(Levels, ClockJumpDoesNotCountTowardsHoldTimes) {
   LevelsHarness harness;
   harness.run(500ms, 0.9);  // shorter than the hold time of any level
-  ASSERT_EQ(harness.pressure(), "normal");
+  ASSERT_EQ(harness.pressure_level(), "normal");
   harness.now += 1h;
   harness.run(200ms, 0.9);
-  EXPECT_EQ(harness.pressure(), "normal");
+  EXPECT_EQ(harness.pressure_level(), "normal");
   harness.now -= 2h;  // a step back counts as the time of the last evaluation
   harness.step();
-  EXPECT_EQ(harness.pressure(), "normal");
+  EXPECT_EQ(harness.pressure_level(), "normal");
   EXPECT_TRUE(harness.changes().empty());
 }
 
@@ -438,12 +439,12 @@
   auto config = make_config();
   config.pressure.levels.erase(config.pressure.levels.begin() + 3);
   harness.levels.reload(config, harness.now, harness.events);
-  EXPECT_EQ(harness.pressure(), "trim");
+  EXPECT_EQ(harness.pressure_level(), "trim");
   EXPECT_EQ(harness.events.back().change.cause, Cause::reloaded);
   EXPECT_EQ(harness.events.back().change.from, "shed-history");
   config.pressure.levels.resize(1);
   harness.levels.reload(config, harness.now, harness.events);
-  EXPECT_EQ(harness.pressure(), "normal");
+  EXPECT_EQ(harness.pressure_level(), "normal");
   EXPECT_TRUE(harness.admit(history).admitted);
 }
 
@@ -532,7 +533,7 @@
     LevelsHarness harness;
     harness.primary[1] = false;
     harness.run_idle(lost_for);
-    ASSERT_EQ(harness.faults(1), "no-writes");
+    ASSERT_EQ(harness.faults_level(1), "no-writes");
     std::map<std::int64_t, int> retries_by_slot;  // slots of 50 ms
     int refused = 0;
     for (std::uint64_t caller = 1; caller <= 1000; ++caller) {
@@ -563,18 +564,18 @@
   EXPECT_FALSE(harness.levels.pin(std::nullopt, "trim", harness.now, harness.now));
   ASSERT_TRUE(harness.levels.pin(std::nullopt, "shed-history", until, harness.now));
   harness.run_idle(1s);
-  EXPECT_EQ(harness.pressure(), "shed-history");
+  EXPECT_EQ(harness.pressure_level(), "shed-history");
   EXPECT_EQ(harness.events.back().change.cause, Cause::pinned);
   EXPECT_EQ(harness.events.back().change.pinned_until, until);
   // Applied at once, this pin would make two changes within a second.
   ASSERT_TRUE(harness.levels.pin(std::nullopt, "normal", until, harness.now));
   harness.run_idle(1s);
-  EXPECT_EQ(harness.pressure(), "shed-history");
+  EXPECT_EQ(harness.pressure_level(), "shed-history");
   ASSERT_TRUE(harness.levels.pin(std::nullopt, "shed-history", until, harness.now));
   harness.run(27s, 0.9);
-  EXPECT_EQ(harness.pressure(), "shed-history");  // regardless of the readings
+  EXPECT_EQ(harness.pressure_level(), "shed-history");  // regardless of the readings
   harness.run(2s, 0.9);
-  EXPECT_EQ(harness.pressure(), "protect-gate");  // the readings decide again, one level at a time
+  EXPECT_EQ(harness.pressure_level(), "protect-gate");  // the readings decide again, one level at a time
   EXPECT_TRUE(std::any_of(harness.events.begin(), harness.events.end(), [&](const AxisChange& event) {
     return event.change.cause == Cause::pin_ended && event.change.at >= until;
   }));
@@ -587,11 +588,11 @@
   ASSERT_TRUE(harness.levels.pin(GroupId{2}, "no-writes", harness.now + 1h, harness.now));
   EXPECT_FALSE(harness.levels.pin(GroupId{9}, "no-writes", harness.now + 1h, harness.now));
   harness.run_idle(1s);
-  EXPECT_EQ(harness.faults(2), "no-writes");
-  EXPECT_EQ(harness.faults(1), "normal");
+  EXPECT_EQ(harness.faults_level(2), "no-writes");
+  EXPECT_EQ(harness.faults_level(1), "normal");
   EXPECT_TRUE(harness.levels.unpin(GroupId{2}));
   harness.run_idle(15s);
-  EXPECT_EQ(harness.faults(2), "normal");
+  EXPECT_EQ(harness.faults_level(2), "normal");
 }
 
 TEST(Levels, TrackedGroupsAreLimitedAndDroppedWhenNoLongerReported) {
--- a/tests/plan_test.cpp
+++ b/tests/plan_test.cpp
@@ -59,7 +59,7 @@
         const double reduction = matrix[i][n] / matrix[i][i];
         if (reduction < -1e-7 || reduction > rates[i].rate + 1e-7) return;
         matrix[i][n] = reduction;
-        cost += reduction * rates[i].value;
+        cost += reduction * rates[i].reduction_penalty;
       }
       for (const auto& limit : limits) {
         double usage = 0;
@@ -89,7 +89,7 @@
                                           *rc::gen::inRange(1, 100), *rc::gen::arbitrary<bool>(),
                                           *rc::gen::inRange(1, 6)));
         Fleet fleet;
-        fleet.survive_host_loss = false;
+        fleet.survive_replica_loss = false;
         fleet.groups = {
             {"1",
              1,
@@ -98,15 +98,15 @@
         const auto limits = capacity_limits(rates, fleet);
         const auto solution = solve(rates, limits);
         RC_ASSERT(solution.certificate_error.empty());
-        RC_ASSERT(std::abs(solution.cost - brute_force(rates, limits)) < 1e-4);
-        RC_ASSERT(solution.fits == (solution.cost <= 1e-6));
+        RC_ASSERT(std::abs(solution.total_penalty - brute_force(rates, limits)) < 1e-4);
+        RC_ASSERT(solution.fits == (solution.total_penalty <= 1e-6));
       }));
 }
 
 TEST(Plan, TeamsThatFitAloneButOverloadAPrimaryTogetherAreReported) {
   Fleet fleet;
   fleet.max_utilization = 1;
-  fleet.survive_host_loss = false;
+  fleet.survive_replica_loss = false;
   fleet.groups = {{"east", 1, {3, 3, 3}, {"a", "b", "c"}}};
   // 20 bids a second of 90 ms are 1.8 cores each; the primary has 3.
   const std::vector<ContractedRate> rates = {contracted_rate("desks", 20, 90, true, 3),
@@ -129,19 +129,19 @@
   fleet.groups = {{"g", 1, {2, 4, 2}, {"a", "b", "b"}}};
   const std::vector<ContractedRate> rates = {contracted_rate("t", 70, 100, false)};  // 7 cores
   const auto solve_with = [&](bool host_loss, bool room_loss) {
-    fleet.survive_host_loss = host_loss;
+    fleet.survive_replica_loss = host_loss;
     fleet.survive_room_loss = room_loss;
     return solve(rates, capacity_limits(rates, fleet));
   };
-  EXPECT_TRUE(solve_with(false, false).fits);           // 8 cores are available
-  EXPECT_NEAR(solve_with(true, false).cost, 30, 1e-6);  // without the largest replica: 4
-  EXPECT_NEAR(solve_with(false, true).cost, 50, 1e-6);  // without room b: 2
+  EXPECT_TRUE(solve_with(false, false).fits);                    // 8 cores are available
+  EXPECT_NEAR(solve_with(true, false).total_penalty, 30, 1e-6);  // without the largest replica: 4
+  EXPECT_NEAR(solve_with(false, true).total_penalty, 50, 1e-6);  // without room b: 2
 }
 
 TEST(Plan, AWrongCertificateIsDetected) {
   Fleet fleet;
   fleet.max_utilization = 1;
-  fleet.survive_host_loss = false;
+  fleet.survive_replica_loss = false;
   fleet.groups = {{"g", 1, {1}, {"a"}}};
   const std::vector<ContractedRate> rates = {contracted_rate("a", 20, 100, true, 2),
                                              contracted_rate("b", 20, 100, true, 1)};
--- a/tests/world_test.cpp
+++ b/tests/simulation_test.cpp
@@ -1,6 +1,6 @@
 // The simulated deployment: repeatable runs, conservation of requests, the effect of levels, and the host
 // model.
-#include "tools/lab/world.h"
+#include "tools/lab/simulation.h"
 
 #include <gtest/gtest.h>
 
@@ -113,7 +113,7 @@
   EXPECT_EQ(replica.position(), timeline.now() - 5ms);
   timeline.run_until(timeline.now() + 1s);
   const auto commit = timeline.now();
-  for (int i = 0; i < 10; ++i) group.replicate(commit + Duration(i));
+  for (int i = 0; i < 10; ++i) group.replicate_to_replicas(commit + Duration(i));
   EXPECT_LT(replica.position(), commit);
   timeline.run_until(commit + 60ms);
   EXPECT_GE(replica.position(), commit);  // five of ten are applied
--- a/tests/telemetry_test.cpp
+++ b/tests/telemetry_test.cpp
@@ -30,7 +30,7 @@
   LogConfig config;
   LogFixture() {
     config.format = LogConfig::Format::json;
-    config.per_cause = 3;
+    config.max_lines_per_cause = 3;
   }
   std::unique_ptr<Log> open() {
     return std::make_unique<Log>(
@@ -83,9 +83,9 @@
   ASSERT_TRUE(mkdtemp(directory));
   LogFixture fixture;
   fixture.config.records_file = std::string(directory) + "/r.jsonl";
-  fixture.config.records_bytes = 4096;
-  fixture.config.records_files = 2;
-  fixture.config.records_kept = 10;
+  fixture.config.max_records_file_bytes = 4096;
+  fixture.config.rotated_records_files = 2;
+  fixture.config.records_in_memory = 10;
   testing::internal::CaptureStderr();
   {
     auto log = fixture.open();
