--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -74,7 +74,7 @@
       max_buffer_bytes_((config.memory_mb << 20U) / 2),
       started_at_(loop.now()),
       serving_timer_(loop),
-      leave_timer_(loop),
+      handover_drain_timer_(loop),
       budgets_timer_(loop),
       ejections_timer_(loop),
       term_signal_(loop),
@@ -92,11 +92,11 @@
   usr1_signal_.start(SIGUSR1);
   hup_signal_.set<Gateway, &Gateway::reload>(this);
   hup_signal_.start(SIGHUP);
-  drain_timer_.set<Gateway, &Gateway::drain>(this);
-  shutdown_timer_.set<Gateway, &Gateway::begin_shutdown>(this);
+  drain_timer_.set<Gateway, &Gateway::on_drain_timer>(this);
+  shutdown_timer_.set<Gateway, &Gateway::on_shutdown_timer>(this);
   empty_check_.set<Gateway, &Gateway::check_empty>(this);
   serving_timer_.set<Gateway, &Gateway::try_serving>(this);
-  leave_timer_.set<Gateway, &Gateway::drain>(this);
+  handover_drain_timer_.set<Gateway, &Gateway::on_drain_timer>(this);
   budgets_timer_.set<Gateway, &Gateway::on_budgets_timeout>(this);
   ejections_timer_.set<Gateway, &Gateway::send_ejections>(this);
   wire::RingBuffer::set_total_limit(max_buffer_bytes_);
@@ -169,7 +169,7 @@
   static constexpr const char* fronts[] = {"postgresql", "mysql"};
   if (control_) std::cout << "listening control " << control_->address() << std::endl;
   for (std::size_t i = 0; i < services_.size(); ++i) {
-    if (const auto zone = services_[i]->zone_address(); !zone.empty())
+    if (const auto zone = services_[i]->dns_update_address(); !zone.empty())
       std::cout << "listening dns " << zone << std::endl;
     std::cout << "listening " << fronts[i] << ' ' << services_[i]->address() << std::endl;
   }
@@ -177,7 +177,7 @@
   report();
   if (!link_ || !handing_over_) return;
   std::map<std::string, StateSections> sections;
-  for (auto& service : services_) sections[service->front()] = service->bookings();
+  for (auto& service : services_) sections[service->front()] = service->contract_counts_since_split();
   send_sections("booked", sections);
 }
 
@@ -439,8 +439,8 @@
   is_successor_ = true;
   link_ = std::make_unique<wire::HandoverLink>(
       loop_, std::move(link),
-      wire::HandoverLink::Events{[this](wire::Packet packet) { on_packet(std::move(packet)); },
-                                 [this] { on_peer_end(); }});
+      wire::HandoverLink::Callbacks{[this](wire::Packet packet) { on_packet(std::move(packet)); },
+                                    [this] { on_peer_end(); }});
   share_resources(false, 0);
   serving_timer_.start(0, serving_check_interval_s);
 }
@@ -450,7 +450,7 @@
 void Gateway::try_serving(ev::timer&, int) {
   for (auto& service : services_)
     if ((is_successor_ && !service->broker().ready()) ||
-        (!service->has_binding_list() && loop_.now() - started_at_ < first_list_timeout_s))
+        (!service->may_start_serving() && loop_.now() - started_at_ < first_list_timeout_s))
       return;
   serving_timer_.stop();
   if (!link_ || !awaits_budgets_) return serve();
@@ -472,7 +472,7 @@
     link_->send("serving");
     ejections_timer_.start(ejections_interval_s, ejections_interval_s);
   }
-  if (!handover_) listen_for_successor();
+  if (!handover_listener_) listen_for_successor();
 }
 
 /// The successor starts serving: from now on the budgets are divided between the processes.
@@ -521,7 +521,7 @@
 
 void Gateway::listen_for_successor() {
   if (!handover_name_.empty())
-    handover_ = wire::HandoverListener::open(
+    handover_listener_ = wire::HandoverListener::open(
         loop_, handover_dir_, handover_name_, [this](wire::Fd fd) { on_successor_connected(std::move(fd)); });
 }
 
@@ -535,12 +535,12 @@
   known_ejections_.clear();
   link_ = std::make_unique<wire::HandoverLink>(
       loop_, std::move(fd),
-      wire::HandoverLink::Events{[this](wire::Packet packet) { on_packet(std::move(packet)); },
-                                 [this] { on_peer_end(); }});
+      wire::HandoverLink::Callbacks{[this](wire::Packet packet) { on_packet(std::move(packet)); },
+                                    [this] { on_peer_end(); }});
   std::vector<ServiceState> states;
   for (const auto& service : services_) {
     link_->send("listener", service->front(), service->listener().get());
-    if (const auto* fd = service->update_socket())
+    if (const auto* fd = service->dns_update_socket())
       link_->send("listener", service->front() + " updates", fd->get());
     states.push_back(capture_state(service->front(), service->broker().hosts()));
     states.back().sections = service->snapshot(false);
@@ -592,8 +592,8 @@
     } else {
       for (const auto& [front, sections] : *received)
         if (auto* service = find_service(front))
-          log_unreadable(front,
-                         packet.kind == "yes" ? service->restore(sections) : service->add_bookings(sections));
+          log_unreadable(front, packet.kind == "yes" ? service->restore(sections)
+                                                     : service->add_contract_counts(sections));
     }
     if (awaits_budgets_) serve();
   } else if (packet.kind == "commit") {
@@ -615,7 +615,7 @@
     split_budgets();  // successors of older builds do not send "ready"
     handing_over_ = true;
     serving_timer_.stop();
-    handover_.reset();  // the socket's name belongs to the successor now
+    handover_listener_.reset();  // the socket's name belongs to the successor now
     admin_.reset();
     for (auto& service : services_)
       service->start_handover([this, front = service->front()](int fd, const std::string& state) {
@@ -624,7 +624,7 @@
     std::size_t remaining_clients = 0;
     for (const auto& service : services_) remaining_clients += service->client_count();
     link_->send("stopped", std::to_string(remaining_clients));
-    leave_timer_.start(leave_after_s);
+    handover_drain_timer_.start(leave_after_s);
     std::cout << "followed by another process" << std::endl;
   } else if (packet.kind == "client" && packet.fds.size() == 1) {
     if (auto* service = find_service(word); service && has_rest)
@@ -649,7 +649,7 @@
   ended_links_.push_back(std::move(link));
   if (handing_over_ && !empty_check_.is_active()) {
     handing_over_ = false;
-    leave_timer_.stop();
+    handover_drain_timer_.stop();
     for (auto& service : services_) service->cancel_handover();
     open_admin_socket();
     listen_for_successor();
@@ -668,7 +668,7 @@
   for (auto& service : services_) service->set_resources(total_resources_of(*service));
 }
 
-bool Gateway::empty() const {
+bool Gateway::no_clients_left() const {
   return std::all_of(
       services_.begin(), services_.end(), [](const auto& service) { return service->empty(); });
 }
@@ -685,21 +685,21 @@
     drain_timer_.start(handing_over_ ? 0 : serve_after_term_s);
 }
 
-void Gateway::begin_shutdown(ev::timer&, int) {
+void Gateway::on_shutdown_timer(ev::timer&, int) {
   for (auto& service : services_) service->broker().begin_shutdown();
 }
 
-void Gateway::drain(ev::timer&, int) {
+void Gateway::on_drain_timer(ev::timer&, int) {
   if (empty_check_.is_active()) return;
   serving_timer_.stop();
   for (auto& service : services_) service->drain();
   empty_check_.start();
-  if (empty()) loop_.break_loop(ev::ALL);
+  if (no_clients_left()) loop_.break_loop(ev::ALL);
 }
 
 /// While draining, ends the loop as soon as the last client has been answered and has left.
 void Gateway::check_empty(ev::prepare&, int) {
-  if (empty()) loop_.break_loop(ev::ALL);
+  if (no_clients_left()) loop_.break_loop(ev::ALL);
 }
 
 }  // namespace cedarring::app
--- a/src/app/gateway.h
+++ b/src/app/gateway.h
@@ -29,16 +29,20 @@
   void run();
 
  private:
-  // Signals and shutdown.
+  // Signals and shutdown. A front is a listener of one protocol with its broker and hosts (see Service).
   void on_stop_signal(ev::sig&, int);
-  void drain(ev::timer&, int);
-  void begin_shutdown(ev::timer&, int);
+  /// Stops accepting clients; the process ends when the last client has left.
+  void on_drain_timer(ev::timer&, int);
+  /// Ends pending requests whose answer is not being streamed, shortly before the process would be killed.
+  void on_shutdown_timer(ev::timer&, int);
   void reload(ev::sig&, int);
   void on_report_signal(ev::sig&, int) { report(); }
+  /// Prints one line per tenant with its request counts to standard output.
   void report() const;
   void update_request_traces();
   void check_empty(ev::prepare&, int);
-  [[nodiscard]] bool empty() const;
+  /// Whether no service has a connected client.
+  [[nodiscard]] bool no_clients_left() const;
 
   // Commands of operators.
   std::string answer_admin(const std::vector<std::string>& words);
@@ -55,7 +59,10 @@
 
   // Upgrades.
   void start_as_successor(wire::Fd link);
+  /// Runs repeatedly until serving starts: once all services may start, serves, or first requests the
+  /// predecessor's share of the budgets.
   void try_serving(ev::timer&, int);
+  /// Starts accepting clients and tells the predecessor, if any, to hand its clients over.
   void serve();
   void on_budgets_timeout(ev::timer&, int);
   void split_budgets();
@@ -82,11 +89,11 @@
   std::string handover_dir_, handover_name_, admin_path_;
   std::size_t max_buffer_bytes_;
   ev::tstamp started_at_;
-  std::unique_ptr<wire::HandoverListener> handover_;
-  std::unique_ptr<wire::HandoverLink> link_;  // to the other process, while there is one
-  bool is_successor_ = false;                 // this is the successor, and the predecessor has not ended
-  bool handing_over_ = false;                 // this is the predecessor, and the successor serves
-  bool budgets_split_ = false;                // this is the predecessor, and budgets are divided
+  std::unique_ptr<wire::HandoverListener> handover_listener_;  // where a successor connects
+  std::unique_ptr<wire::HandoverLink> link_;                   // to the other process, while there is one
+  bool is_successor_ = false;      // this is the successor, and the predecessor has not ended
+  bool handing_over_ = false;      // this is the predecessor, and the successor serves
+  bool budgets_split_ = false;     // this is the predecessor, and budgets are divided
   bool awaits_budgets_ = false;    // this is the successor, and the predecessor will send its share
   std::string received_sections_;  // so far
   /// Ends of ejections that both processes know, by front and host.
@@ -94,7 +101,10 @@
   std::size_t predecessor_clients_ = 0;  // clients still to be transferred
   /// Links that have ended; freed when no callback of theirs can be running.
   std::vector<std::shared_ptr<wire::HandoverLink>> ended_links_;
-  ev::timer serving_timer_, leave_timer_, budgets_timer_, ejections_timer_;
+  ev::timer serving_timer_;         // checks whether serving may start
+  ev::timer handover_drain_timer_;  // this is the predecessor: drains some time after the successor serves
+  ev::timer budgets_timer_;         // limits the wait for the predecessor's share of the budgets
+  ev::timer ejections_timer_;       // sends ejections to the other process
   ev::sig term_signal_, int_signal_, usr1_signal_, hup_signal_;
   ev::timer drain_timer_, shutdown_timer_;
   ev::prepare empty_check_;
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 /// Of the descriptors clients have three quarters, host connections one quarter.
-std::size_t client_share(std::size_t descriptors) { return descriptors * 3 / 4; }
-std::size_t host_share(std::size_t descriptors) { return descriptors / 4; }
+std::size_t client_share(std::size_t max_descriptors) { return max_descriptors * 3 / 4; }
+std::size_t host_share(std::size_t max_descriptors) { return max_descriptors / 4; }
 
 /// Of the slow-start budget, while the other process may be spending the rest.
 constexpr double own_share = 0.5;
@@ -21,37 +21,39 @@
 }  // namespace
 
 Service::Service(ev::loop_ref loop, wire::Reaper& reaper, broker::Broker::Clock clock,
-                 const ServiceConfig& config, const ConnectionFactories& factories, std::size_t descriptors,
-                 std::string front, telemetry::Log& log, wire::Fd listener, const ServiceState* predecessor,
-                 wire::Fd update_socket)
+                 const ServiceConfig& config, const ConnectionFactories& factories,
+                 std::size_t max_descriptors, std::string front, telemetry::Log& log, wire::Fd listener,
+                 const ServiceState* predecessor, wire::Fd dns_update_socket)
     : loop_(loop),
       front_(std::move(front)),
       clock_(clock),
       log_(log),
-      total_resources_{0, client_share(descriptors), host_share(descriptors)},
+      total_resources_{0, client_share(max_descriptors), host_share(max_descriptors)},
       resources_(total_resources_),
       initial_settings_(config.settings),
       levels_service_info_(config.levels_service_info()),
       contracts_service_info_(config.contracts_service_info()),
       known_list_(predecessor ? predecessor->list : config.known_hosts),
       upstream_(loop, reaper, clock,
-                {config.settings.connect_timeout, config.settings.idle_timeout, host_share(descriptors)},
+                {config.settings.connect_timeout, config.settings.idle_timeout, host_share(max_descriptors)},
                 factories.host, [this] { open_watch(); }),
       broker_(config.settings, config.budgets, config.zones, clock, upstream_),
-      clients_(loop, reaper, broker_, config.listen, client_share(descriptors), factories.client,
+      clients_(loop, reaper, broker_, config.listen, client_share(max_descriptors), factories.client,
                std::move(listener)) {
   upstream_.attach(broker_);
   clients_.on_new_client([this] { divide_connections(); });
-  upstream_.on_limit_reached([this] { divide_connections(); });
+  upstream_.set_limit_callback([this] { divide_connections(); });
   if (!config.discovery.empty())
-    discovery_.emplace(
-        loop, reaper, config.discovery, known_list_.version, fleet::WatchTiming(config.settings.drain_grace),
-        wire::DiscoveryWatch::Events{[this](const broker::MemberList& list) { broker_.on_member_list(list); },
-                                     [this] { broker_.on_member_list_failed(); }});
+    discovery_.emplace(loop, reaper, config.discovery, known_list_.version,
+                       fleet::WatchTiming(config.settings.drain_grace),
+                       wire::DiscoveryWatch::Callbacks{
+                           [this](const broker::MemberList& list) { broker_.on_member_list(list); },
+                           [this] { broker_.on_member_list_failed(); }});
   if (!config.zone_updates.empty())
     zone_.emplace(
         loop, config.zone_updates, config.zone,
-        [this](const broker::MemberList& list) { broker_.on_member_list(list); }, std::move(update_socket));
+        [this](const broker::MemberList& list) { broker_.on_member_list(list); },
+        std::move(dns_update_socket));
   if (config.contracts)
     contracts_.emplace(loop_, front_, *config.contracts, contracts_service_info_, broker_, clock_, log_);
   if (config.levels) start_levels(*config.levels);
@@ -125,17 +127,17 @@
   if (contracts_) contracts_->contracts().assume_own_share(clock_());
 }
 
-StateSections Service::bookings() {
+StateSections Service::contract_counts_since_split() {
   if (!contracts_) return {};
   return {{"contracts", handover::to_text(contracts_->contracts().recorded())}};
 }
 
-std::vector<std::string> Service::add_bookings(const StateSections& sections) {
+std::vector<std::string> Service::add_contract_counts(const StateSections& sections) {
   const auto it = sections.find("contracts");
   if (it == sections.end() || !contracts_) return {};
-  const auto booked = handover::from_text<contracts::Snapshot>(it->second);
-  if (!booked) return {"contracts"};
-  contracts_->contracts().merge_records(*booked);
+  const auto counts = handover::from_text<contracts::Snapshot>(it->second);
+  if (!counts) return {"contracts"};
+  contracts_->contracts().merge_records(*counts);
   return {};
 }
 
@@ -174,7 +176,7 @@
     inputs.descriptors = clients_.utilization();
     inputs.memory = static_cast<double>(wire::RingBuffer::total_capacity()) /
                     static_cast<double>(std::max<std::size_t>(wire::RingBuffer::total_limit(), 1));
-    if (discovery_) inputs.discovery_silence = discovery_->silence();
+    if (discovery_) inputs.discovery_silence = discovery_->seconds_since_data();
     return inputs;
   };
   hooks.scale_pool_size = [this](double factor) { upstream_.scale_limit(factor); };
@@ -214,7 +216,7 @@
 }
 
 void Service::open_watch() {
-  if (discovery_) return discovery_->start();
+  if (discovery_) return discovery_->open_once();
   auto list = zone_ ? zone_->list() : known_list_;
   list.full = true;
   broker_.on_member_list(list);
--- a/src/app/service.h
+++ b/src/app/service.h
@@ -1,5 +1,5 @@
-// One front with its hosts: the client listener, the broker, host connections and the source of the host
-// list.
+// One front of the gateway. A front is a client listener that speaks one database protocol ("postgresql" or
+// "mysql"), together with its own broker, its connections to database hosts and its source of the host list.
 #pragma once
 
 #include <optional>
@@ -17,8 +17,8 @@
 
 namespace cedarring::app {
 
-/// The wiring of one front. During an upgrade two processes run a service each for the same front and share
-/// its budgets and resources.
+/// Owns and connects the parts of one front; a process has one Service for each front. During an upgrade two
+/// processes run a service each for the same front and share its budgets and resources.
 class Service {
  public:
   /// Create the connections of the front's protocol.
@@ -26,15 +26,17 @@
     wire::SocketUpstream::Factory host;
     wire::ClientSet::Factory client;
   };
-  /// `descriptors`: for clients and host connections together. The remaining parameters are set if another
-  /// process serves already: its listener, its state (may be null) and its socket for zone updates.
+  /// `max_descriptors`: the file descriptors that clients and host connections may use together. `front`: the
+  /// name of the front, used in logs and as a key towards the other process. `listener`, `predecessor` and
+  /// `dns_update_socket` are passed on by a process that serves already: its client listener, its state (may
+  /// be null) and its UDP socket for DNS updates.
   Service(ev::loop_ref loop, wire::Reaper& reaper, broker::Broker::Clock clock, const ServiceConfig& config,
-          const ConnectionFactories& factories, std::size_t descriptors, std::string front,
+          const ConnectionFactories& factories, std::size_t max_descriptors, std::string front,
           telemetry::Log& log, wire::Fd listener = wire::Fd(), const ServiceState* predecessor = nullptr,
-          wire::Fd update_socket = wire::Fd());
-  /// Whether a host list has been received, where lists are pushed: a pushed list is binding from its first
-  /// moment, so serving must not start without one.
-  [[nodiscard]] bool has_binding_list() const {
+          wire::Fd dns_update_socket = wire::Fd());
+  /// Whether the host list permits serving to start: where discovery pushes lists, the first list must have
+  /// been received, since a pushed list applies from the moment it is sent; otherwise always.
+  [[nodiscard]] bool may_start_serving() const {
     return !discovery_ || initial_settings_.discovery_mode != DiscoveryMode::push || discovery_->has_list();
   }
   void start_accepting() { clients_.start_accepting(); }
@@ -55,22 +57,24 @@
   [[nodiscard]] StateSections snapshot(bool split);
   /// Restores the predecessor's state; returns the names of the sections that cannot be read.
   std::vector<std::string> restore(const StateSections& sections);
-  /// The predecessor has not reported its spending, or the report cannot be read: spends no more than this
-  /// process's own share.
+  /// To be called if the predecessor does not report its spending or the report cannot be read: from then on
+  /// no more than this process's own share of the budgets is spent.
   void assume_own_share();
-  /// What was booked here since the split.
-  [[nodiscard]] StateSections bookings();
-  /// Adds what the other process booked since the split; returns the names of the sections that cannot be
-  /// read.
-  std::vector<std::string> add_bookings(const StateSections& sections);
-  /// The other process has ended.
+  /// The contracts' counts of requests in this process since the budgets were split; empty without contracts.
+  [[nodiscard]] StateSections contract_counts_since_split();
+  /// Adds the contract counts of the other process since the split to those of this one; returns the names of
+  /// the sections that cannot be read.
+  std::vector<std::string> add_contract_counts(const StateSections& sections);
+  /// To be called when the other process has ended: the whole budgets belong to this process again.
   void resume_full_spending();
+  /// Continues a client connection that the other process has transferred.
   void adopt(wire::Fd fd, const std::string& state) { clients_.adopt(std::move(fd), state); }
-  /// The socket for zone updates; null without a zone.
-  [[nodiscard]] const wire::Fd* update_socket() const { return zone_ ? &zone_->socket() : nullptr; }
+  /// The UDP socket that receives DNS updates; null if the host list does not come from a DNS zone.
+  [[nodiscard]] const wire::Fd* dns_update_socket() const { return zone_ ? &zone_->socket() : nullptr; }
   [[nodiscard]] const wire::Fd& listener() const { return clients_.listener(); }
   [[nodiscard]] std::size_t client_count() const { return clients_.size(); }
-  /// The resources of this service while one process serves; memory is not included.
+  /// The resources of this service while one process serves: numbers of client and host connections. The
+  /// memory field is 0, because memory belongs to the whole process; the gateway sets it.
   [[nodiscard]] const handover::ResourceShares& total_resources() const { return total_resources_; }
   /// Sets the resources that this process may use now.
   void set_resources(const handover::ResourceShares& resources) {
@@ -78,15 +82,17 @@
     clients_.set_memory_budget(resources.memory / 2);  // a quarter of all memory; buffers may use half of it
     divide_connections();
   }
+  /// Stops listening; clients are closed as they become idle.
   void drain() { clients_.drain(); }
   /// The longest deadline of a class in the settings.
   [[nodiscard]] Duration longest_deadline() const;
-  /// Watches discovery at another address; the list stays in force until that sends one.
+  /// Watches discovery at another address. The present host list applies until the new address has sent a
+  /// list. An empty address is ignored.
   void change_discovery_address(const std::string& address) {
     if (discovery_ && !address.empty()) discovery_->change_address(address);
   }
-  /// Where zone updates are received; empty without a zone.
-  [[nodiscard]] std::string zone_address() const { return zone_ ? zone_->address() : std::string(); }
+  /// The address and port that receive DNS updates; empty if the host list does not come from a DNS zone.
+  [[nodiscard]] std::string dns_update_address() const { return zone_ ? zone_->address() : std::string(); }
   [[nodiscard]] std::string address() const { return clients_.address(); }
   [[nodiscard]] const std::deque<broker::TenantBudget>& budgets() const { return broker_.budgets(); }
   /// Whether no client is connected.
@@ -128,7 +134,7 @@
   // Contracts are the first gate: levels shed first what is beyond a contract.
   std::optional<ContractsRunner> contracts_;
   std::optional<LevelsRunner> levels_;
-  /// Booked before the split and passed to the successor; added again here if the successor ends.
+  /// The contract counts that were passed to the successor at the split; added here again if it ends.
   std::optional<contracts::Snapshot> handed_over_contracts_;
 };
 
--- a/src/sim/adapter.h
+++ b/src/sim/adapter.h
@@ -1,5 +1,6 @@
-// Adapter between routers and a simulator that speaks a line protocol: parses messages into events, runs one
-// Router per simulated instance, and formats its actions. Makes no routing decisions.
+// Adapter between routers and an external simulator of whole deployments, which speaks a line protocol on the
+// adapter's standard input and output: parses messages into events, runs one Router per simulated instance,
+// and formats its actions. Makes no routing decisions.
 #pragma once
 
 #include <cstdint>
@@ -24,18 +25,22 @@
   ~Adapter();
   Adapter(const Adapter&) = delete;
   Adapter& operator=(const Adapter&) = delete;
-  /// Handles one line, without its line feed, and appends the resulting lines to `out`. Throws
-  /// text::ParseError for a malformed line.
+  /// Handles one line, without its line feed; a trailing carriage return is ignored. Executes the message and
+  /// appends the resulting lines to `out`. Throws text::ParseError for a malformed line.
   void handle_line(std::string_view text, std::string& out);
 
  private:
   struct Instance;
   struct Item;
+  /// Handles one line without a trailing carriage return, which handle_line() has removed; an empty one is
+  /// ignored.
   void handle_message(std::string_view text, std::string& out);
   /// Passes an event to an instance and appends its actions to `out`.
   void deliver(std::int64_t number, Instance& instance, const Event& event, std::string& out);
   std::map<std::int64_t, std::unique_ptr<Instance>> instances_;
-  std::map<std::int64_t, std::vector<Item>> rosters_;  // member lists by reference number
+  /// Rosters by reference number. A roster is a member list that the simulator sends once and later refers to
+  /// by this number.
+  std::map<std::int64_t, std::vector<Item>> rosters_;
   Time now_{};
   bool in_batch_ = false;
   std::int64_t current_roster_ = 0;  // to which the next items belong
--- a/src/tools/rig/links.cpp
+++ b/src/tools/rig/links.cpp
@@ -73,7 +73,7 @@
       number_(number),
       gateway_(gateway),
       host_(host) {
-  if (stopped()) pause_reading(true);
+  if (stopped()) set_reading_paused(true);
 }
 
 bool HostLink::stopped() const {
@@ -83,7 +83,7 @@
 
 void HostLink::troubled() {
   if (closed()) return;
-  pause_reading(stopped());
+  set_reading_paused(stopped());
   if (!rig_.trouble_of(gateway_, host_).back && !unsaid_.empty()) write(std::exchange(unsaid_, {}));
   if (!stopped() && !in_.empty()) on_input();
 }
@@ -337,13 +337,13 @@
 // ---- discovery ----
 DiscoveryLink::DiscoveryLink(Rig& rig, wire::Fd fd, int gateway)
     : Link(rig.loop_, std::move(fd), false, 8192, out_most), rig_(rig), gateway_(gateway) {
-  if (rig.trouble_of(gateway, -1).there) pause_reading(true);
+  if (rig.trouble_of(gateway, -1).there) set_reading_paused(true);
 }
 
 void DiscoveryLink::troubled() {
   if (closed()) return;
   const auto& t = rig_.trouble_of(gateway_, -1);
-  pause_reading(t.there);
+  set_reading_paused(t.there);
   if (!t.there && !in_.empty()) on_input();
   if (!t.back && watching_) rig_.tell(gateway_);
 }
--- a/src/tools/rig/relay.cpp
+++ b/src/tools/rig/relay.cpp
@@ -68,7 +68,7 @@
 void Relay::End::look() {
   if (closed()) return;
   const int to = peer_ == stream_.from ? stream_.to : stream_.from;
-  pause_reading(relay_.way_(peer_, to).cut);
+  set_reading_paused(relay_.way_(peer_, to).cut);
   on_input();
 }
 
--- a/src/wire/client.cpp
+++ b/src/wire/client.cpp
@@ -61,7 +61,7 @@
   while (!slots_.empty() && !slots_.front().pending) {
     auto& output = slots_.front().output;
     if (!output.empty() && !write(output)) {
-      if (out_.empty()) leave();
+      if (out_.empty()) close_and_cancel();
       return;
     }
     queued_answer_bytes_ -= output.size();
@@ -72,7 +72,7 @@
   if (slots_.empty() || !slots_.front().streaming || slots_.front().output.empty()) return;
   auto& output = slots_.front().output;
   if (!write(output)) {
-    if (out_.empty()) leave();
+    if (out_.empty()) close_and_cancel();
     return;
   }
   queued_answer_bytes_ -= output.size();
@@ -118,7 +118,7 @@
   }
   discarded_bytes_ += in_.size();
   in_.clear();
-  if (discarded_bytes_ > max_discarded_bytes) leave();
+  if (discarded_bytes_ > max_discarded_bytes) close_and_cancel();
 }
 
 bool Client::overdue(ev::tstamp now) {
@@ -138,12 +138,12 @@
 bool Client::evictable(ev::tstamp now) const {
   if (command_received_) return idle();
   return nothing_pending() &&
-         now - waiting_since_ > (silent() ? min_silent_stay_s : min_first_command_stay_s);
+         now - waiting_since_ > (nothing_received() ? min_silent_stay_s : min_first_command_stay_s);
 }
 
 bool Client::reserve_memory(std::size_t bytes, broker::MemoryBudget::Reservation& out) {
   if (owner_.memory_budget().try_reserve(this, bytes, out)) return true;
-  pause_reading(true);
+  set_reading_paused(true);
   return false;
 }
 
@@ -155,11 +155,11 @@
 
 void Client::on_memory_available() {
   waiting_since_ = loop_.now();
-  pause_reading(false);
+  set_reading_paused(false);
   process_commands();
 }
 
-void Client::leave() {
+void Client::close_and_cancel() {
   owner_.memory_budget().stop_waiting(this);
   if (!closed()) close();
   for (const auto& slot : std::exchange(slots_, {}))
@@ -167,7 +167,7 @@
   owner_.remove(this);
 }
 
-void Client::on_end(int) { leave(); }
+void Client::on_end(int) { close_and_cancel(); }
 
 void Client::on_sent() {
   if (lingering_) return shut_down_writing();
@@ -180,12 +180,12 @@
     waiting_since_ = loop_.now();
     return owner_.broker().resume_answer(slots_.front().request);
   }
-  if (drained()) leave();
+  if (drained()) close_and_cancel();
 }
 
 void Client::drain() {
   draining_ = true;
-  if (drained()) leave();
+  if (drained()) close_and_cancel();
 }
 
 /// Whether a draining client can be closed: nothing is pending or unread, and a client that has just
@@ -233,7 +233,7 @@
   seen_input_ = in_.size();
   if (in_.empty()) arrivals_.clear();
   if (closed() || lingering_) return;
-  if (drained()) return leave();
+  if (drained()) return close_and_cancel();
   const bool partial = slots_.empty() && (!in_.empty() || reading_long_command());
   if (partial && !std::exchange(partial_command_, partial) && command_received_) waiting_since_ = loop_.now();
   partial_command_ = partial;
@@ -275,7 +275,7 @@
   --pending_requests_;
   waiting_since_ = loop_.now();
   // The connection is closed inside the message, so that the client notices that the value is incomplete.
-  if (answer.truncated) return leave();
+  if (answer.truncated) return close_and_cancel();
   std::string rest;
   put_answer(std::move(answer), rest);
   queued_answer_bytes_ += rest.size();
@@ -365,7 +365,7 @@
     // the connection.
     if (!client->transferable() && client->has_pending_input()) continue;
     if (client->transferable() && !transfer_(client->descriptor(), client->transfer_state())) return;
-    client->leave();  // closes only this process's descriptor of a transferred connection
+    client->close_and_cancel();  // closes only this process's descriptor of a transferred connection
   }
 }
 
@@ -373,7 +373,7 @@
   auto client = factory_(std::move(fd), *this);
   auto* raw = client.get();
   clients_.emplace(raw, std::move(client));
-  raw->resume(state);
+  raw->continue_transferred(state);
 }
 
 void ClientSet::remove(Client* client) {
@@ -390,7 +390,7 @@
   for (const auto& [key, client] : clients_)
     if (client->lingering() && (!longest || client->waiting_since() < longest->waiting_since()))
       longest = key;
-  longest->leave();
+  longest->close_and_cancel();
 }
 
 /// Closes clients that have exceeded a time limit or disconnected, then transfers or retires idle ones.
@@ -398,8 +398,8 @@
   std::vector<Client*> expired;
   for (const auto& [key, client] : clients_)
     if (client->overdue(loop_.now()) || client->closed_unnoticed()) expired.push_back(key);
-  for (auto* client : expired) client->leave();
-  Connection::resume_starved();
+  for (auto* client : expired) client->close_and_cancel();
+  Connection::resume_after_memory_shortage();
   if (transfer_) return transfer_idle();
   retire_idle();
 }
@@ -415,7 +415,8 @@
             [](const Client* a, const Client* b) { return a->waiting_since() < b->waiting_since(); });
   for (auto* client : idle) {
     if (!idle_limits_.should_close(idle_time(*client), active_count(), idle_limit_)) return;
-    if (!client->has_pending_input()) client->leave();  // its next request may have arrived already
+    if (!client->has_pending_input())
+      client->close_and_cancel();  // its next request may have arrived already
   }
 }
 
@@ -438,7 +439,7 @@
         (!client->idle() || idle_limits_.should_close(idle_time(*client), active_count(), idle_limit_)) &&
         (!first || before(key, first)) && !client->has_pending_input())
       first = key;
-  if (first) first->leave();
+  if (first) first->close_and_cancel();
   return first != nullptr;
 }
 
@@ -461,7 +462,7 @@
     auto* raw = client.get();
     clients_.emplace(raw, std::move(client));
     if (full)
-      raw->turn_away();
+      raw->reject_too_many_clients();
     else
       raw->greet();
   }
--- a/src/wire/client.h
+++ b/src/wire/client.h
@@ -22,29 +22,33 @@
 /// reports.
 std::string refusal_text(const gates::Verdict& verdict);
 
-/// One client connection. Subclasses parse the commands of a protocol and encode its answers.
+/// The gateway's end of one connection from a database client. Subclasses parse the commands of a protocol
+/// and encode its answers.
 class Client : public Connection, public broker::FrontEnd {
  public:
-  /// `max_message`: bytes of the longest command that fits the input buffer.
+  /// `max_message`: bytes of the longest command that is read into the input buffer. A subclass reads a
+  /// longer command into memory from reserve_memory(), or rejects it.
   Client(ev::loop_ref loop, Fd fd, ClientSet& owner, std::size_t max_message);
   bool on_answer_part(RequestId request, std::string_view bytes) final;
   void finish(RequestId request, broker::FinalAnswer answer) final;
   [[nodiscard]] bool client_gone() const final { return closed() || peer_closed(); }
-  /// Whether the client has closed while its requests are pending and the close cannot be noticed, because
-  /// its input is not being read.
+  /// Whether the client has closed the connection while requests are pending and input is not being read, so
+  /// that no event reports the close; the owner has to poll for this.
   [[nodiscard]] bool closed_unnoticed() const { return pending_requests_ > 0 && !reading() && peer_closed(); }
   /// Closes the connection now if it is idle, otherwise as soon as it is.
   void drain();
   /// Memory for the long command being read may have become available: reads on.
   void on_memory_available();
-  /// Closes at once and cancels pending requests.
-  void leave();
+  /// Closes the connection at once, cancels its pending requests and removes it from its owner.
+  void close_and_cancel();
   /// Whether the client has exceeded a time limit: without a command, in the middle of a command, with an
   /// answer that it does not read, or after the final reply.
   [[nodiscard]] bool overdue(ev::tstamp now);
-  /// Has sent a command before and has neither a pending request nor part of a command.
+  /// Whether the client waits between two commands: it has sent one before, nothing is pending, and no part
+  /// of a next one has been processed. A client that has just connected is not idle.
   [[nodiscard]] bool idle() const { return command_received_ && !partial_command_ && nothing_pending(); }
-  /// Nothing is pending and not one byte of a next command has been read.
+  /// Whether nothing is pending and no byte of a next command has been read, so that the connection can be
+  /// transferred. Unlike idle(), also true before the first command, and false if in_ holds any input.
   [[nodiscard]] bool between_commands() const {
     return nothing_pending() && in_.empty() && !partial_command_;
   }
@@ -55,12 +59,12 @@
   [[nodiscard]] bool has_sent_command() const { return command_received_; }
   /// When its current wait began, in loop time.
   [[nodiscard]] ev::tstamp waiting_since() const { return waiting_since_; }
-  /// Answers that there are too many clients, and closes.
-  virtual void turn_away() = 0;
+  /// Replies with the protocol's error for too many connections, and closes.
+  virtual void reject_too_many_clients() = 0;
   /// Whether the connection can be passed to another process: it has no state beyond transfer_state().
   [[nodiscard]] virtual bool transferable() const { return false; }
   /// Continues a connection that another process has set up; `state` is its transfer_state().
-  virtual void resume(const std::string& /*state*/) {}
+  virtual void continue_transferred(const std::string& /*state*/) {}
   /// The protocol state that another process needs to continue the connection.
   [[nodiscard]] virtual std::string transfer_state() const { return {}; }
   /// Sends the greeting, in protocols where the server speaks first.
@@ -74,7 +78,8 @@
   /// How many requests may be pending at once, in protocols with pipelining. Finished answers that wait for
   /// an earlier one do not count; they are limited separately, by number and by bytes.
   [[nodiscard]] virtual std::size_t pipeline_depth() const { return 1; }
-  /// No command is being executed and nothing remains to be sent.
+  /// Whether no command is being executed and nothing remains to be sent. Unlike idle() and
+  /// between_commands(), this ignores input.
   [[nodiscard]] bool nothing_pending() const {
     return slots_.empty() && !lingering_ && !final_reply_ && out_.empty();
   }
@@ -93,7 +98,7 @@
   /// closing with unread input would reset the connection and lose the reply in transit.
   void reply_and_close(std::string bytes);
   /// Whether no byte has been received yet.
-  [[nodiscard]] virtual bool silent() const = 0;
+  [[nodiscard]] virtual bool nothing_received() const = 0;
   /// To be called when a complete command has been received.
   void on_command_received() {
     command_received_ = true;
@@ -176,7 +181,8 @@
   void cancel_handover();
   /// Continues a client that another process has transferred.
   void adopt(Fd fd, const std::string& state);
-  /// `idle_limit`: the limit that the idle time-out is computed from, if greater than `max_clients`.
+  /// `idle_limit`: a number of clients; the time after which idle clients are closed is computed from the
+  /// number of clients relative to `idle_limit` or `max_clients`, whichever is greater.
   void set_max_clients(std::size_t max_clients, std::size_t idle_limit = 0) {
     max_clients_ = max_clients;
     idle_limit_ = std::max(max_clients, idle_limit);
--- a/src/wire/connection.cpp
+++ b/src/wire/connection.cpp
@@ -191,7 +191,7 @@
   return !closed();
 }
 
-void Connection::resume_starved() {
+void Connection::resume_after_memory_shortage() {
   if (RingBuffer::total_capacity() > RingBuffer::total_limit()) return;
   for (auto* connection = first_; connection; connection = connection->next_)
     if (std::exchange(connection->starved_, false)) connection->update_events();
--- a/src/wire/connection.h
+++ b/src/wire/connection.h
@@ -54,13 +54,13 @@
   Connection& operator=(const Connection&) = delete;
   [[nodiscard]] bool closed() const { return fd_.get() < 0; }
   [[nodiscard]] int descriptor() const { return fd_.get(); }
-  /// Whether unprocessed input, an error or the peer's close is waiting. An idle connection in this state
-  /// must not be reused.
+  /// Whether unprocessed input is waiting. Also true if the peer has closed the connection or it has failed:
+  /// an idle connection must not be reused in any of these cases.
   [[nodiscard]] bool has_pending_input() const;
   /// Whether the peer has closed or reset the connection, even if unread bytes precede its close.
   [[nodiscard]] bool peer_closed() const;
   /// Resumes reading on all connections that were paused for lack of memory, once there is memory again.
-  static void resume_starved();
+  static void resume_after_memory_shortage();
 
  protected:
   /// Whether closing the connection would lose somebody's answer. When memory is short, connections without
@@ -85,11 +85,12 @@
   void close();
   /// Closes the sending direction after everything written so far; the peer may go on sending.
   void shut_down_writing();
-  /// To be called by owners that leave input in the buffer: reading stops while the buffer is full.
+  /// To be called by subclasses that may leave input in in_, after they have removed some: reading stops
+  /// while in_ is full, and this call resumes it.
   void input_consumed() { update_events(); }
   [[nodiscard]] bool connecting() const { return connecting_; }
-  /// Pauses or resumes reading.
-  void pause_reading(bool paused) {
+  /// Stops reading from the socket (true) or resumes it (false).
+  void set_reading_paused(bool paused) {
     paused_ = paused;
     update_events();
   }
@@ -125,7 +126,8 @@
   inline static Connection* first_ = nullptr;
 };
 
-/// Keeps closed connections alive until the loop next blocks, when no callback of theirs can be running.
+/// Defers the destruction of closed connections: frees them just before the loop next blocks, when none of
+/// their callbacks can be running.
 class Reaper {
  public:
   explicit Reaper(ev::loop_ref loop) : prepare_(loop) {
--- a/src/wire/discovery.cpp
+++ b/src/wire/discovery.cpp
@@ -221,12 +221,12 @@
 };
 
 DiscoveryWatch::DiscoveryWatch(ev::loop_ref loop, Reaper& reaper, std::string address, std::uint64_t version,
-                               fleet::WatchTiming timing, Events events)
+                               fleet::WatchTiming timing, Callbacks callbacks)
     : loop_(loop),
       reaper_(reaper),
       address_(std::move(address)),
       version_(version),
-      events_(std::move(events)),
+      callbacks_(std::move(callbacks)),
       timing_(timing),
       silence_timer_(loop),
       retry_timer_(loop) {
@@ -237,13 +237,13 @@
 DiscoveryWatch::~DiscoveryWatch() = default;
 
 /// After change_address() a watch may be open already when the router requests one after a failure.
-void DiscoveryWatch::start() {
+void DiscoveryWatch::open_once() {
   if (!stream_) open();
 }
 
 void DiscoveryWatch::keep_open() {
   keep_open_ = true;
-  start();
+  open_once();
 }
 
 void DiscoveryWatch::change_address(std::string address) {
@@ -287,7 +287,7 @@
   if (list.full || list.version >= version_) {
     version_ = list.version;
     has_list_ = true;
-    return events_.on_list(list);
+    return callbacks_.on_list(list);
   }
   auto restrictions = list;
   restrictions.version = version_;
@@ -295,7 +295,7 @@
   members.erase(std::remove_if(members.begin(), members.end(),
                                [](const auto& member) { return member.state == HostState::ready; }),
                 members.end());
-  events_.on_list(restrictions);
+  callbacks_.on_list(restrictions);
   version_ = 0;
   on_stream_end(true);
 }
@@ -314,7 +314,7 @@
   if (keep_open_)
     retry_timer_.start(seconds(timing_.next_reopen_delay()));
   else
-    events_.on_failure();
+    callbacks_.on_failure();
 }
 
 /// A watch on a machine that was cut off from the network would stay silent for ever. If it has sent
--- a/src/wire/discovery.h
+++ b/src/wire/discovery.h
@@ -39,18 +39,19 @@
 /// Keeps a watch on discovery and reports the lists it sends.
 class DiscoveryWatch {
  public:
-  struct Events {
+  struct Callbacks {
     std::function<void(const broker::MemberList&)> on_list;
     /// The watch could not be opened or has ended.
     std::function<void()> on_failure;
   };
   /// `version`: of the list already known; discovery sends what is newer.
   DiscoveryWatch(ev::loop_ref loop, Reaper& reaper, std::string address, std::uint64_t version,
-                 fleet::WatchTiming timing, Events events);
+                 fleet::WatchTiming timing, Callbacks callbacks);
   ~DiscoveryWatch();
-  /// Opens a watch if none is open; at least one event follows.
-  void start();
-  /// Keeps a watch open from now on, reconnecting by itself; on_failure is no longer called.
+  /// Opens a watch if none is open; at least one callback follows. A watch that ends is not reopened unless
+  /// keep_open() has been called.
+  void open_once();
+  /// Opens a watch if none is open and reopens it whenever it ends; on_failure is no longer called.
   void keep_open();
   /// Whether a list has been received.
   [[nodiscard]] bool has_list() const { return has_list_; }
@@ -58,7 +59,7 @@
   /// versions of the previous address may not apply there.
   void change_address(std::string address);
   /// Seconds since data was last received, or since construction.
-  [[nodiscard]] double silence() const {
+  [[nodiscard]] double seconds_since_data() const {
     return std::chrono::duration<double>(std::chrono::steady_clock::now() - last_activity_).count();
   }
 
@@ -68,7 +69,7 @@
   void open();
   void on_stream_end(bool reopen_at_once);
   void on_silence(ev::timer&, int);
-  void retry(ev::timer&, int) { start(); }
+  void retry(ev::timer&, int) { open_once(); }
   void on_activity();
   void restart_silence_timer();
   void on_failure();
@@ -76,7 +77,7 @@
   Reaper& reaper_;
   std::string address_;
   std::uint64_t version_;
-  Events events_;
+  Callbacks callbacks_;
   std::unique_ptr<Stream> stream_;
   fleet::WatchTiming timing_;
   bool keep_open_ = false;
--- a/src/wire/dns.h
+++ b/src/wire/dns.h
@@ -63,7 +63,8 @@
 /// The text form of a name, with its final dot.
 std::string name_to_text(std::string_view name);
 
-/// Parses a master file. Returns false and sets `error` to the line at fault if it is invalid.
+/// Parses a master file. Returns false if it is invalid and sets `error` to the reason: "origin" for an
+/// invalid `origin`, "line N" for an invalid line, or "no SOA record".
 bool parse_zone(std::string_view text, std::string_view origin, Zone& zone, std::string& error);
 
 /// Applies an update message to the zone, completely or not at all, and returns the response; empty if the
@@ -71,8 +72,8 @@
 std::string handle_update(std::string_view message, Zone& zone, bool& changed);
 
 /// The member list of a zone. Each SRV record of _mysql._tcp.gN is a host of group N, a primary if its
-/// priority is 0. The target's TXT record may set zone=, state= and started_ms=. Targets without an A record
-/// are left out.
+/// priority is 0. The target's TXT record may set zone= (the host's availability zone, not a DNS
+/// zone), state= and started_ms=. Targets without an A record are left out.
 broker::MemberList member_list_of(const Zone& zone, std::uint64_t version);
 
 }  // namespace cedarring::wire::dns
--- a/src/wire/handover.cpp
+++ b/src/wire/handover.cpp
@@ -99,8 +99,8 @@
   return packet;
 }
 
-HandoverLink::HandoverLink(ev::loop_ref loop, Fd fd, Events events)
-    : loop_(loop), fd_(std::move(fd)), io_(loop), events_(std::move(events)) {
+HandoverLink::HandoverLink(ev::loop_ref loop, Fd fd, Callbacks callbacks)
+    : loop_(loop), fd_(std::move(fd)), io_(loop), callbacks_(std::move(callbacks)) {
   io_.set<HandoverLink, &HandoverLink::on_ready>(this);
   io_.start(fd_.get(), ev::READ);
 }
@@ -152,7 +152,7 @@
     const int n = receive_packet(fd_.get(), packet);
     if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
     if (n <= 0 || packet.kind.empty()) return end();
-    events_.on_packet(std::move(packet));
+    callbacks_.on_packet(std::move(packet));
   }
 }
 
@@ -160,7 +160,7 @@
   io_.stop();
   fd_.reset();
   queue_.clear();
-  const auto on_end = events_.on_end;
+  const auto on_end = callbacks_.on_end;
   on_end();
 }
 
--- a/src/wire/handover.h
+++ b/src/wire/handover.h
@@ -18,9 +18,19 @@
 namespace cedarring::wire {
 
 inline constexpr std::size_t max_packet_text = 60'000;  // bytes
-/// Bytes that may wait to be sent on a link, and that a state may have in total.
+/// Bytes that may wait to be sent on a link, and that the transferred state may have in total.
 inline constexpr std::size_t max_link_bytes = std::size_t{8} << 20U;
 
+/// One message of the link. The kinds; "the new process" is the successor:
+/// - From the serving process: "parts" (a part of the sections that the next "yes" or "booked" completes),
+///   "listener" (text: the front's name, followed by " updates" for the socket of DNS
+///   updates; with the descriptor), "state" (a part of the JSON state), "whole" (the state is complete),
+///   "yes" (answers "ready"; the parts sent hold the new process's share of the budgets), "booked" (the parts
+///   sent hold its contract counts since the split, when it ends), "client" (front and transfer state; with
+///   the descriptor), "stopped" (accepts no more clients; the number of clients still to be transferred).
+/// - From the new process: "ready" (requests its share of the budgets), "serving" (accepts clients).
+/// - From either: "commit" (front and a session's position), "hosts" (front and ejections), "out" and "back"
+///   (a host disabled or enabled by an operator), "role" (role and host, as observed).
 struct Packet {
   std::string kind, text;
   std::vector<Fd> fds;
@@ -34,13 +44,14 @@
 /// One end of the link.
 class HandoverLink {
  public:
-  struct Events {
+  struct Callbacks {
     std::function<void(Packet)> on_packet;
     std::function<void()> on_end;  // may destroy the link
   };
-  HandoverLink(ev::loop_ref loop, Fd fd, Events events);
-  /// Sends the packet or queues it; it is dropped if more than max_link_bytes would be queued. A descriptor
-  /// is duplicated if it has to wait.
+  HandoverLink(ev::loop_ref loop, Fd fd, Callbacks callbacks);
+  /// Sends the packet at once or queues it. It is dropped without notice if more than max_link_bytes would be
+  /// queued, since a peer that does not read must not hold this process up. A descriptor is duplicated if it
+  /// has to wait.
   void send(std::string_view kind, std::string_view text = {}, int fd = -1);
   /// Sends the packet at once or not at all. On success the kernel holds it for the other process, along with
   /// the descriptor.
@@ -53,7 +64,7 @@
   ev::loop_ref loop_;
   Fd fd_;
   ev::io io_;
-  Events events_;
+  Callbacks callbacks_;
   std::deque<std::pair<std::string, Fd>> queue_;
   std::size_t queued_bytes_ = 0;
 };
--- a/src/wire/mysql.cpp
+++ b/src/wire/mysql.cpp
@@ -35,24 +35,25 @@
   }
 }
 
-/// Parses the types, names (if `named`) and values of `count` parameters. `types` are those bound before,
-/// `long_data` the values sent ahead.
-bool parse_parameters(PacketReader& in, std::size_t count, bool named, const std::vector<Parameter>& types,
+/// Parses the types, names (if `named`) and values of `count` parameters. `previous_parameters` are those
+/// bound before, `long_data` the values sent ahead.
+bool parse_parameters(PacketReader& in, std::size_t count, bool named,
+                      const std::vector<Parameter>& previous_parameters,
                       const std::vector<std::optional<std::string>>& long_data, std::vector<Parameter>& out) {
   out.clear();
   if (count == 0) return in.ok();
   const auto nulls = in.text((count + 7) / 8);
-  const bool types_bound = in.fixed(1) != 0;
+  const bool types_bound = in.little_endian(1) != 0;
   if (!in.ok()) return false;
   for (std::size_t i = 0; i < count; ++i) {
     Parameter parameter;
     if (types_bound) {
-      parameter.type = static_cast<std::uint16_t>(in.fixed(2));
+      parameter.type = static_cast<std::uint16_t>(in.little_endian(2));
       if (named) parameter.name = in.lenenc_text();
     } else {
-      if (i >= types.size()) return false;  // its type was never bound
-      parameter.type = types[i].type;
-      parameter.name = types[i].name;
+      if (i >= previous_parameters.size()) return false;  // its type was never bound
+      parameter.type = previous_parameters[i].type;
+      parameter.name = previous_parameters[i].name;
     }
     if (!in.ok()) return false;
     parameter.null = (static_cast<unsigned char>(nulls[i / 8]) >> (i % 8) & 1U) != 0;
@@ -81,7 +82,7 @@
   out += nulls;
   out += '\1';  // the types follow
   for (const auto& parameter : parameters) {
-    put_fixed(out, parameter.type, 2);
+    put_little_endian(out, parameter.type, 2);
     put_lenenc_text(out, parameter.name);
   }
   for (const auto& parameter : parameters)
@@ -93,9 +94,9 @@
 FrameStatus next_packet(std::string_view in, std::size_t max_payload, Packet& out) {
   if (in.size() < packet_header_size) return FrameStatus::partial;
   PacketReader reader(in);
-  const auto length = reader.fixed(3);
+  const auto length = reader.little_endian(3);
   if (length > max_payload) return FrameStatus::malformed;
-  out.sequence = static_cast<std::uint8_t>(reader.fixed(1));
+  out.sequence = static_cast<std::uint8_t>(reader.little_endian(1));
   if (in.size() < length + packet_header_size) return FrameStatus::partial;
   out.payload = in.substr(packet_header_size, length);
   out.size = length + packet_header_size;
@@ -103,12 +104,12 @@
 }
 
 void put_packet(std::string& out, std::uint8_t& sequence, std::string_view payload) {
-  put_fixed(out, payload.size(), 3);
+  put_little_endian(out, payload.size(), 3);
   out += static_cast<char>(sequence++);
   out += payload;
 }
 
-std::uint64_t PacketReader::fixed(int bytes) {
+std::uint64_t PacketReader::little_endian(int bytes) {
   const auto part = text(static_cast<std::uint64_t>(bytes));
   std::uint64_t value = 0;
   for (std::size_t i = part.size(); i-- > 0;) value = value << 8U | static_cast<unsigned char>(part[i]);
@@ -116,11 +117,11 @@
 }
 
 std::uint64_t PacketReader::lenenc() {
-  const auto first = fixed(1);
+  const auto first = little_endian(1);
   if (first < lenenc_value_end) return first;
-  if (first == lenenc_2_bytes) return fixed(2);
-  if (first == lenenc_3_bytes) return fixed(3);
-  if (first == lenenc_8_bytes) return fixed(8);
+  if (first == lenenc_2_bytes) return little_endian(2);
+  if (first == lenenc_3_bytes) return little_endian(3);
+  if (first == lenenc_8_bytes) return little_endian(8);
   ok_ = false;
   return 0;
 }
@@ -143,15 +144,15 @@
   return part;
 }
 
-void put_fixed(std::string& out, std::uint64_t value, int bytes) {
+void put_little_endian(std::string& out, std::uint64_t value, int bytes) {
   for (int i = 0; i < bytes; ++i) out += static_cast<char>(value >> (8U * static_cast<unsigned>(i)) & 0xffU);
 }
 
 void put_lenenc(std::string& out, std::uint64_t value) {
-  if (value < lenenc_value_end) return put_fixed(out, value, 1);
+  if (value < lenenc_value_end) return put_little_endian(out, value, 1);
   const int bytes = value <= 0xffff ? 2 : value <= 0xffffff ? 3 : 8;
   out += static_cast<char>(bytes == 2 ? lenenc_2_bytes : bytes == 3 ? lenenc_3_bytes : lenenc_8_bytes);
-  put_fixed(out, value, bytes);
+  put_little_endian(out, value, bytes);
 }
 
 void put_lenenc_text(std::string& out, std::string_view text) {
@@ -165,13 +166,13 @@
   std::string out(1, static_cast<char>(protocol_version));
   out += "8.0.34-cedarring";
   out += '\0';
-  put_fixed(out, connection_id, 4);
+  put_little_endian(out, connection_id, 4);
   out += scramble.substr(0, 8);
   out += '\0';
-  put_fixed(out, capabilities & 0xffffU, 2);
+  put_little_endian(out, capabilities & 0xffffU, 2);
   out += static_cast<char>(charset_utf8mb4);
-  put_fixed(out, status_autocommit, 2);
-  put_fixed(out, capabilities >> 16U, 2);
+  put_little_endian(out, status_autocommit, 2);
+  put_little_endian(out, capabilities >> 16U, 2);
   out += static_cast<char>(scramble.size() + 1);
   out.append(10, '\0');
   out += scramble.substr(8);
@@ -183,20 +184,20 @@
 
 bool parse_greeting(std::string_view payload, Greeting& out) {
   PacketReader in(payload);
-  if (in.fixed(1) != protocol_version) return false;
+  if (in.little_endian(1) != protocol_version) return false;
   in.null_terminated_text();
   in.text(4 + 8 + 1);  // connection id, first part of the scramble, filler
-  out.capabilities = static_cast<std::uint32_t>(in.fixed(2));
+  out.capabilities = static_cast<std::uint32_t>(in.little_endian(2));
   if (!in.ok()) return false;
   in.text(1 + 2);  // character set, status
-  out.capabilities |= static_cast<std::uint32_t>(in.fixed(2)) << 16U;
+  out.capabilities |= static_cast<std::uint32_t>(in.little_endian(2)) << 16U;
   return in.ok();
 }
 
 std::string handshake_response(std::uint32_t capabilities, std::string_view user, std::string_view database) {
   std::string out;
-  put_fixed(out, capabilities, 4);
-  put_fixed(out, max_client_packet, 4);
+  put_little_endian(out, capabilities, 4);
+  put_little_endian(out, max_client_packet, 4);
   out += static_cast<char>(charset_utf8mb4);
   out.append(login_filler_size, '\0');
   out += user;
@@ -211,7 +212,7 @@
 
 bool parse_handshake_response(std::string_view payload, HandshakeResponse& out) {
   PacketReader in(payload);
-  out.capabilities = static_cast<std::uint32_t>(in.fixed(4));
+  out.capabilities = static_cast<std::uint32_t>(in.little_endian(4));
   in.text(4 + 1 + login_filler_size);  // maximum packet size, character set, filler
   out.user = in.null_terminated_text();
   return in.ok() && (out.capabilities & protocol_41) != 0;
@@ -219,20 +220,20 @@
 
 bool parse_ok(std::string_view payload, Ok& out) {
   PacketReader in(payload);
-  const auto header = in.fixed(1);
+  const auto header = in.little_endian(1);
   if (header != header_ok && header != header_eof) return false;
   out = {};
   out.affected_rows = in.lenenc();
   out.last_insert_id = in.lenenc();
-  out.status = static_cast<std::uint16_t>(in.fixed(2));
-  out.warnings = static_cast<std::uint16_t>(in.fixed(2));
+  out.status = static_cast<std::uint16_t>(in.little_endian(2));
+  out.warnings = static_cast<std::uint16_t>(in.little_endian(2));
   if (!in.ok()) return false;
   if (in.rest().empty()) return true;
   in.lenenc_text();  // the human-readable status
   if ((out.status & status_session_changed) == 0) return in.ok();
   PacketReader state(in.lenenc_text());
   while (in.ok() && state.ok() && !state.rest().empty()) {
-    const auto type = state.fixed(1);
+    const auto type = state.little_endian(1);
     PacketReader item(state.lenenc_text());
     if (type != session_track_system_variables) continue;
     const auto name = item.lenenc_text();
@@ -249,8 +250,8 @@
   put_lenenc(out, ok.last_insert_id);
   const bool session_changed = track_session && !ok.variables.empty();
   const auto base_status = static_cast<std::uint16_t>(ok.status & ~status_session_changed);
-  put_fixed(out, session_changed ? base_status | status_session_changed : base_status, 2);
-  put_fixed(out, ok.warnings, 2);
+  put_little_endian(out, session_changed ? base_status | status_session_changed : base_status, 2);
+  put_little_endian(out, ok.warnings, 2);
   if (!session_changed) return out;
   std::string state;
   for (const auto& [name, value] : ok.variables) {
@@ -267,15 +268,15 @@
 
 std::string eof_packet(std::uint16_t status) {
   std::string out("\xfe");
-  put_fixed(out, 0, 2);
-  put_fixed(out, status & ~status_session_changed, 2);
+  put_little_endian(out, 0, 2);
+  put_little_endian(out, status & ~status_session_changed, 2);
   return out;
 }
 
 bool parse_error(std::string_view payload, Error& out) {
   PacketReader in(payload);
-  if (in.fixed(1) != header_error) return false;
-  out.code = static_cast<std::uint16_t>(in.fixed(2));
+  if (in.little_endian(1) != header_error) return false;
+  out.code = static_cast<std::uint16_t>(in.little_endian(2));
   if (!in.ok()) return false;
   out.state = "HY000";
   if (!in.rest().empty() && in.rest()[0] == '#') {
@@ -288,7 +289,7 @@
 
 std::string error_packet(const Error& error) {
   std::string out("\xff");
-  put_fixed(out, error.code, 2);
+  put_little_endian(out, error.code, 2);
   out += '#';
   out += error.state;
   out += error.message;
@@ -372,7 +373,7 @@
   PacketReader reader(parameter.value);
   if (is_integer_type(parameter.type)) {
     const auto bytes = static_cast<int>(parameter.value.size());
-    const auto raw = reader.fixed(bytes);
+    const auto raw = reader.little_endian(bytes);
     const auto unused_bits = static_cast<unsigned>(64 - 8 * bytes);
     if ((parameter.type & unsigned_flag) != 0) return std::to_string(raw);
     return std::to_string(static_cast<std::int64_t>(raw << unused_bits) >> unused_bits);
@@ -384,40 +385,41 @@
   return std::string(text);
 }
 
-bool parse_execute(std::string_view payload, bool attributes, std::size_t placeholders,
-                   const std::vector<Parameter>& types,
+bool parse_execute(std::string_view payload, bool with_attributes, std::size_t placeholders,
+                   const std::vector<Parameter>& previous_parameters,
                    const std::vector<std::optional<std::string>>& long_data, Execute& out) {
   PacketReader in(payload);
   in.text(1);
-  out.statement = static_cast<std::uint32_t>(in.fixed(4));
-  out.flags = static_cast<unsigned char>(in.fixed(1));
-  in.fixed(4);  // iteration count, always 1
+  out.statement = static_cast<std::uint32_t>(in.little_endian(4));
+  out.flags = static_cast<unsigned char>(in.little_endian(1));
+  in.little_endian(4);  // iteration count, always 1
   if (!in.ok()) return false;
   std::uint64_t count = placeholders;
-  const bool has_count = attributes && (out.flags & execute_parameter_count_flag) != 0;
+  const bool has_count = with_attributes && (out.flags & execute_parameter_count_flag) != 0;
   if (has_count) count = in.lenenc();
   // Each parameter takes more than one bit of the packet: rejects forged counts before memory is allocated.
   if (!in.ok() || count < placeholders || count > placeholders + payload.size()) return false;
-  return parse_parameters(in, count, attributes, types, long_data, out.parameters) && in.rest().empty();
+  return parse_parameters(in, count, with_attributes, previous_parameters, long_data, out.parameters) &&
+         in.rest().empty();
 }
 
 std::string execute_packet(std::uint32_t statement, std::size_t placeholders,
                            const std::vector<Parameter>& parameters) {
   std::string out(1, static_cast<char>(com_stmt_execute));
-  put_fixed(out, statement, 4);
+  put_little_endian(out, statement, 4);
   const bool has_count = parameters.size() > placeholders;
   out += has_count ? static_cast<char>(execute_parameter_count_flag) : '\0';
-  put_fixed(out, 1, 4);  // iteration count
+  put_little_endian(out, 1, 4);  // iteration count
   if (has_count) put_lenenc(out, parameters.size());
   put_parameters(out, parameters);
   return out;
 }
 
-bool parse_query(std::string_view payload, bool attributes, Query& out) {
+bool parse_query(std::string_view payload, bool with_attributes, Query& out) {
   PacketReader in(payload);
   in.text(1);
   out.attributes.clear();
-  if (attributes) {
+  if (with_attributes) {
     const auto count = in.lenenc();
     const auto set_count = in.lenenc();
     if (!in.ok() || set_count != 1 || count > payload.size()) return false;
--- a/src/wire/mysql.h
+++ b/src/wire/mysql.h
@@ -54,7 +54,7 @@
   com_reset_connection = 0x1f
 };
 
-/// The first byte of an answer's packets.
+/// The first byte of the OK, EOF and ERR packets of an answer.
 enum Header : unsigned char { header_ok = 0x00, header_eof = 0xfe, header_error = 0xff };
 
 /// Types of columns and parameters (MYSQL_TYPE_*).
@@ -111,7 +111,7 @@
  public:
   explicit PacketReader(std::string_view in) : in_(in) {}
   /// A little-endian integer of `bytes` bytes.
-  std::uint64_t fixed(int bytes);
+  std::uint64_t little_endian(int bytes);
   /// A length-encoded integer.
   std::uint64_t lenenc();
   /// A text of `length` bytes.
@@ -128,7 +128,7 @@
   bool ok_ = true;
 };
 /// Appends a little-endian integer of `bytes` bytes.
-void put_fixed(std::string& out, std::uint64_t value, int bytes);
+void put_little_endian(std::string& out, std::uint64_t value, int bytes);
 /// Appends a length-encoded integer.
 void put_lenenc(std::string& out, std::uint64_t value);
 /// Appends a text after its length as a length-encoded integer.
@@ -227,10 +227,11 @@
 /// Flags of COM_STMT_EXECUTE.
 inline constexpr unsigned char execute_cursor_flags = 7;
 inline constexpr unsigned char execute_parameter_count_flag = 8;
-/// Parses a COM_STMT_EXECUTE payload. `attributes`: the peers use query attributes; `types`: the types bound
-/// by an earlier execution; `long_data`: the values sent ahead, by parameter index.
-bool parse_execute(std::string_view payload, bool attributes, std::size_t placeholders,
-                   const std::vector<Parameter>& types,
+/// Parses a COM_STMT_EXECUTE payload. `with_attributes`: the peers use query attributes;
+/// `previous_parameters`: their types were bound by an earlier execution and apply if this one binds none;
+/// `long_data`: the values sent ahead, by parameter index.
+bool parse_execute(std::string_view payload, bool with_attributes, std::size_t placeholders,
+                   const std::vector<Parameter>& previous_parameters,
                    const std::vector<std::optional<std::string>>& long_data, Execute& out);
 std::string execute_packet(std::uint32_t statement, std::size_t placeholders,
                            const std::vector<Parameter>& parameters);
@@ -239,8 +240,8 @@
   std::vector<Parameter> attributes;
   std::string_view sql;
 };
-/// Parses a COM_QUERY payload. `attributes`: the peers use query attributes.
-bool parse_query(std::string_view payload, bool attributes, Query& out);
+/// Parses a COM_QUERY payload. `with_attributes`: the peers use query attributes.
+bool parse_query(std::string_view payload, bool with_attributes, Query& out);
 std::string query_packet(const std::vector<Parameter>& attributes, std::string_view sql);
 
 // ---- statements ----
@@ -249,7 +250,7 @@
 struct StatementShape {
   std::size_t placeholders = 0;
   bool multiple = false;   // more than one statement
-  bool terminated = true;  // no quote or comment is left open
+  bool terminated = true;  // every quote and comment is closed; false if the text ends inside one
 };
 StatementShape scan_statement(std::string_view sql);
 
--- a/src/wire/mysql_client.cpp
+++ b/src/wire/mysql_client.cpp
@@ -100,7 +100,9 @@
   reply(out);
 }
 
-void MysqlClient::turn_away() { send_fatal(er_too_many_connections, "08004", "Too many connections"); }
+void MysqlClient::reject_too_many_clients() {
+  send_fatal(er_too_many_connections, "08004", "Too many connections");
+}
 
 bool MysqlClient::process_command() {
   Packet packet;
@@ -151,7 +153,7 @@
   PacketReader in(body);
   switch (static_cast<unsigned char>(payload[0])) {
     case com_quit:
-      return leave();
+      return close_and_cancel();
     case com_ping:
     case com_init_db:
       return send_ok();
@@ -167,10 +169,10 @@
     case com_stmt_send_long_data:
       return handle_long_data(body);
     case com_stmt_close:  // has no answer in the protocol
-      statements_.erase(static_cast<std::uint32_t>(in.fixed(4)));
+      statements_.erase(static_cast<std::uint32_t>(in.little_endian(4)));
       return;
     case com_stmt_reset: {
-      auto* statement = find_statement(static_cast<std::uint32_t>(in.fixed(4)));
+      auto* statement = find_statement(static_cast<std::uint32_t>(in.little_endian(4)));
       if (!statement) return;
       statement->reset_long_data();
       return send_ok();
@@ -253,20 +255,20 @@
   // The gateway assigns the id. A host prepares the statement when it is first executed there, so the columns
   // are not known yet: none are announced here, as for SHOW, and the answer to the execution defines them.
   std::string header(1, '\0');
-  put_fixed(header, id, 4);
-  put_fixed(header, 0, 2);  // columns
-  put_fixed(header, statement.placeholders, 2);
-  put_fixed(header, 0, 1 + 2);  // filler, warnings
+  put_little_endian(header, id, 4);
+  put_little_endian(header, 0, 2);  // columns
+  put_little_endian(header, statement.placeholders, 2);
+  put_little_endian(header, 0, 1 + 2);  // filler, warnings
   std::string out;
   put_packet(out, sequence_, header);
   std::string column;
   for (const auto text : {"def", "", "", "", "?", ""}) put_lenenc_text(column, text);
   put_lenenc(column, definition_fixed_size);
-  put_fixed(column, charset_binary, 2);
-  put_fixed(column, 0, 4);  // maximum length
-  put_fixed(column, type_var_string, 1);
-  put_fixed(column, parameter_definition_flags, 2);
-  put_fixed(column, 0, 1 + 2);  // decimals, filler
+  put_little_endian(column, charset_binary, 2);
+  put_little_endian(column, 0, 4);  // maximum length
+  put_little_endian(column, type_var_string, 1);
+  put_little_endian(column, parameter_definition_flags, 2);
+  put_little_endian(column, 0, 1 + 2);  // decimals, filler
   for (std::size_t i = 0; i < statement.placeholders; ++i) put_packet(out, sequence_, column);
   if (statement.placeholders > 0 && !supports(deprecate_eof))
     put_packet(out, sequence_, eof_packet(status_autocommit));
@@ -276,8 +278,8 @@
 /// The command has no answer in the protocol: an error is reported by the next execution.
 void MysqlClient::handle_long_data(std::string_view body) {
   PacketReader in(body);
-  const auto it = statements_.find(static_cast<std::uint32_t>(in.fixed(4)));
-  const auto parameter = in.fixed(2);
+  const auto it = statements_.find(static_cast<std::uint32_t>(in.little_endian(4)));
+  const auto parameter = in.little_endian(2);
   if (!in.ok() || it == statements_.end()) return;
   auto& statement = it->second;
   if (parameter >= statement.placeholders || statement_memory() + in.rest().size() > max_statement_memory) {
@@ -292,7 +294,7 @@
 
 void MysqlClient::handle_execute(std::string_view payload) {
   PacketReader reader(payload.substr(1));
-  auto* statement = find_statement(static_cast<std::uint32_t>(reader.fixed(4)));
+  auto* statement = find_statement(static_cast<std::uint32_t>(reader.little_endian(4)));
   if (!statement) return;
   if (statement->long_data_rejected)
     return send_error(er_packet_too_large, "08S01", "Got a packet bigger than 'max_allowed_packet' bytes");
@@ -346,9 +348,9 @@
   }
 }
 
-void MysqlClient::resume(const std::string& state) {
+void MysqlClient::continue_transferred(const std::string& state) {
   const auto capabilities = to_int(state);
-  if (!capabilities) return leave();
+  if (!capabilities) return close_and_cancel();
   capabilities_ = static_cast<std::uint32_t>(*capabilities) & gateway_capabilities;
   logged_in_ = true;
   on_command_received();
--- a/src/wire/mysql_client.h
+++ b/src/wire/mysql_client.h
@@ -16,12 +16,12 @@
  public:
   MysqlClient(ev::loop_ref loop, Fd fd, ClientSet& owner)
       : Client(loop, std::move(fd), owner, mysql_max_message_size) {}
-  void turn_away() override;
+  void reject_too_many_clients() override;
   void greet() override;
   /// A client with prepared statements cannot move: they are held by this process.
   [[nodiscard]] bool transferable() const override { return logged_in_ && statements_.empty(); }
   [[nodiscard]] std::string transfer_state() const override { return std::to_string(capabilities_); }
-  void resume(const std::string& state) override;
+  void continue_transferred(const std::string& state) override;
 
  private:
   struct Statement {
@@ -34,7 +34,7 @@
     [[nodiscard]] std::size_t size() const { return sql.size() + long_data_size; }
     void reset_long_data();
   };
-  [[nodiscard]] bool silent() const override { return !logged_in_ && in_.empty(); }
+  [[nodiscard]] bool nothing_received() const override { return !logged_in_ && in_.empty(); }
   bool process_command() override;
   void put_answer(broker::FinalAnswer answer, std::string& out) override;
   void handle_handshake_response(std::string_view payload);
--- a/src/wire/mysql_host.cpp
+++ b/src/wire/mysql_host.cpp
@@ -170,10 +170,10 @@
     return true;
   }
   PacketReader in(payload);
-  if (in.fixed(1) != 0) return false;
-  preparing_statement_ = static_cast<std::uint32_t>(in.fixed(4));
-  const auto columns = in.fixed(2);
-  const auto parameters = in.fixed(2);
+  if (in.little_endian(1) != 0) return false;
+  preparing_statement_ = static_cast<std::uint32_t>(in.little_endian(4));
+  const auto columns = in.little_endian(2);
+  const auto parameters = in.little_endian(2);
   // With another number of parameters than the gateway counted, the host would misread the EXECUTE.
   if (!in.ok() || parameters != request().placeholders) return false;
   statements_.push_front({request().sql, preparing_statement_});
@@ -183,7 +183,7 @@
   };
   while (statements_.size() > max_statements || statement_memory() > max_statement_memory) {
     std::string close(1, static_cast<char>(com_stmt_close));
-    put_fixed(close, statements_.back().id, 4);
+    put_little_endian(close, statements_.back().id, 4);
     statements_.pop_back();
     write_command(close, false);
   }
--- a/src/wire/pg.h
+++ b/src/wire/pg.h
@@ -61,17 +61,21 @@
 /// Parses the message at the front of `in`; malformed if its length field is less than 4 or more than
 /// `max_length`.
 FrameStatus next_message(std::string_view in, std::size_t max_length, Message& out);
-/// The body size of the Query message at the front of `in`, if its length field is more than `threshold` and
-/// at most `max_length`. Only the five bytes of the header have to be there.
+/// For a Query message too long for the input buffer, which is read into separate memory: the body size of
+/// the Query message at the front of `in`, if its length field is more than `threshold` (the longest length
+/// that the input buffer takes) and at most `max_length`; otherwise nothing. Only the five bytes of the
+/// header have to be there.
 std::optional<std::size_t> long_query_size(std::string_view in, std::size_t threshold,
                                            std::size_t max_length);
 /// Parses the first message of a client, which has no type byte.
 FrameStatus next_startup(std::string_view in, Startup& out);
 
-/// The size of the DataRow at the front of `in`, if it has a single column that fills it and is longer than
-/// `threshold` and at most `max_size`. Only its header of 11 bytes has to be there.
+/// For a DataRow that is streamed to the client instead of being buffered whole: the size of the DataRow at
+/// the front of `in`, if it has a single column that fills it and is longer than `threshold` (the longest row
+/// that is buffered) and at most `max_size`; otherwise nothing. Only its header of 11 bytes has to be there.
 std::optional<std::size_t> long_row_size(std::string_view in, std::size_t threshold, std::size_t max_size);
-/// Whether `in` may be the start of a long row but is shorter than the header that long_row_size() needs.
+/// Whether more input is needed to call long_row_size(): `in` starts with a DataRow longer than `threshold`
+/// and at most `max_size`, but holds less than the 11 bytes of its header.
 bool may_begin_long_row(std::string_view in, std::size_t threshold, std::size_t max_size);
 /// Removes a null-terminated string from the front of `body` and returns it; nothing if there is no
 /// terminator.
--- a/src/wire/pg_client.cpp
+++ b/src/wire/pg_client.cpp
@@ -37,7 +37,9 @@
   return false;
 }
 
-void PgClient::turn_away() { send_fatal(pg::sqlstate::too_many_connections, "too many clients"); }
+void PgClient::reject_too_many_clients() {
+  send_fatal(pg::sqlstate::too_many_connections, "too many clients");
+}
 
 bool PgClient::read_startup() {
   pg::Startup startup;
@@ -52,7 +54,7 @@
       reply("N");
       return true;
     case pg::StartupKind::cancel:
-      leave();
+      close_and_cancel();
       return false;
     case pg::StartupKind::unknown:
       return send_fatal(pg::sqlstate::protocol_violation, "unsupported protocol version");
@@ -103,7 +105,7 @@
     return send_fatal(pg::sqlstate::protocol_violation, "message length out of range");
   if (frame == pg::FrameStatus::partial) return false;
   if (message.type == pg::message_type::terminate) {
-    nothing_pending() ? leave() : reply_and_close({});
+    nothing_pending() ? close_and_cancel() : reply_and_close({});
     return false;
   }
   if (message.type != pg::message_type::query)
--- a/src/wire/pg_client.h
+++ b/src/wire/pg_client.h
@@ -14,15 +14,15 @@
  public:
   PgClient(ev::loop_ref loop, Fd fd, ClientSet& owner)
       : Client(loop, std::move(fd), owner, pg_max_message_size) {}
-  void turn_away() override;
+  void reject_too_many_clients() override;
   [[nodiscard]] bool transferable() const override { return startup_done_; }
-  void resume(const std::string& /*state*/) override {
+  void continue_transferred(const std::string& /*state*/) override {
     startup_done_ = true;
     on_command_received();
   }
 
  private:
-  [[nodiscard]] bool silent() const override { return !startup_done_ && in_.empty(); }
+  [[nodiscard]] bool nothing_received() const override { return !startup_done_ && in_.empty(); }
   [[nodiscard]] std::size_t pipeline_depth() const override { return max_pipelined_queries; }
   bool process_command() override { return startup_done_ ? read_message() : read_startup(); }
   void put_answer(broker::FinalAnswer answer, std::string& out) override;
--- a/src/wire/upstream.cpp
+++ b/src/wire/upstream.cpp
@@ -111,7 +111,7 @@
     timer_.start(stream_stall_timeout_s);
   } else {
     timer_.stop();
-    pause_reading(true);
+    set_reading_paused(true);
   }
   return read_on;
 }
@@ -119,7 +119,7 @@
 void HostConnection::resume() {
   if (closed() || !job_ || !streaming_) return;
   timer_.start(stream_stall_timeout_s);
-  pause_reading(false);
+  set_reading_paused(false);
   on_resume();
 }
 
--- a/src/wire/upstream.h
+++ b/src/wire/upstream.h
@@ -23,7 +23,8 @@
 struct Job {
   std::optional<broker::AttemptKey> attempt;  // absent: a probe
   std::shared_ptr<const broker::RequestPayload> work;
-  Time started_at{}, give_up_at{};
+  Time started_at{};
+  Time give_up_at{};  // applies until the first part of a streamed answer; then only a stall ends the attempt
   bool sole_candidate = true;  // no other host can serve the request: wait the full connect time-out
 };
 
@@ -34,10 +35,10 @@
   /// `max_message`: bytes of the longest message that fits the input buffer.
   HostConnection(ev::loop_ref loop, Fd fd, HostId host, SocketUpstream& owner, std::size_t max_message);
   void run(Job job);
-  /// Closes without reporting a result to the owner.
+  /// Closes the connection and drops its job without reporting a result; the owner removes it.
   void abandon();
-  /// The host is draining, gone or has another address: a job whose request has not been written yet ends;
-  /// another is completed, but the connection is not reused.
+  /// To be called when the host is draining, gone or has another address: a job whose request has not been
+  /// written yet ends as not sent; any other job is completed. The connection is not reused.
   void retire();
   /// The client has read enough of a streamed answer: reads on.
   void resume();
@@ -54,13 +55,16 @@
   [[nodiscard]] bool has_pending_work() const final { return job_.has_value(); }
   void on_end(int error) final;
   void on_sent() final;
+  /// To be called when the connection has closed: finishes the job with `result`, or, if there is none, with
+  /// the outcome that a lost connection implies. Without a job, only removes the connection.
   void end(std::optional<broker::AttemptResult> result);
   /// To be called when the host has completed the handshake.
   void on_handshake_done();
   /// Writes the last or only part of the request: once its last byte is sent the request may run.
   bool write_request(std::string_view bytes);
-  /// Reports the job's result. The connection is kept only if no unexpected bytes are left on it, which would
-  /// be taken for part of the next answer.
+  /// Reports the job's result to the owner, which keeps or destroys the connection. The connection is kept
+  /// only if `keep` is set and no unexpected bytes are left on it, which would be taken for part of the next
+  /// answer.
   void finish(broker::AttemptResult result, bool keep);
   /// Passes a part of a long answer on. From the first part on only a stalled host ends the attempt. Returns
   /// false if the connection has to wait: nothing is read until on_resume().
@@ -108,13 +112,15 @@
     broker_ = &broker;
     apply_limit();
   }
-  /// A factor on the connection limit; connections beyond it are closed as they become idle or make room.
+  /// Multiplies the connection limit by `factor`. Connections above the new limit are closed when they become
+  /// idle, or when an idle one must make room for a new one.
   void scale_limit(double factor) {
     factor_ = factor;
     apply_limit();
   }
 
-  /// While another process takes over, connections are closed as they become idle.
+  /// true while another process takes over: idle connections are closed at once, others as they become idle.
+  /// false: connections are pooled again.
   void set_draining(bool draining);
   /// Apply from the next connection or sweep on.
   void set_timeouts(Duration connect_timeout, Duration idle_timeout) {
@@ -129,8 +135,9 @@
   [[nodiscard]] std::size_t connections() const { return connections_.size(); }
   /// Closes idle connections, the longest idle first, until at most `max_connections` remain or none is idle.
   void trim(std::size_t max_connections);
-  /// The callback runs when a connection is needed and the limit is reached; it may raise the limit.
-  void on_limit_reached(std::function<void()> callback) { limit_reached_ = std::move(callback); }
+  /// Sets the callback that runs when a connection is needed and the limit is reached; it may raise the
+  /// limit.
+  void set_limit_callback(std::function<void()> callback) { limit_reached_ = std::move(callback); }
 
   void start(broker::AttemptKey key, HostId host, const std::string& address,
              const std::shared_ptr<const broker::RequestPayload>& work, Time give_up_at,
@@ -148,7 +155,7 @@
   fleet::AdaptiveConnectTimeout& adaptive_connect_timeout() { return adaptive_connect_timeout_; }
   /// A job is done; the connection becomes idle if `keep`, else it is destroyed.
   void on_job_done(HostConnection* connection, const Job& job, broker::AttemptResult result, bool keep);
-  /// Destroys a closed connection.
+  /// Removes a connection that is closed already; the reaper destroys it later.
   void remove(HostConnection* connection);
   /// The last byte of the job's request has been sent.
   void on_request_sent(const Job& job);
@@ -158,6 +165,7 @@
  private:
   void run(HostId host, const std::string& address, Job job);
   void report(const Job& job, HostId host, broker::AttemptResult result);
+  /// Abandons the connection's job, if any, and removes the connection.
   void close(HostConnection* connection);
   void on_timer(ev::timer&, int);
   void sweep(ev::timer&, int);
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the broker with a fake front end, a fake upstream and a manual clock; no sockets.
+// Tests of Broker (admission, budgets, attempts, time-outs, host list), IdlePool and the connection limits,
+// with a fake front end, a fake upstream and a manual clock; no sockets.
 #include "broker/broker.h"
 
 #include <gtest/gtest.h>
@@ -26,15 +27,15 @@
 };
 
 struct FakeUpstream : Upstream {
-  struct Started {
+  struct StartedAttempt {
     AttemptKey key;
     std::string address;
     Time give_up_at;
   };
-  std::vector<Started> started;
+  std::vector<StartedAttempt> started;
   std::vector<AttemptKey> cancelled;
   std::vector<std::string> probes;
-  int in_flight = 0, max_in_flight = 0, watches = 0;
+  int in_flight = 0, max_in_flight = 0, watch_count = 0;
   Time timer_due{};
   std::optional<Outcome> immediate_outcome;  // if set, every attempt ends with it before start() returns
   Broker* broker = nullptr;
@@ -56,7 +57,7 @@
     --in_flight;
   }
   void probe(HostId, const std::string& address) override { probes.push_back(address); }
-  void open_watch() override { ++watches; }
+  void open_watch() override { ++watch_count; }
   void set_timer(Time due) override { timer_due = due; }
   void close_idle(HostId) override {}
 };
@@ -122,6 +123,7 @@
     return id;
   }
   int request_count = 0;
+  /// Advances the clock to `end` in steps of 5 ms and fires the broker's timer after each step.
   void run_until(Time end) {
     while (now < end) {
       now += 5ms;
@@ -330,11 +332,11 @@
 TEST(Broker, WatchIsReopenedAfterFailedList) {
   BrokerFixture fixture;
   fixture.run_until(fixture.now + 2s);
-  const auto watches_before = fixture.upstream.watches;
-  EXPECT_GE(watches_before, 1);
+  const auto watch_count_before = fixture.upstream.watch_count;
+  EXPECT_GE(watch_count_before, 1);
   fixture.broker.on_member_list_failed();
   fixture.run_until(fixture.now + 10s);
-  EXPECT_GT(fixture.upstream.watches, watches_before);
+  EXPECT_GT(fixture.upstream.watch_count, watch_count_before);
 }
 
 TEST(IdlePool, TakesMostRecentlyUsedAndExpiresOldest) {
--- a/tests/support/stand_in.cpp
+++ b/tests/support/stand_in.cpp
@@ -209,8 +209,8 @@
   const auto head = socket.read(4);
   if (!head) return std::nullopt;
   my::PacketReader reader(*head);
-  const auto length = reader.fixed(3);
-  sequence = static_cast<std::uint8_t>(reader.fixed(1) + 1);
+  const auto length = reader.little_endian(3);
+  sequence = static_cast<std::uint8_t>(reader.little_endian(1) + 1);
   return socket.read(length);
 }
 
@@ -332,17 +332,17 @@
       const auto id = static_cast<std::uint32_t>(statements.size() + 1);
       statements[id] = packet->substr(1);
       std::string head(1, '\0');
-      my::put_fixed(head, id, 4);
-      my::put_fixed(head, 0, 2);
+      my::put_little_endian(head, id, 4);
+      my::put_little_endian(head, 0, 2);
       const auto placeholders = my::scan_statement(statements[id]).placeholders;
-      my::put_fixed(head, placeholders, 2);
-      my::put_fixed(head, 0, 3);
+      my::put_little_endian(head, placeholders, 2);
+      my::put_little_endian(head, 0, 3);
       send_packet(head);
       for (std::size_t i = 0; i < placeholders; ++i) send_packet("a parameter");
       continue;
     }
     if ((*packet)[0] == my::com_stmt_execute) {
-      const auto id = static_cast<std::uint32_t>(reader.fixed(4));
+      const auto id = static_cast<std::uint32_t>(reader.little_endian(4));
       if (forget_statements || statements.count(id) == 0) {
         send_packet(my::error_packet({1243, "HY000", "unknown statement"}));
         continue;
@@ -782,8 +782,8 @@
   command(std::string(1, static_cast<char>(my::com_stmt_prepare)) + sql);
   const auto head = read_packet().value_or("");
   my::PacketReader reader(head);
-  reader.fixed(1);
-  return static_cast<std::uint32_t>(reader.fixed(4));
+  reader.little_endian(1);
+  return static_cast<std::uint32_t>(reader.little_endian(4));
 }
 
 my::Error MysqlRaw::read_error() {
