--- a/src/tools/rig/links.cpp
+++ b/src/tools/rig/links.cpp
@@ -86,7 +86,7 @@
       number_(number),
       gateway_(gateway),
       host_(host) {
-  if (requests_cut()) pause_reading(true);
+  if (requests_cut()) set_reading_paused(true);
 }
 
 bool HostLink::requests_cut() const {
@@ -96,7 +96,7 @@
 
 void HostLink::on_link_change() {
   if (closed()) return;
-  pause_reading(requests_cut());
+  set_reading_paused(requests_cut());
   if (!rig_.link_fault_of(gateway_, host_).answers_cut && !unsent_.empty()) write(std::exchange(unsent_, {}));
   if (!requests_cut() && !in_.empty()) on_input();
 }
@@ -358,13 +358,13 @@
 // ---- discovery ----
 DiscoveryLink::DiscoveryLink(Rig& rig, wire::Fd fd, int gateway)
     : Link(rig.loop_, std::move(fd), false, 8192, max_output_bytes), rig_(rig), gateway_(gateway) {
-  if (rig.link_fault_of(gateway, -1).requests_cut) pause_reading(true);
+  if (rig.link_fault_of(gateway, -1).requests_cut) set_reading_paused(true);
 }
 
 void DiscoveryLink::on_link_change() {
   if (closed()) return;
   const auto& fault = rig_.link_fault_of(gateway_, -1);
-  pause_reading(fault.requests_cut);
+  set_reading_paused(fault.requests_cut);
   if (!fault.requests_cut && !in_.empty()) on_input();
   if (!fault.answers_cut && watching_) rig_.send_list(gateway_);
 }
--- a/src/tools/rig/relay.cpp
+++ b/src/tools/rig/relay.cpp
@@ -71,7 +71,7 @@
 void Relay::Endpoint::update() {
   if (closed()) return;
   const int to = peer_ == stream_.from ? stream_.to : stream_.from;
-  pause_reading(relay_.link_state_(peer_, to).cut);
+  set_reading_paused(relay_.link_state_(peer_, to).cut);
   on_input();
 }
 
