--- a/tests/reduced_test.cpp
+++ b/tests/reduced_test.cpp
@@ -241,8 +241,15 @@
     EXPECT_EQ(desk.query(statement("desk" + std::to_string(i), "history")).types, "TDCZ") << i;
   }
   // Each client repeats its queries at once on its own connection, unless the connection has been closed.
+  // The other team keeps querying: a client that stays idle may be closed after 150 ms while clients hold
+  // this many connections.
+  int repeats = 0;
   for (int round = 0; round < 2; ++round)
     for (auto& client : batch) {
+      if (++repeats % 50 == 0) {
+        EXPECT_EQ(desk.query(statement("repeat" + std::to_string(repeats), "history")).types, "TDCZ")
+            << repeats;
+      }
       bool connected = true;
       for (int i = 0; i < 4 && connected; ++i) {
         const auto answer = client->read_answer();
