--- a/include/cedarring/router.h
+++ b/include/cedarring/router.h
@@ -15,7 +15,7 @@
 /// A length of time in microseconds.
 using Duration = std::chrono::microseconds;
 /// A point in time in microseconds on the caller's monotonic clock, counted from any fixed instant.
-/// Replication positions are points in time too: the commit time up to which a host has applied its
+/// Replication positions have this type too: a position is the commit time up to which a host has applied its
 /// replication log.
 using Time = std::chrono::microseconds;
 
@@ -27,12 +27,17 @@
   friend bool operator!=(Id a, Id b) { return a.value != b.value; }
   friend bool operator<(Id a, Id b) { return a.value < b.value; }
 };
+/// A database host.
 using HostId = Id<struct HostTag, std::uint32_t>;
+/// A replica group: a primary and its replicas.
 using GroupId = Id<struct GroupTag, std::int64_t>;
 /// Index into Settings::classes; -1 for a class that is not configured.
 using ClassId = Id<struct ClassTag, std::int32_t>;
+/// A zone in which hosts and routers run.
 using ZoneId = Id<struct ZoneTag, std::int32_t>;
+/// A client's session, whose reads may require its own earlier writes.
 using SessionId = Id<struct SessionTag, std::uint64_t>;
+/// A request. Of two requests of a class, the router takes the one with the greater id for the newer one.
 using RequestId = Id<struct RequestTag, std::uint64_t>;
 
 /// Whether a request may run twice: `safe` always, `keyed` within its deduplication window, `unsafe` never.
@@ -61,12 +66,21 @@
 /// Content of a member list: changed entries only, all entries, all entries as of some earlier time, or a
 /// failed request without entries.
 enum class ListKind { delta, full, cached, failed };
-/// Result of an attempt or a probe. `full`: the host rejected it for lack of capacity; `not_sent`: never
-/// written, through no fault of the host, and written "moot" in logs and in the simulator's protocol;
-/// `too_stale`: the host's position is too old for the read, and written "miss" there.
+/// Result of an attempt or a probe.
+/// - `ok`, `error`: the host answered; `error`: with an error.
+/// - `full`: the host rejected the request for lack of capacity.
+/// - `timeout`: the answer did not arrive in time.
+/// - `connect_failed`: no connection to the host was established.
+/// - `reset`: the connection was lost.
+/// - `cancelled`: the caller ended the attempt.
+/// - `not_sent`: the request was never written, through no fault of the host.
+/// - `too_stale`: the host's position is too old for the read, or the host is a replica and refused a write.
+///
+/// After `full`, `connect_failed`, `not_sent` and `too_stale` the router relies on the request not having
+/// run.
 enum class Outcome { ok, error, full, timeout, connect_failed, reset, cancelled, not_sent, too_stale };
-/// The outcome's name in logs and records. Two names differ from their enumerators: `not_sent` is written
-/// "moot" and `too_stale` is written "miss".
+/// The outcome's name in logs and records. Two names differ from their enumerators: "moot" stands for
+/// `not_sent` and "miss" for `too_stale`.
 constexpr const char* name_of(Outcome outcome) {
   constexpr const char* names[] = {"ok",    "error",     "full", "timeout", "connect_failed",
                                    "reset", "cancelled", "moot", "miss"};
@@ -78,8 +92,8 @@
   std::string name;
   Duration latency_target{};  // an answer within this time earns `value`; above 0, at most `deadline`
   Duration deadline{};        // the longest that a client waits, over all its retries
-  double value = 1;           // of an answer within the latency target, 0 or more, relative to other classes
-  double late_value = 0;      // of an answer after the latency target, as a factor on `value`, 0 or more
+  double value = 1;  // what an answer within the latency target earns, relative to other classes; 0 or more
+  double late_value = 0;  // factor on `value` for an answer after the latency target; 0 or more
   Idempotency idempotency = Idempotency::safe;
   DedupScope dedup_scope = DedupScope::all;
   Duration dedup_window{};  // time within which a repeat of a keyed request is dropped; above 0 for `keyed`
@@ -87,14 +101,15 @@
   Duration staleness_bound{};      // maximum replication lag for bounded reads; above 0 for `bounded`
   std::uint32_t max_attempts = 0;  // per request; 0 uses Settings::max_attempts
 };
+/// Compares all fields.
 bool operator==(const RequestClass& a, const RequestClass& b);
 
 /// Configuration of a router.
 struct Settings {
-  std::uint64_t seed = 0;             // of the router's random numbers; equal seeds give equal decisions
-  std::uint32_t instance_index = 0;   // of this router among `instance_count`, from 0
-  std::uint32_t instance_count = 1;   // routers that share the hosts, 1 or more
-  ZoneId zone{};                      // in which this router runs
+  std::uint64_t seed = 0;  // seed of the random numbers; with the same seed, equal events give equal actions
+  std::uint32_t instance_index = 0;   // index of this router among all that share the hosts, from 0
+  std::uint32_t instance_count = 1;   // number of routers that share the hosts, 1 or more
+  ZoneId zone{};                      // zone in which this router runs
   std::vector<RequestClass> classes;  // at least one
   StaleReadPolicy stale_read_policy = StaleReadPolicy::none;
   ListedRole listed_role = ListedRole::none;
@@ -106,20 +121,20 @@
   bool hedging_allowed = false;            // a request may have several attempts in flight
   bool retry_after_allowed = false;        // refusals may carry a delay after which the client retries
   bool removed_hosts_stay_usable = false;  // a ready host that leaves the list stays in use
-  bool late_refusal_costs =
-      false;  // a late refusal of a request that was never sent costs more than an early one
-  std::uint32_t max_attempts = 8;          // per request, 1 or more; see RequestClass::max_attempts
+  // Whether a late refusal of a request that was never sent costs more than an early one.
+  bool late_refusal_costs = false;
+  std::uint32_t max_attempts = 8;          // attempts per request, 1 or more; see RequestClass::max_attempts
   Duration max_retry_after{1'000'000};     // upper limit of Refuse::retry_after
-  Duration max_poll_interval{10'000'000};  // between two requests for the member list; above 0
-  // The longest tolerated time in which a host that is draining or gone may still get new attempts. The
-  // router sends none from the member list on; the time is left for the list to arrive.
+  Duration max_poll_interval{10'000'000};  // longest time between two requests for the member list; above 0
+  // Time after a host was set to draining or gone in which new attempts at it are tolerated. The router sends
+  // none once it has the member list, so this is the time that the list may take to arrive.
   Duration drain_grace{1'000'000};
-  Duration warm_up_duration{};          // a started host reaches its full capacity after this time; 0 or more
-  double cold_capacity_share = 1;       // share of its capacity that a host has at its start, above 0 to 1
-  double overload_multiple = 3;         // multiple of a cold host's capacity that overloads it; above 0
-  Duration overload_window{1'000'000};  // period over which the overload of a cold host is counted; above 0
+  Duration warm_up_duration{};     // a started host reaches its full capacity after this time; 0 or more
+  double cold_capacity_share = 1;  // share of its capacity that a host has at its start, above 0 to 1
+  double overload_multiple = 3;    // multiple of its present capacity that overloads a cold host; above 0
+  Duration overload_window{1'000'000};  // period over which the work sent to a cold host is summed; above 0
   Duration quantum{5'000};              // resolution of the caller's clock and timers; 0 or more
-  double probe_cost = 0;                // of one probe, in values of a request; 0 makes probes free
+  double probe_cost = 0;                // cost of one probe over the value of one request; 0: probes are free
   Duration connect_timeout{250'000};    // a connection that is not established by then has failed
   Duration idle_timeout{15'000'000};    // idle connections to hosts are closed after this time
 };
@@ -130,7 +145,7 @@
 
 // ---- events -------------------------------------------------------------------------------------
 
-/// A host in a member list.
+/// The entry of a host in a member list.
 struct HostEntry {
   HostId host;
   GroupId group;
@@ -177,8 +192,9 @@
   bool request_ended = false;  // the client has its final answer; no further attempt is needed
   AnswerMetadata metadata;
   LoadReport report;
-  bool connect_timed_out =
-      false;  // with connect_failed: the connect timeout expired, not a refused connection
+  // For Outcome::connect_failed: whether the connect timeout expired. Otherwise the connection may have been
+  // refused.
+  bool connect_timed_out = false;
 };
 /// The first part of an answer was passed on to the client, so the request cannot be retried any more.
 struct AnswerStarted {
@@ -198,10 +214,11 @@
 };
 /// A timer set by SetTimer is due.
 struct TimerFired {
-  std::uint64_t timer = 0;
+  std::uint64_t timer = 0;  // as in SetTimer
 };
 /// The router starts; must be the first event.
 struct Started {};
+/// Any input of the router.
 using Event = std::variant<Started, MembersListed, RequestArrived, AttemptEnded, AnswerStarted, ClientLeft,
                            ProbeEnded, TimerFired>;
 
@@ -212,8 +229,8 @@
   RequestId request;
   HostId host;
   Time give_up_at{};  // end the attempt at this time; zero: no limit of its own
-  // Only the primary can take the request, or the request has had an attempt before: a slow connection is
-  // waited for during the full connect timeout.
+  // Whether connecting may take the full connect timeout instead of the adaptive one, because only the
+  // primary can take the request or because this is a retry.
   bool sole_candidate = false;
 };
 /// Cancel an attempt in flight.
@@ -226,7 +243,8 @@
   RequestId request;
   Duration retry_after{};  // delay to suggest to the client; zero: none
 };
-/// End the request with an error. It may have run, and running it twice might do harm.
+/// End the request with an error. Unlike a refused request it may have run, so a repeat might take effect
+/// twice.
 struct Fail {
   RequestId request;
 };
@@ -240,8 +258,9 @@
   Time due{};
 };
 /// Request the member list: in poll mode the next list, and in either mode again after a failed request. A
-/// source that supports updates sends them from then on.
+/// source of member lists that supports updates sends them from then on.
 struct OpenWatch {};
+/// Any output of the router, to be carried out by the caller.
 using Action = std::variant<Send, Cancel, Refuse, Fail, Probe, SetTimer, OpenWatch>;
 
 // ---- monitoring and control -----------------------------------------------------------------------
@@ -255,8 +274,8 @@
   int avoided = 0;               // of `unavailable`: sent nothing for twice the longest latency target
   int replicas = 0;              // of `hosts`: not the primary
   int lagging = 0;               // of `replicas`: not known to be within the tightest staleness bound
-  int in_flight = 0;             // attempts
-  int waiting = 0;               // requests not yet sent
+  int in_flight = 0;             // attempts in flight at these hosts
+  int waiting = 0;               // requests that wait for their first attempt or for a retry
   double concurrency_limit = 0;  // sum of the hosts' estimated limits on attempts in flight
   int primary_in_flight = 0;     // of `in_flight`: at the primary
   double primary_concurrency_limit = 0;
@@ -264,16 +283,17 @@
 };
 /// Factors on the router's internal budgets, set while service is degraded.
 struct Tuning {
-  double probe_rate = 1;      // 0.1 to 10
-  double retry_budget = 1;    // 0 to 1
-  double read_spillover = 1;  // 0 to 1: share of the primary's concurrency limit open to reads while the
-                              // replicas are merely busy
+  double probe_rate = 1;    // 0.1 to 10: on the rate of regular probes
+  double retry_budget = 1;  // 0 to 1: on the retries that each request pays for
+  // 0 to 1: on the share of the primary's concurrency limit that is open to reads while the replicas are
+  // merely busy.
+  double read_spillover = 1;
 };
 
 struct RouterSnapshot;  // cedarring/snapshot.h
-/// Content of a snapshot. `all`: everything. `hosts`: host state only. `split`: everything but the sessions;
-/// taking the snapshot halves the budgets: this router keeps one half, and the receiver of the snapshot gets
-/// the other.
+/// Content of a snapshot. `all`: hosts, sessions and classes, but no budgets. `hosts`: hosts only. `split`:
+/// hosts, classes and budgets; taking the snapshot halves the budgets: this router keeps one half, and the
+/// receiver of the snapshot gets the other.
 enum class SnapshotScope { all, hosts, split };
 
 /// The routing state machine: takes events, returns actions. Not thread-safe; instances share no state.
@@ -287,8 +307,8 @@
   Router(const Router&) = delete;
   Router& operator=(const Router&) = delete;
 
-  /// Handles one event at `now`, which must not decrease between calls, and appends the resulting actions to
-  /// `out`.
+  /// Handles one event at `now` and appends the resulting actions to `out`. `now` must not decrease between
+  /// calls.
   void handle(Time now, const Event& event, std::vector<Action>& out);
 
   /// Whether the router still holds state for the host; the caller may drop the id of any other host.
@@ -305,7 +325,7 @@
   /// change. Throws std::invalid_argument as check() does, without changing anything.
   void update_settings(Settings settings);
 
-  /// State for a successor router; with SnapshotScope::split also halves this router's budgets.
+  /// Returns state for a successor router; with SnapshotScope::split also halves this router's budgets.
   [[nodiscard]] RouterSnapshot snapshot(Time now, SnapshotScope scope);
   /// Merges newer state from a predecessor, for the hosts and classes that this router knows.
   void merge_snapshot(Time now, const RouterSnapshot& snapshot);
@@ -317,8 +337,8 @@
   /// if no other router spends them any more, less if another one does and its usage is unknown.
   void set_slow_start_share(Time now, double share);
 
-  /// Number of hosts, requests, waiting requests and remembered session writes held, to verify that memory
-  /// stays bounded. Waiting requests count twice.
+  /// Number of hosts, requests, waiting requests and remembered session writes that the router holds, to
+  /// verify that memory stays bounded. Waiting requests count twice.
   [[nodiscard]] std::size_t entry_count() const;
 
  private:
