--- a/src/fleet/outlier_detector.h
+++ b/src/fleet/outlier_detector.h
@@ -20,14 +20,14 @@
     // Seconds, above 0: time constant of an outcome's weight after a pause, and of the score's decay after an
     // ejection.
     double time_constant_s;
-    double eject_at;  // failure score from which the host is ejected, 0 to 1
+    double ejection_score;  // failure score from which the host is ejected, 0 to 1
   };
   /// State that another process of the same gateway may take over.
   struct State {
     double failure_score = 0;  // 0 to 1
     Time last_outcome_at = unset;
-    Time ejected_until = unset;
-    Duration backoff{};  // length of the last ejection, before jitter
+    Time ejected_until = unset;  // `unset`: not ejected
+    Duration backoff{};          // length of the last ejection, before jitter
   };
   /// Earlier than any time on the clock, and safe to subtract.
   static constexpr Time unset{-40'000'000'000'000'000};
@@ -44,19 +44,19 @@
     state_.ejected_until = other.ejected_until;
     state_.backoff = std::max(state_.backoff, other.backoff);
   }
-  /// Clears the score and the ejection, because the host's process was restarted. Keeps the backoff,
-  /// from which the length of the next ejection is computed.
+  /// Clears the score and the ejection after the host's process was restarted. Keeps the backoff, from which
+  /// the length of the next ejection is computed.
   void reset() {
     state_.failure_score = 0;
     state_.ejected_until = unset;
   }
   /// Records a failed request that counts as `weight` ordinary ones; `weight` is above 0. `observed_since`:
   /// when this router, or the predecessor whose state it merged, received its first event; the pause before
-  /// the first outcome counts from there. Returns whether the host should be ejected.
+  /// the first outcome is counted from this time. Returns whether the host should be ejected.
   bool record_failure(Time now, Time observed_since, double weight) {
     state_.failure_score += std::min(1.0, gain(now, observed_since) * weight) * (1 - state_.failure_score);
     state_.last_outcome_at = now;
-    return state_.failure_score >= config_.eject_at;
+    return state_.failure_score >= config_.ejection_score;
   }
   /// Ejects the host for `min_length`, or for twice the last ejection but at most `max_backoff`, whichever is
   /// longer; multiplied by `jitter`.
@@ -71,7 +71,7 @@
     state_.last_outcome_at = now;
     if (ejected() && now >= state_.ejected_until) {
       state_.ejected_until = unset;
-      state_.failure_score = std::min(state_.failure_score, config_.eject_at * recovered_share);
+      state_.failure_score = std::min(state_.failure_score, config_.ejection_score * recovered_share);
     }
     if (state_.failure_score < healthy_score) state_.backoff = Duration::zero();
   }
@@ -87,10 +87,11 @@
   }
 
  private:
-  static constexpr double recovered_share = 0.8;  // of eject_at: highest score after a recovery
+  static constexpr double recovered_share = 0.8;  // of ejection_score: highest score after a recovery
   static constexpr double healthy_score = 0.1;  // below it the next ejection starts from the shortest length
 
-  static double seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
+  static double seconds(Duration duration) { return static_cast<double>(duration.count()) / 1e6; }
+  /// Weight of an outcome at `now`: the configured gain, or more after a long pause.
   [[nodiscard]] double gain(Time now, Time observed_since) const {
     const Duration pause = now - std::max(state_.last_outcome_at, observed_since);
     return std::max(config_.gain, 1 - std::exp(-seconds(pause) / config_.time_constant_s));
--- a/src/fleet/probe_budget.h
+++ b/src/fleet/probe_budget.h
@@ -9,9 +9,9 @@
 /// A balance of probe tokens.
 class ProbeBudget {
  public:
-  /// `probe_cost`: of one probe, in values of a request, 0 or more; 0 makes probes free. `share`: of the
-  /// requests' value that probes may cost, 0 to 1. `max_tokens`: limit of the balance, 1 or more, and the
-  /// balance at the start.
+  /// `probe_cost`: cost of one probe over the value of one request, 0 or more; 0 makes probes free. `share`:
+  /// share of the requests' value that probes may cost, 0 to 1. `max_tokens`: limit of the balance, 1 or
+  /// more, and the balance at the start.
   ProbeBudget(double probe_cost, double share, double max_tokens)
       : tokens_per_request_(probe_cost > 0 ? share / probe_cost : 0),
         max_tokens_(max_tokens),
@@ -19,8 +19,8 @@
         free_(probe_cost <= 0) {}
   /// Adds the tokens of one request.
   void earn() { tokens_ = std::min(max_tokens_, tokens_ + tokens_per_request_); }
-  /// Whether a probe may be sent while the share `reserved` (0 to 1) of the maximum balance is left for more
-  /// urgent probes.
+  /// Whether a probe may be sent if the share `reserved` (0 to 1) of the maximum balance is to remain for
+  /// more urgent probes.
   [[nodiscard]] bool available(double reserved = 0) const {
     return free_ || tokens_ >= 1 + reserved * max_tokens_;
   }
@@ -28,7 +28,7 @@
   void spend() { tokens_ -= free_ ? 0 : 1; }
   /// Halves the balance and returns the other half, for another process of this gateway.
   double split_half() { return tokens_ /= 2; }
-  /// Replaces the balance, limited to 0 to the maximum.
+  /// Replaces the balance by `tokens`, limited to the range from 0 to the maximum.
   void set_balance(double tokens) { tokens_ = std::clamp(tokens, 0.0, max_tokens_); }
 
  private:
--- a/src/fleet/replica_lag.h
+++ b/src/fleet/replica_lag.h
@@ -1,8 +1,8 @@
-// Replica selection by replication lag: weights by estimated lag. A replica beyond a read's staleness bound
-// keeps a small weight where hosts check reads themselves, because a gateway that seldom receives positions
-// overestimates the lag of most replicas, and its reads would crowd on the few that it has just heard from.
-// The weight follows the success rate of such reads; a rejected read costs only its round trip. No I/O, no
-// clock, no randomness.
+// Replica selection by replication lag: weights of replicas by their estimated lag. Where hosts check reads
+// themselves, a replica beyond a read's staleness bound keeps a small weight: a gateway that seldom receives
+// positions overestimates the lag of most replicas, and would otherwise send its reads to the few replicas
+// that reported last. The weight follows the success rate of such reads; a rejected read costs only its round
+// trip. No I/O, no clock, no randomness.
 #pragma once
 
 #include <algorithm>
@@ -14,9 +14,9 @@
 namespace cedarring::fleet {
 
 /// The estimated lag of a replica that was `lag` behind at its last report, `age` ago. Its progress since
-/// then is unknown: with `assume_kept_up` it is taken to have kept up, otherwise to have stood still at its
-/// last known position. Standing still alone would always rank the replica that reported last as the most
-/// current one, and each of many gateways would stay with one replica.
+/// then is unknown: with `assume_kept_up` the replica is taken to have kept up, otherwise to have stood still
+/// at its last known position. Without this assumption the replica that reported last would always rank as
+/// the most current one, and each of many gateways would send its reads to a single replica.
 [[nodiscard]] inline Duration estimated_lag(Duration lag, Duration age, bool assume_kept_up) {
   return assume_kept_up ? lag : lag + age;
 }
@@ -32,7 +32,7 @@
                    candidates.end());
 }
 
-/// Weight of a replica within the staleness bound: 1 below half of the bound, 0.5 from there.
+/// Weight of a replica within the staleness bound: 1 for a lag below half of the bound, else 0.5.
 [[nodiscard]] inline double lag_weight(Duration lag, Duration bound) { return lag < bound / 2 ? 1 : 0.5; }
 
 /// Success rate of reads at replicas whose estimated lag is beyond the staleness bound, smoothed; 0 to 1.
@@ -42,24 +42,27 @@
   static constexpr double max_weight = 0.5;  // never above lag_weight of a replica within the bound
 
   explicit StaleReadSuccessRate(double initial_rate) : rate_(initial_rate) {}
-  /// Records a read at such a replica: answered, or rejected as too stale.
+  /// Records a read at a replica beyond the bound. `answered`: whether it was answered, not rejected as too
+  /// stale.
   void record(bool answered) { rate_ += gain * ((answered ? 1.0 : 0.0) - rate_); }
-  /// Weight of such a replica, `min_weight` to `max_weight`, from the rates of its group and of all groups.
-  /// One of hundreds of gateways sees too few reads of a group by itself, and other groups must not hide a
-  /// group that lags. With a rate of 1 for one of the two, one rejected read in five gives
-  /// about 0.2 for the other, every second one the minimum.
+  /// Weight of a replica beyond the bound, `min_weight` to `max_weight`, from the success rates of its group
+  /// and of all groups. The rate of all groups is used too because one of hundreds of gateways sees too few
+  /// reads of a single group; the rate of the group, because other groups must not hide a group that lags. If
+  /// one of the two rates is 1, the weight is about 0.2 when the other is 0.8, and `min_weight` when it is
+  /// 0.5.
   [[nodiscard]] static double weight(const StaleReadSuccessRate& group, const StaleReadSuccessRate& all) {
     const double combined_rate = group.rate_ * all.rate_;
     return std::max(min_weight, max_weight * combined_rate * combined_rate * combined_rate * combined_rate);
   }
-  /// Whether such replicas may be assumed to have kept up: their weight is at least half of the maximum.
+  /// Whether the group's replicas may be assumed to have kept up since their last report: the weight is at
+  /// least half of the maximum.
   [[nodiscard]] static bool assume_kept_up(const StaleReadSuccessRate& group,
                                            const StaleReadSuccessRate& all) {
     return weight(group, all) >= max_weight / 2;
   }
 
  private:
-  static constexpr double gain = 0.1;
+  static constexpr double gain = 0.1;  // EWMA gain of one read
   double rate_;
 };
 
--- a/src/fleet/slow_start_usage.h
+++ b/src/fleet/slow_start_usage.h
@@ -1,5 +1,5 @@
-// Work sent to a host during its slow start, over a sliding window; compared with the slow-start limit that
-// keeps a cold host from being overloaded. No I/O, no clock.
+// Work sent to a host during its slow start, in a sliding window. The router compares it with the slow-start
+// limit, which keeps a cold host from being overloaded. No I/O, no clock.
 #pragma once
 
 #include <deque>
@@ -9,18 +9,18 @@
 
 namespace cedarring::fleet {
 
-/// Sends to one host, by this process and by another process of the same gateway.
+/// Sends to one host, by this process and by another process of the same gateway during an upgrade.
 class SlowStartUsage {
  public:
   /// Time of a send, and its work in units of a typical request.
   using SentWork = std::pair<Time, double>;
   /// Records a send of this process; times must not decrease.
   void add(Time at, double work) { own_.emplace_back(at, work); }
-  /// Replaces the sends of another process of this gateway, sorted by time.
+  /// Replaces the sends of the other process. `sends` must be sorted by time.
   void set_others(std::deque<SentWork> sends) { others_ = std::move(sends); }
-  /// The work sent after `from` by this process; drops older entries.
+  /// The work that this process sent after `from`; forgets what it sent up to then.
   double own(Time from) { return sum_since(own_, from); }
-  /// The work sent after `from` by the other process; drops older entries.
+  /// The work that the other process sent after `from`; forgets what it sent up to then.
   double others(Time from) { return sum_since(others_, from); }
   /// The sends of both processes, unsorted.
   [[nodiscard]] std::deque<SentWork> all() const {
--- a/src/gates/gate.h
+++ b/src/gates/gate.h
@@ -16,7 +16,7 @@
   std::size_t tenants = 0;            // number of configured tenants
   Duration max_retry_after{500'000};  // upper limit of Verdict::retry_after
   bool retry_after_allowed = true;    // whether refusals may carry a retry delay
-  std::uint64_t seed = 0;             // of random numbers in gates
+  std::uint64_t seed = 0;             // seed of the random numbers in gates
 };
 
 /// The component that rejected a request. Logs, client errors and reports use the names of name_of().
@@ -85,12 +85,12 @@
   Decider decided_by = Decider::nobody;
   Reason reason = Reason::none;
   Duration retry_after{};        // delay to suggest to the client; zero: none
-  bool beyond_contract = false;  // admitted, but beyond the contract: later gates see it as beyond the budget
+  bool beyond_contract = false;  // admitted beyond the contract; later gates see it as beyond the budget
 };
 
 /// How a request ended; reported once per request, whichever component ended it.
 enum class RequestEnd : std::uint8_t { served, refused, failed, abandoned };
-/// The name in logs and records. `abandoned`, a client that left early, is written "left".
+/// The name of a request's end in logs and records. "left" stands for `abandoned`: the client left early.
 constexpr const char* name_of(RequestEnd end) {
   switch (end) {
     case RequestEnd::served:
@@ -107,10 +107,10 @@
 /// The end of a request, as reported to gates.
 struct RequestResult {
   RequestEnd end = RequestEnd::failed;
-  Decider decided_by = Decider::nobody;  // of a refusal
-  Reason reason = Reason::none;          // of a refusal by a gate
+  Decider decided_by = Decider::nobody;  // component that refused the request, if any did
+  Reason reason = Reason::none;          // why a gate refused the request, if one did
   bool ran = false;                      // an attempt was, or may have been, written to a host
-  Duration elapsed{};                    // since the request was accepted
+  Duration elapsed{};                    // time since the request was accepted
 };
 
 /// A stage of admission control.
