--- a/src/router/fields.h
+++ b/src/router/fields.h
@@ -16,15 +16,18 @@
 
 namespace cedarring::text {
 
-/// A line is malformed.
+/// Thrown when a line is malformed.
 class ParseError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-inline constexpr double max_ms = 1e13;                // keeps microseconds within 63 bits
-inline constexpr std::size_t max_number_length = 64;  // characters of a decimal number
-inline constexpr std::size_t max_digits = 20;         // of an unsigned 64-bit integer
+/// Largest absolute time in milliseconds that is accepted; in microseconds it fits 63 bits.
+inline constexpr double max_ms = 1e13;
+/// Largest number of characters of a decimal number that is accepted.
+inline constexpr std::size_t max_number_length = 64;
+/// Number of digits of the largest unsigned 64-bit integer.
+inline constexpr std::size_t max_digits = 20;
 
 /// A name=value pair of a line.
 struct Field {
@@ -46,7 +49,7 @@
   return fields;
 }
 
-/// Parses a finite decimal number; nothing unless the whole text is one.
+/// Parses a finite decimal number; returns nothing unless the whole text is such a number.
 inline std::optional<double> to_number(std::string_view text) {
   if (text.empty() || text.size() > max_number_length) return std::nullopt;
   const std::string terminated(text);
@@ -56,7 +59,8 @@
   return value;
 }
 
-/// Parses an unsigned integer of decimal digits; nothing unless the whole text is one that fits.
+/// Parses an unsigned integer; returns nothing unless the whole text consists of decimal digits and the value
+/// fits 64 bits.
 inline std::optional<std::uint64_t> to_unsigned(std::string_view text) {
   if (text.empty() || text.size() > max_digits) return std::nullopt;
   std::uint64_t value = 0;
@@ -69,7 +73,7 @@
   return value;
 }
 
-/// Converts milliseconds; throws ParseError beyond max_ms.
+/// Converts finite milliseconds, rounded to whole microseconds; throws ParseError beyond max_ms.
 inline Duration from_ms(double ms) {
   if (std::fabs(ms) > max_ms) throw ParseError("time out of range");
   return Duration(std::llround(ms * 1000.0));
@@ -82,7 +86,7 @@
   Enum value;
 };
 
-/// The value of a keyword; nothing if the text is not in the table.
+/// Returns the value of the keyword `text`; nothing if it is not in the table.
 template <class Enum, std::size_t N>
 std::optional<Enum> lookup(const Keyword<Enum> (&keywords)[N], std::string_view text) {
   for (const auto& keyword : keywords)
--- a/src/router/settings.cpp
+++ b/src/router/settings.cpp
@@ -1,4 +1,4 @@
-// Validation of settings.
+// Validation of settings and comparison of request classes.
 #include <stdexcept>
 
 #include "cedarring/router.h"
--- a/src/router/settings_parser.cpp
+++ b/src/router/settings_parser.cpp
@@ -32,10 +32,11 @@
 constexpr Keyword<DiscoveryMode> discovery_keywords[] = {{"automatic", DiscoveryMode::push},
                                                          {"subscribe", DiscoveryMode::poll}};
 
-constexpr std::uint32_t max_count = 1'000'000;
-constexpr std::uint32_t max_classes = 10'000;
+// Largest accepted values.
+constexpr std::uint32_t max_count = 1'000'000;  // of any whole number
+constexpr std::uint32_t max_classes = 10'000;   // of the number of request classes
 
-// Defaults of settings that are absent from the text.
+// Values of settings that are absent from the text.
 constexpr double default_latency_target_ms = 1000;
 constexpr double default_deadline_ms = 1000;
 constexpr double default_poll_interval_ms = 10000;
@@ -48,14 +49,15 @@
 
 // Names of the values in a load report.
 constexpr std::string_view position_name = "x0";  // seconds after a base time
-constexpr std::string_view role_name = "x1";      // 1: primary, 0: replica
+constexpr std::string_view role_name = "x1";      // 1: primary, 0: replica; 0.5 and more counts as 1
 constexpr std::string_view queue_length_name = "pending";
 constexpr std::string_view utilization_name = "cpu_share";
 
 constexpr double microseconds_per_second = 1e6;
 
-/// The settings of a text by name. Each getter returns a default for an absent setting and throws
-/// std::invalid_argument, whose text is the name, for an invalid value.
+/// The settings of a text by name. Each getter returns `fallback` for an absent setting and throws
+/// std::invalid_argument, whose text is the setting's name, for an invalid value. The text must outlive the
+/// object.
 class SettingsText {
  public:
   explicit SettingsText(std::string_view text) {
--- a/src/router/settings_parser.h
+++ b/src/router/settings_parser.h
@@ -20,8 +20,8 @@
 /// Parses a load report from comma-separated pairs of a name, `separator` and a value. Positions are seconds
 /// after `base`. Unknown and unreadable pairs are skipped.
 LoadReport parse_report(std::optional<std::string_view> report_text, Time base, char separator = ':');
-/// Parses a load report of name=value pairs with positions as absolute times; an unreadable, duplicate or
-/// negative value makes the whole report empty.
+/// Parses a load report of comma-separated name=value pairs with positions as absolute times. A malformed
+/// pair, a duplicate name, a negative value or a role other than 0 and 1 makes the whole report empty.
 LoadReport parse_strict_report(std::string_view report_text);
 
 /// Returns the id of a zone, its index in `zones`; adds the name if it is new.
