--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -33,23 +33,30 @@
 constexpr int probe_time_samples = 8;           // memory of the probes' mean round trip
 constexpr int report_age_samples = 16;          // memory of the usual age of primaries' reports
 constexpr double saturation_utilization = 1.2;  // at which the latency estimate from utilization diverges
-constexpr int role_evidence_elapsed_divisor = 4;  // an answer's role is dated this part of its time back
+constexpr int role_evidence_elapsed_divisor = 4;  // an answer's elapsed time over the age of its role
 
 // Health.
 constexpr double failure_gain = 0.2;              // EWMA gain of a host's failures
 constexpr double ejection_score = 0.5;            // failure score from which a host is ejected
-constexpr double refused_connection_weight = 3;   // failures; one refused connection is enough to eject
+constexpr double refused_connection_weight = 3;   // failures that one refusal counts as, enough to eject
+constexpr int min_ejection_divisor = 2;           // shortest target over the least length of an ejection
 constexpr int max_ejection_interval_targets = 8;  // longest targets; caps the first ejection
 constexpr int max_ejection_targets = 16;          // longest targets; caps repeated ejections
-constexpr double min_ejection_jitter = 0.75;      // factor on an ejection; 0.5 above it at most
-constexpr int unresponsive_lost_probes = 2;       // probes lost in a row that make a host unresponsive
+constexpr double min_ejection_jitter = 0.75;      // least random factor on an ejection; the greatest is 1.25
+constexpr int refused_connect_divisor = 2;   // connect timeout over the time of a refused connection at most
+constexpr int unresponsive_lost_probes = 2;  // probes lost in a row that make a host unresponsive
+constexpr int avoided_host_targets = 2;      // longest targets without a send, see GroupView::avoided
 // If more than this share of lost probes were lost at hosts that answer requests, lost probes are not taken
 // as a sign of failure.
 constexpr double max_probe_unreliability = 0.5;
-constexpr double response_timeout_latencies = 5;  // typical latencies without an answer: host unresponsive
-constexpr double max_timeout_relative_latency = 2;
+constexpr int probe_answer_gain_divisor = 4;        // failure_gain over the EWMA gain of an answered probe
+constexpr double response_timeout_latencies = 5;    // typical latencies without an answer: host unresponsive
+constexpr int response_timeout_divisor = 2;         // shortest target over the least response timeout
+constexpr double max_timeout_relative_latency = 2;  // greatest relative latency in a host's response timeout
 constexpr double trial_interval_timeouts = 4;   // response timeouts between trials of an unresponsive host
 constexpr double lost_attempt_latencies = 12;   // expected latencies after which a single attempt is lost
+constexpr int lost_attempt_timeouts = 2;        // response timeouts after which an attempt frees its place
+constexpr int cancel_dedup_window_divisor = 2;  // deduplication window over the time for cancelling attempts
 constexpr double outdated_report_multiple = 3;  // of the usual report age: above it a role claim is outdated
 
 // Concurrency limits.
@@ -57,26 +64,28 @@
 constexpr double limit_decrease_load = 0.27;      // smoothed load above which a host's limit shrinks
 constexpr double limit_increase_load = 0.21;      // smoothed load below which a host's limit grows
 constexpr double limit_increase_usage = 0.7;      // share of the limit in use from which it may grow
-constexpr double limit_decrease_factor = 0.9;     // one reduction
+constexpr double limit_decrease_factor = 0.9;     // a reduction multiplies the limit by this
 constexpr double min_concurrency_limit = 0.25;    // below 1, because the replicas' limits are pooled
-constexpr double max_timeout_loads = 1.5;         // smoothed loads that a time-out counts for at most
+constexpr double max_timeout_loads = 1.5;         // a time-out counts for at most this many smoothed loads
 constexpr double fallback_read_share = 0.5;       // of the primary's limit that fallback reads may fill
 
 // Admission.
-constexpr double full_admission_load = 0.35;      // load up to which all requests are admitted
-constexpr double saturated_load = 0.6;            // load from which only min_admitted_share is admitted
-constexpr double min_admitted_share = 0.03;       // share of the work that is always admitted
-constexpr double fallback_load_weight = 1.4;      // a primary's load as it counts for fallback reads
-constexpr double full_host_load = 2;              // load sample of an answer `full`
+constexpr double full_admission_load = 0.35;  // load up to which all requests are admitted
+constexpr double saturated_load = 0.6;        // load from which only min_admitted_share is admitted
+constexpr double min_admitted_share = 0.03;   // share of the work that is always admitted
+constexpr double fallback_load_weight = 1.4;  // a primary's load as it counts for fallback reads
+constexpr double full_host_load = 2;          // load sample of Outcome::full
+constexpr double queueing_host_load = full_host_load / 2;  // load sample of a report with waiting requests
 constexpr double queue_report_periods = 1.3;      // normal probe periods for which a reported queue is used
 constexpr double busy_utilization = 0.9;          // reported use of cores from which a host is fully loaded
 constexpr double group_load_memory_seconds = 12;  // long, because a group yields few samples
 constexpr double rate_memory_seconds = 3;         // of arrival rates and of the load by role
 constexpr double max_load_samples = 12;           // samples remembered
-constexpr int few_routers_divisor =
-    4;  // initial_fleet_concurrency over the number of routers that count as few
-constexpr double load_prior_samples = 3;  // weight of all groups' load beside a group's own samples
-constexpr double max_wait_share = 0.45;   // of its time that a request waits where late refusals cost
+constexpr int few_routers_divisor = 4;       // initial_fleet_concurrency over the routers that count as few
+constexpr double load_prior_samples = 3;     // weight of all groups' load beside a group's own samples
+constexpr double max_wait_share = 0.45;      // of its time that a request waits where late refusals cost more
+constexpr double retry_after_latencies = 2;  // class latencies after which a refused request may come again
+constexpr int stale_tolerance_divisor = 4;   // staleness bound over a difference in lag that does not matter
 
 // Retries and sessions.
 constexpr double retry_tokens_per_request = 0.2;
@@ -85,30 +94,42 @@
 
 // Probes.
 constexpr double probe_period_staleness_share = 0.2;  // probe period over the tightest staleness bound
-constexpr int on_demand_probe_count = 2;    // probes for one read, where only probes report positions
-constexpr double urgent_probe_load = 0.01;  // urgent probes of all routers in one typical latency
-constexpr double probe_cost_share = 0.01;   // part of the requests' value that probes may cost
+constexpr int min_probe_period_divisor = 3;           // shortest target over the least normal probe period
+constexpr int max_probe_period_targets = 2;           // shortest targets; caps the normal probe period
+constexpr int urgent_probe_divisor = 2;     // shortest target over the longest urgent period of few routers
+constexpr int max_paid_period_targets = 3;  // longest targets; above it a group gets no regular probes
+constexpr double arrival_rate_hold_seconds = 1;  // time without a request before the arrival rate is reduced
+constexpr int on_demand_probe_count = 2;         // probes for one read, where only probes report positions
+constexpr int on_demand_wait_round_trips = 4;    // mean round trips for which on-demand probes are awaited
+constexpr int max_on_demand_wait_divisor = 4;    // shortest target over the longest such wait
+constexpr double urgent_probe_load = 0.01;       // urgent probes of all routers in one typical latency
+constexpr double probe_cost_share = 0.01;        // part of the requests' value that probes may cost
 constexpr double max_saved_probes = 10;
 constexpr double urgent_probe_reserve = 0.5;   // share of the saved probes reserved for urgent ones
 constexpr double min_capacity_divisor = 0.01;  // least capacity share that a cold host's probe interval uses
-constexpr double min_probe_jitter = 0.8;       // factor on a probe period
-constexpr double probe_jitter_range = 0.4;     // added to it, times a random number
+constexpr double min_probe_jitter = 0.8;       // least random factor on a probe period
+constexpr double probe_jitter_range = 0.4;     // greatest random factor less the least
 
-// Slow start: share of the overload budget that is used, see slow_start_allows.
-constexpr double slow_start_budget_share = 0.67;
+// Slow start.
+constexpr double slow_start_budget_share = 0.67;  // of the overload budget, see slow_start_allows
 
 // Polling of the member list, as shares of Settings::max_poll_interval.
-constexpr double first_poll_spread = 0.1;  // routers that start together poll spread over this time
+constexpr double first_poll_spread = 0.1;  // the first polls of routers that start together spread over this
 constexpr double initial_poll_backoff = 0.05;
-constexpr double max_poll_backoff = 0.4;    // a retry still comes well inside the interval
-constexpr double min_backoff_jitter = 0.5;  // factor on the backoff; 1 above it at most
+constexpr double max_poll_backoff = 0.4;  // so that a retry still comes well inside the interval
+// Least random factor on the backoff; the greatest is 1.5.
+constexpr double min_backoff_jitter = 0.5;
 
 // Timer.
-constexpr double tick_quanta = 4;  // Settings::quantum in one tick
+constexpr double tick_quanta = 4;  // length of a tick in Settings::quantum
 constexpr Duration min_tick_interval{10'000};
+constexpr int idle_ticks_per_probe_period = 4;  // ticks in the shortest probe period while no request is open
+constexpr std::uint64_t timer_number = 1;       // the router has a single timer
 
 }  // namespace
 
+/// The state machine behind Router. Each event is handled by an overload of on(), which appends the resulting
+/// actions to `actions_`.
 class Router::Impl : TransferableState {
  public:
   explicit Impl(Settings settings)
@@ -121,7 +142,7 @@
       load.memory_seconds = rate_memory_seconds;
       load.max_samples = max_load_samples;
     }
-    probe_round_trip_ = shortest_target_ / initial_probe_time_divisor;
+    probe_round_trip_ = targets_.shortest / initial_probe_time_divisor;
     wait_per_queued_request_ = typical_latency() / initial_queue_wait_divisor;
   }
 
@@ -132,9 +153,8 @@
     for (auto& request_class : settings_.classes)
       request_class.max_attempts =
           request_class.max_attempts > 0 ? request_class.max_attempts : settings_.max_attempts;
-    std::tie(longest_target_, mean_target_, shortest_target_, tightest_staleness_bound_) =
-        summarize_targets(settings_.classes);
-    for (auto* totals : {&demand_[0], &demand_[1], &arrived_, &served_work_}) {
+    targets_ = summarize_targets(settings_.classes);
+    for (auto* totals : {&demand_[replica_index], &demand_[primary_index], &arrived_, &served_work_}) {
       totals->by_class.resize(settings_.classes.size());
       totals->memory_seconds = totals == &served_work_ ? group_load_memory_seconds : rate_memory_seconds;
     }
@@ -172,10 +192,13 @@
         view.unavailable += healthy(*member) ? 0 : 1;
         view.in_flight += member->in_flight();
         view.concurrency_limit += member->concurrency_limit;
-        view.avoided += !healthy(*member) && now_ - member->last_send_at > longest_target_ * 2 ? 1 : 0;
+        view.avoided +=
+            !healthy(*member) && now_ - member->last_send_at > targets_.longest * avoided_host_targets ? 1
+                                                                                                       : 0;
         if (member == group_primary) continue;
         ++view.replicas;
-        if (tightest_staleness_bound_ != forever && now_ - member->position > tightest_staleness_bound_)
+        if (targets_.tightest_staleness_bound != forever &&
+            now_ - member->position > targets_.tightest_staleness_bound)
           ++view.lagging;
       }
       out.push_back(view);
@@ -237,7 +260,7 @@
         warm_up_ends_.insert(host.started_at + settings_.warm_up_duration);
       if (host.state != HostState::gone || host.in_flight() > 0) continue;
       groups_[host.group].remove_member(host);
-      hosts_.erase(HostId(host.id));
+      hosts_.erase(HostId(host.id));  // by a copy of the id, because the host is destroyed
     }
     for (auto& [id, group] : groups_) process_waiting(id);
   }
@@ -257,10 +280,10 @@
         load.max_samples = max_load_samples;
       }
       auto& members = group.members;
-      const auto position = std::find_if(members.begin(), members.end(),
-                                         [&](const Host* other) { return host.id < other->id; });
-      members.insert(position, &host);
-      host.last_probe_at = now_ - scale(shortest_target_, random_unit());
+      const auto next_member = std::find_if(members.begin(), members.end(),
+                                            [&](const Host* other) { return host.id < other->id; });
+      members.insert(next_member, &host);
+      host.last_probe_at = now_ - scale(targets_.shortest, random_unit());  // spreads the first probes
     }
     host.listed = true;
     host.zone = entry.zone;
@@ -269,7 +292,7 @@
     // A listed role may be old, so it is the weakest evidence: any report from a host replaces it.
     if (entry.listed_primary && settings_.listed_role != ListedRole::none && host.role == Role::unknown) {
       host.role = Role::primary;
-      host.role_as_of = never + Duration(1);
+      host.role_as_of = never + Duration(1);  // older than any report
     }
     const Time started_at = entry.started_at.value_or(never);
     if (started_at > host.started_at && now_ - started_at < settings_.warm_up_duration) {
@@ -299,17 +322,17 @@
   /// Weight of a replica for a request by its replication lag; 0: must not be used.
   double staleness_weight(const Host& host, const Request& request) const {
     const auto& request_class = settings_.classes[request.class_id.value];
-    if (believed_too_stale(host, request))
-      return host.position == never || settings_.stale_read_policy == StaleReadPolicy::none
-                 ? 0
-                 : fleet::StaleReadSuccessRate::weight(groups_.at(host.group).stale_read_success,
-                                                       stale_read_success_);
+    if (believed_too_stale(host, request)) {
+      if (host.position == never || settings_.stale_read_policy == StaleReadPolicy::none) return 0;
+      return fleet::StaleReadSuccessRate::weight(groups_.at(host.group).stale_read_success,
+                                                 stale_read_success_);
+    }
     return request_class.freshness == Freshness::bounded
                ? fleet::lag_weight(now_ - host.position, request_class.staleness_bound)
                : 1;
   }
-  /// Whether the replica is believed to be too far behind for the request. The replica itself decides by its
-  /// true position.
+  /// Whether the replica is believed to be too far behind for the request, by its last known position. A
+  /// replica that checks reads decides by its true position.
   bool believed_too_stale(const Host& host, const Request& request) const {
     const auto& request_class = settings_.classes[request.class_id.value];
     if (request_class.freshness == Freshness::session) return host.position < request.required_position;
@@ -318,13 +341,14 @@
   }
 
   // ---- primary ----
-  /// Keeps the newest evidence, by the time at which it was true.
+  /// Sets the host's role unless the known role is newer. `as_of`: the time at which the host had `role`.
   void update_role(Host& host, Role role, Time as_of) {
     if (role == Role::unknown || as_of < host.role_as_of) return;
     host.role = role;
     host.role_as_of = as_of;
   }
 
+  /// The ready host of the group that was known to be the primary most recently; null without any.
   Host* primary(GroupId id) {
     Host* best = nullptr;
     for (Host* member : groups_[id].members)
@@ -335,6 +359,8 @@
   }
 
   // ---- health ----
+  /// Latency of a request of the class at the host, estimated from answers and, while known, from the host's
+  /// utilization and queue.
   Duration expected_latency(const Host& host, ClassId class_id) const {
     // Cores shared among many requests slow all of them before a queue forms.
     const double utilization = queue_known(host) ? host.utilization : 0;
@@ -342,7 +368,8 @@
     return scale(class_latency_[class_id.value], host.relative_latency * (1 + slowdown)) + queue_delay(host);
   }
 
-  /// A reported queue length is used for about as long as a reported position.
+  /// Whether the host's last reported queue length and utilization are recent enough to be used: for about as
+  /// long as a reported position.
   bool queue_known(const Host& host) const {
     return now_ - host.queue_reported_at <= scale(normal_probe_period(), queue_report_periods);
   }
@@ -358,7 +385,7 @@
   /// How long a host with requests in flight may send no answer at all before it is unresponsive.
   Duration response_timeout(const Host& host) const {
     const double relative_latency = std::min(host.relative_latency, max_timeout_relative_latency);
-    return std::max(shortest_target_ / 2,
+    return std::max(targets_.shortest / response_timeout_divisor,
                     scale(typical_latency(), response_timeout_latencies * relative_latency));
   }
   /// Mean latency over all classes.
@@ -381,14 +408,17 @@
         host.lost_probes < unresponsive_lost_probes || probe_unreliability_ > max_probe_unreliability;
     if (probes_answered && !outdated_primary_claim) {
       if (host.time_without_response(now_) <= timeout) return false;
-      if (now_ - host.position_advanced_at <= timeout)
-        return now_ - *host.in_flight_sends.rbegin() <= timeout;
+      // Without a response for so long, at least one attempt is in flight. The newest one is the last trial.
+      const Time last_trial_at = *host.in_flight_sends.rbegin();
+      if (now_ - host.position_advanced_at <= timeout) return now_ - last_trial_at <= timeout;
     }
-    // The advance of the position of an outdated primary does not delay its trial: with a position that
-    // advances now and then it would never get one, and the host would stay out of use for good.
-    const auto last_sign = std::max({host.last_send_at, host.last_response_at,
-                                     outdated_primary_claim ? never : host.position_advanced_at});
-    return !host.in_flight_sends.empty() || now_ - last_sign <= scale(timeout, trial_interval_timeouts);
+    // If a host claims to be the primary by outdated reports, an advance of its position does not delay the
+    // trial: with a position that advances now and then the host would never get a trial and would stay out
+    // of use for good.
+    const auto last_activity_at = std::max({host.last_send_at, host.last_response_at,
+                                            outdated_primary_claim ? never : host.position_advanced_at});
+    return !host.in_flight_sends.empty() ||
+           now_ - last_activity_at <= scale(timeout, trial_interval_timeouts);
   }
 
   /// Whether the host is responsive and either not ejected or due for a trial: a single request at a time.
@@ -398,9 +428,9 @@
     return !host.outlier.ejected() || trial_allowed;
   }
 
-  /// Whether the primary `host` may take requests. Requests that only the primary can take use it in spite of
-  /// its errors, unless it is unresponsive or refuses connections: while an ejected primary got none, all
-  /// writes waited although some would have been answered.
+  /// Whether the primary `host` may take requests that no other host can take. These use it in spite of its
+  /// errors, unless it is unresponsive or refuses connections. If an ejected primary got no requests, all
+  /// writes would wait although some would be answered.
   bool usable(const Host& host) const {
     return healthy(host) || (host.refused_connections == 0 && !unresponsive(host));
   }
@@ -408,12 +438,13 @@
   /// Counts a failure of `weight` ordinary ones, and ejects the host at the threshold.
   void record_failure(Host& host, double weight) {
     if (!host.outlier.record_failure(now_, first_event_at_, weight)) return;
-    // Long enough that the next request of this router is not the trial yet. Not so for a primary: requests
-    // that need it cannot be sent elsewhere meanwhile.
+    // The ejection lasts so long that the next request of this router is not the trial yet. Not so for a
+    // primary: requests that need it cannot be sent elsewhere meanwhile.
     const auto interval =
-        std::min(groups_[host.group].send_interval(), longest_target_ * max_ejection_interval_targets);
-    const auto first = std::max(shortest_target_ / 2, host.role == Role::primary ? Duration{} : interval);
-    host.outlier.eject(now_, first, longest_target_ * max_ejection_targets,
+        std::min(groups_[host.group].send_interval(), targets_.longest * max_ejection_interval_targets);
+    const auto min_length = std::max(targets_.shortest / min_ejection_divisor,
+                                     host.role == Role::primary ? Duration{} : interval);
+    host.outlier.eject(now_, min_length, targets_.longest * max_ejection_targets,
                        min_ejection_jitter + random_unit() / 2);
   }
 
@@ -431,7 +462,8 @@
   /// Updates the latency estimates of the class, the host and its queue, and the host's concurrency limit.
   void record_latency(Host& host, const Request& request, Duration elapsed) {
     auto& mean = class_latency_[request.class_id.value];
-    if (host.queue_length >= 1 && queue_known(host) && host.queue_reported_at <= now_ - elapsed)
+    const Time sent_at = now_ - elapsed;
+    if (host.queue_length >= 1 && queue_known(host) && host.queue_reported_at <= sent_at)
       wait_per_queued_request_ +=
           scale(scale(elapsed - mean, 1 / host.queue_length) - wait_per_queued_request_, class_latency_gain);
     wait_per_queued_request_ = std::max(wait_per_queued_request_, typical_latency() / min_queue_wait_divisor);
@@ -442,8 +474,9 @@
     adjust_concurrency_limit(host, request, elapsed, true);
   }
 
-  /// AIMD of the host's concurrency limit on latency over target. `answered`: not a time-out. The caller caps
-  /// `elapsed` of a time-out: beside quick answers it means an answer lost on the way, not a queue.
+  /// Adjusts the host's concurrency limit by the request's latency over its target: additive increase,
+  /// multiplicative decrease. `answered`: false for a time-out, whose `elapsed` the caller caps, because a
+  /// time-out beside quick answers means an answer lost on the way, not a queue.
   void adjust_concurrency_limit(Host& host, const Request& request, Duration elapsed, bool answered) {
     const auto target = settings_.classes[request.class_id.value].latency_target;
     host.load += host_latency_gain * (to_ms(elapsed) / to_ms(target) - host.load);
@@ -476,40 +509,42 @@
   ///   now gets fewer requests than it could take.
   /// - One of hundreds of routers has a part far below one request. Parts saved up would be spent by all
   ///   routers at once when a primary changes or waiting requests are released, so nothing is saved: a
-  ///   request is sent with the probability at which the part covers all that may come, retries included.
-  ///   Where no warm host can serve them, requests that may still be waiting count too. On a primary,
-  ///   requests that need it and fallback reads have separate shares. While the part covers whole requests,
-  ///   they are sent without a draw.
+  ///   request is sent with the probability at which the part covers all requests that may come, retries
+  ///   included. Where no warm host can serve them, requests that may still be waiting count too. On a
+  ///   primary, requests that need it and fallback reads have separate shares. While the part covers whole
+  ///   requests, they are sent without a draw.
   /// - Routers that have not been notified of the start yet exceed the budget unknowingly, which is tolerated
-  ///   unless two thirds of the work come from notified routers; so these use two thirds of the budget. The
-  ///   rest covers handshakes, probes, slow hosts and chance. Warm hosts are not always fully loaded, so the
-  ///   parts are smaller still.
-  /// `choice_probability`: with which the host was chosen; `no_warm_host`: none can take the request.
+  ///   unless two thirds of the work come from notified routers; so the notified ones use two thirds of the
+  ///   budget. The rest covers handshakes, probes, slow hosts and chance. Warm hosts are not always fully
+  ///   loaded, so the parts are smaller still.
+  /// `choice_probability`: probability with which the host was chosen; `no_warm_host`: no warm host can take
+  /// the request.
   bool slow_start_allows(const Request& request, Host& host, double choice_probability, bool no_warm_host) {
     if (capacity_share(host) >= 1) return true;
-    const double window_seconds = to_ms(settings_.overload_window) / 1000;
+    const double window_seconds = to_seconds(settings_.overload_window);
     const double capacity = capacity_share(host, settings_.overload_window);
     const double budget = slow_start_budget_share * settings_.overload_multiple * capacity * window_seconds *
                           work_rate_per_warm_host();
     const Time window_start = now_ - settings_.overload_window;
     auto& usage = host.slow_start_usage;
     const double own_usage = usage.own(window_start);
-    const double left = slow_start_share_.remaining(now_, budget, own_usage, usage.others(window_start));
-    if (left >= relative_work(request.class_id.value)) return true;
+    const double remaining = slow_start_share_.remaining(now_, budget, own_usage, usage.others(window_start));
+    if (remaining >= relative_work(request.class_id.value)) return true;
     const double arrivals = std::max(1.0, arrived_.decay_and_sum(now_));
-    const double seconds = arrived_.effective_seconds(now_ - first_event_at_);
-    const double group_arrivals = groups_[request.group].arrival_rate * seconds;
+    const double arrival_seconds = arrived_.effective_seconds(now_ - first_event_at_);
+    const double group_arrivals = groups_[request.group].arrival_rate * arrival_seconds;
     const double group_share = std::max(1.0 / groups_.size(), std::min(1.0, group_arrivals / arrivals));
     const bool needs_primary = requires_primary(request.class_id.value);
     double demand = 0;  // work of all groups' requests that are, like this one, for a primary or for replicas
     for (std::size_t i = 0; i < settings_.classes.size(); ++i)
       if (requires_primary(i) == needs_primary) {
-        const double waiting_seconds = no_warm_host ? to_ms(useful_duration(i)) / 1000 : 0;
-        demand += arrived_.by_class[i] / seconds * relative_work(i) * (window_seconds + waiting_seconds);
+        const double waiting_seconds = no_warm_host ? to_seconds(useful_duration(i)) : 0;
+        demand +=
+            arrived_.by_class[i] / arrival_seconds * relative_work(i) * (window_seconds + waiting_seconds);
       }
     const double primary_share = needs_primary ? 1 - fallback_read_share : fallback_read_share;
     const double share = host.role != Role::primary ? 1 : primary_share;
-    const bool allowed = request.random_draw * demand * group_share * choice_probability < left * share;
+    const bool allowed = request.random_draw * demand * group_share * choice_probability < remaining * share;
     slow_start_denied_ = slow_start_denied_ || !allowed;
     return allowed;
   }
@@ -533,6 +568,7 @@
   std::size_t max_attempts(const Request& request) const {
     return settings_.classes[request.class_id.value].max_attempts;
   }
+  /// Whether requests of the class run at the primary only: Freshness::fresh and Freshness::write.
   bool requires_primary(std::size_t class_index) const {
     return settings_.classes[class_index].freshness >= Freshness::fresh;
   }
@@ -541,7 +577,7 @@
   /// Whether the host's attempts in flight are below `share` of its concurrency limit. Old attempts at a host
   /// that answers others are lost and do not count.
   bool below_concurrency_limit(const Host& host, double share = 1) const {
-    const auto lost_before = now_ - response_timeout(host) * 2;
+    const auto lost_before = now_ - response_timeout(host) * lost_attempt_timeouts;
     const auto& sends = host.in_flight_sends;
     const auto lost = host.last_response_at > lost_before
                           ? std::distance(sends.begin(), sends.lower_bound(lost_before))
@@ -563,9 +599,9 @@
     return in_flight < std::max(1.0, pooled_limit);
   }
 
-  /// Mean delay of the replicas whose queue is known, assumed for the others: without it the replicas that
-  /// reported last would get all reads until others report. Reads sent to a full host that has not reported
-  /// wait longer than estimated.
+  /// Mean queueing delay of the replicas whose queue is known. It is assumed for the other replicas too:
+  /// otherwise the replicas that reported last would get all reads until others report. Reads sent to a full
+  /// host that has not reported wait longer than estimated.
   Duration mean_queue_delay(const Group& group, const Host* group_primary) const {
     Duration total{};
     std::int64_t known = 0;
@@ -577,8 +613,8 @@
     return known > 0 ? total / known : Duration::zero();
   }
 
-  /// Weighted random choice. If it is a cold host that slow start does not allow, chooses again among the
-  /// warm hosts; null without any.
+  /// Weighted random choice among `candidates`. If slow start denies the request to the chosen cold host,
+  /// chooses again among the warm ones; null if there are none.
   Host* choose_weighted(const Request& request, std::vector<std::pair<Host*, double>>& candidates) {
     Host* chosen = fleet::weighted_choice(candidates, random_unit());
     if (!chosen || capacity_share(*chosen) >= 1) return chosen;
@@ -597,15 +633,15 @@
   }
 
   /// Probes replicas (a single one where answers report positions too), or the primary. To be called when too
-  /// little is known of them to send a request. Returns whether a probe's answer is awaited. Keeps reads off
-  /// the primary where traffic is too thin to keep positions current; the read waits for one probe.
+  /// little is known of them to send a request. Returns whether a probe's answer is awaited. Where traffic is
+  /// too thin to keep positions current, reads thus wait for one probe instead of going to the primary.
   bool probe_on_demand(Group& group, Host* group_primary, bool probe_primary) {
     if (!settings_.probes_allowed || !probe_budget_.available(urgent_probe_reserve)) return false;
-    auto& probes = group.on_demand_probes[probe_primary ? 1 : 0];
+    auto& awaited_until = group.on_demand_probes_until[role_index(probe_primary)];
     const auto pending = [&](const Host* member) {
       return member->probe_in_flight && (member == group_primary) == probe_primary;
     };
-    if (now_ < probes.until) return std::any_of(group.members.begin(), group.members.end(), pending);
+    if (now_ < awaited_until) return std::any_of(group.members.begin(), group.members.end(), pending);
     std::vector<std::pair<Host*, double>> candidates;
     for (Host* member : group.members)
       if ((member == group_primary) == probe_primary && listed_ready(*member) && !member->probe_in_flight &&
@@ -613,7 +649,8 @@
           now_ - member->last_probe_at >= std::max(normal_probe_period(), min_probe_interval(*member)))
         candidates.emplace_back(member, capacity_share(*member));
     if (candidates.empty()) return false;
-    probes.until = now_ + std::clamp(probe_round_trip_ * 4, tick_interval_, shortest_target_ / 4);
+    awaited_until = now_ + std::clamp(probe_round_trip_ * on_demand_wait_round_trips, tick_interval_,
+                                      targets_.shortest / max_on_demand_wait_divisor);
     const int max_probes = settings_.answers_carry_position ? 1 : on_demand_probe_count;
     for (int i = 0; i < max_probes && !candidates.empty() && probe_budget_.available(urgent_probe_reserve);
          ++i) {
@@ -632,20 +669,21 @@
     actions_->push_back(Probe{host.id});
   }
 
-  /// A host to which a write is sent in search of the primary, where no usable one is known and probing all
-  /// members costs too much; null without one. A replica refuses the write at once and executes nothing. Each
-  /// host gets such a write at most once in the shortest target: the listed primary first, then hosts
-  /// whose role was learnt longest ago. A write that does not find the primary has used up attempts.
+  /// A host to which a write is sent in search of the primary, where no usable primary is known and probing
+  /// all members costs too much; null if there is none to try. A replica refuses the write at once and
+  /// executes nothing. Each host gets such a write at most once in the shortest target: the listed primary
+  /// first, then the hosts whose role was learnt longest ago. A write that does not find the primary has used
+  /// up attempts.
   Host* primary_candidate(const Request& request, Group& group, const Host* group_primary) {
-    const double cost_of_all = settings_.probe_cost * static_cast<double>(group.members.size());
-    const bool probes_affordable = settings_.probes_allowed && cost_of_all <= probe_cost_share;
+    const double cost_of_all_probes = settings_.probe_cost * static_cast<double>(group.members.size());
+    const bool probes_affordable = settings_.probes_allowed && cost_of_all_probes <= probe_cost_share;
     if (probes_affordable || request.attempts.size() + 1 >= max_attempts(request)) return nullptr;
     Host* best = nullptr;
     for (Host* member : group.members) {
       if (member == group_primary || !listed_ready(*member) || !healthy(*member) ||
           !below_concurrency_limit(*member))
         continue;
-      if (now_ - std::max(member->role_as_of, member->last_send_at) < shortest_target_) continue;
+      if (now_ - std::max(member->role_as_of, member->last_send_at) < targets_.shortest) continue;
       if (!best || std::pair(member->listed_as_primary, best->role_as_of) >
                        std::pair(best->listed_as_primary, member->role_as_of))
         best = member;
@@ -653,8 +691,8 @@
     return best && slow_start_allows(request, *best, 1, true) ? best : nullptr;
   }
 
-  /// The host that the request is sent to: a weighted random choice among the replicas, then the primary.
-  /// Null: no host can take it now.
+  /// The host that the request is to be sent to: the primary if the request requires it, else a weighted
+  /// random choice among the replicas, else the primary. Null if no host can take the request now.
   Host* select_host(const Request& request) {
     if (attempts_in_flight_ >= max_in_flight_) return nullptr;
     const auto& request_class = settings_.classes[request.class_id.value];
@@ -673,13 +711,13 @@
     }
     const bool pool_has_room = below_pooled_limit(group, group_primary);
     const auto assumed_queue_delay = mean_queue_delay(group, group_primary);
-    bool no_replica = true;  // none can answer the request, now or soon
+    bool no_replica = true;  // no replica can answer the request, now or soon
     if (!(request.refused_as_stale && group_primary)) {
       // First only healthy replicas, then all but those that refuse connections: these wait for their trial.
       for (const bool healthy_only : {true, false}) {
-        std::vector<std::pair<Host*, double>> eligible;
-        bool fresh_enough = false;
-        bool busy = false;
+        std::vector<std::pair<Host*, double>> eligible;  // with their weights
+        bool fresh_enough = false;                       // some eligible replica is not believed too stale
+        bool busy = false;  // some healthy replica could answer, but has no capacity at present
         for (Host* member : group.members) {
           auto& host = *member;
           if (&host == group_primary || !listed_ready(host)) continue;
@@ -692,13 +730,13 @@
             continue;
           }
           fresh_enough = fresh_enough || !believed_too_stale(host, request);
-          // expected_latency includes a known queue.
-          const auto queue = queue_known(host) ? Duration::zero() : assumed_queue_delay;
-          const double latency =
-              std::max(min_latency_ms, to_ms(expected_latency(host, request.class_id) + queue));
+          // expected_latency includes the delay of a known queue.
+          const auto unknown_queue_delay = queue_known(host) ? Duration::zero() : assumed_queue_delay;
+          const double latency_ms =
+              std::max(min_latency_ms, to_ms(expected_latency(host, request.class_id) + unknown_queue_delay));
           const double health_weight = std::pow(1 - host.outlier.decayed_failure_score(now_), 2);
           const double base_weight = lag_weight * capacity_share(host) * health_weight;
-          const double weight = base_weight / (latency * (host.in_flight() + 1));
+          const double weight = base_weight / (latency_ms * (host.in_flight() + 1));
           eligible.emplace_back(&host, weight);
         }
         no_replica = no_replica && !fresh_enough && !busy;
@@ -706,11 +744,13 @@
           if (Host* chosen = choose_weighted(request, eligible)) return chosen;
           break;
         }
-        // Only where replicas check reads themselves are there stale candidates: the most current ones first.
+        // The eligible replicas are all believed too stale, and check reads themselves: only the most current
+        // ones are used.
         if (!eligible.empty() && !busy) {
           const bool assume_kept_up =
               fleet::StaleReadSuccessRate::assume_kept_up(group.stale_read_success, stale_read_success_);
-          const auto tolerance = assume_kept_up ? request_class.staleness_bound / 4 : Duration::zero();
+          const auto tolerance =
+              assume_kept_up ? request_class.staleness_bound / stale_tolerance_divisor : Duration::zero();
           fleet::retain_most_current(eligible, tolerance,
                                      [&](const Host& host) { return host.lag(now_, assume_kept_up); });
           if (Host* chosen = choose_weighted(request, eligible)) return chosen;
@@ -721,9 +761,9 @@
       if (request_class.freshness != Freshness::any && probe_on_demand(group, group_primary, false))
         return nullptr;
     }
-    // Fallback to the primary, within a share of its limit, or the whole limit for reads of more value than
-    // any write: stale load reports would leave only the primary to them. As for writes, a read that no other
-    // host can answer uses the primary in spite of its errors.
+    // Fallback to the primary, within a share of its limit. Reads of more value than any write may use the
+    // whole limit, because stale load reports can leave them no host but the primary. Like a write, a read
+    // that no other host can answer uses the primary in spite of its errors.
     const double spillover = no_replica ? 1 : tuning_.read_spillover;
     const double limit_share = current_value_per_cost(request) > max_write_value_ ? 1 : fallback_read_share;
     if (group_primary && (no_replica ? usable(*group_primary) : healthy(*group_primary)) &&
@@ -735,8 +775,8 @@
   }
 
   // ---- admission ----
-  /// Whether the request may be sent to `target` or, with null, be refused, without the risk that it takes
-  /// effect twice.
+  /// Whether the request may be sent to `target`, or be refused if `target` is null, without the risk that it
+  /// takes effect twice.
   bool permitted(const Request& request, const Host* target) const {
     const auto& request_class = settings_.classes[request.class_id.value];
     if (target && request.attempts_in_flight > 0 && !settings_.hedging_allowed) return false;
@@ -762,21 +802,21 @@
 
   /// Adds a load sample of the host to its group and to all hosts of its role.
   void record_load(const Host& host, double sample) {
-    const int role_index = host.role == Role::primary ? 1 : 0;
-    role_load_[role_index].add(now_, sample);
-    groups_[host.group].load[role_index].add(now_, sample);
-  }
-
-  /// Share of the work that a group's replicas (role_index 0) or primary (1) can take. One of hundreds of
-  /// routers has less than one request in flight per host, so its few answers decide, complemented by the
-  /// load of all groups where the group's own samples are few. Keeps hosts from working through queues of
-  /// requests that clients have given up. Next to an overloaded group, others with few samples refuse some
-  /// requests too.
-  double admissible_share(const Group& group, int role_index, double load_weight) const {
-    const double all_samples = role_load_[role_index].weight(now_);
-    const double own_samples = group.load[role_index].weight(now_);
-    const double usual_load = role_load_[role_index].mean * all_samples / (all_samples + load_prior_samples);
-    const double load = (group.load[role_index].mean * own_samples + usual_load * load_prior_samples) /
+    const auto index = role_index(host.role == Role::primary);
+    role_load_[index].add(now_, sample);
+    groups_[host.group].load[index].add(now_, sample);
+  }
+
+  /// Share of the requested work that a group's replicas or its primary (`index`: see role_index) can take.
+  /// One of hundreds of routers has less than one request in flight per host, so the share depends on the few
+  /// answers of the group and, where these are too few, on the load of all groups. Keeps hosts from working
+  /// through queues of requests that clients have given up. Next to an overloaded group, others with few
+  /// samples refuse some requests too. `load_weight`: factor on the load.
+  double admissible_share(const Group& group, std::size_t index, double load_weight) const {
+    const double all_samples = role_load_[index].weight(now_);
+    const double own_samples = group.load[index].weight(now_);
+    const double usual_load = role_load_[index].mean * all_samples / (all_samples + load_prior_samples);
+    const double load = (group.load[index].mean * own_samples + usual_load * load_prior_samples) /
                         (own_samples + load_prior_samples);
     // With few routers the concurrency limits bind first, so admission is more lenient.
     const double few_routers =
@@ -786,23 +826,23 @@
                       min_admitted_share, 1.0);
   }
 
-  /// Admits the requests of most value per cost, up to the share of the work that the hosts can take. A
-  /// loaded primary sheds fallback reads first, because writes cannot be sent elsewhere: these reads are
-  /// refused while the primary could still take some.
+  /// Whether the request is admitted to the host. The requests of most value per cost are admitted, up to the
+  /// share of the work that the hosts can take. A loaded primary sheds fallback reads first, because writes
+  /// cannot be sent elsewhere; so fallback reads are refused while the primary could still take some.
   bool admitted(const Request& request, const Host& host) {
-    const int role_index = host.role == Role::primary ? 1 : 0;
-    auto& demand = demand_[role_index];
+    const auto index = role_index(host.role == Role::primary);
+    auto& demand = demand_[index];
     const std::size_t class_index = request.class_id.value;
     demand.add(now_, class_index, to_ms(class_latency_[class_index]));
-    const bool fallback_read = role_index == 1 && !requires_primary(class_index);
+    const bool fallback_read = index == primary_index && !requires_primary(class_index);
     const double share =
-        admissible_share(groups_[request.group], role_index, fallback_read ? fallback_load_weight : 1);
+        admissible_share(groups_[request.group], index, fallback_read ? fallback_load_weight : 1);
     if (share >= 1) return true;
-    double more_valuable = 0;
+    double more_valuable_demand = 0;
     for (std::size_t i = 0; i < demand.by_class.size(); ++i)
-      if (value_per_cost(i) > value_per_cost(class_index)) more_valuable += demand.by_class[i];
+      if (value_per_cost(i) > value_per_cost(class_index)) more_valuable_demand += demand.by_class[i];
     return request.random_draw * demand.by_class[class_index] <
-           share * demand.decay_and_sum(now_) - more_valuable;
+           share * demand.decay_and_sum(now_) - more_valuable_demand;
   }
 
   /// Value over cost of an answer to a request sent now.
@@ -818,7 +858,7 @@
     return std::min(request.deadline, request.arrived_at + useful_duration(request.class_id.value)) -
            class_latency_[request.class_id.value];
   }
-  /// How long after its arrival an answer to a request of the class has value.
+  /// How long after a request's arrival its answer has value, for a request of the class.
   Duration useful_duration(std::size_t class_index) const {
     return settings_.classes[class_index].late_value > 0 ? settings_.classes[class_index].deadline
                                                          : settings_.classes[class_index].latency_target;
@@ -829,7 +869,7 @@
     const bool known_class = event.class_id.value >= 0 &&
                              event.class_id.value < static_cast<std::int32_t>(settings_.classes.size());
     if (!known_class || found == groups_.end() || found->second.members.empty()) {
-      actions_->push_back(Refuse{event.request, retry_after(longest_target_)});
+      actions_->push_back(Refuse{event.request, retry_after(targets_.longest)});
       return;
     }
     if (requests_.count(event.request) > 0) return;
@@ -843,8 +883,8 @@
     Group& group = found->second;
     group.count_arrival(now_, rate_memory_seconds);
     if (now_ >= group.next_session_sweep_at) {
-      group.next_session_sweep_at = now_ + longest_target_;
-      group.forget_session_writes(now_ - scale(longest_target_, session_memory_targets));
+      group.next_session_sweep_at = now_ + targets_.longest;
+      group.forget_session_writes(now_ - scale(targets_.longest, session_memory_targets));
     }
     ++group.open_requests;
     retry_tokens_ =
@@ -866,20 +906,22 @@
     process_waiting(request.group);
   }
 
-  /// The retry-after hint to send; zero where hints are not allowed.
+  /// The retry pause to suggest to a refused client: `wanted` within its upper limit, or zero where retry
+  /// pauses are not allowed.
   Duration retry_after(Duration wanted) const {
     return settings_.retry_after_allowed ? std::min(wanted, settings_.max_retry_after) : Duration::zero();
   }
 
+  /// Adds the request to the waiting requests of its group; process_waiting() sends it.
   void enqueue(Request& request) {
     if (request.waiting) return;
     request.waiting = true;
     groups_[request.group].waiting.push_back(request.id);
   }
 
-  /// Sends the waiting requests that a host can take, by value per cost; within a class writes by arrival and
-  /// reads newest first, because the oldest reads would all be answered just too late. An old read may be
-  /// refused while newer ones are sent.
+  /// Sends the waiting requests of the group that a host can take, in the order of their value per cost.
+  /// Within a class, writes are sent in the order of arrival, and reads newest first, because the oldest
+  /// reads would all be answered just too late. An old read may be refused while newer ones are sent.
   void process_waiting(GroupId id) {
     Group& group = groups_[id];
     if (group.waiting.empty()) return;
@@ -889,6 +931,7 @@
         max_write_value_ = std::max(max_write_value_, value_per_cost(i));
     // The class is compared before the age: among reads and writes of equal value the ages run in opposite
     // directions, which would be no strict order.
+    // Ids grow with the time of arrival, so the complement of the id puts the newest read first.
     std::vector<std::tuple<double, std::int32_t, std::uint64_t, RequestId>> order;
     for (const auto request_id : group.waiting) {
       const auto class_index = requests_.at(request_id).class_id.value;
@@ -899,7 +942,7 @@
     std::sort(order.begin(), order.end());
     std::vector<RequestId> still_waiting;
     std::vector<bool> class_blocked(settings_.classes.size(), false);
-    for (const auto& [value, class_index, age, request_id] : order) {
+    for (const auto& [negated_value, class_index, rank_in_class, request_id] : order) {
       Request& request = requests_.at(request_id);
       const bool too_late =
           now_ > latest_useful_send(request) || now_ >= request.deadline || waited_too_long(request);
@@ -923,8 +966,8 @@
     group.waiting = std::move(still_waiting);
   }
 
-  /// Processes the groups in turn, starting after the one that last used up the attempts in flight that all
-  /// groups share.
+  /// Processes the waiting requests of all groups in turn, starting after the group whose request last
+  /// reached the limit on attempts in flight, which all groups share.
   void process_all_waiting() {
     std::vector<GroupId> order;
     for (const auto& [id, group] : groups_)
@@ -941,6 +984,8 @@
            now_ - request.arrived_at >= scale(request.deadline - request.arrived_at, max_wait_share);
   }
 
+  /// Whether the request may still be sent. A keyed request that may have run is not sent again after its
+  /// deduplication window.
   bool retry_possible(const Request& request) const {
     const auto& request_class = settings_.classes[request.class_id.value];
     return request_class.idempotency != Idempotency::keyed || request.may_have_run_at == forever ||
@@ -952,7 +997,8 @@
     if (request.ended) return;
     request.ended = true;
     if (permitted(request, nullptr))
-      actions_->push_back(Refuse{request.id, retry_after(scale(class_latency_[request.class_id.value], 2))});
+      actions_->push_back(Refuse{
+          request.id, retry_after(scale(class_latency_[request.class_id.value], retry_after_latencies))});
     else
       actions_->push_back(Fail{request.id});
     remove_request(request.id);
@@ -995,7 +1041,7 @@
     --request.attempts_in_flight;
     const bool limit_was_reached = attempts_in_flight_ >= max_in_flight_;
     --attempts_in_flight_;
-    const auto group = request.group;
+    const auto group_id = request.group;
     if (const auto it = hosts_.find(event.host); it != hosts_.end())
       record_outcome(it->second, request, attempt, event);
     const bool may_have_run = event.outcome == Outcome::ok || event.outcome == Outcome::error ||
@@ -1007,7 +1053,7 @@
     }
     if (event.outcome == Outcome::too_stale) request.refused_as_stale = true;
     if (attempt.to_stale_replica && (event.outcome == Outcome::ok || event.outcome == Outcome::too_stale))
-      for (auto* success_rate : {&groups_[group].stale_read_success, &stale_read_success_})
+      for (auto* success_rate : {&groups_[group_id].stale_read_success, &stale_read_success_})
         success_rate->record(event.outcome == Outcome::ok);
     request.reached_host = request.reached_host ||
                            (event.outcome != Outcome::connect_failed && event.outcome != Outcome::not_sent);
@@ -1015,7 +1061,7 @@
         settings_.classes[request.class_id.value].freshness == Freshness::write) {
       if (request.session) {
         // Without a commit position in the answer the present is the only safe bound.
-        auto& last_write = groups_[group].session_writes[*request.session];
+        auto& last_write = groups_[group_id].session_writes[*request.session];
         last_write = std::max(last_write, event.metadata.position.value_or(now_));
       }
     }
@@ -1029,7 +1075,7 @@
     if (limit_was_reached)
       process_all_waiting();
     else
-      process_waiting(group);
+      process_waiting(group_id);
   }
 
   /// Updates the host by the outcome of an attempt and by the reports that came with it.
@@ -1037,10 +1083,12 @@
     if (!request.answer_started) host.remove_in_flight(attempt.sent_at);
     const bool write = settings_.classes[request.class_id.value].freshness == Freshness::write;
     const auto target = settings_.classes[request.class_id.value].latency_target;
+    // A position that comes with a write's answer is that of its commit, unless a replica refused the write.
     if (event.metadata.position && !(write && event.metadata.role != Role::replica))
       update_position(host, *event.metadata.position);
     update_role(host, event.metadata.role,
                 std::max(attempt.sent_at, now_ - event.elapsed / role_evidence_elapsed_divisor));
+    // Only a replica refuses a write as too stale, whatever role was known before.
     if (event.outcome == Outcome::too_stale && write)
       update_role(host, Role::replica, std::max(attempt.sent_at, host.role_as_of));
     apply_report(host, event.report);
@@ -1062,10 +1110,7 @@
             std::max(min_concurrency_limit, host.concurrency_limit * limit_decrease_factor);
         break;
       case Outcome::connect_failed:
-        // Refused at once: there is no process. A connection that only timed out counts as one failure: the
-        // host is slow or overloaded by handshakes.
-        if (const bool refused = !event.connect_timed_out && event.elapsed < settings_.connect_timeout / 2;
-            refused) {
+        if (connection_refused(event)) {
           ++host.refused_connections;
           record_failure(host, refused_connection_weight);
         } else {
@@ -1076,37 +1121,46 @@
         record_failure(host, 1);
         break;
       case Outcome::timeout:
+        // No failure of a host that has answered other requests since the send.
         if (host.last_response_at <= attempt.sent_at) record_failure(host, 1);
         adjust_concurrency_limit(
             host, request, std::min(now_ - attempt.sent_at, scale(target, max_timeout_loads * host.load)),
             false);
         break;
       case Outcome::cancelled:
+        // A failure only if the router cancelled the attempt for lack of an answer, and only as for a
+        // time-out.
         if (attempt.cancelled && !request.ended && host.last_response_at <= attempt.sent_at)
           record_failure(host, 1);
         break;
-      default:
+      case Outcome::not_sent:
         break;
     }
   }
 
-  /// Records an answer, complete or with its first bytes: the rest of a long one depends on the client's
-  /// speed.
+  /// Whether a failed connection was refused at once, because there is no process. Otherwise the connection
+  /// only timed out: the host is slow or overloaded by handshakes.
+  bool connection_refused(const AttemptEnded& event) const {
+    return !event.connect_timed_out && event.elapsed < settings_.connect_timeout / refused_connect_divisor;
+  }
+
+  /// Records an answer when it is complete or when its first bytes have arrived: how long the rest of a long
+  /// answer takes depends on the client's speed.
   void record_answer(Host& host, const Request& request, const Attempt& attempt) {
     record_response(host);
     record_latency(host, request, now_ - attempt.sent_at);
     if (capacity_share(host) >= 1)
       served_work_.add(now_, request.class_id.value, relative_work(request.class_id.value));
-    const auto target = std::min(settings_.classes[request.class_id.value].latency_target, mean_target_);
+    const auto target = std::min(settings_.classes[request.class_id.value].latency_target, targets_.mean);
     if (!attempt.load_recorded) record_load(host, to_ms(now_ - attempt.sent_at) / to_ms(target));
   }
 
   void apply_report(Host& host, const LoadReport& report) {
-    // A primary's position is the present, so it dates the report.
+    // The position of a primary is the time at which it made the report.
     host.report_age =
         report.position && report.role == Role::primary ? now_ - *report.position : Duration::zero();
-    // A report that advances the position is no stale claim, so its age is usual, however long it is beside
-    // the latency targets.
+    // A report that advances the position is no outdated claim to be the primary, so its age counts as usual,
+    // even if it is long beside the latency targets.
     if (host.report_age > Duration::zero() && *report.position > host.position)
       usual_report_age_ += (host.report_age - usual_report_age_) /
                            (usual_report_age_ == Duration::zero() ? 1 : report_age_samples);
@@ -1116,24 +1170,31 @@
       host.queue_length = *report.queue_length;
       host.queue_reported_at = now_;
       host.utilization = report.utilization.value_or(0);
-      record_load(host, *report.queue_length >= 1             ? full_host_load / 2
-                        : host.utilization > busy_utilization ? saturated_load
-                                                              : full_admission_load * host.utilization);
+      record_load(host, reported_load(host));
     }
     if (report.role && report.position)
       update_role(host, *report.role, *report.position);
     else if (report.role)
-      update_role(host, *report.role, now_ - shortest_target_);
+      update_role(host, *report.role, now_ - targets_.shortest);  // a report of unknown age
+  }
+
+  /// The load sample that the host's reported queue length and utilization stand for.
+  double reported_load(const Host& host) const {
+    if (host.queue_length >= 1) return queueing_host_load;
+    if (host.utilization > busy_utilization) return saturated_load;
+    return full_admission_load * host.utilization;
   }
 
-  /// Queues a request for a further attempt, under a budget that counts the work already spent on it: this
-  /// prevents retry storms, while fast failures may be retried elsewhere.
+  /// Queues a request for a further attempt, or ends it. A retry spends retry tokens for the work of the
+  /// failed attempt: this prevents retry storms, while fast failures may be retried elsewhere. `outcome`,
+  /// `elapsed`: of that attempt.
   void retry_or_give_up(Request& request, Outcome outcome, Duration elapsed) {
     const bool not_executed =
         outcome == Outcome::too_stale || outcome == Outcome::not_sent || outcome == Outcome::connect_failed;
     const double work = std::min(
         1.0, to_ms(elapsed) / std::max(min_latency_ms, to_ms(class_latency_[request.class_id.value])));
-    const double cost = not_executed ? 0 : outcome == Outcome::error ? work : 1;
+    const double executed_cost = outcome == Outcome::error ? work : 1;
+    const double cost = not_executed ? 0 : executed_cost;
     const bool budget_spent = retry_tokens_ < cost || request.attempts.size() >= max_attempts(request);
     if (request.answer_started || budget_spent || now_ >= request.deadline) return refuse_or_fail(request);
     if (settings_.classes[request.class_id.value].idempotency == Idempotency::unsafe &&
@@ -1156,9 +1217,9 @@
     }
   }
 
-  /// Cancels, for a retry, attempts at unresponsive hosts and attempts lost by hosts that have answered
-  /// others since. A long query that is cancelled for no fault of its host is executed twice; the retry
-  /// budget limits that.
+  /// Cancels attempts at unresponsive hosts, and attempts lost by hosts that have answered others since, so
+  /// that their requests are retried. A long query that is cancelled for no fault of its host is executed
+  /// twice; the retry budget limits how often.
   void cancel_lost_attempts() {
     for (auto& [id, request] : requests_) {
       record_overdue_attempts(request);
@@ -1171,11 +1232,11 @@
         continue;
       const Time first_sent_at = std::min(request.may_have_run_at, attempt.sent_at);
       if (request_class.idempotency == Idempotency::keyed &&
-          now_ - first_sent_at > request_class.dedup_window / 2)
+          now_ - first_sent_at > request_class.dedup_window / cancel_dedup_window_divisor)
         continue;
       const auto host = hosts_.find(attempt.host);
-      // A request that needs the primary would go to the same host again, which would execute it anew behind
-      // the work that it already has, and this for every router.
+      // A request that needs the primary would go to the same host again, which would execute it anew after
+      // the work that it already has. With many routers that would make its queue longer still.
       const bool same_host = host != hosts_.end() && requires_primary(request.class_id.value) &&
                              primary(request.group) == &host->second;
       if (host != hosts_.end() && (same_host || !unresponsive(host->second)) &&
@@ -1188,8 +1249,8 @@
     }
   }
 
-  /// Counts attempts past their latency target as load of hosts that answer probes: that shows a queue before
-  /// the attempts end.
+  /// Records load for hosts that answer probes and have attempts past their latency target: this shows a
+  /// queue before the attempts end.
   void record_overdue_attempts(Request& request) {
     for (auto& attempt : request.attempts) {
       if (!attempt.in_flight || attempt.load_recorded ||
@@ -1234,7 +1295,7 @@
     host.probe_in_flight = false;
     if (event.outcome == Outcome::ok) {
       host.lost_probes = 0;
-      probe_unreliability_ -= probe_unreliability_ * failure_gain / 4;
+      probe_unreliability_ -= probe_unreliability_ * failure_gain / probe_answer_gain_divisor;
       host.last_probe_answer_at = now_;
       probe_round_trip_ += (event.elapsed - probe_round_trip_) / probe_time_samples;
       // An answer that could not be parsed shows only that the host is alive.
@@ -1257,54 +1318,60 @@
     const auto shortest_period = send_due_probes();
     cancel_lost_attempts();
     process_all_waiting();
-    next_idle_tick_at_ =
-        shortest_period == forever ? forever : now_ + std::max(tick_interval_, shortest_period / 4);
+    next_idle_tick_at_ = shortest_period == forever
+                             ? forever
+                             : now_ + std::max(tick_interval_, shortest_period / idle_ticks_per_probe_period);
     schedule_timer();
   }
 
-  /// The timer ticks while requests are open; otherwise it fires when a probe or a poll is next due. A timer
-  /// that is set already is not moved: if every arrival set it anew, it would never fire on a busy router.
+  /// Sets the timer: to the next tick while requests are open, otherwise to the time at which a probe or a
+  /// poll is next due. A timer that is set already is not postponed: if every arrival postponed it, it would
+  /// never fire on a busy router.
   void schedule_timer() {
     const auto due = std::min(requests_.empty() ? next_idle_tick_at_ : now_ + tick_interval_, next_poll_at_);
     if (due == forever || (timer_due_ != never && timer_due_ <= due)) return;
     timer_due_ = std::max(due, now_);
-    actions_->push_back(SetTimer{1, timer_due_});
+    actions_->push_back(SetTimer{timer_number, timer_due_});
   }
 
+  /// Probe period of a group whose traffic pays for it, without urgency.
   Duration normal_probe_period() const {
-    const auto period = tightest_staleness_bound_ == forever
-                            ? shortest_target_
-                            : scale(tightest_staleness_bound_, probe_period_staleness_share);
-    return std::clamp(period, shortest_target_ / 3, shortest_target_ * 2);
+    const auto period = targets_.tightest_staleness_bound == forever
+                            ? targets_.shortest
+                            : scale(targets_.tightest_staleness_bound, probe_period_staleness_share);
+    return std::clamp(period, targets_.shortest / min_probe_period_divisor,
+                      targets_.shortest * max_probe_period_targets);
   }
   /// Period of urgent probes. All routers may be probing the same host, so their sum has to stay small beside
   /// the host's work.
   Duration urgent_probe_period() const {
-    return std::max(std::min(normal_probe_period(), shortest_target_ / 2),
+    return std::max(std::min(normal_probe_period(), targets_.shortest / urgent_probe_divisor),
                     scale(typical_latency(), urgent_probe_load * settings_.instance_count));
   }
 
-  /// Least time between probes of a host, in inverse proportion to the capacity of a cold host: probes for
-  /// the waiting reads of hundreds of routers would flood it. Zero for a warm host.
+  /// Least time between probes of a host: zero for a warm host, in inverse proportion to its capacity for a
+  /// cold one, which would otherwise be flooded by probes for the waiting reads of hundreds of routers.
   Duration min_probe_interval(const Host& host) const {
     return capacity_share(host) >= 1
                ? Duration::zero()
                : scale(urgent_probe_period(), 1 / std::max(min_capacity_divisor, capacity_share(host)));
   }
 
-  /// The group's probe period: a share of the tightest staleness bound, extended to what its traffic can pay
-  /// for. `forever` where that is more than the bound: then reads probe on demand.
+  /// The group's probe period: the normal period, or the longer one that the group's traffic can pay for.
+  /// `forever` if that exceeds the tightest staleness bound: then reads probe on demand.
   Duration probe_period(const Group& group) const {
     const auto period = normal_probe_period();
     if (settings_.probe_cost <= 0) return period;
-    const double silence_seconds = std::max(0.0, to_ms(now_ - group.last_arrival_at) / 1000 - 1);
+    const double silence_seconds =
+        std::max(0.0, to_seconds(now_ - group.last_arrival_at) - arrival_rate_hold_seconds);
     const double rate = group.arrival_rate * std::exp(-silence_seconds / rate_memory_seconds);
     const double paid_seconds =
         static_cast<double>(group.members.size()) * settings_.probe_cost / probe_cost_share / rate;
-    if (!(paid_seconds < to_ms(longest_target_ * 3) / 1000)) return forever;
-    const auto paid_period = Duration(static_cast<std::int64_t>(paid_seconds * 1e6));
-    return paid_period > std::max(period, tightest_staleness_bound_) ? forever
-                                                                     : std::max(paid_period, period);
+    // Written so that it is also true if paid_seconds is not a number, without hosts and without traffic.
+    if (!(paid_seconds < to_seconds(targets_.longest * max_paid_period_targets))) return forever;
+    const auto paid_period = Duration(static_cast<std::int64_t>(paid_seconds * microseconds_per_second));
+    return paid_period > std::max(period, targets_.tightest_staleness_bound) ? forever
+                                                                             : std::max(paid_period, period);
   }
 
   /// Sends the probes that are due and returns the shortest probe period of a group.
@@ -1348,11 +1415,7 @@
   Time now_ = Time::zero();
   std::vector<Action>* actions_ = nullptr;  // of the event being handled; owned by the caller
   std::map<RequestId, Request> requests_;
-  // latency targets and staleness bound of the classes
-  Duration longest_target_{};
-  Duration mean_target_{};
-  Duration shortest_target_ = forever;
-  Duration tightest_staleness_bound_ = forever;
+  TargetSummary targets_;  // of the classes
   // timer
   Duration tick_interval_{};
   Time timer_due_ = never;
@@ -1360,18 +1423,18 @@
   Time next_poll_at_ = forever;  // of the member list
   Duration poll_backoff_{};
   // estimates
-  Duration probe_round_trip_{};         // EWMA
+  Duration probe_round_trip_{};         // EWMA of the time from a probe to its answer
   Duration usual_report_age_{};         // EWMA of the age of primaries' reports
-  Duration wait_per_queued_request_{};  // as seen from answers
+  Duration wait_per_queued_request_{};  // EWMA of a request's delay by each request queued before it
   bool queues_reported_ = false;        // some report had a queue length
   double probe_unreliability_ = 0;      // EWMA: hosts answer requests although their probes were lost
-  bool slow_start_denied_ = false;      // while the last host was selected; depends on the request's draw
+  bool slow_start_denied_ = false;      // slow start denied a host to the request that is being processed
   std::multiset<Time> warm_up_ends_;    // of the ready hosts that are cold
   int ready_hosts_ = 0;
   Tuning tuning_;
   int max_in_flight_ = 1 << 30;  // attempts
   int attempts_in_flight_ = 0;
-  GroupId last_limited_group_{INT64_MIN};  // sent last when max_in_flight_ was reached
+  GroupId last_limited_group_{INT64_MIN};  // group of the send that last reached max_in_flight_
   double max_write_value_ = 0;             // highest value per cost of a write class
 };
 
