--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -50,8 +50,8 @@
     // One percent of the requests' value, and the initial balance of each gateway.
     const double max_probes = 0.01 / probe_cost * static_cast<double>(result.requests) + 10 * config.gateways;
     EXPECT_LE(static_cast<double>(result.probes), max_probes) << probe_cost;
-    for (std::size_t k = 0; k < config.classes.size(); ++k)
-      EXPECT_GT(result.in_time_share(k), 0.9) << probe_cost << ' ' << k;
+    for (std::size_t class_index = 0; class_index < config.classes.size(); ++class_index)
+      EXPECT_GT(result.in_time_share(class_index), 0.9) << probe_cost << ' ' << class_index;
   }
 }
 
@@ -200,9 +200,8 @@
 
 TEST(Fleet, ReadsStayOnReplicasThoughEachGatewaySeldomLearnsTheirPosition) {
   const auto result = simulate(large_fleet());
-  const auto& desk_view = result.within[0];
   EXPECT_EQ(violations(result), 0U);
-  EXPECT_GT(desk_view.requests, 1000U);
+  EXPECT_GT(result.within[0].requests, 1000U);  // desk-view, the first class
   // At a quarter of full load the primaries could serve every read; reads must go to the replicas all the
   // same.
   EXPECT_GT(result.replica_reads, 0.8 * static_cast<double>(result.replica_reads + result.primary_reads));
@@ -213,12 +212,16 @@
 /// that the test makes silent.
 class HundredRouters {
  public:
+  static constexpr std::uint32_t router_count = 100;
+  static constexpr std::uint32_t host_count = 4;
+  static constexpr Duration tick = 10ms;
+  static constexpr Duration deadline = 490ms;
   explicit HundredRouters(double probe_cost = 0.08) {
-    for (std::uint32_t i = 0; i < 100; ++i) {
+    for (std::uint32_t i = 0; i < router_count; ++i) {
       Settings settings;
       settings.seed = i + 1;
       settings.instance_index = i;
-      settings.instance_count = 100;
+      settings.instance_count = router_count;
       settings.discovery_mode = DiscoveryMode::poll;
       settings.stale_read_policy = StaleReadPolicy::refuse;
       settings.answers_carry_position = true;
@@ -230,7 +233,7 @@
       RequestClass history;
       history.name = "history";
       history.latency_target = 150ms;
-      history.deadline = 490ms;
+      history.deadline = deadline;
       history.freshness = Freshness::any;
       settings.classes = {history};
       nodes.push_back({std::make_unique<Router>(settings), {}, {}});
@@ -238,56 +241,58 @@
   }
   /// Starts the routers from `first` up to, not including, `end`.
   void start(std::uint32_t first, std::uint32_t end) {
-    for (auto i = first; i < end; ++i) {
-      deliver(i, Started{});
+    for (auto router = first; router < end; ++router) {
+      deliver(router, Started{});
       MembersListed list;
       list.kind = ListKind::cached;
-      for (std::uint32_t host = 1; host <= 4; ++host) {
+      for (std::uint32_t host = 1; host <= host_count; ++host) {
         HostEntry entry;
         entry.host = HostId{host};
         entry.group = GroupId{1};
         list.entries.push_back(entry);
       }
-      deliver(i, list);
+      deliver(router, list);
     }
   }
   /// Runs for `length` with `rate` requests per second at each router.
   void run(Duration length, double rate) {
-    for (const auto end = now + length; now < end; now += 10ms)
-      for (std::uint32_t i = 0; i < nodes.size(); ++i) {
-        auto& due = nodes[i].due;
+    for (const auto end = now + length; now < end; now += tick)
+      for (std::uint32_t router = 0; router < nodes.size(); ++router) {
+        auto& due = nodes[router].due;
         while (!due.empty() && due.begin()->first <= now) {
           const auto event = due.begin()->second;
           due.erase(due.begin());
-          deliver(i, event);
+          deliver(router, event);
         }
+        // With 100 ticks in a second, a request arrives in a tick with a probability of rate / 100.
         if (static_cast<double>(random() % 100000) < rate * 1000) {
           RequestArrived request;
           request.request = RequestId{++last_request};
           request.class_id = ClassId{0};
           request.group = GroupId{1};
-          request.time_left = 490ms;
-          deliver(i, request);
+          request.time_left = deadline;
+          deliver(router, request);
         }
       }
   }
   /// Passes an event to a router and schedules the results of its actions.
-  void deliver(std::uint32_t i, const Event& event) {
+  void deliver(std::uint32_t router, const Event& event) {
+    Node& node = nodes[router];
     std::vector<Action> actions;
-    nodes[i].router->handle(now, event, actions);
+    node.router->handle(now, event, actions);
     for (const auto& action : actions) {
-      auto& due = nodes[i].due;
+      auto& due = node.due;
       if (const auto* send = std::get_if<Send>(&action)) {
         sends.emplace_back(now, send->host.value);
         AttemptEnded ended;
         ended.request = send->request;
         ended.host = send->host;
-        ended.attempt = nodes[i].attempts[send->request.value]++;
+        ended.attempt = node.attempts[send->request.value]++;
         ended.metadata.role = send->host.value == 1 ? Role::primary : Role::replica;
         ended.metadata.position = now;
         const bool silent = send->host.value == silent_host;
         ended.outcome = silent ? Outcome::timeout : Outcome::ok;
-        ended.elapsed = silent ? 490ms : 30ms;
+        ended.elapsed = silent ? deadline : Duration(30ms);
         ended.request_ended = true;
         due.emplace(now + ended.elapsed, ended);
       } else if (const auto* probe = std::get_if<Probe>(&action)) {
@@ -303,14 +308,14 @@
         }
         due.emplace(now + ended.elapsed, ended);
       } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-        due.emplace(std::max(timer->due, now + 10ms), TimerFired{timer->timer});
+        due.emplace(std::max(timer->due, now + tick), TimerFired{timer->timer});
       } else if (std::holds_alternative<OpenWatch>(action)) {
         list_requests.push_back(now);
         if (random() % 2 == 0) due.emplace(now + 50ms, MembersListed{ListKind::failed, {}});
       }
     }
   }
-  /// The largest number of times within any window of this length.
+  /// The largest number of the times, which are sorted, that lie within a window of the given length.
   template <class Times>
   static std::size_t max_within(const Times& times, Duration window) {
     std::size_t largest = 0;
@@ -326,6 +331,7 @@
         sends.begin(), sends.end(),
         [&](const auto& send) { return send.second == host && send.first >= from; }));
   }
+  /// A router, the events that it is to get, and its attempts.
   struct Node {
     std::unique_ptr<Router> router;
     std::multimap<Time, Event> due;
@@ -334,7 +340,7 @@
   std::vector<Node> nodes;
   std::vector<std::pair<Time, std::uint32_t>> sends;   // time and host
   std::vector<std::pair<Time, std::uint32_t>> probes;  // time and host
-  std::vector<Time> list_requests;
+  std::vector<Time> list_requests;                     // times of OpenWatch; half of these requests fail
   Time now = 100s;
   std::uint32_t silent_host = 0;  // 0: none
   std::uint64_t last_request = 0;
@@ -347,7 +353,7 @@
   routers.run(3s, 0);
   routers.list_requests.clear();
   const auto started_at = routers.now;
-  routers.start(30, 100);
+  routers.start(30, HundredRouters::router_count);
   routers.run(10s, 0);
   ASSERT_GE(routers.list_requests.size(), 70U);
   EXPECT_LE(routers.list_requests.size(), 200U)
@@ -359,7 +365,7 @@
 TEST(Fleet, DrainingOrRemovedHostGetsNoMoreRequestsFromAnyRouter) {
   for (const auto state : {HostState::draining, HostState::gone}) {
     HundredRouters routers;
-    routers.start(0, 100);
+    routers.start(0, HundredRouters::router_count);
     routers.run(3s, 3);
     ASSERT_GT(routers.sends_to(2, Time(100s)), 20U);
     MembersListed list;
@@ -370,7 +376,8 @@
     entry.state = state;
     list.entries.push_back(entry);
     const auto listed_at = routers.now;
-    for (std::uint32_t i = 0; i < 100; ++i) routers.deliver(i, list);
+    for (std::uint32_t router = 0; router < HundredRouters::router_count; ++router)
+      routers.deliver(router, list);
     routers.run(5s, 3);
     EXPECT_EQ(routers.sends_to(2, listed_at), 0U);
     EXPECT_GT(routers.sends_to(3, listed_at), 100U);
@@ -379,7 +386,7 @@
 
 TEST(Fleet, SilentHostGetsFewProbesAndRequestsAndIsFoundAgain) {
   HundredRouters routers;
-  routers.start(0, 100);
+  routers.start(0, HundredRouters::router_count);
   routers.run(5s, 2);
   routers.silent_host = 3;
   routers.probes.clear();
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -15,6 +15,7 @@
 
 using namespace std::chrono_literals;
 
+// Indices into the classes of make_settings().
 constexpr ClassId bounded{0};
 constexpr ClassId session{1};
 constexpr ClassId any{2};
@@ -22,6 +23,7 @@
 constexpr ClassId write{4};
 constexpr ClassId keyed{5};
 
+/// A request class with a latency target of 500 ms and a deadline of 2 s.
 RequestClass make_class(const char* name, Freshness freshness, Idempotency idempotency = Idempotency::safe) {
   RequestClass request_class;
   request_class.name = name;
@@ -35,6 +37,7 @@
   return request_class;
 }
 
+/// Settings of a single router with one class for each kind of consistency and idempotency.
 Settings make_settings() {
   Settings settings;
   settings.seed = 7;
@@ -51,7 +54,7 @@
   return settings;
 }
 
-/// A router with one group of hosts. Feeds it events and records its actions.
+/// A router with one group of hosts, numbered from 1. Passes events to the router and records its actions.
 class Harness {
  public:
   explicit Harness(Settings settings = make_settings(), std::uint32_t hosts = 3, Time start = 100s)
@@ -61,6 +64,7 @@
     for (std::uint32_t i = 1; i <= hosts; ++i) entries.push_back(entry(i));
     list_hosts(ListKind::cached, entries);
   }
+  /// The member list's entry of a host of group 1.
   static HostEntry entry(std::uint32_t id, HostState state = HostState::ready) {
     HostEntry host_entry;
     host_entry.host = HostId{id};
@@ -68,6 +72,7 @@
     host_entry.state = state;
     return host_entry;
   }
+  /// Passes an event to the router and records the resulting actions.
   void handle(const Event& event) {
     std::vector<Action> actions;
     router_.handle(now, event, actions);
@@ -94,7 +99,7 @@
   void list_hosts(ListKind kind, std::vector<HostEntry> entries) {
     handle(MembersListed{kind, std::move(entries)});
   }
-  /// Hands in a probe's answer: the host's position, whether it is the primary, its queue length.
+  /// Passes a probe's answer to the router: the host's position, whether it is the primary, its queue length.
   void answer_probe(std::uint32_t host, Time position, bool primary, std::optional<double> queue = {}) {
     ProbeEnded event;
     event.host = HostId{host};
@@ -103,7 +108,7 @@
     event.report.role = primary ? Role::primary : Role::replica;
     handle(event);
   }
-  /// Hands in a client's request and returns its id.
+  /// Passes a client's request to the router and returns its id.
   std::uint64_t submit(ClassId class_id, std::optional<std::uint64_t> session_key = {},
                        Duration time_left = 2s, std::optional<Duration> token_age = {}) {
     RequestArrived event;
@@ -116,7 +121,7 @@
     handle(event);
     return last_request;
   }
-  /// Ends the request's last attempt; the request too if `request_ended` or if the outcome is ok.
+  /// Ends the request's last attempt, and the request too if `request_ended` or if the outcome is ok.
   void end_attempt(std::uint64_t request, Outcome outcome, AnswerMetadata metadata = {},
                    bool request_ended = false) {
     AttemptEnded event;
@@ -169,9 +174,9 @@
   Time now;
   std::vector<Send> sends;
   std::vector<Cancel> cancels;
-  std::map<std::uint64_t, Duration> refused;  // retry-after hint by request
-  std::set<std::uint64_t> failed;
-  std::vector<std::uint32_t> probed_hosts;  // in the order of the probes
+  std::map<std::uint64_t, Duration> refused;  // retry pause by request
+  std::set<std::uint64_t> failed;             // requests
+  std::vector<std::uint32_t> probed_hosts;    // in the order of the probes
   std::vector<Time> watch_times;
   SetTimer timer;
   std::map<std::uint64_t, std::uint32_t> last_host;  // by request
@@ -191,7 +196,7 @@
   harness.answer_probe(3, harness.now - 500ms, false);
   auto counts = harness.count_by_host(bounded, 3000);
   EXPECT_EQ(counts[1], 0);
-  EXPECT_NEAR(counts[2], 2000, 120);  // 1 against 0.5
+  EXPECT_NEAR(counts[2], 2000, 120);  // a weight of 1 beside 0.5
   harness.now += 501ms;               // now host 2 lags by 1000 ms, host 3 by 1001 ms
   harness.answer_probe(1, harness.now, true);
   counts = harness.count_by_host(bounded, 100);
@@ -286,7 +291,7 @@
   EXPECT_TRUE(harness.was_sent(harness.submit(write, 1)));
 }
 
-TEST(StaleReplicas, SmallShareOfReadsGoesToThemAndTheRetryToThePrimary) {
+TEST(StaleReplicas, GetASmallShareOfReadsAndARefusedReadIsRetriedAtThePrimary) {
   auto settings = make_settings();
   settings.stale_read_policy = StaleReadPolicy::refuse;
   Harness harness(settings);
@@ -300,8 +305,8 @@
   EXPECT_EQ(harness.last_host[request], 1U);
 }
 
-/// One of hundreds of routers has old positions, so that it takes most replicas for stale although they are
-/// not. Whether they answer stale reads corrects that.
+/// One of hundreds of routers has old positions, so it takes most replicas for stale although they are not.
+/// The success rate of the reads sent to such replicas corrects that.
 TEST(StaleReplicas, ShareFollowsTheSuccessRateOfStaleReads) {
   auto settings = make_settings();
   settings.stale_read_policy = StaleReadPolicy::refuse;
@@ -349,9 +354,9 @@
   EXPECT_EQ(harness.last_host[harness.submit(bounded)], 3U);
 }
 
-/// Of replicas that reported at different times the last one would always seem the most current, and each of
-/// many routers would send all its reads to one host. Where stale reads are answered, the lag at the time of
-/// the report counts instead.
+/// Of replicas that reported at different times, the one that reported last would always seem the most
+/// current, and each of many routers would send all its reads to one host. Where stale reads are answered,
+/// the lag at the time of the report counts instead.
 TEST(StaleReplicas, ReadsAreSpreadOverReplicasThatWereCurrentAtTheirLastReport) {
   auto settings = make_settings();
   settings.stale_read_policy = StaleReadPolicy::refuse;
@@ -463,9 +468,8 @@
   EXPECT_EQ(harness.failed.count(write_request), 0U);
 }
 
-// Guards against a timer that each arrival in its own batch set anew, so that it never fired on a busy
-// router.
-TEST(FinalAnswer, TimerFiresAlthoughRequestsArriveInEveryBatch) {
+// Guards against a timer that each arrival postpones, so that it never fires on a busy router.
+TEST(FinalAnswer, TimerFiresAlthoughRequestsArriveAllTheTime) {
   Harness harness;
   const auto write_request = harness.submit(write, 1, 800ms);
   for (int i = 0; i < 400; ++i) {
@@ -602,26 +606,36 @@
   EXPECT_GT(harness.count_by_host(any, 200)[2], 60);
 }
 
-/// Hundreds of routers over groups of three hosts: host 3g + 1 is the primary of group g. Every attempt is
-/// answered after `latency`. Host 1 starts cold in begin_cold_start; the work sent to it is recorded.
+/// Hundreds of routers over groups of three hosts. Groups are numbered from 0, hosts from 1: the first host
+/// of each group is its primary, so host 1 is the primary of group 0. Every attempt is answered after
+/// `latency`. Host 1 starts cold in begin_cold_start; the work sent to it is recorded.
 class RouterFleet {
  public:
   static constexpr int routers = 300;
   static constexpr int groups = 12;
+  static constexpr std::uint32_t hosts_per_group = 3;
   static constexpr double host_rate = 15;  // requests a second that a host answers before the cold start
+  static constexpr Duration tick = 5ms;
+  static constexpr Duration overload_window = 1500ms;
+  static constexpr double overload_multiple = 2;
+  static constexpr double cold_capacity_share = 0.2;
+  static constexpr Duration warm_up_duration = 10s;
+  static constexpr double probe_work = 0.01;  // work of a probe, in requests
+  /// `known_primary`: whether the routers know from the start that host 1 is a primary.
   explicit RouterFleet(bool known_primary = true) : known_primary_(known_primary) {
     for (std::uint32_t i = 0; i < routers; ++i) restart_router(i);
   }
+  /// Replaces a router by a new one without any state.
   void restart_router(std::uint32_t index) {
     Settings settings;
     settings.seed = 977 + index + 100'000 * static_cast<std::uint64_t>(restarts_++);
     settings.instance_count = routers;
     settings.instance_index = index;
     settings.retry_after_allowed = true;
-    settings.warm_up_duration = 10s;
-    settings.cold_capacity_share = 0.2;
-    settings.overload_multiple = 2;
-    settings.overload_window = 1500ms;
+    settings.warm_up_duration = warm_up_duration;
+    settings.cold_capacity_share = cold_capacity_share;
+    settings.overload_multiple = overload_multiple;
+    settings.overload_window = overload_window;
     settings.probe_cost = 0.02;
     auto any_class = make_class("any", Freshness::any);
     auto write_class = make_class("write", Freshness::write, Idempotency::keyed);
@@ -635,43 +649,46 @@
     node.attempts.clear();
     handle(node, Started{});
     MembersListed list;
-    for (std::uint32_t host = 1; host <= 3 * groups; ++host) list.entries.push_back(entry(host));
+    for (std::uint32_t host = 1; host <= hosts_per_group * groups; ++host)
+      list.entries.push_back(entry(host));
     list.kind = ListKind::cached;
     handle(node, list);
     for (std::uint32_t group = known_primary_ ? 0 : 1; group < groups; ++group)
-      report_primary(node, 3 * group + 1);
+      report_primary(node, hosts_per_group * group + 1);
   }
   /// Restarts host 1 and removes the others of its group; all routers are notified at once.
   void begin_cold_start() {
     cold_start_at_ = now_;
     MembersListed list;
     list.kind = ListKind::delta;
-    for (std::uint32_t host = 1; host <= 3; ++host) list.entries.push_back(entry(host));
+    for (std::uint32_t host = 1; host <= hosts_per_group; ++host) list.entries.push_back(entry(host));
     for (auto& node : nodes_) handle(node, list);
   }
+  /// Lets all routers know at once that host 1 is a primary.
   void report_first_primary() {
     known_primary_ = true;
     for (auto& node : nodes_) report_primary(node, 1);
   }
-  /// Traffic, spread evenly: `load` times the usual, a share `first_group_share` of it to the group of
-  /// host 1.
+  /// Runs for `duration` with evenly spread traffic of `load` times host_rate for each host. The share
+  /// `first_group_share` of it goes to the group of host 1.
   void run(Duration duration, double load = 1, double first_group_share = 1.0 / groups) {
-    const double rate = load * host_rate * groups * 3;
+    constexpr double tick_seconds = 0.005;
+    const double rate = load * host_rate * groups * hosts_per_group;
     for (const auto until = now_ + duration; now_ < until;) {
-      now_ += 5ms;
+      now_ += tick;
       for (auto& node : nodes_) advance(node);
-      for (arrivals_due_ += rate * 0.005; arrivals_due_ >= 1; --arrivals_due_) {
+      for (arrivals_due_ += rate * tick_seconds; arrivals_due_ >= 1; --arrivals_due_) {
         RequestArrived event;
         event.request = RequestId{++last_request_};
         event.class_id = ClassId{static_cast<std::int32_t>(random_() % 3)};
-        const bool first_group = random_() % 1000 < static_cast<unsigned>(first_group_share * 1000);
+        const bool first_group = happens(first_group_share);
         event.group = GroupId{first_group ? 0 : 1 + static_cast<std::int64_t>(random_() % (groups - 1))};
         event.time_left = 2s;
         handle(nodes_[random_() % routers], event);
       }
     }
   }
-  /// Hands in one write for the group of host 1 at every router at once.
+  /// Passes one write for the group of host 1 to every router at once.
   void write_at_every_router() {
     for (auto& node : nodes_) {
       RequestArrived event;
@@ -682,17 +699,20 @@
       handle(node, event);
     }
   }
-  /// The highest share, in any overload window, of the work that may be sent to the cold host 1 in it; a
-  /// probe counts for a hundredth of a request.
+  /// The work sent to the cold host 1 over the work that may be sent to it, in the overload window for which
+  /// this share is highest.
   [[nodiscard]] double max_budget_use() const {
+    constexpr double window_seconds = 1.5;
+    constexpr double capacity_growth = 0.08;  // share of the full capacity that the host gains per second
     double highest = 0;
-    for (std::size_t i = 0; i < work_.size(); ++i) {
+    for (std::size_t first = 0; first < work_.size(); ++first) {
       double sum = 0;
-      for (auto k = i; k < work_.size() && work_[k].first < work_[i].first + 1500ms; ++k)
-        sum += work_[k].second;
-      const double uptime = static_cast<double>((work_[i].first - cold_start_at_).count()) / 1e6;
-      const double mean_capacity = (0.2 + 0.08 * (uptime + 0.75)) * host_rate;  // in this window
-      highest = std::max(highest, sum / (2 * mean_capacity * 1.5));
+      for (auto i = first; i < work_.size() && work_[i].first < work_[first].first + overload_window; ++i)
+        sum += work_[i].second;
+      const double uptime_seconds = static_cast<double>((work_[first].first - cold_start_at_).count()) / 1e6;
+      const double mean_capacity =  // requests a second, in this window
+          (cold_capacity_share + capacity_growth * (uptime_seconds + window_seconds / 2)) * host_rate;
+      highest = std::max(highest, sum / (overload_multiple * mean_capacity * window_seconds));
     }
     return highest;
   }
@@ -703,11 +723,12 @@
   }
   /// Probes sent to host 1 since its cold start.
   [[nodiscard]] int cold_probes() const { return static_cast<int>(work_.size()) - cold_sends(); }
-  bool lose_probes = false;  // of host 1
-  double error_share = 0;    // of the attempts at other hosts than 1: these fail at once
-  Duration latency{120'000};
+  bool lose_probes = false;  // whether probes of host 1 get no answer
+  double error_share = 0;    // share of the attempts at other hosts than host 1 that fail, after 5 ms
+  Duration latency = 120ms;
 
  private:
+  /// A router, the events that it is to get, and its attempts.
   struct Node {
     std::unique_ptr<Router> router;
     std::multimap<Time, Event> due_events;
@@ -717,13 +738,18 @@
   HostEntry entry(std::uint32_t host) const {
     HostEntry host_entry;
     host_entry.host = HostId{host};
-    host_entry.group = GroupId{(host - 1) / 3};
-    if (cold_start_at_ > 0s && host <= 3) {
+    host_entry.group = GroupId{(host - 1) / hosts_per_group};
+    if (cold_start_at_ > 0s && host <= hosts_per_group) {
       host_entry.state = host == 1 ? HostState::ready : HostState::gone;
       if (host == 1) host_entry.started_at = cold_start_at_;
     }
     return host_entry;
   }
+  static Role role_of(HostId host) {
+    return host.value % hosts_per_group == 1 ? Role::primary : Role::replica;
+  }
+  /// True with the given probability, in steps of a thousandth.
+  bool happens(double probability) { return random_() % 1000 < static_cast<unsigned>(probability * 1000); }
   void report_primary(Node& node, std::uint32_t host) {
     ProbeEnded event;
     event.host = HostId{host};
@@ -744,8 +770,7 @@
     for (const auto& action : actions) {
       if (const auto* send = std::get_if<Send>(&action)) {
         if (send->host == HostId{1} && cold_start_at_ > 0s) work_.emplace_back(now_, 1);
-        const bool fails =
-            send->host != HostId{1} && random_() % 1000 < static_cast<unsigned>(error_share * 1000);
+        const bool fails = send->host != HostId{1} && happens(error_share);
         AttemptEnded ended;
         ended.request = send->request;
         ended.attempt = node.attempts[send->request.value]++;
@@ -753,16 +778,15 @@
         ended.outcome = fails ? Outcome::error : Outcome::ok;
         ended.elapsed = fails ? Duration(5ms) : latency;
         ended.request_ended = !fails;
-        ended.metadata.role = send->host.value % 3 == 1 ? Role::primary : Role::replica;
+        ended.metadata.role = role_of(send->host);
         node.due_events.emplace(now_ + ended.elapsed, ended);
       } else if (const auto* probe = std::get_if<Probe>(&action)) {
-        if (probe->host == HostId{1} && cold_start_at_ > 0s) work_.emplace_back(now_, 0.01);
+        if (probe->host == HostId{1} && cold_start_at_ > 0s) work_.emplace_back(now_, probe_work);
         ProbeEnded ended;
         ended.host = probe->host;
         ended.elapsed = 2ms;
         ended.report.position = now_;
-        if (probe->host != HostId{1} || known_primary_)
-          ended.report.role = probe->host.value % 3 == 1 ? Role::primary : Role::replica;
+        if (probe->host != HostId{1} || known_primary_) ended.report.role = role_of(probe->host);
         const bool lost = lose_probes && probe->host == HostId{1};
         if (lost) {
           ended.outcome = Outcome::timeout;
@@ -770,17 +794,17 @@
         }
         node.due_events.emplace(now_ + (lost ? 250ms : 2ms), ended);
       } else if (const auto* set_timer = std::get_if<SetTimer>(&action)) {
-        node.due_events.emplace(std::max(set_timer->due, now_ + 5ms), TimerFired{set_timer->timer});
+        node.due_events.emplace(std::max(set_timer->due, now_ + tick), TimerFired{set_timer->timer});
       }
     }
   }
   Time now_ = 100s;
-  Time cold_start_at_ = 0s;
-  bool known_primary_;
+  Time cold_start_at_ = 0s;  // zero: not yet
+  bool known_primary_;       // whether reports show that host 1 is a primary
   int restarts_ = 0;
   std::vector<Node> nodes_;
   std::vector<std::pair<Time, double>> work_;  // sent to host 1 since its cold start, in requests
-  double arrivals_due_ = 0;
+  double arrivals_due_ = 0;                    // requests that the traffic up to now is short of
   std::uint64_t last_request_ = 0;
   std::mt19937_64 random_{11};
 };
@@ -837,6 +861,8 @@
   EXPECT_LE(fleet.max_budget_use(), 1);
 }
 
+// ---- reported queues, probes and admission ------------------------------------------------------
+
 /// Where only some queues are known, the replicas that reported last must not get all reads until others
 /// report: the others count with the mean queue. No host is probed only for its queue.
 TEST(ReplicaSelection, ReplicaWithUnknownQueueCountsAsOneWithTheMeanQueue) {
@@ -944,6 +970,8 @@
   EXPECT_LT(served[bounded.value], served[fresh.value] * 2 / 3);
 }
 
+// ---- health: probes and connections -------------------------------------------------------------
+
 TEST(Health, LostProbesAreIgnoredWhileTheHostAnswersRequests) {
   Harness harness;
   harness.answer_probe(1, harness.now, true);
@@ -1196,7 +1224,8 @@
   EXPECT_EQ(harness.attempts[first], 2U) << "each host once";
 }
 
-// A hundred routers that cancelled writes at a slow primary and sent them there again made its queue longer.
+// Guards against a hundred routers that cancel writes at a slow primary and send them there again, which
+// makes its queue longer.
 TEST(Health, RequestsForThePrimaryAreCancelledThereOnlyWhenAnotherTookOver) {
   Harness harness;
   harness.answer_probe(1, harness.now, true);
@@ -1212,8 +1241,8 @@
   EXPECT_EQ(harness.cancels.size(), 2U);
 }
 
-// One of a hundred routers sends a host a request every few seconds only: it must not need several failures
-// to eject the host.
+// One of a hundred routers sends a request to a host only every few seconds: it must not need several
+// failures to eject the host.
 TEST(Health, OneFailureEjectsAHostUnderThinTrafficButNotUnderDenseTraffic) {
   for (const bool thin_traffic : {true, false}) {
     Harness harness(make_settings(), 4);
