--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -1,3 +1,4 @@
+// Implementation of Broker: admission of requests, their attempts and ends, and the tenants' budgets.
 #include "broker/broker.h"
 
 #include <algorithm>
@@ -8,25 +9,59 @@
 
 // How long requests may still name a class that a reload has dropped: clients learn of a reload up to 1.2 s
 // later than the gateway.
-constexpr Duration dropped_class_lifetime{2'000'000};
+constexpr Duration dropped_class_lifetime = std::chrono::seconds(2);
+// Above this number of class counters, those that no class uses are dropped.
 constexpr std::size_t max_class_counters = 256;
 // A request that has waited longer than this is sent on only after checking that its client is still
 // connected: after a stall of the process, or behind bytes that are not read, the broker may not have been
 // notified of a disconnect.
-constexpr Duration client_check_after{100'000};
+constexpr Duration client_check_after = std::chrono::milliseconds(100);
 constexpr double microseconds_per_second = 1e6;
 // A host's state passed on by the other process reaches the router as an answered probe of this duration.
-constexpr std::chrono::milliseconds relayed_probe_duration(1);
-constexpr std::uint32_t timer_id = 1;
+constexpr Duration relayed_probe_duration = std::chrono::milliseconds(1);
+constexpr std::uint64_t timer_id = 1;  // of the router's only timer
+// Shares of a budget that this process may spend, beside another process and alone.
 constexpr double half_share = 0.5;
 constexpr double whole_share = 1;
 
-/// Fills in the settings' number of attempts, so that an open request keeps the number it was accepted under.
-RequestClass with_attempts(RequestClass request_class, const Settings& settings) {
+/// Replaces a `max_attempts` of 0 by the limit of the settings, so that a reload that changes this limit does
+/// not change it for open requests.
+RequestClass with_max_attempts(RequestClass request_class, const Settings& settings) {
   if (request_class.max_attempts == 0) request_class.max_attempts = settings.max_attempts;
   return request_class;
 }
 
+/// The index of a class in the broker's and the router's lists of classes.
+std::size_t index_of(ClassId class_id) { return static_cast<std::size_t>(class_id.value); }
+
+FinalAnswer refused_answer(Duration retry_after, const gates::Verdict& verdict = {}) {
+  FinalAnswer answer;
+  answer.status = AnswerStatus::refused;
+  answer.retry_after = retry_after;
+  answer.verdict = verdict;
+  return answer;
+}
+
+FinalAnswer answer_without_value(AnswerStatus status) {
+  FinalAnswer answer;
+  answer.status = status;
+  return answer;
+}
+
+FinalAnswer served_answer(std::string value) {
+  FinalAnswer answer;
+  answer.status = AnswerStatus::served;
+  answer.value = std::move(value);
+  return answer;
+}
+
+/// The result of an attempt that ended by the broker's decision, without an answer of the host.
+AttemptResult result_without_answer(Outcome outcome) {
+  AttemptResult result;
+  result.outcome = outcome;
+  return result;
+}
+
 }  // namespace
 
 Broker::Broker(Settings settings, const std::vector<TenantBudget>& budgets, std::vector<std::string> zones,
@@ -42,36 +77,40 @@
       hosts_(std::move(zones)) {
   classes_.resize(settings.classes.size());
   for (std::size_t i = 0; i < classes_.size(); ++i)
-    assign_class(i, with_attempts(settings.classes[i], settings));
+    assign_class(i, with_max_attempts(settings.classes[i], settings));
 }
 
+/// Makes the entry of this index stand for `request_class`, a class of the current settings.
 void Broker::assign_class(std::size_t index, const RequestClass& request_class) {
   classes_[index] = {request_class, &counts_[request_class.name], no_expiry};
 }
 
 void Broker::update_settings(Settings settings, std::vector<TenantBudget> budgets) {
   const Time now = clock_();
-  std::vector<bool> in_use(classes_.size(), false), kept(classes_.size(), false);
-  for (const auto& [id, request] : requests_)
-    in_use[static_cast<std::size_t>(request.gate_request.class_id.value)] = true;
+  std::vector<bool> in_use(classes_.size(), false);     // by an open request
+  std::vector<bool> unchanged(classes_.size(), false);  // contained in the old and the new settings
+  for (const auto& [id, request] : requests_) in_use[index_of(request.gate_request.class_id)] = true;
   std::vector<RequestClass> added;
   for (const auto& configured : settings.classes) {
-    const auto request_class = with_attempts(configured, settings);
-    const auto same = std::find_if(classes_.begin(), classes_.end(), [&](const ClassEntry& entry) {
+    const auto request_class = with_max_attempts(configured, settings);
+    const auto existing = std::find_if(classes_.begin(), classes_.end(), [&](const ClassEntry& entry) {
       return entry.expires_at == no_expiry && entry.request_class == request_class;
     });
-    if (same == classes_.end())
+    if (existing == classes_.end())
       added.push_back(request_class);
     else
-      kept[static_cast<std::size_t>(same - classes_.begin())] = true;
+      unchanged[static_cast<std::size_t>(existing - classes_.begin())] = true;
   }
+  // A changed class expires at once, because requests find its new entry under the same name; a dropped class
+  // expires later.
   for (std::size_t i = 0; i < classes_.size(); ++i) {
-    if (kept[i] || classes_[i].expires_at != no_expiry) continue;
+    if (unchanged[i] || classes_[i].expires_at != no_expiry) continue;
     const bool replaced = std::any_of(added.begin(), added.end(), [&](const RequestClass& request_class) {
       return request_class.name == classes_[i].request_class.name;
     });
     classes_[i].expires_at = replaced ? now : now + dropped_class_lifetime;
   }
+  // An added class takes the entry of an expired class without open requests, or a new entry.
   for (const auto& request_class : added) {
     std::size_t index = 0;
     while (index < classes_.size() && (classes_[index].expires_at > now || in_use[index])) ++index;
@@ -126,6 +165,7 @@
   return rejection;
 }
 
+/// Accepts a request of a known class, unless it is rejected, and passes it to the gates and the router.
 Rejection Broker::admit(const ClientRequest& client_request, ClassId class_id, FrontEnd& front_end,
                         RequestId& id) {
   const auto budget = std::find_if(budgets_.begin(), budgets_.end(), [&](const TenantBudget& candidate) {
@@ -137,9 +177,9 @@
   const Time now = clock_();
   const Time deadline = std::min(client_request.arrived.value_or(now), now) + client_request.time_left;
   if (deadline <= now || shutting_down_) return Rejection::late;
-  // Hosts and routing rules identify a request by its name: two open requests must not share one.
-  if (!names_.insert(client_request.name).second) return Rejection::name_in_use;
-  id = RequestId{next_request_++};
+  // Hosts and routing rules identify a request by its name: two open requests must not have the same name.
+  if (!open_request_names_.insert(client_request.name).second) return Rejection::name_in_use;
+  id = RequestId{next_request_id_++};
   auto& request = requests_[id.value];
   request.front_end = &front_end;
   request.name = client_request.name;
@@ -161,12 +201,11 @@
     if (request.gate_request.beyond_budget) ++budget->over_budget;
   }
   if (const auto verdict = pass_gates(request, now); !verdict.admitted) {
-    // The router is not notified: the refusal is given here. `id` refers to the caller's storage, which the
-    // answer may destroy.
-    const RequestId refused = id;
-    finish_request(refused, {AnswerStatus::refused, verdict.retry_after, {}, {}, {}, verdict},
-                   verdict.decided_by);
-    erase_if_complete(refused);
+    // The router never learns of the request: it is refused here. `id` refers to the caller's storage, which
+    // the answer may destroy.
+    const RequestId refused_id = id;
+    finish_request(refused_id, refused_answer(verdict.retry_after, verdict), verdict.decided_by);
+    erase_if_complete(refused_id);
     return Rejection::none;
   }
   RequestArrived event;
@@ -183,10 +222,11 @@
   return Rejection::none;
 }
 
+/// Passes a request through the gates until one of them rejects it; returns the verdict of that gate.
 gates::Verdict Broker::pass_gates(Request& request, Time now) {
-  // Gates know the classes and tenants of the start. Requests of those added by a reload bypass the gates
-  // until the next restart.
-  if (static_cast<std::size_t>(request.gate_request.class_id.value) >= gated_classes_ ||
+  // Gates know only the classes and tenants that were configured at the start. Requests of a class or tenant
+  // that was added by a reload bypass the gates until the next restart.
+  if (index_of(request.gate_request.class_id) >= gated_classes_ ||
       (request.gate_request.tenant >= 0 &&
        static_cast<std::size_t>(request.gate_request.tenant) >= gated_tenants_))
     return {};
@@ -209,8 +249,8 @@
   cancel_attempts(id);
 }
 
-/// Cancels the attempts in flight of a request whose answer is no longer awaited; their connections are
-/// closed.
+/// Cancels the attempts in flight of a request whose answer is no longer awaited, which closes their
+/// connections.
 void Broker::cancel_attempts(RequestId id) {
   const auto it = requests_.find(id.value);
   if (it == requests_.end()) return;
@@ -218,7 +258,7 @@
   for (std::uint32_t i = 0; i < attempts.size(); ++i)
     if (attempts[i].in_flight) {
       upstream_.cancel({id, i});
-      attempt_ended({id, i}, {Outcome::cancelled, {}, {}, {}, {}});
+      attempt_ended({id, i}, result_without_answer(Outcome::cancelled));
     }
   erase_if_complete(id);
 }
@@ -233,7 +273,7 @@
     if (it == requests_.end() || it->second.ended) continue;
     const auto status = it->second.may_have_run || it->second.attempts_in_flight > 0 ? AnswerStatus::failed
                                                                                      : AnswerStatus::refused;
-    finish_request(id, {status, {}, {}, {}, {}, {}}, gates::Decider::nobody);
+    finish_request(id, answer_without_value(status), gates::Decider::nobody);
     handle_event(ClientLeft{id});
     cancel_attempts(id);
   }
@@ -241,12 +281,15 @@
 
 bool Broker::attempt_part(AttemptKey key, std::string_view bytes) {
   const auto it = requests_.find(key.request.value);
-  if (it == requests_.end() || it->second.ended || key.number + 1 != it->second.attempts.size()) return true;
-  if (!std::exchange(it->second.streaming, true)) {
+  if (it == requests_.end()) return true;
+  auto& request = it->second;
+  const bool is_last_attempt = key.number + 1 == request.attempts.size();
+  if (request.ended || !is_last_attempt) return true;
+  if (!std::exchange(request.streaming, true)) {
     handle_event(AnswerStarted{key.request, key.number});
-    it->second.may_have_run = true;
+    request.may_have_run = true;
   }
-  auto* front_end = it->second.front_end;
+  auto* front_end = request.front_end;
   return !front_end || front_end->on_answer_part(key.request, bytes);
 }
 
@@ -258,18 +301,17 @@
 
 void Broker::attempt_written(AttemptKey key) {
   const auto it = requests_.find(key.request.value);
-  if (it != requests_.end())
-    ++classes_[static_cast<std::size_t>(it->second.gate_request.class_id.value)].counts->tries;
+  if (it != requests_.end()) ++classes_[index_of(it->second.gate_request.class_id)].counts->tries;
 }
 
 void Broker::collect_metrics(telemetry::Metrics& out) {
   for (const auto& [name, counts] : counts_) out.classes[name] += counts;
-  out.active += names_.size();
+  out.active += open_request_names_.size();
   out.pool_size += hosts_.listed_count();
   std::vector<GroupView> views;
   group_views(views);
   for (const auto& view : views) out.pool_ejected += static_cast<std::uint64_t>(view.avoided);
-  out.pool_ejected += hosts_.listed_disabled();
+  out.pool_ejected += hosts_.listed_disabled_count();
 }
 
 void Broker::attempt_ended(AttemptKey key, AttemptResult result) {
@@ -295,12 +337,12 @@
   request.may_have_run |= result.outcome != Outcome::connect_failed && result.outcome != Outcome::not_sent &&
                           result.outcome != Outcome::full && result.outcome != Outcome::too_stale;
   request.message = std::move(result.message);
-  // The position of a write is its commit, which only its primary is known to have.
-  const bool commit =
-      classes_[static_cast<std::size_t>(request.gate_request.class_id.value)].request_class.freshness ==
-          Freshness::write &&
-      result.metadata.role != Role::replica;
-  observe_host(attempt.host, result.metadata.role, commit ? std::nullopt : result.metadata.position);
+  // The position in the answer to a write is the write's commit, which only its primary is known to have.
+  const auto& request_class = classes_[index_of(request.gate_request.class_id)].request_class;
+  const bool position_is_commit =
+      request_class.freshness == Freshness::write && result.metadata.role != Role::replica;
+  observe_host(attempt.host, result.metadata.role,
+               position_is_commit ? std::nullopt : result.metadata.position);
   // A served attempt ends the request: the router is notified of both in one event, then the client is
   // answered.
   FrontEnd* front_end = nullptr;
@@ -308,14 +350,13 @@
     front_end = std::exchange(request.front_end, nullptr);
     mark_ended(request);
     record_end(request, gates::RequestEnd::served);
-    if (commit && on_commit_ && request.session)
+    if (position_is_commit && on_commit_ && request.session)
       on_commit_({request.gate_request.group, *request.session, result.metadata.position.value_or(clock_())});
   }
   event.request_ended = request.ended;
   handle_event(event);
   erase_if_complete(key.request);
-  if (front_end)
-    front_end->finish(key.request, {AnswerStatus::served, {}, std::move(result.value), {}, {}, {}});
+  if (front_end) front_end->finish(key.request, served_answer(std::move(result.value)));
 }
 
 /// Records a host's role and position, and reports a change of role.
@@ -327,7 +368,8 @@
 bool Broker::set_disabled(const std::string& host, bool disabled, bool force) {
   const auto entry = hosts_.set_disabled(host, disabled, clock_(), force);
   if (!entry) return false;
-  if (entry->host == HostId{}) return true;  // not listed now: it stays disabled when it is listed again
+  if (entry->host == HostId{})
+    return true;  // not listed now: the state applies once the host is listed again
   handle_event(MembersListed{ListKind::delta, {*entry}});
   if (entry->state != HostState::ready) upstream_.close_idle(entry->host);
   return true;
@@ -351,6 +393,7 @@
 }
 
 void Broker::merge_snapshot(RouterSnapshot snapshot) {
+  // An unknown host gets the id that no host has, so that the router ignores it.
   for (auto& host : snapshot.hosts) host.host = hosts_.find(host.name).value_or(HostId{});
   router_.merge_snapshot(clock_(), snapshot);
 }
@@ -359,8 +402,10 @@
   BudgetSnapshots snapshots;
   for (auto& budget : budgets_) {
     budget.refill(clock_());
-    const double other_share = handover::budget_share(handover::HandoverStage::incoming, budget.per_second);
-    snapshots[budget.tenant] = {other_share, budget.tokens * other_share};
+    // The bucket holds the tokens of one second, so the burst that may be spent at once is `per_second`.
+    const double incoming_share =
+        handover::budget_share(handover::HandoverStage::incoming, budget.per_second);
+    snapshots[budget.tenant] = {incoming_share, budget.tokens * incoming_share};
     budget.share_fraction = handover::budget_share(handover::HandoverStage::outgoing, budget.per_second);
     budget.tokens *= budget.share_fraction;
   }
@@ -402,7 +447,7 @@
   set_slow_start_share(whole_share);
   for (auto& budget : budgets_) {
     budget.refill(clock_());
-    budget.share_fraction = 1;
+    budget.share_fraction = whole_share;
   }
 }
 
@@ -414,8 +459,8 @@
 void Broker::on_member_list(const MemberList& list) {
   handle_event(MembersListed{list.full ? ListKind::full : ListKind::delta, hosts_.apply(list)});
   for (const auto host : hosts_.hosts_to_close()) upstream_.close_idle(host);
-  // While an event is being handled, the router has not processed this list yet and would report the new
-  // hosts as unknown.
+  // While another event is being handled, this list is only queued: the router does not track the new hosts
+  // yet, and they would be forgotten.
   if (!handling_events_) hosts_.prune([this](HostId id) { return router_.tracks(id); });
 }
 
@@ -423,22 +468,24 @@
 
 void Broker::timer_fired() { handle_event(TimerFired{timer_id}); }
 
-/// Handles events one after another: an event that an action causes at once is queued.
+/// Passes an event to the router and performs the resulting actions. An event that occurs meanwhile, because
+/// an action has an immediate result, is queued and handled afterwards.
 void Broker::handle_event(Event event) {
   events_.emplace_back(clock_(), std::move(event));
   if (handling_events_) return;
   handling_events_ = true;
   std::vector<Action> actions;
   while (!events_.empty()) {
-    const auto [now, next] = std::move(events_.front());
+    const auto [now, next_event] = std::move(events_.front());
     events_.pop_front();
     actions.clear();
-    router_.handle(now, next, actions);
+    router_.handle(now, next_event, actions);
     for (const auto& action : actions) perform(action, now);
   }
   handling_events_ = false;
 }
 
+/// Performs an action of the router, which was decided at `now`.
 void Broker::perform(const Action& action, Time now) {
   if (const auto* send = std::get_if<Send>(&action)) return start_attempt(*send, now);
   if (const auto* cancel = std::get_if<Cancel>(&action)) {
@@ -446,13 +493,12 @@
     if (it == requests_.end() || cancel->attempt >= it->second.attempts.size()) return;
     if (!it->second.attempts[cancel->attempt].in_flight) return;
     upstream_.cancel({cancel->request, cancel->attempt});
-    attempt_ended({cancel->request, cancel->attempt}, {Outcome::cancelled, {}, {}, {}, {}});
+    attempt_ended({cancel->request, cancel->attempt}, result_without_answer(Outcome::cancelled));
   } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-    finish_request(refuse->request, {AnswerStatus::refused, refuse->retry_after, {}, {}, {}, {}},
-                   gates::Decider::router);
+    finish_request(refuse->request, refused_answer(refuse->retry_after), gates::Decider::router);
     erase_if_complete(refuse->request);
   } else if (const auto* fail = std::get_if<Fail>(&action)) {
-    finish_request(fail->request, {AnswerStatus::failed, {}, {}, {}, {}, {}}, gates::Decider::router);
+    finish_request(fail->request, answer_without_value(AnswerStatus::failed), gates::Decider::router);
     erase_if_complete(fail->request);
   } else if (const auto* probe = std::get_if<Probe>(&action)) {
     upstream_.probe(probe->host, hosts_.address(probe->host));
@@ -463,6 +509,8 @@
   }
 }
 
+/// Records an attempt and sends it, unless its answer is no longer awaited, a gate bars the retry, or there
+/// is no time left: then the attempt ends as not sent.
 void Broker::start_attempt(const Send& send, Time now) {
   const auto it = requests_.find(send.request.value);
   if (it == requests_.end()) return;
@@ -482,14 +530,16 @@
     return client_left(send.request);
   // A request that ended while this action was queued is not sent: its answer is no longer awaited.
   if (request.ended || retry_barred || clock_() >= give_up_at)
-    return attempt_ended(key, {Outcome::not_sent, {}, {}, {}, {}, {}});
+    return attempt_ended(key, result_without_answer(Outcome::not_sent));
   const auto payload = request.payload;
   upstream_.start(key, send.host, hosts_.address(send.host), payload, give_up_at, send.sole_candidate);
 }
 
+/// Ends a request that was not served, and gives the client its final answer.
 void Broker::finish_request(RequestId id, FinalAnswer answer, gates::Decider decided_by) {
   const auto it = requests_.find(id.value);
   if (it == requests_.end() || it->second.ended) return;
+  // The client already has a part of a value, so the only possible end is a truncated one.
   if (it->second.streaming) {
     answer = {};
     answer.truncated = true;
@@ -518,7 +568,7 @@
                                 now);
   }
   if (end == gates::RequestEnd::abandoned) return;
-  auto& counts = *classes_[static_cast<std::size_t>(request.gate_request.class_id.value)].counts;
+  auto& counts = *classes_[index_of(request.gate_request.class_id)].counts;
   ++(end == gates::RequestEnd::served    ? counts.ok
      : end == gates::RequestEnd::refused ? counts.shed
                                          : counts.errors);
@@ -542,10 +592,11 @@
   return true;
 }
 
+/// Marks a request as ended, which makes its name available to other requests.
 void Broker::mark_ended(Request& request) {
   request.ended = true;
   request.ended_at = clock_();
-  names_.erase(request.name);
+  open_request_names_.erase(request.name);
 }
 
 /// Erases a request that has ended and has no attempt in flight.
@@ -556,11 +607,11 @@
   requests_.erase(it);
 }
 
+/// Reports the course of a request and its attempts to the trace callback.
 void Broker::report_trace(const Request& request) const {
   RequestTrace trace;
   trace.name = request.name;
-  trace.class_name =
-      classes_[static_cast<std::size_t>(request.gate_request.class_id.value)].request_class.name;
+  trace.class_name = classes_[index_of(request.gate_request.class_id)].request_class.name;
   trace.group = request.gate_request.group;
   trace.retry = request.gate_request.retry;
   trace.elapsed = request.ended_at - request.accepted_at;
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -32,12 +32,12 @@
 
 /// A request as a front end hands it to the broker.
 struct ClientRequest {
-  std::string name;        // the client's id for the request, unique among the open requests
+  std::string name;        // the client's id for the request; must differ from those of all open requests
   std::string class_name;  // of the request class
   std::string tenant;
   GroupId group;
   Duration time_left{};         // how long the client waits, counted from `arrived`
-  std::optional<Time> arrived;  // when the request's last byte arrived; absent: now
+  std::optional<Time> arrived;  // when the request's last byte arrived; absent, or in the future: now
   std::optional<SessionId> session;
   std::optional<Time> required_position;  // replication position that the read has to see
   bool retry = false;                     // marked by the client as a retry
@@ -50,12 +50,12 @@
 /// The final answer to a request.
 struct FinalAnswer {
   AnswerStatus status = AnswerStatus::failed;
-  Duration retry_after{};               // refused: when the client may retry
+  Duration retry_after{};               // refused: delay after which the client may retry; zero: none told
   std::string value;                    // served: the value as the upstream returned it
   std::string message;                  // failed: the host's error message, if any
   std::optional<Outcome> last_outcome;  // failed: outcome of the last attempt
   gates::Verdict verdict;               // refused by a gate: the gate's verdict
-  bool truncated = false;  // parts of the value have been passed on, and the rest will not follow
+  bool truncated = false;  // failed: parts of the value have been passed on, and the rest will not follow
 };
 
 /// Receives the answers of the requests that it has handed to the broker.
@@ -88,24 +88,26 @@
   bool connect_timed_out = false;  // connect_failed: the connection attempt timed out
 };
 
-/// Carries out attempts, probes and the discovery watch. Results may be reported before a call returns.
+/// Carries out attempts, probes and the discovery watch. Their results may be reported to the broker before
+/// the call that starts them returns.
 class Upstream {
  public:
   virtual ~Upstream() = default;
-  /// Starts an attempt, which ends by `give_up_at` at the latest. `sole_candidate`: see
-  /// cedarring::Send; a slow connection is waited for during the full connect timeout.
+  /// Starts an attempt, which sends `payload` to the host at `address` and ends by `give_up_at` at the
+  /// latest. `sole_candidate`: a slow connection is waited for during the full connect timeout, see
+  /// cedarring::Send.
   virtual void start(AttemptKey key, HostId host, const std::string& address,
                      const std::shared_ptr<const RequestPayload>& payload, Time give_up_at,
                      bool sole_candidate) = 0;
-  /// Cancels an attempt. The broker ignores a result that is reported for it afterwards.
+  /// Cancels an attempt. The broker ignores a result of the attempt that is reported afterwards.
   virtual void cancel(AttemptKey key) = 0;
   /// Sends a probe, answered by Broker::probe_ended.
   virtual void probe(HostId host, const std::string& address) = 0;
   /// Opens or reopens the discovery watch.
   virtual void open_watch() = 0;
-  /// Arranges for Broker::timer_fired at `due`.
+  /// Arranges for Broker::timer_fired at `due`. There is one timer: a later call replaces the time.
   virtual void set_timer(Time due) = 0;
-  /// The front end accepts further parts of the attempt's answer.
+  /// Continues an answer that was paused because Broker::attempt_part returned false.
   virtual void resume(AttemptKey /*key*/) {}
   /// Closes the idle connections to a host that is no longer listed as ready.
   virtual void close_idle(HostId host) = 0;
@@ -116,31 +118,35 @@
 struct TenantBudget {
   std::string tenant;
   double per_second = 0;  // this gateway's share of the tenant's rate, requests per second
-  // Requests; over_budget: those that arrived beyond the budget.
+  // Numbers of requests; over_budget: requests that arrived when the bucket held no whole token.
   std::uint64_t requested = 0, over_budget = 0, served = 0, refused = 0, failed = 0;
-  double tokens = 0;
-  Time refilled_at{};
+  double tokens = 0;          // requests that may arrive now within the budget
+  Time refilled_at{};         // zero before the first refill, which fills the bucket
   bool configured = true;     // whether the current settings contain the tenant
   double share_fraction = 1;  // this process's fraction of per_second while two processes run in an upgrade
-  /// Spends one token; false if there is none. At most one second's worth of tokens is saved.
+  /// Refills the bucket and spends one token; false if there is no whole token.
   bool try_spend(Time now);
-  /// Adds the tokens earned since `refilled_at`.
+  /// Adds the tokens earned since `refilled_at`. The bucket holds at most the tokens of one second.
   void refill(Time now);
 };
 
-/// The part of a tenant's budget that is handed over to another process of this gateway.
+/// The part of a tenant's budget that is handed over to another process of this gateway; see TenantBudget for
+/// the fields.
 struct BudgetSnapshot {
-  double share_fraction = 0, tokens = 0;
+  double share_fraction = 0;
+  double tokens = 0;
 };
 /// Reads or writes the snapshot under the key names of the handover format.
 template <class Archive>
 void serialize(Archive& archive, BudgetSnapshot& budget) {
-  archive("part", budget.share_fraction), archive("left", budget.tokens);
+  archive("part", budget.share_fraction);
+  archive("left", budget.tokens);
 }
 using BudgetSnapshots = std::map<std::string, BudgetSnapshot>;  // by tenant
 
 /// Why a request was not accepted. name_in_use: an open request has the same name; too_many_requests: the
-/// limit on open requests is reached; late: its deadline passed before it was accepted, and nothing has run.
+/// limit on open requests is reached; late: the deadline has passed already, or the process is shutting down;
+/// nothing has run.
 enum class Rejection {
   none,
   unknown_class,
@@ -153,9 +159,11 @@
 
 /// The course of a request that has ended, for the log.
 struct RequestTrace {
+  /// One attempt of the request, in the order of sending.
   struct AttemptTrace {
     std::string host;
-    Duration sent_after{}, duration{};  // sent_after: since the request was accepted
+    Duration sent_after{};  // from the acceptance of the request to the start of the attempt
+    Duration duration{};
     Outcome outcome = Outcome::ok;
   };
   std::string name, class_name;
@@ -169,9 +177,11 @@
 /// Accepts requests from front ends and sees each through to one final answer. Single-threaded; gates,
 /// upstream and front ends are not owned and outlive the broker.
 class Broker {
+  /// Expiry time of a request class that the current settings contain; never reached.
   static constexpr Time no_expiry{INT64_MAX / 2};
 
  public:
+  /// Returns the current time, which must not decrease.
   using Clock = std::function<Time()>;
   /// `zones`: zone names in the order of ZoneId. `max_requests`: limit on open requests.
   Broker(Settings settings, const std::vector<TenantBudget>& budgets, std::vector<std::string> zones,
@@ -181,7 +191,8 @@
 
   /// Starts the router with the hosts that are already known.
   void start(const MemberList& known_members);
-  /// Accepts a request, or returns why not. `id` is set before the front end can be called.
+  /// Accepts a request, or returns why it is rejected. `id` is set to the id of an accepted request, before
+  /// the front end can be called.
   Rejection accept(const ClientRequest& request, FrontEnd& front_end, RequestId& id);
   /// The client has disconnected: cancels the request's attempts.
   void client_left(RequestId id);
@@ -203,29 +214,32 @@
   void on_member_list(const MemberList& list);
   /// Discovery failed to deliver a list.
   void on_member_list_failed();
-  /// Disables or re-enables a host by operator command. Returns false if no host has the id
-  /// or too many hosts are disabled. With `force` the id is accepted unchecked, because another process of
-  /// this gateway has verified it.
+  /// Disables the host of this name, or enables it again, by operator command. Returns false if no host has
+  /// the name or too many hosts are disabled. With `force` the name is accepted unchecked, because another
+  /// process of this gateway has verified that the host exists.
   bool set_disabled(const std::string& host, bool disabled, bool force = false);
   [[nodiscard]] const HostTable& hosts() const { return hosts_; }
-  /// Applies what the other process of this gateway has observed of a host.
+  /// Applies a host's role and replication position as the other process of this gateway has observed them.
   void observe(const std::string& host, Role role, std::optional<Time> position);
-  // Handover between two processes of one gateway, see docs/service.md.
-  /// The router's state, with hosts by name.
+  // Handover between two processes of one gateway, see docs/service.md: while an upgrade runs, the outgoing
+  // and the incoming process divide the budgets between them.
+  /// The router's state, with host names in place of ids, which differ between the processes.
   RouterSnapshot snapshot(SnapshotScope scope);
   /// Merges the state of the other process's router.
   void merge_snapshot(RouterSnapshot snapshot);
-  /// Splits the tenants' budgets; returns the part of the other process.
+  /// Divides the tenants' budgets between this process, the outgoing one, and the incoming one, whose part is
+  /// returned.
   BudgetSnapshots split_budgets();
-  /// Takes over the budgets received. A tenant that is missing there gets its share without tokens.
+  /// Takes over this process's part of the budgets from the outgoing process. A tenant that is missing in
+  /// `received` gets its share without saved tokens.
   void restore_budgets(const BudgetSnapshots& received);
   /// Another process may be spending the budgets and has not reported yet: spends nothing until
   /// restore_budgets, assume_own_share or resume_full_spending.
   void suspend_spending();
   /// The other process does not report: uses this process's share from now on, without saved tokens.
   void assume_own_share();
-  /// The share of the slow-start limits of hosts that this process may spend, 0 to 1, from the next window
-  /// on.
+  /// Sets the share (0 to 1) of the hosts' slow-start limits that this process may spend, from one overload
+  /// window after now on.
   void set_slow_start_share(double share) { router_.set_slow_start_share(clock_(), share); }
   /// The other process has stopped spending: uses the whole budgets.
   void resume_full_spending();
@@ -264,12 +278,13 @@
   [[nodiscard]] bool ready() const { return hosts_.ready_count() > 0; }
   /// Number of entries held (requests, hosts, the router's own), to verify that memory stays bounded.
   [[nodiscard]] std::size_t entry_count() const {
-    return requests_.size() + names_.size() + hosts_.size() + router_.entry_count();
+    return requests_.size() + open_request_names_.size() + hosts_.size() + router_.entry_count();
   }
   /// Budgets by tenant index, including tenants that are no longer configured.
   [[nodiscard]] const std::deque<TenantBudget>& budgets() const { return budgets_; }
 
  private:
+  /// An attempt of an accepted request. `duration` and `outcome` are set when the attempt ends.
   struct Attempt {
     HostId host;
     Time sent_at{};
@@ -277,14 +292,17 @@
     Duration duration{};
     Outcome outcome = Outcome::ok;
   };
+  /// An accepted request, until it has ended and none of its attempts is in flight.
   struct Request {
     FrontEnd* front_end = nullptr;  // null once the final answer is given or the client has disconnected
     std::string name;
     std::shared_ptr<const RequestPayload> payload;
     std::optional<SessionId> session;
-    TenantBudget* budget = nullptr;
+    TenantBudget* budget = nullptr;  // of the request's tenant; null if no tenants are configured
     gates::GateRequest gate_request;
-    std::size_t gates_consulted = 0;  // the first gates of the chain; these are notified of the end
+    // Number of gates, from the front of the chain, that have decided on the request: these are notified of
+    // its end.
+    std::size_t gates_consulted = 0;
     Time accepted_at{}, deadline{};
     std::vector<Attempt> attempts;
     std::string message;  // the host's last error message
@@ -319,7 +337,7 @@
     Time expires_at = no_expiry;  // requests may name the class until then; dropped or replaced afterwards
   };
   std::vector<ClassEntry> classes_;  // by ClassId: an entry is not reused while one of its requests is open
-  std::map<std::string, telemetry::ClassCounts> counts_;
+  std::map<std::string, telemetry::ClassCounts> counts_;  // by class name
   std::deque<TenantBudget> budgets_;  // by tenant index; requests keep pointers to the entries
   std::vector<gates::Gate*> gates_;
   Clock clock_;
@@ -329,15 +347,15 @@
   std::size_t gated_classes_, gated_tenants_;  // numbers known to the gates: those at construction
   Router router_;
   HostTable hosts_;
-  std::unordered_map<std::uint64_t, Request> requests_;
-  std::unordered_set<std::string> names_;  // of the requests that have not ended
-  std::uint64_t next_request_ = 1;
+  std::unordered_map<std::uint64_t, Request> requests_;  // by RequestId
+  std::unordered_set<std::string> open_request_names_;   // of the requests that have not ended
+  std::uint64_t next_request_id_ = 1;
   std::function<void(const std::string&, Role)> on_role_change_;
   std::function<void(const RequestTrace&)> on_request_trace_;
   std::function<void(const SessionSnapshot&)> on_commit_;
-  std::deque<std::pair<Time, Event>> events_;
-  bool shutting_down_ = false;    // after begin_shutdown
-  bool handling_events_ = false;  // guards against re-entering the router
+  std::deque<std::pair<Time, Event>> events_;  // queued for the router, with the times of their occurrence
+  bool shutting_down_ = false;                 // after begin_shutdown
+  bool handling_events_ = false;               // guards against re-entering the router
 };
 
 }  // namespace cedarring::broker
--- a/src/broker/connection_limits.h
+++ b/src/broker/connection_limits.h
@@ -14,12 +14,12 @@
 /// limit: with a fixed timeout, a crowd of clients that send one request and then keep their connection open
 /// keeps all other clients out.
 struct IdleConnectionLimits {
-  Duration max_idle{2'000'000};  // allowed while few connections are open
+  Duration max_idle = std::chrono::seconds(2);  // allowed while few connections are open
   // Allowed from `strict_share` on: long enough that a client that sends its next request at once keeps its
   // connection.
-  Duration min_idle{150'000};
-  double relaxed_share = 1.0 / 6;  // share of the limit up to which no connection is closed early
-  double strict_share = 1.0 / 3;   // share from which `min_idle` applies
+  Duration min_idle = std::chrono::milliseconds(150);
+  double relaxed_share = 1.0 / 6;  // share of the connection limit up to which no connection is closed
+  double strict_share = 1.0 / 3;   // share of the connection limit from which `min_idle` applies
 
   /// The idle timeout with `open` of at most `limit` connections: falls linearly from `max_idle` at
   /// `relaxed_share` to `min_idle` at `strict_share`; never rises with `open`.
@@ -46,14 +46,16 @@
   std::size_t clients = 0;  // limit on client connections
   std::size_t hosts = 0;    // limit on host connections
 };
-/// How many of `limit` connections clients and hosts may have now, with `open_clients` and `open_hosts` open.
+/// How many of `limit` connections clients and hosts may have now, with `open_clients` client connections and
+/// `open_hosts` host connections open.
 /// Open connections exceed `limit` by no more than the host connections still to be closed. Hosts always get
 /// their quarter and clients their half.
 inline ConnectionSplit split_connections(std::size_t limit, std::size_t open_clients,
                                          std::size_t open_hosts) {
-  const auto reserved = open_clients + limit / 8;
+  const auto reserved_for_clients = open_clients + limit / 8;
   ConnectionSplit split;
-  split.hosts = std::clamp(reserved < limit ? limit - reserved : 0, limit / 4, limit / 2);
+  split.hosts =
+      std::clamp(reserved_for_clients < limit ? limit - reserved_for_clients : 0, limit / 4, limit / 2);
   split.clients = std::min(limit * 3 / 4, limit - std::min(limit / 2, std::max(open_hosts, limit / 4)));
   return split;
 }
--- a/src/broker/host_table.cpp
+++ b/src/broker/host_table.cpp
@@ -1,3 +1,4 @@
+// Implementation of HostTable.
 #include "broker/host_table.h"
 
 #include <algorithm>
@@ -7,12 +8,13 @@
 namespace cedarring::broker {
 namespace {
 
-constexpr std::size_t max_disabled = 4096, max_reenabled = 4096;
+// Limits on the hosts that operators have disabled or enabled again; they bound the memory used.
+constexpr std::size_t max_disabled = 4096;
+constexpr std::size_t max_reenabled = 4096;
 
 }  // namespace
 
-/// Interns a zone's name.
-ZoneId HostTable::zone(const std::string& name) {
+ZoneId HostTable::zone_id(const std::string& name) {
   const auto it = std::find(zones_.begin(), zones_.end(), name);
   const auto index = it - zones_.begin();
   if (it == zones_.end()) zones_.push_back(name);
@@ -23,7 +25,7 @@
   HostEntry result;
   result.host = id;
   result.group = row.listed.group;
-  result.zone = zone(row.listed.zone);
+  result.zone = zone_id(row.listed.zone);
   result.state = row.state;
   if (result.state == HostState::ready && disabled_.count(row.listed.id) > 0)
     result.state = HostState::draining;
@@ -33,8 +35,7 @@
   return result;
 }
 
-/// A host that was re-enabled may have been restarted meanwhile: if the list gives no start time, it is in
-/// slow start from then on.
+/// A host may have been restarted while it was disabled, so it goes through slow start once it is re-enabled.
 std::optional<Time> HostTable::started_at(const Row& row) const {
   const auto reenabled = reenabled_at_.find(row.listed.id);
   if (reenabled == reenabled_at_.end()) return row.listed.started_at;
@@ -55,8 +56,8 @@
       member = rows_.at(known->second).listed;
       member.state = received.state;
     }
-    auto [it, inserted] = ids_.try_emplace(member.id, HostId{next_});
-    if (inserted) ++next_;
+    auto [it, inserted] = ids_.try_emplace(member.id, HostId{next_host_id_});
+    if (inserted) ++next_host_id_;
     const HostId id = it->second;
     auto& row = rows_[id];
     // A host at another address is another process: idle connections to the old address are useless.
@@ -64,7 +65,7 @@
     row.listed = member;
     row.state = member.state;
     listed_ids.insert(id);
-    ++groups_[member.group];
+    groups_.insert(member.group);
     entries.push_back(entry(id, row));
     if (entries.back().state != HostState::ready || moved) hosts_to_close_.push_back(id);
   }
@@ -87,7 +88,7 @@
     reenabled_at_.erase(id);
   } else if (disabled_.erase(id) > 0) {
     reenabled_at_[id] = now;
-    // Bounds memory: the host that was re-enabled longest ago has completed its slow start.
+    // Drops the host that was re-enabled longest ago: it has completed its slow start.
     if (reenabled_at_.size() > max_reenabled)
       reenabled_at_.erase(std::min_element(reenabled_at_.begin(), reenabled_at_.end(),
                                            [](const auto& a, const auto& b) { return a.second < b.second; }));
@@ -96,7 +97,7 @@
   return entry(it->second, rows_.at(it->second));
 }
 
-std::size_t HostTable::listed_disabled() const {
+std::size_t HostTable::listed_disabled_count() const {
   return static_cast<std::size_t>(std::count_if(
       rows_.begin(), rows_.end(),
       [&](const auto& item) {
--- a/src/broker/idle_pool.h
+++ b/src/broker/idle_pool.h
@@ -1,4 +1,4 @@
-// The idle connections to each host.
+// The idle connections to each host, kept for later attempts.
 #pragma once
 
 #include <algorithm>
@@ -16,8 +16,8 @@
  public:
   /// Adds a connection that has become idle at `now`.
   void put(HostId host, Connection* connection, Time now) { idle_[host].push_back({connection, now}); }
-  /// Removes and returns the connection to `host` that was used last, so that the others can expire; null if
-  /// there is none.
+  /// Removes and returns the connection to `host` that became idle last, so that the others can expire; null
+  /// if there is no idle connection to `host`.
   Connection* take(HostId host) {
     const auto it = idle_.find(host);
     if (it == idle_.end()) return nullptr;
@@ -60,24 +60,24 @@
   }
   /// Removes and returns the connection that has been idle longest, to any host; null if there is none.
   Connection* take_oldest() {
-    auto best = idle_.end();
+    auto oldest = idle_.end();
     for (auto it = idle_.begin(); it != idle_.end(); ++it)
-      if (best == idle_.end() || it->second.front().since < best->second.front().since) best = it;
-    if (best == idle_.end()) return nullptr;
-    auto* connection = best->second.front().connection;
-    best->second.erase(best->second.begin());
-    if (best->second.empty()) idle_.erase(best);
+      if (oldest == idle_.end() || it->second.front().since < oldest->second.front().since) oldest = it;
+    if (oldest == idle_.end()) return nullptr;
+    auto* connection = oldest->second.front().connection;
+    oldest->second.erase(oldest->second.begin());
+    if (oldest->second.empty()) idle_.erase(oldest);
     return connection;
   }
   /// Number of hosts with idle connections.
-  [[nodiscard]] std::size_t hosts() const { return idle_.size(); }
+  [[nodiscard]] std::size_t host_count() const { return idle_.size(); }
 
  private:
   struct Entry {
     Connection* connection;
-    Time since;
+    Time since;  // when the connection became idle
   };
-  std::map<HostId, std::vector<Entry>> idle_;  // no vector is empty; longest idle first
+  std::map<HostId, std::vector<Entry>> idle_;  // longest idle first; no vector is empty
 };
 
 }  // namespace cedarring::broker
--- a/src/broker/memory_budget.h
+++ b/src/broker/memory_budget.h
@@ -10,15 +10,18 @@
 
 namespace cedarring::broker {
 
-/// Grants reservations of memory, which are made before the bytes are read and released when they are no
+/// Grants reservations of memory, which are made before the bytes are read and released when the bytes are no
 /// longer needed. Waiters are served in order, and none holds a part of its reservation while it waits for
-/// the rest, so waiters cannot deadlock. Waiters are identified by an address and never dereferenced.
+/// the rest, so waiters cannot deadlock. A waiter is identified by its address, which is never dereferenced.
+/// Each reservation shares the ownership of the budget, so a budget must be owned by a std::shared_ptr.
 class MemoryBudget : public std::enable_shared_from_this<MemoryBudget> {
  public:
-  /// Holds `bytes` until it is destroyed.
+  /// A part of the budget, which is released when the reservation is destroyed.
   class Reservation {
    public:
+    /// A reservation of nothing.
     Reservation() = default;
+    /// Used by the budget, which has counted the bytes already.
     Reservation(std::shared_ptr<MemoryBudget> budget, std::size_t bytes)
         : budget_(std::move(budget)), bytes_(bytes) {}
     ~Reservation() { reset(); }
@@ -47,11 +50,12 @@
   /// after.
   explicit MemoryBudget(std::size_t total, std::function<void()> on_release = {})
       : total_(total), on_release_(std::move(on_release)) {}
-  /// Reserves for `waiter` if the bytes are available and no other waiter is ahead; otherwise queues `waiter`
-  /// and returns false. A reservation larger than the whole budget is granted once nothing else is reserved.
+  /// Sets `out` to a reservation for `waiter` if the bytes are available and no other waiter is ahead;
+  /// otherwise queues `waiter` and returns false. A reservation larger than the whole budget is granted once
+  /// nothing else is reserved.
   bool try_reserve(const void* waiter, std::size_t bytes, Reservation& out) {
-    const bool first = waiting_.empty() || waiting_.front() == waiter;
-    if (!first || (used_ > 0 && used_ + bytes > total_)) {
+    const bool is_next = waiting_.empty() || waiting_.front() == waiter;
+    if (!is_next || (used_ > 0 && used_ + bytes > total_)) {
       if (std::find(waiting_.begin(), waiting_.end(), waiter) == waiting_.end()) waiting_.push_back(waiter);
       return false;
     }
@@ -60,7 +64,7 @@
     out = Reservation(shared_from_this(), bytes);
     return true;
   }
-  /// Removes `waiter` from the queue.
+  /// Removes `waiter` from the queue, if it is there.
   void stop_waiting(const void* waiter) {
     const auto it = std::find(waiting_.begin(), waiting_.end(), waiter);
     if (it == waiting_.end()) return;
@@ -83,9 +87,10 @@
     used_ -= bytes;
     if (on_release_ && !waiting_.empty()) on_release_();
   }
-  std::size_t total_, used_ = 0;
+  std::size_t total_;
+  std::size_t used_ = 0;
   std::function<void()> on_release_;
-  std::deque<const void*> waiting_;
+  std::deque<const void*> waiting_;  // in the order of arrival
 };
 
 }  // namespace cedarring::broker
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -379,11 +379,11 @@
   int a = 1;
   for (std::uint32_t i = 0; i < 100; ++i) pool.put(HostId{i}, &a, Time(i));
   EXPECT_EQ(pool.take_expired(Time(90)).size(), 90U);
-  EXPECT_EQ(pool.hosts(), 10U);
+  EXPECT_EQ(pool.host_count(), 10U);
   for (std::uint32_t i = 90; i < 95; ++i) EXPECT_EQ(pool.take(HostId{i}), &a);
   while (pool.take_oldest()) {
   }
-  EXPECT_EQ(pool.hosts(), 0U);
+  EXPECT_EQ(pool.host_count(), 0U);
 }
 
 TEST(Broker, RequestTraceIsReportedOnceRequestHasEnded) {
