--- a/src/handover/json_archive.h
+++ b/src/handover/json_archive.h
@@ -1,7 +1,8 @@
-// Serialization of records as JSON objects. A record type lists its fields once, in a function
-// `serialize(archive, record)`, which JsonWriter and JsonReader both call. On reading, a missing field keeps
-// its value, an unknown field is skipped, and a field of the wrong type makes the whole record invalid. No
-// I/O.
+// Serialization of records as JSON objects, for the messages between the two processes of a gateway. A record
+// type lists its fields once, in a function `serialize(archive, record)`, which calls `archive(key, field)`
+// for each field; the archive is a JsonWriter or a JsonReader. On reading, a missing field keeps its value,
+// an unknown field is skipped, and a field of the wrong type or out of range makes the whole record invalid.
+// No I/O.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -23,7 +24,8 @@
 
 namespace cedarring::handover {
 
-/// Writes records to a buffer, which must outlive the writer. Durations are written in microseconds.
+/// Writes records to a buffer, which must outlive the writer. Durations are written in microseconds, an
+/// absent optional value as null, a pair as an array of two elements, a map as an object.
 class JsonWriter {
  public:
   explicit JsonWriter(rapidjson::StringBuffer& buffer) : writer_(buffer) {}
@@ -33,7 +35,7 @@
     writer_.Key(key);
     write(value);
   }
-  /// Writes a number, or a record by its serialize function. Infinite and undefined numbers become 0.
+  /// Writes a boolean or a number, or a record by its serialize function. Infinite numbers and NaN become 0.
   template <class T>
   void write(const T& value) {
     if constexpr (std::is_same_v<T, bool>)
@@ -66,8 +68,8 @@
     else
       writer_.Null();
   }
-  template <class A, class B>
-  void write(const std::pair<A, B>& pair) {
+  template <class First, class Second>
+  void write(const std::pair<First, Second>& pair) {
     writer_.StartArray();
     write(pair.first);
     write(pair.second);
@@ -85,18 +87,20 @@
     for (const auto& [key, value] : values) (*this)(key.c_str(), value);
     writer_.EndObject();
   }
-  /// Begins a document, an array of the format version and one record.
+  /// Begins a document: an array of the format version and one record, which is to be written next.
   void begin_document(int version) {
     writer_.StartArray();
     writer_.Int(version);
   }
+  /// Ends the document after its record.
   void end_document() { writer_.EndArray(); }
 
  private:
   rapidjson::Writer<rapidjson::StringBuffer> writer_;
 };
 
-/// Reads records from a parsed JSON value, which must outlive the reader.
+/// Reads records from a parsed JSON value, which must outlive the reader. Accepts the forms that JsonWriter
+/// writes.
 class JsonReader {
  public:
   explicit JsonReader(const rapidjson::Value& object) : object_(&object) {}
@@ -108,15 +112,19 @@
   }
   /// Whether every field so far had the expected type and range.
   [[nodiscard]] bool good() const { return good_; }
+  /// Reads a boolean or a number, or a record by its serialize function. If `json` is invalid, good() returns
+  /// false from then on.
   template <class T>
   void read(const rapidjson::Value& json, T& value) {
-    if constexpr (std::is_same_v<T, bool>)
-      json.IsBool() ? void(value = json.GetBool()) : fail();
-    else if constexpr (std::is_floating_point_v<T>)
-      json.IsNumber() ? void(value = json.GetDouble()) : fail();
-    else if constexpr (std::is_integral_v<T>)
+    if constexpr (std::is_same_v<T, bool>) {
+      if (!json.IsBool()) return fail();
+      value = json.GetBool();
+    } else if constexpr (std::is_floating_point_v<T>) {
+      if (!json.IsNumber()) return fail();
+      value = json.GetDouble();
+    } else if constexpr (std::is_integral_v<T>) {
       read_integer(json, value);
-    else {
+    } else {
       const auto* outer = std::exchange(object_, &json);
       if (json.IsObject())
         serialize(*this, value);
@@ -126,12 +134,13 @@
     }
   }
   void read(const rapidjson::Value& json, std::string& value) {
-    json.IsString() ? void(value.assign(json.GetString(), json.GetStringLength())) : fail();
+    if (!json.IsString()) return fail();
+    value.assign(json.GetString(), json.GetStringLength());
   }
   void read(const rapidjson::Value& json, Duration& value) {
     // The limit keeps the sum of two durations within 63 bits.
-    json.IsInt64() && std::abs(json.GetInt64()) < INT64_MAX / 4 ? void(value = Duration(json.GetInt64()))
-                                                                : fail();
+    if (!json.IsInt64() || std::abs(json.GetInt64()) >= INT64_MAX / 4) return fail();
+    value = Duration(json.GetInt64());
   }
   template <class Tag, class Rep>
   void read(const rapidjson::Value& json, Id<Tag, Rep>& id) {
@@ -142,8 +151,8 @@
     if (json.IsNull()) return value.reset();
     read(json, value.emplace());
   }
-  template <class A, class B>
-  void read(const rapidjson::Value& json, std::pair<A, B>& pair) {
+  template <class First, class Second>
+  void read(const rapidjson::Value& json, std::pair<First, Second>& pair) {
     if (!json.IsArray() || json.Size() != 2) return fail();
     read(json[0], pair.first);
     read(json[1], pair.second);
@@ -176,11 +185,12 @@
     }
     fail();
   }
-  const rapidjson::Value* object_;
+  const rapidjson::Value* object_;  // the current object, whose fields operator() reads
   bool good_ = true;
 };
 
-/// Version of the documents' field meanings; documents of another version are rejected.
+/// Version of the document format, to be raised if a field changes its meaning; documents of another version
+/// are rejected.
 inline constexpr int format_version = 1;
 
 /// Writes a record as a document.
@@ -194,7 +204,8 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-/// Reads a document; nothing if it is malformed or truncated, has another version, or has an invalid field.
+/// Reads a document and returns its record; nothing if the document is malformed or truncated, has another
+/// version, or has an invalid field.
 template <class T>
 std::optional<T> from_text(const std::string& text) {
   rapidjson::Document document;
--- a/src/handover/resource_shares.h
+++ b/src/handover/resource_shares.h
@@ -7,17 +7,18 @@
 
 namespace cedarring::handover {
 
-/// Limits of a process.
+/// Limits on the resources of a process.
 struct ResourceShares {
   std::size_t memory = 0;   // bytes in buffers
   std::size_t clients = 0;  // client connections
   std::size_t hosts = 0;    // connections to hosts
 };
 
-/// The limits of the outgoing or the incoming process within `total`. The outgoing process accepts no new
-/// clients, so its limit is `outgoing_clients`, the connections that it still has (at most all of them), and
-/// the incoming process may accept the rest. Memory and connections to hosts grow in both processes, so each
-/// gets half. The two limits never exceed the total together.
+/// The limits of the outgoing process, if `outgoing` is true, or of the incoming process, within `total`. The
+/// outgoing process accepts no new clients, so its limit on clients is `outgoing_clients`, the number of
+/// client connections that it still has, and the incoming process may accept the rest of `total`. Memory and
+/// connections to hosts grow in both processes, so each gets half. The limits of the two processes together
+/// never exceed `total`.
 inline ResourceShares split_resources(const ResourceShares& total, bool outgoing,
                                       std::size_t outgoing_clients) {
   ResourceShares share;
--- a/src/handover/router_snapshot.cpp
+++ b/src/handover/router_snapshot.cpp
@@ -1,3 +1,5 @@
+// Implementation of router snapshots: conversion of times to ages and back, and validation of received
+// values.
 #include "handover/router_snapshot.h"
 
 #include <algorithm>
@@ -9,33 +11,34 @@
 
 using namespace state;  // NOLINT(google-build-using-namespace): the router's own records
 
-// One day: older observations say nothing about a host.
-constexpr Duration max_age{86'400'000'000};
-// Upper limits of values accepted from a snapshot.
-constexpr int max_failures_in_a_row = 1000;
+// Older observations say nothing about a host.
+constexpr Duration max_age = std::chrono::hours(24);
+// Limits of values accepted from a snapshot.
+constexpr int max_failures_in_a_row = 1000;  // lost probes or refused connections
 constexpr double min_relative_latency = 0.1;
 constexpr double max_relative_latency = 50;
-constexpr double max_load = 1000;
-constexpr double max_concurrency_limit = 1e6;
-constexpr double max_work = 1e9;
+constexpr double max_load = 1000;              // latency relative to the latency target
+constexpr double max_concurrency_limit = 1e6;  // attempts in flight
+constexpr double max_work = 1e9;               // typical requests
 constexpr double max_tokens = 1e3;
 
-/// The time `age` ago; nothing without an age or with one that is out of range (the sender is not trusted:
-/// the difference could overflow 64 bits).
+/// The time `age` before `now`; nothing if there is no age or the age is out of range. The sender is not
+/// trusted: the difference could overflow 64 bits.
 std::optional<Time> time_from_age(std::optional<Duration> age, Time now) {
   if (!age || *age < -max_age || *age > max_age) return std::nullopt;
   return now - *age;
 }
-/// The age of `time`, if it was set and is recent enough to matter.
+/// The age of `time` at `now`, if `time` was set and is at most max_age ago.
 std::optional<Duration> age_of(Time time, Time now) {
   if (time == never || now - time > max_age) return std::nullopt;
   return now - time;
 }
-/// `value` if it lies within the range (not NaN), else `least`.
+/// `value` if it lies within the range from `least` to `most`, else, and for NaN, `least`.
 double in_range_or_least(double value, double least, double most) {
   return value >= least && value <= most ? value : least;
 }
 
+/// The snapshot of one host. Slow start is included only until the host is warmed up.
 HostSnapshot snapshot_host(const Host& host, const Settings& settings, Time now) {
   HostSnapshot snapshot;
   snapshot.host = host.id;
@@ -58,12 +61,13 @@
   return snapshot;
 }
 
+/// Merges the snapshot of one host into its state.
 void merge_host(Host& host, const HostSnapshot& snapshot, const Settings& settings, Time now) {
   fleet::OutlierDetector::State outlier;
   outlier.failure_score = in_range_or_least(snapshot.failure_score, 0, 1);
   if (const auto last_outcome = time_from_age(snapshot.last_outcome_age, now))
     outlier.last_outcome_at = std::min(*last_outcome, now);
-  // No ejection lasts longer than what the router itself would set.
+  // Ignores an ejection that ends, or has ended, more than max_age from now: a router sets none that long.
   if (snapshot.ejection_remaining && *snapshot.ejection_remaining <= max_age &&
       *snapshot.ejection_remaining >= -max_age)
     outlier.ejected_until = now + *snapshot.ejection_remaining;
@@ -95,12 +99,12 @@
   RouterSnapshot snapshot;
   for (const auto& [id, host] : state.hosts_) snapshot.hosts.push_back(snapshot_host(host, settings, now));
   if (scope == SnapshotScope::hosts) return snapshot;
-  for (const auto& [id, group] : state.groups_) {
-    if (scope == SnapshotScope::split) break;
-    if (group.session_floor != never) snapshot.floors.emplace_back(id, group.session_floor);
-    for (const auto& [session, commit] : group.session_writes)
-      snapshot.sessions.push_back({id, session, commit});
-  }
+  if (scope == SnapshotScope::all)
+    for (const auto& [id, group] : state.groups_) {
+      if (group.session_floor != never) snapshot.floors.emplace_back(id, group.session_floor);
+      for (const auto& [session, commit] : group.session_writes)
+        snapshot.sessions.push_back({id, session, commit});
+    }
   state.arrived_.decay_and_sum(now);
   state.served_work_.decay_and_sum(now);
   for (auto& demand : state.demand_) demand.decay_and_sum(now);
@@ -139,18 +143,20 @@
       if (class_snapshot.latency && *class_snapshot.latency > Duration::zero() &&
           *class_snapshot.latency < max_age)
         state.class_latency_[i] = *class_snapshot.latency;
-      const auto raise = [&](DecayingTotals& totals, double amount) {
+      const auto raise_to = [&](DecayingTotals& totals, double amount) {
         totals.decay_and_sum(now);
         totals.by_class[i] = std::max(totals.by_class[i], in_range_or_least(amount, 0, max_work));
       };
-      raise(state.arrived_, class_snapshot.arrived);
-      raise(state.served_work_, class_snapshot.served);
-      raise(state.demand_[0], class_snapshot.demand[0]);
-      raise(state.demand_[1], class_snapshot.demand[1]);
+      raise_to(state.arrived_, class_snapshot.arrived);
+      raise_to(state.served_work_, class_snapshot.served);
+      raise_to(state.demand_[0], class_snapshot.demand[0]);
+      raise_to(state.demand_[1], class_snapshot.demand[1]);
     }
-  if (const auto started = time_from_age(snapshot.age, now))
+  if (const auto started_at = time_from_age(snapshot.age, now))
     state.first_event_at_ =
-        state.first_event_at_ == never ? *started : std::min(state.first_event_at_, *started);
+        state.first_event_at_ == never ? *started_at : std::min(state.first_event_at_, *started_at);
+  // Only a snapshot that was taken with SnapshotScope::split holds a part of the budgets. The negated
+  // comparison also returns for NaN.
   if (!(snapshot.slow_start_share > 0)) return;
   state.retry_tokens_ = in_range_or_least(snapshot.retry_tokens, 0, max_tokens);
   state.probe_budget_.set_balance(in_range_or_least(snapshot.probe_tokens, 0, max_tokens));
--- a/src/handover/snapshot_fields.h
+++ b/src/handover/snapshot_fields.h
@@ -1,5 +1,7 @@
-// JSON fields of a router snapshot; see handover/json_archive.h. The snapshot is written in two sections:
-// session commits are numerous and change with every write, the other state is sent twice during a handover.
+// JSON fields of a router snapshot; see handover/json_archive.h for the serialize functions. The snapshot is
+// written in two sections, because session commits are numerous and change with every write, while the other
+// state is sent twice during a handover. The keys are part of the format between two builds of the gateway;
+// some differ from the names of the fields.
 #pragma once
 
 #include "cedarring/snapshot.h"
@@ -39,7 +41,7 @@
 
 namespace handover {
 
-/// Hosts, classes and budgets of a router.
+/// Section of the hosts, classes and budgets of a router.
 struct HostsSection {
   RouterSnapshot snapshot;
 };
@@ -53,7 +55,7 @@
   archive("cold_whole", section.snapshot.slow_start_share_total);
   archive("cold_part", section.snapshot.slow_start_share);
 }
-/// Session positions of a router.
+/// Section of the session positions of a router.
 struct SessionsSection {
   RouterSnapshot snapshot;
 };
