--- a/src/sim/adapter.cpp
+++ b/src/sim/adapter.cpp
@@ -18,8 +18,9 @@
 
 namespace {
 
-/// A line of the simulator's protocol: a verb and its fields. The getters throw ParseError for an invalid
-/// value; those named `require` also do so for a missing one.
+/// A line of the simulator's protocol: a verb and its fields. A getter throws ParseError for a field with an
+/// invalid value. For a missing field, a getter named `require` throws as well, flag() returns false, and the
+/// others return nothing.
 class Line {
  public:
   Line(std::string_view verb, std::string_view rest) : verb_(verb), fields_(split_fields(rest)) {}
@@ -60,6 +61,7 @@
       throw ParseError(std::string(verb_) + ": field " + std::string(name) + " out of range");
     return static_cast<std::int64_t>(value);
   }
+  /// Whether the field is set to "1" or "true"; any other value is false.
   [[nodiscard]] bool flag(std::string_view name) const {
     const auto value = text(name);
     return value && (*value == "1" || *value == "true");
@@ -80,8 +82,10 @@
                                                  {"not_sent", Outcome::not_sent},
                                                  {"not_stored", Outcome::too_stale}};
 
-/// FNV-1a hash of a session key. Sessions with equal hashes share a position, which only makes their reads
-/// stricter.
+constexpr std::int64_t us_per_ms = 1000;
+
+/// The 64-bit FNV-1a hash of a session key. Sessions with equal hashes share a position, which only makes
+/// their reads stricter.
 SessionId session_id(std::string_view key) {
   constexpr std::uint64_t offset_basis = 14695981039346656037ULL;
   constexpr std::uint64_t prime = 1099511628211ULL;
@@ -103,16 +107,17 @@
   metadata.role = role == primary_role ? Role::primary : role == replica_role ? Role::replica : Role::unknown;
   const auto position_ms = *mark >> role_bits;
   if (position_ms > 0 && position_ms < static_cast<std::uint64_t>(max_ms))
-    metadata.position = base + Time(static_cast<std::int64_t>(position_ms) * 1000);
+    metadata.position = base + Time(static_cast<std::int64_t>(position_ms) * us_per_ms);
   return metadata;
 }
 
-/// Appends a time in milliseconds, with three decimals unless it is a whole number.
+/// Appends a time in milliseconds, with three decimals unless the time is a whole number of milliseconds.
 void append_ms(std::string& out, Duration value) {
   const auto us = value.count();
-  out += std::to_string(us / 1000);
-  if (const auto fraction = us % 1000; fraction != 0) {
-    std::string decimals = std::to_string(fraction + 1000);  // four digits; the first becomes the point
+  out += std::to_string(us / us_per_ms);
+  if (const auto fraction_us = us % us_per_ms; fraction_us != 0) {
+    // Four digits, with leading zeros of the fraction kept; the first digit becomes the decimal point.
+    std::string decimals = std::to_string(fraction_us + us_per_ms);
     decimals[0] = '.';
     out += decimals;
   }
@@ -120,14 +125,15 @@
 
 }  // namespace
 
-/// A host in a member list as the simulator describes it; ids are assigned per instance.
+/// A host in a roster, as the simulator describes it. The ids of host and zone differ between instances, so
+/// they are filled in when the roster is delivered to an instance.
 struct Adapter::Item {
   std::string host;
   std::string zone;
   HostEntry entry;
 };
 
-/// A simulated router, with its mapping between the simulator's names and ids.
+/// A simulated router, with the mapping between the simulator's names and the router's ids.
 struct Adapter::Instance {
   std::unique_ptr<Router> router;
   std::vector<std::string> zones;
@@ -135,19 +141,20 @@
   Time base_time{};  // origin of replication positions
   std::map<std::string, HostId, std::less<>> host_ids;
   std::map<HostId, std::string> host_names;
-  std::uint32_t next_host = 1;
+  std::uint32_t next_host_id = 1;
+  /// A request that has not ended or still has attempts in flight.
   struct Request {
     std::string name;
     int in_flight = 0;  // attempts without an outcome
     bool ended = false;
   };
-  std::unordered_map<std::string, RequestId> request_ids;
-  std::unordered_map<std::uint64_t, Request> requests;
-  std::uint64_t next_request = 1;
+  std::unordered_map<std::string, RequestId> request_ids;  // by name
+  std::unordered_map<std::uint64_t, Request> requests;     // by RequestId
+  std::uint64_t next_request_id = 1;
 
   HostId find_or_add_host(std::string_view name) {
     if (const auto it = host_ids.find(name); it != host_ids.end()) return it->second;
-    const HostId id{next_host++};
+    const HostId id{next_host_id++};
     host_ids.emplace(name, id);
     host_names.emplace(id, name);
     return id;
@@ -160,14 +167,14 @@
     const auto it = request_ids.find(std::string(name));
     return it == request_ids.end() ? std::nullopt : std::optional<RequestId>(it->second);
   }
-  /// Drops the name of a request that has ended and has no attempt in flight.
-  void release(RequestId id) {
+  /// Forgets a request if it has ended and has no attempt in flight.
+  void forget_if_complete(RequestId id) {
     const auto it = requests.find(id.value);
     if (it == requests.end() || !it->second.ended || it->second.in_flight > 0) return;
     request_ids.erase(it->second.name);
     requests.erase(it);
   }
-  /// Drops the names of hosts that the router no longer tracks.
+  /// Forgets the hosts that the router no longer tracks.
   void prune_hosts() {
     for (auto it = host_names.begin(); it != host_names.end();) {
       if (router->tracks(it->first)) {
@@ -183,17 +190,17 @@
 Adapter::Adapter() = default;
 Adapter::~Adapter() = default;
 
-void Adapter::deliver(std::int64_t number, Instance& instance, const Event& event, std::string& out) {
+void Adapter::deliver(std::int64_t router_number, Instance& instance, const Event& event, std::string& out) {
   std::vector<Action> actions;
   instance.router->handle(now_, event, actions);
-  const std::string router_field = " router=" + std::to_string(number);
+  const std::string router_field = " router=" + std::to_string(router_number);
   for (const auto& action : actions) {
-    // Actions for a request that has ended in the meantime are not written.
-    const auto released = [&](RequestId id) { return instance.requests.count(id.value) == 0; };
-    if (const auto* send = std::get_if<Send>(&action); send && released(send->request)) continue;
-    if (const auto* cancel = std::get_if<Cancel>(&action); cancel && released(cancel->request)) continue;
-    if (const auto* refuse = std::get_if<Refuse>(&action); refuse && released(refuse->request)) continue;
-    if (const auto* fail = std::get_if<Fail>(&action); fail && released(fail->request)) continue;
+    // Actions for a request that has been forgotten are not written.
+    const auto forgotten = [&](RequestId id) { return instance.requests.count(id.value) == 0; };
+    if (const auto* send = std::get_if<Send>(&action); send && forgotten(send->request)) continue;
+    if (const auto* cancel = std::get_if<Cancel>(&action); cancel && forgotten(cancel->request)) continue;
+    if (const auto* refuse = std::get_if<Refuse>(&action); refuse && forgotten(refuse->request)) continue;
+    if (const auto* fail = std::get_if<Fail>(&action); fail && forgotten(fail->request)) continue;
     if (const auto* send = std::get_if<Send>(&action)) {
       auto& request = instance.requests.at(send->request.value);
       ++request.in_flight;
@@ -214,12 +221,12 @@
         out += " pause=";
         append_ms(out, refuse->retry_after);
       }
-      instance.release(refuse->request);
+      instance.forget_if_complete(refuse->request);
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
       auto& request = instance.requests.at(fail->request.value);
       request.ended = true;
       out += "fail" + router_field + " txn=" + request.name;
-      instance.release(fail->request);
+      instance.forget_if_complete(fail->request);
     } else if (const auto* probe = std::get_if<Probe>(&action)) {
       out += "inspect" + router_field + " host=" + instance.host_names.at(probe->host);
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
@@ -285,17 +292,18 @@
     return;
   }
   if (verb == "enlist") {
-    // The settings run from here to the end of the line.
+    // The settings run from this mark to the end of the line. Without the mark, all fields are read as
+    // settings as well.
     constexpr std::string_view settings_mark = " facts=";
     const auto mark_at = rest.find(settings_mark);
-    std::string_view head = rest;
+    std::string_view fields_text = rest;
     std::string_view settings_text = rest;
     if (mark_at != std::string_view::npos) {
-      head = rest.substr(0, mark_at);
+      fields_text = rest.substr(0, mark_at);
       settings_text = rest.substr(mark_at + settings_mark.size());
     }
-    const Line line(verb, head);
-    const auto number = line.require_int("router");
+    const Line line(verb, fields_text);
+    const auto router_number = line.require_int("router");
     auto instance = std::make_unique<Instance>();
     try {
       auto settings = parse_settings(settings_text, line.unsigned_integer("prng").value_or(0), "",
@@ -304,22 +312,23 @@
         instance->classes[settings.classes[i].name] = ClassId{static_cast<std::int32_t>(i)};
       instance->router = std::make_unique<Router>(std::move(settings));
     } catch (const std::invalid_argument& error) {
-      out += "panic router=" + std::to_string(number) + " words=bad setting " + error.what() + "\n";
-      instances_.erase(number);
+      out += "panic router=" + std::to_string(router_number) + " words=bad setting " + error.what() + "\n";
+      instances_.erase(router_number);
       return;
     }
-    auto& slot = instances_[number];
+    auto& slot = instances_[router_number];
     slot = std::move(instance);
-    deliver(number, *slot, Started{}, out);
+    deliver(router_number, *slot, Started{}, out);
     return;
   }
+  // The remaining messages go to one instance. Those with an unknown verb are skipped without being parsed.
   const bool known = verb == "power_off" || verb == "fleet" || verb == "query" || verb == "streaming" ||
                      verb == "resolved" || verb == "left" || verb == "ring" || verb == "probe_done" ||
                      verb == "note_from";
   if (!known) return;
   const Line line(verb, rest);
-  const auto number = line.require_int("router");
-  const auto found = instances_.find(number);
+  const auto router_number = line.require_int("router");
+  const auto found = instances_.find(router_number);
   if (verb == "power_off") {
     if (found != instances_.end()) instances_.erase(found);
     return;
@@ -357,7 +366,7 @@
         event.entries.push_back(entry);
       }
     }
-    deliver(number, instance, event, out);
+    deliver(router_number, instance, event, out);
     instance.prune_hosts();
     return;
   }
@@ -374,12 +383,13 @@
     if (found == instances_.end()) return;
     auto& instance = *found->second;
     const auto class_entry = instance.classes.find(class_name);
-    event.class_id = class_entry == instance.classes.end() ? ClassId{-1} : class_entry->second;
+    constexpr ClassId unknown_class{-1};
+    event.class_id = class_entry == instance.classes.end() ? unknown_class : class_entry->second;
     if (instance.find_request(name)) return;
-    event.request = RequestId{instance.next_request++};
+    event.request = RequestId{instance.next_request_id++};
     instance.request_ids.emplace(name, event.request);
     instance.requests[event.request.value].name = name;
-    deliver(number, instance, event, out);
+    deliver(router_number, instance, event, out);
     return;
   }
   if (verb == "resolved") {
@@ -406,8 +416,8 @@
     auto& state = instance.requests.at(request->value);
     if (state.in_flight > 0) --state.in_flight;
     if (event.request_ended) state.ended = true;
-    deliver(number, instance, event, out);
-    instance.release(*request);
+    deliver(router_number, instance, event, out);
+    instance.forget_if_complete(*request);
     return;
   }
   if (verb == "streaming" || verb == "left") {
@@ -419,10 +429,10 @@
     if (!request) return;
     if (verb == "left") {
       instance.requests.at(request->value).ended = true;
-      deliver(number, instance, ClientLeft{*request}, out);
-      instance.release(*request);
+      deliver(router_number, instance, ClientLeft{*request}, out);
+      instance.forget_if_complete(*request);
     } else {
-      deliver(number, instance, AnswerStarted{*request, static_cast<std::uint32_t>(attempt)}, out);
+      deliver(router_number, instance, AnswerStarted{*request, static_cast<std::uint32_t>(attempt)}, out);
     }
     return;
   }
@@ -438,18 +448,18 @@
     event.host = *host;
     event.outcome = *outcome;
     event.report = parse_report(line.text("stats"), instance.base_time);
-    deliver(number, instance, event, out);
+    deliver(router_number, instance, event, out);
     return;
   }
   if (verb == "ring") {
     const auto timer = static_cast<std::uint64_t>(line.require_int("name"));
-    if (found != instances_.end()) deliver(number, *found->second, TimerFired{timer}, out);
+    if (found != instances_.end()) deliver(router_number, *found->second, TimerFired{timer}, out);
   }
 }
 
 int run(std::istream& input, std::ostream& output, std::ostream& errors) {
   constexpr std::string_view batch_end = "done\n";
-  constexpr int malformed_input = 2;
+  constexpr int malformed_input_status = 2;
   Adapter adapter;
   std::string line;
   std::string reply;
@@ -460,8 +470,9 @@
       adapter.handle_line(line, reply);
     } catch (const ParseError& error) {
       errors << "line " << line_number << ": " << error.what() << '\n';
-      return malformed_input;
+      return malformed_input_status;
     }
+    // Replies are collected and written at the end of the batch.
     const bool batch_complete =
         reply.size() >= batch_end.size() &&
         reply.compare(reply.size() - batch_end.size(), batch_end.size(), batch_end) == 0;
