--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -9,24 +9,29 @@
 namespace cedarring::sim {
 namespace {
 
+/// Settings with a class of reads, "old", and a class of writes, "pay", and one unknown key.
 const std::string settings =
     "az=a balancers=1 position=0 classes.count=2 classes.0.name=old classes.0.aim=500.0 "
     "classes.0.deadline=2000.0 classes.0.effect=read_like classes.1.name=pay classes.1.aim=500.0 "
     "classes.1.deadline=2000.0 classes.1.effect=non_idempotent specifics.needs_by_class=eventual,mutate "
     "specifics.base_time=1000.5 registry_mode=automatic limits.may_probe=true limits.send_cap=8 "
     "guarantees.cold_from=0.2 guarantees.cold=1000.0 some.new_key=7";
+/// Starts router 3.
 const std::string enlist = "enlist router=3 prng=5 facts=" + settings + "\n";
+/// Lists the hosts "host_a" and "host_b" of group 11 to router 3.
 const std::string hosts =
     "roster ref=0 elements=2\n"
     "item host=host_a region_part=a type=x primary=0 group=11 mode=2 weight=1 odd=1\n"
     "item host=host_b group=11\n"
     "fleet router=3 epoch=1 kind=2 ref=0\n";
 
+/// Exit status and output of the adapter.
 struct RunResult {
   int status;
   std::string output;
   std::string errors;
 };
+/// Runs the adapter on this input.
 RunResult run_adapter(const std::string& input) {
   std::istringstream input_stream(input);
   std::ostringstream output;
@@ -34,9 +39,11 @@
   const int status = run(input_stream, output, errors);
   return {status, output.str(), errors.str()};
 }
+/// A batch of lines at this simulated time in milliseconds.
 std::string batch(const std::string& time, const std::string& lines) {
   return "batch sim_time=" + time + "\n" + lines + "over_to_you\n";
 }
+/// How often `part` occurs in `text`.
 std::size_t count(const std::string& text, const std::string& part) {
   std::size_t occurrences = 0;
   for (auto at = text.find(part); at != std::string::npos; at = text.find(part, at + 1)) ++occurrences;
@@ -49,7 +56,7 @@
   EXPECT_EQ(result.output, "done\n");
 }
 
-TEST(Adapter, QueryIsDispatchedOnce) {
+TEST(Adapter, QueryThatIsServedIsDispatchedOnce) {
   const auto result =
       run_adapter(batch("2000", enlist + hosts) +
                   batch("2005.25", "query router=3 txn=c:one grade=old time_budget=900 cluster_no=11\n") +
@@ -62,7 +69,8 @@
   EXPECT_EQ(count(result.output, "done\n"), 3U);
 }
 
-TEST(Adapter, ProbeReportOfPrimaryRoleRoutesWritesToTheHost) {
+// In the report, x0 is the position in seconds and x1 the role, 1 for a primary.
+TEST(Adapter, WriteGoesToTheHostWhoseProbeReportedThePrimaryRole) {
   const auto result =
       run_adapter(batch("2000", enlist + hosts) +
                   batch("2100",
@@ -72,7 +80,7 @@
   EXPECT_EQ(count(result.output, "dispatch router=3 txn=c:w host=host_b"), 1U);
 }
 
-TEST(Adapter, UnknownClassAndUnknownGroupAreRefused) {
+TEST(Adapter, QueryOfAnUnknownClassOrGroupIsRefused) {
   const auto result = run_adapter(batch("2000", enlist + hosts) +
                                   batch("2005",
                                         "query router=3 txn=c:x grade=none time_budget=900 cluster_no=11\n"
@@ -81,7 +89,7 @@
   EXPECT_EQ(count(result.output, "bounce router=3 txn=c:y"), 1U);
 }
 
-TEST(Adapter, UnknownMessagesAndNamesAreSkipped) {
+TEST(Adapter, UnknownMessagesAndMessagesWithUnknownNamesAreSkipped) {
   const auto result =
       run_adapter(batch("2000", enlist + hosts + "novelty router=3 what=ever\n") +
                   batch("2005",
@@ -119,7 +127,7 @@
   EXPECT_NE(second_result.output.find("specifics.checks"), std::string::npos);
 }
 
-TEST(Adapter, RestartWithinOneBatchDropsRequests) {
+TEST(Adapter, RestartOfARouterWithinOneBatchDropsItsRequests) {
   const auto result = run_adapter(
       batch("2000", enlist + hosts) +
       batch("2005", "query router=3 txn=c:w grade=pay time_budget=900 cluster_no=11\n") +
@@ -129,6 +137,7 @@
 }
 
 TEST(Adapter, InstanceActsAlikeAloneAndBesideAnother) {
+  // The lines that start a router and list its hosts, for another router than 3.
   const auto start_of = [](const std::string& router_field) {
     const std::string original = "router=3";
     std::string lines = enlist + hosts;
@@ -160,10 +169,12 @@
             "resolved router=3 txn=c:a trial=0 host=host_a verdict=no_answer elapsed=44 "
             "mark=99 stats=x0:1,x1:0\nring router=3 name=1\n");
   std::mt19937 random(11);
+  constexpr int input_count = 3000;
   int rejected = 0;
-  for (int i = 0; i < 3000; ++i) {
+  for (int i = 0; i < input_count; ++i) {
     std::string text = valid;
-    for (int change = 0; change < 1 + i % 4; ++change) {
+    const int change_count = 1 + i % 4;
+    for (int change = 0; change < change_count; ++change) {
       const auto at = random() % text.size();
       switch (random() % 4) {
         case 0:
@@ -184,8 +195,9 @@
     ASSERT_TRUE(result.status == 0 || result.status == 2);
     rejected += result.status == 2 ? 1 : 0;
   }
+  // Corruption produces both malformed lines and lines that are skipped.
   EXPECT_GT(rejected, 100);
-  EXPECT_LT(rejected, 2900);
+  EXPECT_LT(rejected, input_count - 100);
 }
 
 }  // namespace
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -15,10 +15,11 @@
 using namespace broker;
 using namespace std::chrono_literals;
 
+/// A front end that records the final answers.
 struct FakeFrontEnd : FrontEnd {
-  std::map<std::uint64_t, FinalAnswer> answers;
+  std::map<std::uint64_t, FinalAnswer> answers;  // by RequestId
   int answer_count = 0;
-  bool disconnected = false;  // without a notification to the broker
+  bool disconnected = false;  // the client has left, and the broker has not been notified
   [[nodiscard]] bool client_gone() const override { return disconnected; }
   void finish(RequestId request, FinalAnswer answer) override {
     answers[request.value] = std::move(answer);
@@ -26,6 +27,7 @@
   }
 };
 
+/// An upstream that records its calls; the test ends the attempts.
 struct FakeUpstream : Upstream {
   struct StartedAttempt {
     AttemptKey key;
@@ -34,8 +36,10 @@
   };
   std::vector<StartedAttempt> started;
   std::vector<AttemptKey> cancelled;
-  std::vector<std::string> probes;
-  int in_flight = 0, max_in_flight = 0, watch_count = 0;
+  std::vector<std::string> probes;  // addresses
+  int in_flight = 0;                // attempts
+  int max_in_flight = 0;            // the highest value of in_flight
+  int watch_count = 0;              // calls of open_watch()
   Time timer_due{};
   std::optional<Outcome> immediate_outcome;  // if set, every attempt ends with it before start() returns
   Broker* broker = nullptr;
@@ -45,6 +49,7 @@
     max_in_flight = std::max(max_in_flight, ++in_flight);
     if (immediate_outcome) end(key, *immediate_outcome);
   }
+  /// Ends an attempt with this outcome.
   void end(AttemptKey key, Outcome outcome) {
     --in_flight;
     AttemptResult result;
@@ -62,6 +67,12 @@
   void close_idle(HostId) override {}
 };
 
+constexpr std::size_t max_open_requests = 50;
+constexpr double budget_per_second = 10;
+constexpr auto timer_step = 5ms;
+
+/// A broker with one group of a primary "p" and two replicas "q" and "r", whose addresses are their names,
+/// and with one tenant "acme".
 struct BrokerFixture {
   Time now{1'000'000'000};
   FakeUpstream upstream;
@@ -69,7 +80,7 @@
   Broker broker;
   BrokerFixture()
       : broker(
-            settings(), {budget()}, {"a"}, [this] { return now; }, upstream, 50) {
+            settings(), {budget()}, {"a"}, [this] { return now; }, upstream, max_open_requests) {
     upstream.broker = &broker;
     MemberList list;
     list.full = true;
@@ -80,9 +91,11 @@
   static TenantBudget budget() {
     TenantBudget budget;
     budget.tenant = "acme";
-    budget.per_second = 10;
+    budget.per_second = budget_per_second;
     return budget;
   }
+  /// Settings with three classes: "history" reads anything, "bid" and "pay" write; a bid may be retried under
+  /// its key, a pay must not run twice.
   static Settings settings() {
     Settings settings;
     for (const auto& [name, idempotency, freshness] :
@@ -110,11 +123,13 @@
     settings.late_refusal_costs = true;
     return settings;
   }
-  RequestId submit(const std::string& contract, Rejection expected = Rejection::none,
+  /// Submits a request with a second left, and checks that the broker accepts it or rejects it as `expected`.
+  /// An empty `name` stands for one that no other request has.
+  RequestId submit(const std::string& class_name, Rejection expected = Rejection::none,
                    const std::string& tenant = "acme", std::int64_t group = 1, const std::string& name = "") {
     ClientRequest request;
     request.name = name.empty() ? "r" + std::to_string(++request_count) : name;
-    request.class_name = contract;
+    request.class_name = class_name;
     request.tenant = tenant;
     request.group = GroupId{group};
     request.time_left = 1s;
@@ -123,17 +138,17 @@
     return id;
   }
   int request_count = 0;
-  /// Advances the clock to `end` in steps of 5 ms and fires the broker's timer after each step.
+  /// Advances the clock to `end` in steps and fires the broker's timer after each step.
   void run_until(Time end) {
     while (now < end) {
-      now += 5ms;
+      now += timer_step;
       broker.timer_fired();
     }
   }
 };
 
 // A disconnect of which the broker was not notified must not lead to attempts whose answers nobody reads.
-TEST(Broker, RetryIsNotSentIfClientHasDisconnected) {
+TEST(Broker, RetryIsNotSentIfTheClientHasDisconnectedWithoutNotification) {
   for (const bool disconnected : {false, true}) {
     BrokerFixture fixture;
     fixture.submit("history");
@@ -160,39 +175,43 @@
 
 TEST(IdleConnectionLimits, TimeoutShrinksWithUseAndNothingClosesBelowRelaxedShare) {
   const IdleConnectionLimits limits;
-  EXPECT_EQ(limits.idle_timeout(0, 120), 2s);
-  EXPECT_EQ(limits.idle_timeout(20, 120), 2s);
-  EXPECT_EQ(limits.idle_timeout(30, 120), 1075ms);  // halfway between the relaxed and the strict share
-  EXPECT_EQ(limits.idle_timeout(40, 120), 150ms);
-  EXPECT_EQ(limits.idle_timeout(120, 120), 150ms);
-  for (std::size_t n = 1; n <= 120; ++n)
-    EXPECT_LE(limits.idle_timeout(n, 120), limits.idle_timeout(n - 1, 120)) << n;
+  constexpr std::size_t connection_limit = 120;  // relaxed up to 20 open connections, strict from 40 on
+  EXPECT_EQ(limits.idle_timeout(0, connection_limit), 2s);
+  EXPECT_EQ(limits.idle_timeout(20, connection_limit), 2s);
+  EXPECT_EQ(limits.idle_timeout(30, connection_limit), 1075ms);  // halfway between both
+  EXPECT_EQ(limits.idle_timeout(40, connection_limit), 150ms);
+  EXPECT_EQ(limits.idle_timeout(120, connection_limit), 150ms);
+  for (std::size_t open = 1; open <= connection_limit; ++open)
+    EXPECT_LE(limits.idle_timeout(open, connection_limit), limits.idle_timeout(open - 1, connection_limit))
+        << open;
   // Up to the relaxed share no connection is closed, however long it has been idle.
-  EXPECT_FALSE(limits.should_close(1h, 20, 120));
-  EXPECT_TRUE(limits.should_close(2001ms, 21, 120));
-  EXPECT_FALSE(limits.should_close(1900ms, 21, 120));
-  EXPECT_FALSE(limits.should_close(150ms, 120, 120));
-  EXPECT_TRUE(limits.should_close(151ms, 120, 120));
+  EXPECT_FALSE(limits.should_close(1h, 20, connection_limit));
+  EXPECT_TRUE(limits.should_close(2001ms, 21, connection_limit));
+  EXPECT_FALSE(limits.should_close(1900ms, 21, connection_limit));
+  EXPECT_FALSE(limits.should_close(150ms, 120, connection_limit));
+  EXPECT_TRUE(limits.should_close(151ms, 120, connection_limit));
 }
 
 // Clients that send one request and then hold their connections must not keep all other clients out.
 TEST(IdleConnectionLimits, OneRequestClientsSettleBelowConnectionLimit) {
   const IdleConnectionLimits limits;
-  // 280 new clients per second, each idle until it is closed. 130 connections are a third of 400 descriptors.
-  std::deque<Time> idle_since;
+  constexpr std::size_t connection_limit = 264;
+  std::deque<Time> idle_since;  // of the open connections, longest idle first
   std::size_t peak = 0;
+  // 280 new clients per second, each idle until it is closed.
   for (Time now{}; now < 10s; now += 50ms) {
     for (int i = 0; i < 14; ++i) idle_since.push_back(now);
-    while (!idle_since.empty() && limits.should_close(now - idle_since.front(), idle_since.size(), 264))
+    while (!idle_since.empty() &&
+           limits.should_close(now - idle_since.front(), idle_since.size(), connection_limit))
       idle_since.pop_front();
     peak = std::max(peak, idle_since.size());
   }
-  EXPECT_LT(peak, 130U);
+  EXPECT_LT(peak, 130U);              // a third of 400 descriptors
   EXPECT_GT(idle_since.size(), 40U);  // no more are closed than necessary
 }
 
 // Hosts identify requests by name: two open requests of one name could be mistaken for one another.
-TEST(Broker, NameOfOpenRequestIsRejected) {
+TEST(Broker, RequestWithTheNameOfAnOpenRequestIsRejectedUntilTheOpenOneEnds) {
   BrokerFixture fixture;
   fixture.submit("pay", Rejection::none, "acme", 1, "x");
   fixture.submit("pay", Rejection::name_in_use, "acme", 1, "x");
@@ -202,7 +221,7 @@
 }
 
 // Time that a request spent unread in the socket must count towards its deadline.
-TEST(Broker, DeadlineCountsFromArrivalAndExpiredRequestIsRejected) {
+TEST(Broker, DeadlineCountsFromArrivalAndRequestPastItsDeadlineIsRejected) {
   BrokerFixture fixture;
   ClientRequest request;
   request.class_name = "pay";
@@ -223,7 +242,7 @@
   EXPECT_LE(fixture.upstream.started.at(1).give_up_at, fixture.now + 1s);
 }
 
-TEST(Broker, EachRequestGetsOneFinalAnswerAndIsErased) {
+TEST(Broker, EachRequestGetsOneFinalAnswerAndIsErasedWhateverItsAttemptsOutcome) {
   BrokerFixture fixture;
   for (const auto outcome : {Outcome::ok, Outcome::error, Outcome::reset, Outcome::timeout, Outcome::full}) {
     fixture.upstream.immediate_outcome = outcome;
@@ -236,7 +255,7 @@
   EXPECT_EQ(fixture.upstream.max_in_flight, 1);
 }
 
-TEST(Broker, AttemptGivesUpAtRequestDeadline) {
+TEST(Broker, AttemptOfAReadGivesUpAtTheDeadlineOfItsRequest) {
   BrokerFixture fixture;
   fixture.submit("history");
   ASSERT_EQ(fixture.upstream.started.size(), 1U);
@@ -262,12 +281,12 @@
   }
 }
 
-TEST(Broker, AttemptsAreSequentialAndAtMostSix) {
+TEST(Broker, RequestThatCannotBeSentIsRefusedAfterAtMostSixAttemptsOneAtATime) {
   BrokerFixture fixture;
   for (int i = 0; i < 20; ++i) {
     fixture.upstream.started.clear();
     const auto id = fixture.submit("history");
-    // An attempt that did not run is retried: one at a time, up to the limit.
+    // An attempt that did not run is retried, up to the limit of the settings.
     for (int step = 0; step < 400 && fixture.front_end.answers.count(id.value) == 0; ++step) {
       ASSERT_LE(fixture.upstream.in_flight, 1);
       if (fixture.upstream.in_flight > 0)
@@ -281,7 +300,7 @@
   EXPECT_EQ(fixture.upstream.max_in_flight, 1);
 }
 
-TEST(Broker, ClientDisconnectCancelsAttempt) {
+TEST(Broker, DisconnectOfTheClientCancelsItsAttemptAndALateAnswerIsIgnored) {
   BrokerFixture fixture;
   const auto id = fixture.submit("pay");
   fixture.broker.client_left(id);
@@ -292,12 +311,12 @@
   EXPECT_EQ(fixture.front_end.answer_count, 0);
 }
 
-TEST(Broker, WriteWithoutPrimaryIsRefusedBeforeHalfItsTime) {
+TEST(Broker, WriteWithoutAPrimaryIsHeldAndThenRefusedBeforeHalfItsTimeHasPassed) {
   BrokerFixture fixture;
   MemberList list;
   list.full = true;
   list.members.push_back({"q", "q", "a", GroupId{1}, HostState::ready, 1, false, {}});
-  fixture.broker.on_member_list(list);                     // the primary is gone
+  fixture.broker.on_member_list(list);                     // a full list without the primary
   fixture.upstream.immediate_outcome = Outcome::not_sent;  // the remaining host cannot be reached either
   const auto start = fixture.now;
   const auto id = fixture.submit("pay");
@@ -309,27 +328,27 @@
   EXPECT_GT(fixture.front_end.answers.at(id.value).retry_after, Duration::zero());
 }
 
-TEST(Broker, UnknownNamesAndExcessRequestsAreRejected) {
+TEST(Broker, RequestWithAnUnknownNameOrAboveTheLimitIsRejectedWithTheReason) {
   BrokerFixture fixture;
   fixture.submit("nothing", Rejection::unknown_class);
   fixture.submit("pay", Rejection::unknown_tenant, "nobody");
   fixture.submit("pay", Rejection::unknown_group, "acme", 9);
-  for (int i = 0; i < 50; ++i) fixture.submit("pay");
+  for (std::size_t i = 0; i < max_open_requests; ++i) fixture.submit("pay");
   fixture.submit("pay", Rejection::too_many_requests);
 }
 
-TEST(Broker, BudgetCountsRequestsBeyondIt) {
+TEST(Broker, RequestsBeyondTheBudgetAreCountedAndServed) {
   BrokerFixture fixture;
   fixture.upstream.immediate_outcome = Outcome::ok;
   for (int i = 0; i < 25; ++i) fixture.submit("history");
-  EXPECT_EQ(fixture.broker.budgets()[0].over_budget, 15U);
-  fixture.now += 500ms;
+  EXPECT_EQ(fixture.broker.budgets()[0].over_budget, 15U);  // a new budget holds the 10 tokens of a second
+  fixture.now += 500ms;                                     // earns 5 tokens
   for (int i = 0; i < 10; ++i) fixture.submit("history");
   EXPECT_EQ(fixture.broker.budgets()[0].over_budget, 20U);
   EXPECT_EQ(fixture.broker.budgets()[0].served, 35U);
 }
 
-TEST(Broker, WatchIsReopenedAfterFailedList) {
+TEST(Broker, WatchIsReopenedAfterAMemberListHasFailed) {
   BrokerFixture fixture;
   fixture.run_until(fixture.now + 2s);
   const auto watch_count_before = fixture.upstream.watch_count;
@@ -341,52 +360,54 @@
 
 TEST(IdlePool, TakesMostRecentlyUsedAndExpiresOldest) {
   IdlePool<int> pool;
-  int a = 0, b = 0, c = 0;
-  pool.put(HostId{1}, &a, 1s);
-  pool.put(HostId{1}, &b, 2s);
-  pool.put(HostId{2}, &c, 3s);
-  EXPECT_EQ(pool.take_expired(Time(1500ms)), (std::vector<int*>{&a}));
-  EXPECT_EQ(pool.take(HostId{1}), &b);
+  int first = 0;
+  int second = 0;
+  int third = 0;
+  pool.put(HostId{1}, &first, 1s);
+  pool.put(HostId{1}, &second, 2s);
+  pool.put(HostId{2}, &third, 3s);
+  EXPECT_EQ(pool.take_expired(Time(1500ms)), (std::vector<int*>{&first}));
+  EXPECT_EQ(pool.take(HostId{1}), &second);
   EXPECT_EQ(pool.take(HostId{1}), nullptr);
-  EXPECT_EQ(pool.take_oldest(), &c);
+  EXPECT_EQ(pool.take_oldest(), &third);
   EXPECT_EQ(pool.take_oldest(), nullptr);
 }
 
-// Guards against entries of hosts that are gone accumulating.
+// Guards against a growing number of entries of hosts that are gone.
 TEST(Broker, EntryCountStaysBoundedAsHostsAreReplaced) {
   BrokerFixture fixture;
   fixture.upstream.immediate_outcome = Outcome::ok;
   std::size_t early_count = 0;
-  for (int i = 0; i < 400; ++i) {
+  for (int replacement = 0; replacement < 400; ++replacement) {
     MemberList list;
     list.full = true;
     list.members.push_back({"p", "p", "a", GroupId{1}, HostState::ready, 1, true, {}});
-    const auto id = "h" + std::to_string(i);
+    const auto id = "h" + std::to_string(replacement);
     list.members.push_back({id, id, "a", GroupId{1}, HostState::ready, 1, false, {}});
     fixture.broker.on_member_list(list);
-    for (int n = 0; n < 5; ++n) {
+    for (int i = 0; i < 5; ++i) {
       fixture.submit("history");
       fixture.submit("bid");
     }
     fixture.run_until(fixture.now + 50ms);
-    if (i == 50) early_count = fixture.broker.entry_count();
+    if (replacement == 50) early_count = fixture.broker.entry_count();
   }
   EXPECT_LE(fixture.broker.entry_count(), early_count + 2);
 }
 
-TEST(IdlePool, KeepsNoEntryForHostWithoutConnections) {
+TEST(IdlePool, KeepsNoEntryForAHostWithoutIdleConnections) {
   IdlePool<int> pool;
-  int a = 1;
-  for (std::uint32_t i = 0; i < 100; ++i) pool.put(HostId{i}, &a, Time(i));
+  int connection = 1;
+  for (std::uint32_t i = 0; i < 100; ++i) pool.put(HostId{i}, &connection, Time(i));
   EXPECT_EQ(pool.take_expired(Time(90)).size(), 90U);
   EXPECT_EQ(pool.host_count(), 10U);
-  for (std::uint32_t i = 90; i < 95; ++i) EXPECT_EQ(pool.take(HostId{i}), &a);
-  while (pool.take_oldest()) {
+  for (std::uint32_t i = 90; i < 95; ++i) EXPECT_EQ(pool.take(HostId{i}), &connection);
+  while (pool.take_oldest()) {  // empties the pool
   }
   EXPECT_EQ(pool.host_count(), 0U);
 }
 
-TEST(Broker, RequestTraceIsReportedOnceRequestHasEnded) {
+TEST(Broker, RequestTraceWithAllAttemptsIsReportedOnceTheRequestHasEnded) {
   BrokerFixture fixture;
   std::vector<RequestTrace> traces;
   fixture.broker.set_request_trace_callback([&](const RequestTrace& trace) { traces.push_back(trace); });
@@ -404,8 +425,7 @@
   EXPECT_EQ(traces[0].elapsed, 25ms);
   ASSERT_EQ(traces[0].attempts.size(), 2U);
   EXPECT_EQ(traces[0].attempts[0].outcome, Outcome::connect_failed);
-  // In this fixture a host's name is its address.
-  EXPECT_EQ(traces[0].attempts[0].host, fixture.upstream.started[0].address);
+  EXPECT_EQ(traces[0].attempts[0].host, fixture.upstream.started[0].address);  // a host's name is its address
   EXPECT_EQ(traces[0].attempts[1].sent_after, 5ms);
   EXPECT_EQ(traces[0].attempts[1].duration, 20ms);
 }
