--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -30,17 +30,19 @@
 constexpr Time start{1'700'000'000'000'000};
 /// Times between two steps; a step holds an index into these.
 constexpr Duration gaps[] = {Duration(1), Duration(700), Duration(40'000), Duration(900'000)};
+constexpr int longest_gap = 3;  // index
 
 // ---- upgrades as random steps ----
 
 /// A step of a random upgrade: a use of one of the processes, or an event of the upgrade itself.
 enum StepKind { use_old, use_new, start_new, split_budgets, end_old, kill_new };
 struct Step {
-  int kind;
-  int gap;
+  int kind;  // a StepKind
+  int gap;   // index into `gaps` of the time before the step
 };
+/// Up to 400 random steps.
 std::vector<Step> random_steps() {
-  // Upgrades and process ends are rarer than the requests between them.
+  // The numbers are weights: upgrades and process ends are rarer than the requests between them.
   const auto kind = rc::gen::weightedElement<int>(
       {{30, use_old}, {30, use_new}, {4, start_new}, {6, split_budgets}, {2, end_old}, {2, kill_new}});
   const auto pairs = *rc::gen::resize(
@@ -51,15 +53,18 @@
 }
 
 /// A gateway of one or two processes. State passes from one process to the other as in a real handover, as
-/// text where it has a text form.
+/// text if the state has a text form. A Process holds the budgets under test; it can be created at a time,
+/// suspend its spending, split its budgets, restore the part that another process has split off, and resume
+/// full spending.
 template <class Process>
 struct UpgradingGateway {
   std::unique_ptr<Process> old_process = std::make_unique<Process>(start);
-  std::unique_ptr<Process> new_process;
-  bool split = false;
+  std::unique_ptr<Process> new_process;  // null outside of an upgrade
+  bool split = false;                    // the old process has split its budgets in this upgrade
   Time now = start;
   int upgrades = 0;
-  /// Applies a step; `use` is called with the process that a use_old or use_new step names.
+  /// Applies a step that is possible now; others change nothing. `use` is called with the process that a
+  /// use_old or use_new step names.
   template <class Use>
   void apply(const Step& step, const Use& use) {
     now += gaps[step.gap];
@@ -100,8 +105,9 @@
   }
 };
 
-/// The largest amount spent within any window of this length, beyond what `rate` per second refills: the
-/// burst of a token bucket, or, with a rate of 0, the total of the window.
+/// The largest amount spent within any window of this length, beyond the amount that `rate` per second
+/// refills: the burst of a token bucket, or, with a rate of 0, the total of the window. `spending` holds
+/// times and amounts, in the order of time.
 double max_spent_in_window(const std::vector<std::pair<Time, double>>& spending, double rate,
                            Duration window) {
   double largest = 0;
@@ -119,13 +125,14 @@
 
 // ---- slow start ----
 
-constexpr double slow_start_limit = 10;
+constexpr double slow_start_limit = 10;  // typical requests in each overload window
 constexpr Duration overload_window = 2s;
 /// The slow-start limit of a host, as a process applies it.
 struct SlowStartProcess {
   handover::WindowShare share;
   fleet::SlowStartUsage usage;
   explicit SlowStartProcess(Time) {}
+  /// The part of the limit and the sends that a process hands over.
   struct State {
     double total_share = 0;
     std::deque<fleet::SlowStartUsage::SentWork> sends;
@@ -138,6 +145,7 @@
     usage.set_others(state.sends);
   }
   void resume_full_spending(Time now) { share.schedule_share(now + overload_window, 1); }
+  /// Sends `work` to the host if the limit allows; returns whether it was sent.
   bool send(double work, Time now) {
     const auto from = now - overload_window;
     if (share.remaining(now, slow_start_limit, usage.own(from), usage.others(from)) < work) return false;
@@ -146,7 +154,7 @@
   }
 };
 
-TEST(ProcessHandover, TwoProcessesSendAColdHostNoMoreThanOne) {
+TEST(ProcessHandover, TwoProcessesSendAColdHostNoMoreThanOneMay) {
   EXPECT_TRUE(rc::check(
       "slow start",
       [] {
@@ -163,7 +171,7 @@
       }));
 }
 
-TEST(ProcessHandover, LastProcessMaySpendTheWholeLimitAgain) {
+TEST(ProcessHandover, NewProcessMaySpendHalfTheLimitAndTheWholeOneWindowAfterTheOldOneEnds) {
   UpgradingGateway<SlowStartProcess> gateway;
   for (int i = 0; i < 10; ++i) EXPECT_TRUE(gateway.old_process->send(1, gateway.now));
   gateway.apply({start_new, 0}, [](auto&) {});
@@ -173,6 +181,8 @@
   gateway.now += overload_window;
   EXPECT_TRUE(gateway.new_process->send(5, gateway.now)) << "half of the limit";
   gateway.apply({end_old, 0}, [](auto&) {});
+  // The process that was the new one is now the gateway's only process, and so the old one of the next
+  // upgrade.
   EXPECT_FALSE(gateway.old_process->send(0.1, gateway.now));
   gateway.now += overload_window;
   EXPECT_TRUE(gateway.old_process->send(10, gateway.now));
@@ -180,6 +190,7 @@
 
 // ---- contracts ----
 
+/// A service with one tenant and one class of writes, "bid".
 contracts::ServiceInfo service() {
   contracts::ServiceInfo info;
   RequestClass bid;
@@ -191,6 +202,7 @@
   info.tenants = 1;
   return info;
 }
+/// A contract of `rate` requests per second with a burst of `burst` requests, for one team with that tenant.
 contracts::Config contract_config(double rate, double burst) {
   contracts::Config config;
   config.mode = contracts::Mode::enforce;
@@ -202,7 +214,7 @@
   config.teams.push_back({"desks", {0}, {contracts::ClassTerms{terms, {}}}});
   return config;
 }
-// Contract of the test case that is running; processes are created without arguments for it.
+// Contract of the running test case, for new processes: their constructor has no argument for the contract.
 double contract_rate;
 double contract_burst;
 /// The contracts of a process, with one team.
@@ -210,6 +222,7 @@
   contracts::Contracts contracts{contract_config(contract_rate, contract_burst), service()};
   std::uint64_t last_request = 0;
   explicit ContractsProcess(Time now) { step(now); }
+  /// Evaluates the contracts, as the gateway does periodically.
   void step(Time now) {
     std::vector<contracts::Breach> breaches;
     contracts.step(now, {}, breaches);
@@ -239,11 +252,12 @@
   }
 };
 
-TEST(ProcessHandover, TwoProcessesAdmitNoMoreOfAContractThanOne) {
+TEST(ProcessHandover, TwoProcessesAdmitNoMoreOfAContractThanOneMay) {
   EXPECT_TRUE(rc::check(
       "contracts",
       [] {
-        contract_rate = *rc::gen::inRange(1, 2000) / *rc::gen::element(3.0, 600.0);
+        contract_rate = *rc::gen::inRange(1, 2000) /
+                        *rc::gen::element(3.0, 600.0);  // from one in ten minutes to hundreds per second
         contract_burst = *rc::gen::inRange(1, 40);
         UpgradingGateway<ContractsProcess> gateway;
         std::vector<std::pair<Time, double>> admitted;
@@ -251,7 +265,7 @@
           gateway.apply(
               step,
               [&](ContractsProcess& process) {
-                if (step.gap == 3) process.step(gateway.now);
+                if (step.gap == longest_gap) process.step(gateway.now);
                 if (process.admit(gateway.now)) admitted.emplace_back(gateway.now, 1);
               });
         RC_ASSERT(max_spent_in_window(admitted, contract_rate, 1h) <= contract_burst + 1e-3);
@@ -295,7 +309,7 @@
 struct DiscardingFrontEnd : broker::FrontEnd {
   void finish(RequestId, broker::FinalAnswer) override {}
 };
-// Requests per second of the tenant in the test case that is running.
+// Requests per second of the tenant in the running test case, for new processes.
 double tenant_rate;
 /// The tenant budgets of a process, with one tenant.
 struct TenantProcess {
@@ -345,13 +359,13 @@
     request.group = GroupId{1};
     request.time_left = 1s;
     RequestId id;
-    const auto beyond_before = broker.budgets()[0].over_budget;
+    const auto over_budget_before = broker.budgets()[0].over_budget;
     broker.accept(request, front_end, id);
-    return broker.budgets()[0].over_budget == beyond_before;
+    return broker.budgets()[0].over_budget == over_budget_before;
   }
 };
 
-TEST(ProcessHandover, TwoProcessesGrantATenantNoMoreThanOne) {
+TEST(ProcessHandover, TwoProcessesGrantATenantNoMoreThanOneMay) {
   EXPECT_TRUE(rc::check(
       "tenants",
       [] {
@@ -374,6 +388,7 @@
 constexpr ClassId check_class{0};
 constexpr ClassId bid_class{1};
 
+/// Settings with a class of session reads, "check", and a class of writes, "bid".
 Settings router_settings() {
   RequestClass check;
   check.name = "check";
@@ -395,13 +410,14 @@
   settings.answers_carry_position = true;
   return settings;
 }
+/// A list of a primary, host 1, and two replicas.
 MembersListed three_hosts() {
   MembersListed list;
   for (std::uint32_t i = 1; i <= 3; ++i)
     list.entries.push_back({HostId{i}, GroupId{1}, ZoneId{0}, HostState::ready, i == 1, 1, {}});
   return list;
 }
-/// A router with a primary and two replicas, whose sends are answered at once.
+/// A router with a primary and two replicas, which answer its sends at once.
 struct RouterProcess {
   Router router{router_settings()};
   std::uint64_t last_request = 0;
@@ -445,7 +461,7 @@
   }
 };
 
-TEST(ProcessHandover, SessionNeverReadsOlderStateWhicheverProcessAnswers) {
+TEST(ProcessHandover, SessionNeverReadsOlderStateThanItsWritesWhicheverProcessAnswers) {
   EXPECT_TRUE(rc::check(
       "sessions",
       [] {
@@ -460,8 +476,10 @@
           const auto other_process = [&] {
             return &process == old_process.get() ? new_process.get() : old_process.get();
           };
+          // The session, the kind of use, the replica and its lag are drawn from the random times of the
+          // steps.
           const SessionId session{static_cast<std::uint64_t>(1 + (now.count() / 7) % 3)};
-          const auto choice = (now.count() / 3) % 4;  // 0: write; 1: report, then read; else: read
+          const auto choice = (now.count() / 3) % 4;  // 0: write; 1: replica's report, then read; else: read
           if ((step.kind == use_old || step.kind == use_new) && choice == 0) {
             if (process.request(bid_class, session, {Role::primary, now}, now) != primary_host) continue;
             commits[session.value] = now;
@@ -501,6 +519,7 @@
 
 TEST(ProcessHandover, EjectionAndSlowStartContinueInTheNewProcess) {
   RouterProcess old_process(start);
+  // Sends a write to the primary, which resets the connection.
   const auto fail_request = [&](RouterProcess& process, Time now) {
     std::vector<Action> actions;
     const RequestId id{++process.last_request};
@@ -516,7 +535,7 @@
         process.router.handle(now, ended, further_actions);
       }
   };
-  for (int i = 0; i < 8; ++i) fail_request(old_process, start);
+  for (int i = 0; i < 8; ++i) fail_request(old_process, start);  // ejects the primary
   MembersListed started_replica;
   started_replica.kind = ListKind::delta;
   started_replica.entries.push_back(
@@ -535,7 +554,7 @@
   new_process.router.suspend_spending();
   new_process.router.merge_snapshot(later, received->snapshot);
   const auto merged = new_process.router.snapshot(later, SnapshotScope::hosts);
-  ASSERT_EQ(merged.hosts.size(), 3U);
+  ASSERT_EQ(merged.hosts.size(), 3U);  // the primary, the replica that was started, and the other replica
   EXPECT_TRUE(merged.hosts[0].ejection_remaining);
   EXPECT_EQ(merged.hosts[0].ejection_remaining, sent.hosts[0].ejection_remaining);
   EXPECT_EQ(merged.hosts[0].backoff, sent.hosts[0].backoff);
@@ -546,6 +565,7 @@
 
 // ---- documents ----
 
+// Two records that hold fields of several types.
 struct InnerRecord {
   std::optional<Duration> age;
   std::map<std::string, double> values;
@@ -582,7 +602,7 @@
     EXPECT_FALSE(from_text<OuterRecord>(text.substr(0, length))) << length;
 }
 
-TEST(JsonArchive, UnknownFieldIsSkippedMissingFieldKeepsItsValueInvalidFieldIsRejected) {
+TEST(JsonArchive, UnknownFieldIsSkippedMissingFieldKeepsItsValueAndInvalidDocumentIsRejected) {
   const auto read = from_text<OuterRecord>(R"([1,{"new":[{"x":1}],"pairs":[[1,2]]}])");
   ASSERT_TRUE(read);
   EXPECT_EQ(read->number, 7);
@@ -594,8 +614,8 @@
     EXPECT_FALSE(from_text<OuterRecord>(invalid)) << invalid;
 }
 
-/// Guards against a snapshot with impossible numbers: each is ignored or limited, and requests are still
-/// sent.
+// Guards against a snapshot with impossible numbers: each number is ignored or clamped, and requests are
+// still sent.
 TEST(ProcessHandover, SnapshotWithImpossibleNumbersDoesNotStopRequests) {
   RouterProcess process(start);
   for (const double invalid : {-1e300, -1.0, 1e300}) {
