--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,5 +1,12 @@
 // Routing, retries, deadlines, member lists, protocol errors and resource limits, each over real sockets
 // against the started program.
+//
+// Request classes of the configuration: "view" reads within a staleness bound, "history" reads anything,
+// "gate" reads the newest state, "bid" is a write with an idempotency key, "pay" a write that must not run
+// twice. Answers are compared by the types of their messages: TDCZ is a row, CZ a statement without rows, IZ
+// the answer to an empty query, EZ an error. Errors have an SQLSTATE: 53300 is a refusal, after which the
+// client may try again, 58000 a failure of a request that may have run, 08P01 an invalid message or request,
+// 3D000 an unknown group.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -20,14 +27,16 @@
   std::vector<std::string> members;
   std::unique_ptr<Discovery> discovery;
   std::unique_ptr<GatewayProcess> program;
-  explicit Fleet(std::int64_t right_started = 0, const std::string& connect_timeout = "1000") {
+  /// `right_started_ms`: start of the right replica, in milliseconds since the epoch; 0: warmed up.
+  explicit Fleet(std::int64_t right_started_ms = 0, const std::string& connect_timeout_ms = "1000") {
     primary.primary = true;
     members = {member("p", primary.address(), true), member("l", left.address(), false),
-               member("r", right.address(), false, "SERVING", right_started)};
+               member("r", right.address(), false, "SERVING", right_started_ms)};
     discovery = std::make_unique<Discovery>(list_of(1, members));
     auto config = config_json(discovery->address(), list_of(1, members));
     const std::string key = "\"connect_timeout\":";
-    config.replace(config.find(key) + key.size(), 4, connect_timeout);
+    const std::size_t default_length = 4;  // of the value in config_json(), which has four digits
+    config.replace(config.find(key) + key.size(), default_length, connect_timeout_ms);
     program = std::make_unique<GatewayProcess>(config);
   }
   std::size_t request_count() { return primary.count() + left.count() + right.count(); }
@@ -38,7 +47,7 @@
   }
 };
 
-TEST(Gateway, RequestIsServedByAHostAndWritesByThePrimary) {
+TEST(Gateway, ReadIsServedByAHostAndWriteOrFreshReadByThePrimary) {
   Fleet fleet;
   PgClient client(fleet.program->pg());
   const auto read = client.query(statement("a1", "history"));
@@ -69,7 +78,7 @@
   PgClient client(fleet.program->pg());
   const auto answer = client.query(statement("a1", "pay"));
   EXPECT_EQ(answer.types, "EZ");
-  EXPECT_NE(answer.code, "53300");  // nor reported as refused: it may have run
+  EXPECT_NE(answer.code, "53300");  // nor is the request reported as refused: it may have run
   EXPECT_EQ(fleet.request_count(), 1U);
 }
 
@@ -82,7 +91,7 @@
   EXPECT_EQ(fleet.left.count() + fleet.right.count(), 0U);
 }
 
-TEST(Gateway, RejectedRequestIsRefusedWithARetryDelayAfterAtMostSixAttempts) {
+TEST(Gateway, RequestThatAllHostsRejectIsRefusedWithARetryDelayAfterAtMostSixAttempts) {
   Fleet fleet;
   fleet.set_behavior(Behavior::reject_as_full);
   PgClient client(fleet.program->pg());
@@ -150,11 +159,11 @@
   fleet.left.behavior = Behavior::reject_as_stale;
   fleet.right.behavior = Behavior::reject_as_stale;
   PgClient client(fleet.program->pg());
-  for (const auto* contract : {"view", "gate"})
-    EXPECT_EQ(client.query(statement(contract, contract)).value, "from " + fleet.primary.address());
+  for (const auto* class_name : {"view", "gate"})
+    EXPECT_EQ(client.query(statement(class_name, class_name)).value, "from " + fleet.primary.address());
 }
 
-TEST(Gateway, ClosedClientEndsItsAttempt) {
+TEST(Gateway, AttemptOfAClientThatClosesItsConnectionIsEnded) {
   Fleet fleet;
   fleet.set_behavior(Behavior::hang);
   {
@@ -177,7 +186,7 @@
   waiting.socket.send(pg_query(statement("a1", "pay", 2500)));
   ASSERT_TRUE(fleet.primary.wait_for(1));
   fleet.program->signal(SIGTERM);
-  PgClient late(fleet.program->pg());  // the load balancer in front does not know yet
+  PgClient late(fleet.program->pg());  // a load balancer in front does not know of the shutdown yet
   EXPECT_EQ(late.query(statement("a2", "history")).types, "TDCZ");
   EXPECT_TRUE(idle.socket.ended());
   EXPECT_EQ(waiting.read_answer().types, "EZ");
@@ -208,7 +217,8 @@
   for (int i = 0; newcomer.count() == 0 && i < 2000; ++i)
     EXPECT_EQ(client.query(statement("b" + std::to_string(i), "history")).types, "TDCZ");
   EXPECT_GT(newcomer.count(), 0U);
-  EXPECT_EQ(waiting.read_answer().code, "58000");  // at its deadline: it kept its connection to the host
+  // The request has kept its connection to the host, and so fails at its deadline.
+  EXPECT_EQ(waiting.read_answer().code, "58000");
   fleet.program->signal(SIGHUP);
   fleet.program->signal(SIGTERM);
   fleet.program->signal(SIGHUP);
@@ -317,6 +327,7 @@
   Fleet fleet;
   PgClient client(fleet.program->pg());
   const auto ready = PgStandIn::message('Z', "I");
+  // The parts of an answer with one row: row description (T), data row (D), command complete (C).
   const auto row = PgStandIn::row("v");
   const auto description = row.substr(0, row.find('D'));
   const auto data = row.substr(description.size(), row.find('C') - description.size());
@@ -336,7 +347,7 @@
     const auto before = fleet.request_count();
     const auto answer = client.query(statement("s" + std::to_string(++i), "pay"));
     EXPECT_EQ(answer.types, "EZ") << i;
-    EXPECT_EQ(answer.code, "58000") << i;  // no refusal: it may have run
+    EXPECT_EQ(answer.code, "58000") << i;  // no refusal: the request may have run
     EXPECT_EQ(fleet.request_count(), before + 1) << i;
     EXPECT_EQ(client.query(statement("g" + std::to_string(i), "pay")).value,
               "from " + fleet.primary.address())
@@ -345,7 +356,7 @@
 }
 
 // Bytes behind a complete answer must not be taken for the answer to the next request.
-TEST(Gateway, SurplusBytesFromAHostReachNoClient) {
+TEST(Gateway, SurplusBytesBehindAnAnswerReachNoClient) {
   Fleet fleet;
   const auto complete_answer = PgStandIn::row("first") + PgStandIn::message('Z', "I");
   int i = 0;
@@ -416,10 +427,11 @@
   std::string pipeline = pg_query(statement("a0", "pay", 9000));
   for (int i = 1; i <= 40; ++i) pipeline += pg_query(statement("a" + std::to_string(i), "history"));
   client.socket.send(pipeline);
-  const auto reads = [&] { return fleet.left.count() + fleet.right.count() + fleet.primary.count() - 1; };
+  // Number of reads that have reached a host: all requests but the first, a write.
+  const auto reads = [&] { return fleet.request_count() - 1; };
   ASSERT_TRUE(fleet.primary.wait_for(1));
   for (int i = 0; reads() < 40 && i < 1000; ++i) std::this_thread::sleep_for(5ms);
-  EXPECT_GE(reads(), 40U);  // while the first is open: its deadline is 9 s
+  EXPECT_GE(reads(), 40U);  // while the first request is open: its deadline is 9 s
 }
 
 TEST(Gateway, DeadlineCountsFromTheLastByteOfTheRequestNotFromItsStart) {
@@ -427,22 +439,22 @@
   fleet.set_behavior(Behavior::hang);
   PgClient client(fleet.program->pg());
   std::string pipeline;
-  const auto add = [&](int i, const char* contract, int ms) {
-    pipeline += pg_query(statement("a" + std::to_string(i), contract, ms));
+  const auto add = [&](int number, const char* class_name, int deadline_ms) {
+    pipeline += pg_query(statement("a" + std::to_string(number), class_name, deadline_ms));
   };
   for (int i = 0; i < 10; ++i) add(i, "pay", 700);
-  // 16 requests may be open on a connection: the next one waits.
+  // 16 requests may be open on a connection: the next request waits.
   for (int i = 10; i < 16; ++i) add(i, "history", 2000);
   add(16, "pay", 700);
   client.socket.send(pipeline);
   for (int i = 0; i < 10; ++i) EXPECT_EQ(client.read_answer().code, "58000") << i;
   for (int i = 10; i < 16; ++i) EXPECT_EQ(client.read_answer().types, "EZ") << i;
-  EXPECT_EQ(client.read_answer().code, "53300");  // started after its deadline: it never ran
+  EXPECT_EQ(client.read_answer().code, "53300");  // started after its deadline: the request never ran
   const auto seen = fleet.primary.seen();
   EXPECT_EQ(std::count(seen.begin(), seen.end(), "a16"), 0);
 }
 
-TEST(Gateway, ClosedClientEndsAllItsPipelinedAttempts) {
+TEST(Gateway, AllPipelinedAttemptsOfAClientThatClosesItsConnectionAreEnded) {
   Fleet fleet;
   fleet.set_behavior(Behavior::hang);
   {
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -1,4 +1,11 @@
-// Races between two events, each forced: a stand-in delays one side until the other has acted.
+// Races between two events, each forced: a stand-in delays one side until the other has acted. Also the
+// splitting of member lists, the timing of the discovery watch, and missing keys of the configuration.
+//
+// Request classes of the configuration: "view" reads within a staleness bound, "history" reads anything,
+// "gate" reads the newest state, "bid" is a write with an idempotency key, "pay" a write that must not run
+// twice. Answers are compared by the types of their messages: TDCZ is a row, CZ a statement without rows, IZ
+// the answer to an empty query, EZ an error. Errors have an SQLSTATE: 53300 is a refusal, after which the
+// client may try again, 58000 a failure of a request that may have run, 08P01 an invalid message or request.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/socket.h>
@@ -15,6 +22,7 @@
 
 using Clock = std::chrono::steady_clock;
 
+/// `text` with the first occurrence of `from` replaced; throws if there is none.
 std::string replaced(std::string text, const std::string& from, const std::string& to) {
   const auto at = text.find(from);
   if (at == std::string::npos) throw std::runtime_error("text not found: " + from);
@@ -46,10 +54,11 @@
   }
   /// Number of requests that reached a replica.
   std::size_t replica_requests() { return left.count() + right.count(); }
-  /// Sends reads until the primary answers one, which shows that the draining list has been applied. False if
-  /// that does not happen.
+  /// Sends reads until the primary answers one of them, which shows that the draining list has been applied.
+  /// False if the replicas answer all reads. `prefix`: of the ids of the reads.
   bool wait_for_drain(PgClient& client, const std::string& prefix) {
-    for (int i = 0; i < 2000; ++i)
+    constexpr int max_reads = 2000;
+    for (int i = 0; i < max_reads; ++i)
       if (client.query(statement(prefix + std::to_string(i), "history")).value == "from " + primary.address())
         return true;
     return false;
@@ -74,7 +83,7 @@
   EXPECT_EQ(fleet.replica_requests(), 0U);
 }
 
-TEST(MemberList, RequestsAreServedIfDiscoveryIsDownAtTheStart) {
+TEST(MemberList, RequestIsServedFromTheConfiguredListIfDiscoveryIsDownAtTheStart) {
   Fleet fleet;
   GatewayProcess program(with_pushed_lists(config_json("127.0.0.1:1", fleet.serving_list)));
   PgClient client(program.pg());
@@ -91,10 +100,10 @@
   fleet.discovery.reset_last_watch();
   ASSERT_TRUE(fleet.discovery.wait_watches(2));
   ASSERT_TRUE(fleet.wait_for_drain(client, "b"));
-  const auto before = fleet.replica_requests();
+  const auto requests_before = fleet.replica_requests();
   for (int i = 0; i < 20; ++i)
     EXPECT_EQ(client.query(statement("c" + std::to_string(i), "history")).types, "TDCZ");
-  EXPECT_EQ(fleet.replica_requests(), before);
+  EXPECT_EQ(fleet.replica_requests(), requests_before);
 }
 
 TEST(MemberList, IndentedListOfManyLinesIsApplied) {
@@ -117,11 +126,11 @@
       "\n{\"a\":[1,{\"b\":\"}\\\"{\"}]}\r\n\r\n  {\n\"c\":\n2}\n{\"d\":\"\\\\\"}{\"e\":1}\n";
   const std::vector<std::string> expected = {"{\"a\":[1,{\"b\":\"}\\\"{\"}]}", "{\n\"c\":\n2}",
                                              "{\"d\":\"\\\\\"}", "{\"e\":1}"};
-  for (std::size_t step = 1; step <= text.size(); ++step) {
+  for (std::size_t part_size = 1; part_size <= text.size(); ++part_size) {
     wire::ObjectSplitter splitter;
     std::vector<std::string> objects;
-    for (std::size_t at = 0; at < text.size(); at += step) {
-      std::string_view bytes = std::string_view(text).substr(at, step);
+    for (std::size_t at = 0; at < text.size(); at += part_size) {
+      std::string_view bytes = std::string_view(text).substr(at, part_size);
       std::string object;
       for (bool more = true; more;) {
         const auto result = splitter.next(bytes, object);
@@ -131,7 +140,7 @@
         more = result != wire::ObjectSplitter::Result::incomplete;
       }
     }
-    EXPECT_EQ(objects, expected) << step;
+    EXPECT_EQ(objects, expected) << part_size;
   }
   wire::ObjectSplitter splitter;
   std::string object;
@@ -148,10 +157,10 @@
       R"({"version":6,"full":false,"servers":[{"id":"l","addr":"?","state":"DRAINING"},)"
       R"({"id":"r","state":"DELETED"}]})");
   ASSERT_TRUE(fleet.wait_for_drain(client, "b"));
-  const auto before = fleet.replica_requests();
+  const auto requests_before = fleet.replica_requests();
   for (int i = 0; i < 20; ++i)
     EXPECT_EQ(client.query(statement("c" + std::to_string(i), "history")).types, "TDCZ");
-  EXPECT_EQ(fleet.replica_requests(), before);
+  EXPECT_EQ(fleet.replica_requests(), requests_before);
 }
 
 // A delayed delta with an older version must not put draining hosts back into service.
@@ -163,12 +172,12 @@
   fleet.discovery.send_list(fleet.draining_list);
   ASSERT_TRUE(fleet.wait_for_drain(client, "b"));
   fleet.discovery.set_first_list(fleet.list(7, "DRAINING"));
-  const auto before = fleet.replica_requests();
+  const auto requests_before = fleet.replica_requests();
   fleet.discovery.send_list(list_of(
       3, {member("l", fleet.left.address(), false), member("r", fleet.right.address(), false)}, false));
   for (int i = 0; fleet.discovery.watches() < 2 || i < 40; ++i)
     ASSERT_EQ(client.query(statement("c" + std::to_string(i), "history")).types, "TDCZ");
-  EXPECT_EQ(fleet.replica_requests(), before);
+  EXPECT_EQ(fleet.replica_requests(), requests_before);
 }
 
 // Bytes alone must not count as a heartbeat, or a watch whose list never ends would stay open.
@@ -190,14 +199,14 @@
   using fleet::WatchTiming;
   EXPECT_GT(WatchTiming::silence_timeout(true), WatchTiming::heartbeat);
   EXPECT_LT(WatchTiming::silence_timeout(true) + WatchTiming::silence_timeout(false), Duration(6'000'000));
-  for (const auto grace : {1, 250'000, 1'000'000, 5'000'000}) {
-    WatchTiming timing{Duration(grace)};
+  for (const auto drain_grace_us : {1, 250'000, 1'000'000, 5'000'000}) {
+    WatchTiming timing{Duration(drain_grace_us)};
     EXPECT_EQ(timing.next_reopen_delay(), Duration(0));  // at once after an answered watch
     Duration previous{};
     for (int i = 0; i < 50; ++i) {
       const auto delay = timing.next_reopen_delay();
       EXPECT_GE(delay, previous);
-      EXPECT_LE(delay, std::max(Duration(grace / 4), Duration(20'000)));
+      EXPECT_LE(delay, std::max(Duration(drain_grace_us / 4), Duration(20'000)));
       previous = delay;
     }
     EXPECT_GE(previous, Duration(20'000)) << "the rate of calls is bounded";
@@ -208,102 +217,119 @@
 
 // ---- clients that disconnect ----
 
+/// Number of requests that may be open on one client connection; the gateway leaves further ones unread.
+constexpr int max_open_requests_per_client = 16;
+
 /// A gateway with a PostgreSQL and a MySQL listener and a control endpoint. Neither group has a primary, so
 /// that requests for a primary wait.
-struct WithoutPrimary {
+struct GatewayWithoutPrimary {
   PgStandIn pg_host;
   MysqlStandIn mysql_host;
   Discovery discovery, mysql_discovery;
   GatewayProcess program;
-  explicit WithoutPrimary(const std::string& memory = "192")
+  GatewayWithoutPrimary()
       : discovery(list_of(1, {member("p", pg_host.address(), false)})),
         mysql_discovery(list_of(1, {member("m", mysql_host.address(), false)})),
-        program(with_key(replaced(config_json(discovery.address(),
-                                              list_of(1, {member("p", pg_host.address(), false)})),
-                                  "\"memory_mb\":192", "\"memory_mb\":" + memory),
-                         R"("control":"127.0.0.1:0")"),
-                with_key(mysql_json(list_of(1, {member("m", mysql_host.address(), false)})),
-                         R"("discovery":")" + mysql_discovery.address() + "\"")) {}
+        program(
+            with_key(config_json(discovery.address(), list_of(1, {member("p", pg_host.address(), false)})),
+                     R"("control":"127.0.0.1:0")"),
+            with_key(mysql_json(list_of(1, {member("m", mysql_host.address(), false)})),
+                     R"("discovery":")" + mysql_discovery.address() + "\"")) {}
   /// Number of open requests.
   long active_requests() {
     return metric_value(call(program.control(), "GET", "/-/metrics").body, "app_active");
   }
-  bool wait_active(long n, std::chrono::milliseconds timeout = response_timeout) {
+  /// Waits until this many requests are open; false on timeout.
+  bool wait_active(long count, std::chrono::milliseconds timeout = response_timeout) {
     for (const auto give_up_at = Clock::now() + timeout; Clock::now() < give_up_at;)
-      if (active_requests() == n) return true;
+      if (active_requests() == count) return true;
     return false;
   }
-  /// Provides both groups with a primary. It gets another host id, so that its listed role counts at once.
+  /// Provides both groups with a primary. The primary gets another host id, so that its listed role counts at
+  /// once.
   void add_primary() {
     pg_host.primary = true;
     mysql_host.primary = true;
     discovery.send_list(list_of(2, {member("p2", pg_host.address(), true)}));
     mysql_discovery.send_list(list_of(2, {member("m2", mysql_host.address(), true)}));
   }
-  /// A request that only a primary can serve.
-  static std::string gate(const std::string& id) { return statement(id, "gate", 30'000); }
-  static std::string mysql_gate(const std::string& id) {
+  /// A statement that only a primary can serve, with a deadline of 30 s.
+  static std::string primary_statement(const std::string& id) { return statement(id, "gate", 30'000); }
+  /// The MySQL packet of such a statement.
+  static std::string mysql_primary_packet(const std::string& id) {
     std::string packet;
     std::uint8_t sequence = 0;
-    wire::mysql::put_packet(packet, sequence, wire::mysql::query_packet({}, gate(id)));
+    wire::mysql::put_packet(packet, sequence, wire::mysql::query_packet({}, primary_statement(id)));
     return packet;
   }
   /// Checks that each host receives the request of a new client, and no other.
   void expect_only_new_requests() {
     PgClient pg(program.pg());
     MysqlRaw mysql(program.mysql());
-    EXPECT_EQ(pg.query(gate("stays")).types, "TDCZ");
-    mysql.socket.send(mysql_gate("stays"));
+    EXPECT_EQ(pg.query(primary_statement("stays")).types, "TDCZ");
+    mysql.socket.send(mysql_primary_packet("stays"));
     EXPECT_TRUE(mysql.read_packet());
     EXPECT_EQ(pg_host.seen(), std::vector<std::string>{"stays"});
     EXPECT_EQ(mysql_host.seen(), std::vector<std::string>{"stays"});
   }
 };
 
-// A client may leave by an orderly close, a reset, or a terminate message, also behind input that the gateway
-// has not read yet. Its waiting request must never reach a host.
+/// How a client of the following test leaves.
+enum class Exit {
+  shut_down,               ///< shuts down its sending direction
+  terminate,               ///< as shut_down; a PostgreSQL client sends a terminate message before
+  shut_down_behind_input,  ///< shuts down after more input than the gateway reads
+  reset,                   ///< resets the connection
+  shut_down_and_close      ///< shuts down and closes the connection
+};
+Exit exit_of(int client) { return static_cast<Exit>(client % 5); }
+
+// Whichever way a client leaves, also behind input that the gateway has not read yet, its waiting request
+// must never reach a host.
 TEST(Disconnect, WaitingRequestOfADisconnectedClientIsNotSent) {
-  WithoutPrimary gateway;
+  GatewayWithoutPrimary gateway;
+  constexpr int client_count = 60;                         // of each protocol
   const std::string filler(std::size_t{101} << 10U, ' ');  // two of these exceed the gateway's input buffer
   const std::string terminate("X\0\0\0\4", 5);
   std::vector<std::unique_ptr<PgClient>> pg_clients;
   std::vector<std::unique_ptr<MysqlRaw>> mysql_clients;
-  long count = 0;
-  for (int i = 0; i < 60; ++i) {
+  long open_requests = 0;
+  for (int i = 0; i < client_count; ++i) {
     const auto id = "w" + std::to_string(i);
     auto& pg_client = *pg_clients.emplace_back(std::make_unique<PgClient>(gateway.program.pg()));
-    std::string pipeline = pg_query(WithoutPrimary::gate(id));
-    ++count;
-    if (i % 5 == 1) pipeline += terminate;
-    if (i % 5 == 2) {
+    std::string pipeline = pg_query(GatewayWithoutPrimary::primary_statement(id));
+    ++open_requests;
+    if (exit_of(i) == Exit::terminate) pipeline += terminate;
+    if (exit_of(i) == Exit::shut_down_behind_input) {
       // More requests than the gateway reads at once, so that the end of the stream is behind unread input.
-      for (int k = 0; k < 20; ++k) pipeline += pg_query(WithoutPrimary::gate(id + "." + std::to_string(k)));
+      for (int k = 0; k < 20; ++k)
+        pipeline += pg_query(GatewayWithoutPrimary::primary_statement(id + "." + std::to_string(k)));
       pipeline += pg_query("SELECT 1 " + filler) + pg_query("SELECT 2 " + filler);
-      count += 15;
+      open_requests += max_open_requests_per_client - 1;
     }
     pg_client.socket.send(pipeline);
     auto& mysql_client = *mysql_clients.emplace_back(std::make_unique<MysqlRaw>(gateway.program.mysql()));
-    std::string packets = WithoutPrimary::mysql_gate(id);
-    ++count;
-    if (i % 5 == 2)
+    std::string packets = GatewayWithoutPrimary::mysql_primary_packet(id);
+    ++open_requests;
+    if (exit_of(i) == Exit::shut_down_behind_input)
       for (int k = 0; k < 2; ++k) {
         std::uint8_t sequence = 0;
         wire::mysql::put_packet(packets, sequence, wire::mysql::query_packet({}, filler));
       }
     mysql_client.socket.send(packets);
   }
-  ASSERT_TRUE(gateway.wait_active(count)) << gateway.active_requests();
-  for (int i = 0; i < 60; ++i) {
+  ASSERT_TRUE(gateway.wait_active(open_requests)) << gateway.active_requests();
+  for (int i = 0; i < client_count; ++i) {
     auto& pg_client = pg_clients[static_cast<std::size_t>(i)]->socket;
     auto& mysql_client = mysql_clients[static_cast<std::size_t>(i)]->socket;
-    if (i % 5 == 3) {
+    if (exit_of(i) == Exit::reset) {
       pg_client.reset();
       mysql_client.reset();
     } else {
       ::shutdown(pg_client.fd(), SHUT_WR);
       ::shutdown(mysql_client.fd(), SHUT_WR);
     }
-    if (i % 5 == 4) {
+    if (exit_of(i) == Exit::shut_down_and_close) {
       pg_clients[static_cast<std::size_t>(i)].reset();
       mysql_clients[static_cast<std::size_t>(i)].reset();
     }
@@ -314,20 +340,26 @@
 }
 
 TEST(Disconnect, NeitherProcessSendsRequestsOfClientsThatDisconnectDuringAnUpgrade) {
-  WithoutPrimary gateway;
+  GatewayWithoutPrimary gateway;
+  constexpr int client_count = 20;                         // of each protocol
+  const std::string filler(std::size_t{101} << 10U, ' ');  // two of these exceed the gateway's input buffer
   std::vector<std::unique_ptr<PgClient>> pg_clients;
   std::vector<std::unique_ptr<MysqlRaw>> mysql_clients;
-  for (int i = 0; i < 20; ++i) {
+  for (int i = 0; i < client_count; ++i) {
     const auto id = "w" + std::to_string(i);
-    std::string pipeline = pg_query(WithoutPrimary::gate(id));
-    if (i % 2 == 1)  // the end of the stream is behind unread input
-      for (int k = 0; k < 20; ++k) pipeline += pg_query(WithoutPrimary::gate(id + "." + std::to_string(k)));
-    if (i % 2 == 1) pipeline += pg_query(std::string(101 << 10, ' ')) + pg_query(std::string(101 << 10, ' '));
+    std::string pipeline = pg_query(GatewayWithoutPrimary::primary_statement(id));
+    if (i % 2 == 1) {  // the end of the stream is behind unread input
+      for (int k = 0; k < 20; ++k)
+        pipeline += pg_query(GatewayWithoutPrimary::primary_statement(id + "." + std::to_string(k)));
+      pipeline += pg_query(filler) + pg_query(filler);
+    }
     pg_clients.emplace_back(std::make_unique<PgClient>(gateway.program.pg()))->socket.send(pipeline);
     mysql_clients.emplace_back(std::make_unique<MysqlRaw>(gateway.program.mysql()))
-        ->socket.send(WithoutPrimary::mysql_gate(id));
+        ->socket.send(GatewayWithoutPrimary::mysql_primary_packet(id));
   }
-  ASSERT_TRUE(gateway.wait_active(10 + 10 * 16 + 20)) << gateway.active_requests();
+  // Of the PostgreSQL clients, one half has one open request each, the other half as many as possible.
+  const int pg_requests = client_count / 2 * (1 + max_open_requests_per_client);
+  ASSERT_TRUE(gateway.wait_active(pg_requests + client_count)) << gateway.active_requests();
   GatewayProcess next(gateway.program, gateway.program.pg());
   ASSERT_TRUE(gateway.program.wait_output("followed", 1));
   pg_clients.clear();
@@ -367,7 +399,7 @@
     auto command = pg_query(std::string(195'000, ' '));
     return command.substr(0, bytes);
   };
-  PgClient waiting(program.pg());
+  PgClient waiting(program.pg());  // waits for its answer
   waiting.socket.send(pg_query(statement("a", "gate", 15'000)));
   ASSERT_TRUE(fleet.primary.wait_for(1));
   waiting.socket.send(partial_command(190'000));  // the most input of all clients
@@ -393,7 +425,7 @@
   program.signal(SIGTERM);
   EXPECT_EQ(idle.query(statement("a2", "gate")).types, "TDCZ");  // the signal has been handled by now
   program.suspend();
-  std::this_thread::sleep_for(600ms);  // no event to wait for: by then it accepts no more clients
+  std::this_thread::sleep_for(600ms);  // no event to wait for: by then the program accepts no more clients
   std::vector<std::unique_ptr<PgClient>> queued;
   for (int i = 0; i < 70; ++i) {
     queued.push_back(std::make_unique<PgClient>(program.pg(), false));
@@ -423,7 +455,7 @@
 }
 
 // The deadline of the request is later than the time at which a supervisor would kill the process.
-TEST(Shutdown, OpenRequestIsAnsweredBeforeItsDeadline) {
+TEST(Shutdown, RequestThatHangsIsAnsweredBeforeItsDeadline) {
   Fleet fleet;
   // With these deadlines, open requests are answered 0.6 s after the signal.
   std::string config = config_json(fleet.discovery.address(), fleet.serving_list);
@@ -432,12 +464,12 @@
     config.replace(at, original.size(), "\"aim\":80,\"deadline\":100");
   GatewayProcess program(config);
   fleet.primary.behavior = Behavior::hang;
-  PgClient out(program.pg());
-  out.socket.send(pg_query(statement("a1", "pay", 60'000)));
+  PgClient waiting(program.pg());
+  waiting.socket.send(pg_query(statement("a1", "pay", 60'000)));
   ASSERT_TRUE(fleet.primary.wait_for(1));
   program.signal(SIGTERM);
   program.signal(SIGTERM);
-  EXPECT_EQ(out.read_answer().code, "58000");  // it may have run
+  EXPECT_EQ(waiting.read_answer().code, "58000");  // the request may have run
   EXPECT_TRUE(fleet.primary.wait_ended(1));
   EXPECT_EQ(program.wait_exit(), 0);
 }
@@ -456,11 +488,11 @@
     busy.socket.send(pg_query(statement("b1", "pay")));
     EXPECT_TRUE(fleet.primary.wait_for(2));
     fleet.discovery.answering = false;
-    const int before = fleet.discovery.call_count;
+    const int calls_before = fleet.discovery.call_count;
     next = std::make_unique<GatewayProcess>(old, old.pg());
     for (const auto give_up_at = Clock::now() + response_timeout;
-         fleet.discovery.call_count == before && Clock::now() < give_up_at;) {
-    }
+         fleet.discovery.call_count == calls_before && Clock::now() < give_up_at;) {
+    }  // the next process has called discovery, which does not answer
   }
 };
 
@@ -506,8 +538,8 @@
   for (const auto* key : {"registry_mode", "name", "aim", "deadline", "effect", "window", "group", "send_cap",
                           "stop_sending_within", "tip_multiple", "tip_after", "cold", "needs_by_class",
                           "checks", "guarantees", "specifics"}) {
-    // Removes the last key of that name; other objects keep theirs. For "name" that is the last one of a
-    // class.
+    // Renames the last occurrence of the key; other objects keep theirs. For "name" the last occurrence in a
+    // class is renamed.
     auto bad = good;
     const auto at = bad.rfind("\"" + std::string(key) + "\":",
                               std::string(key) == "name" ? bad.find("realms") : bad.npos);
@@ -517,8 +549,9 @@
       app::parse_config(bad);
       // The last class is not idempotent, so it needs no group or window for retries.
       EXPECT_TRUE(std::string(key) == "window" || std::string(key) == "group") << key;
-    } catch (const app::ConfigError& e) {
-      EXPECT_NE(std::string(e.what()).find(std::string(key) + ": missing"), std::string::npos) << e.what();
+    } catch (const app::ConfigError& error) {
+      EXPECT_NE(std::string(error.what()).find(std::string(key) + ": missing"), std::string::npos)
+          << error.what();
     }
   }
   auto one_missing = replaced(good, R"("needs_by_class":["lag_bound",)", R"("needs_by_class":[)");
--- a/tests/reduced_test.cpp
+++ b/tests/reduced_test.cpp
@@ -1,5 +1,11 @@
 // End-to-end tests over real sockets against a started gateway: levels of reduced service, contracts, the
 // admin socket and the records file.
+//
+// Request classes of the configuration: "view" reads within a staleness bound, "history" reads anything,
+// "gate" reads the newest state, "bid" is a write with an idempotency key, "pay" a write that must not run
+// twice. Answers are compared by the types of their messages: TDCZ is a row, CZ a statement without rows, IZ
+// the answer to an empty query, EZ an error. Errors have an SQLSTATE: 53300 is a refusal, after which the
+// client may try again.
 #include <gtest/gtest.h>
 #include <rapidjson/document.h>
 #include <signal.h>
@@ -18,6 +24,7 @@
 
 using Clock = std::chrono::steady_clock;
 
+/// A gateway file that switches the levels on.
 constexpr const char* gateway_with_levels =
     R"({"admin":{"socket":"@DIR@/admin.sock"},"records":{"file":"@DIR@/records.jsonl"},)"
     R"("log":{"form":"json"},"levels":{"mode":"on"}})";
@@ -29,6 +36,7 @@
   PgStandIn right;
   std::unique_ptr<Discovery> discovery;
   std::unique_ptr<GatewayProcess> program;
+  /// `gateway`: the content of the gateway file.
   explicit GatewayFixture(const std::string& gateway = gateway_with_levels) {
     primary.primary = true;
     const auto list = list_of(1, {member("p", primary.address(), true), member("l", left.address(), false),
@@ -44,6 +52,7 @@
     }
     return false;
   }
+  /// Content of the records file.
   std::string records() const {
     std::ifstream file(program->dir() + "/records.jsonl");
     std::stringstream text;
@@ -107,7 +116,7 @@
   EXPECT_EQ(refused.code, "53300");
   EXPECT_GT(std::atoi(refused.detail.c_str()), 0);
   EXPECT_EQ(client.query(statement("a2", "gate")).types, "TDCZ");
-  // After the end of the pin and the minimum time between changes.
+  // The level ends after the pin and the minimum time between changes.
   ASSERT_TRUE(gateway.wait_levels(R"("pressure":{"level":"normal")"));
   EXPECT_EQ(client.query(statement("a3", "history")).types, "TDCZ");
   const auto records = gateway.program->ctl("records");
@@ -122,6 +131,7 @@
       R"("enter":{"any":[{"reading":"retries","above":0.7}]},)"
       R"("exit":{"all":[{"reading":"retries","below":0.3}]}}]}})");
   PgClient client(gateway.program->pg());
+  // The times of the recorded changes of level. Each record must have its rule, readings and time.
   const auto change_times_ms = [&] {
     std::vector<std::int64_t> times;
     std::istringstream lines(gateway.records());
@@ -199,8 +209,10 @@
   char bytes[512];
   for (std::size_t n = 0; (n = ::fread(bytes, 1, sizeof bytes, pipe)) > 0;) report.append(bytes, n);
   EXPECT_EQ(::pclose(pipe), 0);
+  // Columns: asked, within, beyond, in time, late, failed, left, refused by contract, contention, levels and
+  // router, promised, kept.
   EXPECT_NE(report.find("postgresql desks history,8,6,2,6,0,0,0,2,0,0,0,6,6,"), std::string::npos) << report;
-  EXPECT_NE(report.find("1 of "), std::string::npos) << report;
+  EXPECT_NE(report.find("1 of "), std::string::npos) << report;  // unreadable: the truncated line
   // After a reload without contracts, the request that was refused before is served.
   gateway.program->configure_gateway(R"({"admin":{"socket":"@DIR@/admin.sock"}})");
   gateway.program->signal(SIGHUP);
@@ -224,6 +236,7 @@
   int request_count = 0;
   int refused = 0;
   int served = 0;
+  // The next four queries of the tenant "batch", in one pipeline.
   const auto pipelined_queries = [&] {
     std::string bytes;
     for (int i = 0; i < 4; ++i) {
