--- a/src/levels/ladder.cpp
+++ b/src/levels/ladder.cpp
@@ -18,11 +18,12 @@
 }
 
 /// Updates the hold timer of every condition, independently of the others, and decides whether the rule
-/// holds. An unusable sample stops its timer: a condition that cannot be observed has not held.
+/// holds. An unusable sample stops its timer: a condition that cannot be observed has not held. Appends the
+/// samples to the observations of `change`.
 Ladder::RuleState Ladder::evaluate(const Rule& rule, std::vector<HoldTimer>& timers, const SampleReader& read,
                                    LevelChange& change) {
-  std::size_t held = 0;
-  std::size_t unknown = 0;
+  std::size_t holding_count = 0;
+  std::size_t unusable_count = 0;
   for (std::size_t i = 0; i < rule.conditions.size(); ++i) {
     const auto& condition = rule.conditions[i];
     const auto sample = read(condition);
@@ -30,23 +31,24 @@
     change.observations.push_back({condition, sample.value, usability});
     if (usability != Usability::usable || (sample.value > condition.bound) != condition.above) {
       timers[i].running = false;
-      unknown += usability != Usability::usable ? 1 : 0;
+      unusable_count += usability != Usability::usable ? 1 : 0;
       continue;
     }
     if (!timers[i].running) timers[i] = {now_, true};
-    if (now_ - timers[i].since >= condition.hold_time) ++held;
+    if (now_ - timers[i].since >= condition.hold_time) ++holding_count;
   }
   if (rule.conditions.empty()) return RuleState::no;
-  if (rule.require_all)
-    return held == rule.conditions.size() ? RuleState::yes : unknown > 0 ? RuleState::unknown : RuleState::no;
-  return held > 0 ? RuleState::yes : unknown > 0 ? RuleState::unknown : RuleState::no;
+  const bool holds = rule.require_all ? holding_count == rule.conditions.size() : holding_count > 0;
+  if (holds) return RuleState::yes;
+  return unusable_count > 0 ? RuleState::unknown : RuleState::no;
 }
 
 bool Ladder::may_change() const {
   return !has_changed_ || now_ - entered_at_ >= std::max(config_.min_change_interval, min_dwell_);
 }
 
-void Ladder::move(std::size_t to, Cause cause, LevelChange change, std::vector<LevelChange>& out) {
+/// Makes level `to` the current one and appends `change`, whose observations are set already.
+void Ladder::change_level(std::size_t to, Cause cause, LevelChange change, std::vector<LevelChange>& out) {
   change.at = now_;
   change.cause = cause;
   change.from = current_level().name;
@@ -101,29 +103,30 @@
   now_ = now;
   if (!std::exchange(started_, true)) entered_at_ = now;
 
-  bool unknown = false;
-  LevelChange unknown_change;
+  // Rules that could change the current level: if one is unknown, the first such rule is recorded.
+  bool is_unknown = false;
+  LevelChange first_unknown;
   const auto holds = [&](const Rule& rule, std::vector<HoldTimer>& timers, LevelChange& change) {
     const auto state = evaluate(rule, timers, read, change);
-    if (state == RuleState::unknown && !std::exchange(unknown, true)) unknown_change = change;
+    if (state == RuleState::unknown && !std::exchange(is_unknown, true)) first_unknown = change;
     return state == RuleState::yes;
   };
   // All timers are updated, also those of levels below and above the current one and while a pin applies.
-  std::size_t up = level_;
-  LevelChange up_change;
-  LevelChange down_change;
+  std::size_t highest_to_enter = level_;
+  LevelChange enter_change;
+  LevelChange leave_change;
   LevelChange discarded;
   for (std::size_t i = 1; i < config_.levels.size(); ++i) {
     LevelChange change;
-    const bool entered = i > level_ ? holds(config_.levels[i].enter, level_states_[i].enter, change)
-                                    : evaluate(config_.levels[i].enter, level_states_[i].enter, read,
-                                               discarded) == RuleState::yes;
-    if (entered && i > up) {
-      up = i;
-      up_change = std::move(change);
+    const bool may_enter = i > level_ ? holds(config_.levels[i].enter, level_states_[i].enter, change)
+                                      : evaluate(config_.levels[i].enter, level_states_[i].enter, read,
+                                                 discarded) == RuleState::yes;
+    if (may_enter && i > highest_to_enter) {
+      highest_to_enter = i;
+      enter_change = std::move(change);
     }
   }
-  const bool down = level_ > 0 && holds(current_level().exit, level_states_[level_].exit, down_change);
+  const bool may_leave = level_ > 0 && holds(current_level().exit, level_states_[level_].exit, leave_change);
 
   if (pin_ && now_ >= pin_->until) {
     if (pin_->reported) {
@@ -141,7 +144,7 @@
     change.pinned_until = pin_->until;
     if (pin_->level != level_) {
       pin_->reported = true;
-      return move(pin_->level, Cause::pinned, std::move(change), out);
+      return change_level(pin_->level, Cause::pinned, std::move(change), out);
     }
     if (std::exchange(pin_->reported, true)) return;
     change.at = now_;
@@ -151,13 +154,14 @@
     return;
   }
   if (may_change()) {
-    if (up > level_)
-      return move(config_.step_by_step ? level_ + 1 : up, Cause::entered, std::move(up_change), out);
-    if (down) return move(level_ - 1, Cause::left, std::move(down_change), out);
+    if (highest_to_enter > level_)
+      return change_level(config_.step_by_step ? level_ + 1 : highest_to_enter, Cause::entered,
+                          std::move(enter_change), out);
+    if (may_leave) return change_level(level_ - 1, Cause::left, std::move(leave_change), out);
   }
-  if (unknown && level_ > 0)
-    report_hold(std::move(unknown_change), out);
-  else if (!unknown)
+  if (is_unknown && level_ > 0)
+    report_hold(std::move(first_unknown), out);
+  else if (!is_unknown)
     hold_reported_ = false;
 }
 
@@ -251,7 +255,7 @@
 
 namespace {
 
-constexpr std::size_t max_levels = 16;
+constexpr std::size_t max_levels = 16;  // of one ladder
 
 /// The values of a reading for which a condition holds: from < x <= to, or from <= x <= to if `closed`.
 struct Range {
@@ -272,19 +276,17 @@
   return a.reading == b.reading && a.class_index == b.class_index;
 }
 
-/// Whether all conditions of both sets can hold at the same time.
-bool overlap(const std::vector<Condition>& a, const std::vector<Condition>& b) {
-  for (const auto& x : a)
-    for (const auto& y : b) {
-      if (!same_reading(x, y)) continue;
-      const auto p = range_of(x);
-      const auto q = range_of(y);
-      const Range intersection{std::max(p.from, q.from), std::min(p.to, q.to),
-                               p.from > q.from   ? p.closed
-                               : q.from > p.from ? q.closed
-                                                 : p.closed && q.closed};
-      if (is_empty(intersection)) return false;
-    }
+/// The values that lie in both ranges.
+Range intersection_of(const Range& a, const Range& b) {
+  const bool closed = a.from > b.from ? a.closed : b.from > a.from ? b.closed : a.closed && b.closed;
+  return {std::max(a.from, b.from), std::min(a.to, b.to), closed};
+}
+
+/// Whether each condition of one set can hold at the same time as each condition of the other.
+bool overlap(const std::vector<Condition>& first, const std::vector<Condition>& second) {
+  for (const auto& a : first)
+    for (const auto& b : second)
+      if (same_reading(a, b) && is_empty(intersection_of(range_of(a), range_of(b)))) return false;
   return true;
 }
 
@@ -296,6 +298,7 @@
   return sets;
 }
 
+/// The first error of a rule; `path` is that of the rule.
 std::optional<ConfigIssue> find_rule_issue(const Rule& rule, Scope scope, const std::string& path) {
   for (std::size_t i = 0; i < rule.conditions.size(); ++i) {
     const auto& condition = rule.conditions[i];
--- a/src/levels/ladder.h
+++ b/src/levels/ladder.h
@@ -1,6 +1,7 @@
-// One axis of degradation: an ordered ladder of levels, from `normal` upwards, with entry and exit
-// conditions, hysteresis, minimum dwell times and a minimum interval between changes. A deterministic state
-// machine: samples and times in, level changes out; equal input gives equal output.
+// A ladder: the ordered levels of reduced service on one axis (pressure or faults, see levels.h), from
+// `normal` upwards, with entry and exit conditions, hysteresis, minimum dwell times and a minimum interval
+// between changes. A deterministic state machine: samples and times in, level changes out; equal input gives
+// equal output.
 #pragma once
 
 #include <cstddef>
@@ -17,9 +18,9 @@
 /// Holds once a reading has been on one side of a bound for `hold_time` without interruption.
 struct Condition {
   Reading reading = Reading::latency;
-  std::int32_t class_index = -1;  // for readings of a class, else -1
+  std::int32_t class_index = -1;  // index in ServiceInfo::classes for readings of a class, else -1
   bool above = true;              // true: holds above the bound; false: holds at or below it
-  double bound = 0;
+  double bound = 0;               // in the unit of the reading
   Duration hold_time{};
 };
 
@@ -32,8 +33,8 @@
 
 /// Requests that a level refuses. If several rules match a request, the largest share applies.
 struct ShedRule {
-  std::vector<std::int32_t> classes;  // empty: every class
-  std::int32_t tenant = -1;           // -1: every tenant
+  std::vector<std::int32_t> classes;  // indexes in ServiceInfo::classes; empty: every class
+  std::int32_t tenant = -1;           // index of the tenant; -1: every tenant
   bool only_beyond_budget = false;    // only requests beyond their tenant's budget
   bool only_without_primary = false;  // only while the group has no usable primary
   // Only requests whose deadline passes before a primary is expected. Written "only_hopeless" in the
@@ -63,6 +64,7 @@
   Adjustments adjustments;
 };
 
+/// The levels of a ladder and the limits on how often they change.
 struct LadderConfig {
   std::vector<Level> levels;                 // from normal (no conditions) upwards
   Duration min_change_interval{10'000'000};  // 10 s: minimum time between two changes
@@ -74,11 +76,17 @@
   Duration max_damped_dwell{120'000'000};  // 120 s: limit of the dwell time that damping extends
 };
 
-/// The reason for a level change, or for a record without one. `held`: the level is kept because a reading
-/// that it depends on is unusable; not related to a condition's `hold_time`.
-enum class Cause : std::uint8_t { entered, left, pinned, pin_ended, reloaded, held };
+/// The reason for a level change, or for a record that the level is kept.
+enum class Cause : std::uint8_t {
+  entered,    // the entry rule of a higher level holds
+  left,       // the exit rule of the current level holds
+  pinned,     // an operator's pin begins to apply
+  pin_ended,  // a pin has ended; the level is kept
+  reloaded,   // the previous level does not exist in the new configuration
+  held,       // the level is kept since a reading that it depends on is unusable; not related to a hold time
+};
 
-/// The text written to records.
+/// The text of a cause in records.
 constexpr const char* name_of(Cause cause) {
   switch (cause) {
     case Cause::entered:
@@ -100,6 +108,7 @@
 /// A decision on a level with the samples behind it: a change, or a record that the level is kept, in which
 /// case `from` equals `to`. Records for operators are made from this alone.
 struct LevelChange {
+  /// A condition and the sample that it was compared with.
   struct Observation {
     Condition condition;
     double value = 0;
@@ -117,17 +126,20 @@
 /// The state of one ladder: current level, hold timers of all conditions and an operator's pin.
 class Ladder {
  public:
+  /// Returns the sample to compare with the bound of a condition.
   using SampleReader = std::function<Sample(const Condition&)>;
   explicit Ladder(LadderConfig config);
 
   /// Evaluates all conditions at `now` (an earlier time than the previous one counts as the previous one).
-  /// Appends at most one change, or, where a sample that the current level depends on cannot be used, one
-  /// record of cause `held` for each such period.
+  /// Appends at most one change of the level. Also appends records that the level is kept: when a pin to the
+  /// current level begins to apply, when a pin has ended, and, where a sample that the current level depends
+  /// on cannot be used, one record of cause `held` for each such period.
   void step(Time now, const SampleReader& read, std::vector<LevelChange>& out);
 
-  /// Pins the level until `until`, as soon as the minimum change interval allows. False if there is no level
-  /// of that name or `until` is not in the future.
+  /// Pins the level until `until`, as soon as the minimum change interval and the minimum dwell time allow.
+  /// Replaces an earlier pin. False if there is no level of that name or `until` is not in the future.
   bool pin(const std::string& level, Time until, Time now);
+  /// Ends a pin at the next evaluation.
   void unpin();
   /// Replaces the levels. If the current level no longer exists, the nearest remaining level below it becomes
   /// current, recorded with cause `reloaded`.
@@ -152,12 +164,14 @@
   [[nodiscard]] bool is_held() const { return hold_reported_; }
 
  private:
+  /// Whether a rule holds. `unknown`: it does not hold, but an unusable sample may be the reason.
   enum class RuleState : std::uint8_t { no, yes, unknown };
   /// How long a condition has been on its side of the bound.
   struct HoldTimer {
     Time since{};
     bool running = false;
   };
+  /// What the ladder keeps for each level.
   struct LevelState {
     std::vector<HoldTimer> enter;  // by condition
     std::vector<HoldTimer> exit;   // by condition
@@ -167,24 +181,25 @@
   };
   RuleState evaluate(const Rule& rule, std::vector<HoldTimer>& timers, const SampleReader& read,
                      LevelChange& change);
-  void move(std::size_t to, Cause cause, LevelChange change, std::vector<LevelChange>& out);
+  void change_level(std::size_t to, Cause cause, LevelChange change, std::vector<LevelChange>& out);
   void report_hold(LevelChange change, std::vector<LevelChange>& out);
   [[nodiscard]] bool may_change() const;
   void reset_level_states();
 
   LadderConfig config_;
   std::vector<LevelState> level_states_;
-  std::size_t level_ = 0;
-  Time now_{};  // time of the last evaluation
+  std::size_t level_ = 0;  // index of the current level in config_.levels
+  Time now_{};             // time of the last evaluation
   Time entered_at_{};
   Duration min_dwell_{};
-  bool started_ = false;  // an evaluation has taken place
-  bool has_changed_ = false;
-  bool hold_reported_ = false;
+  bool started_ = false;        // an evaluation or a restore has taken place
+  bool has_changed_ = false;    // the level has ever changed, also in a previous process
+  bool hold_reported_ = false;  // a record of cause `held` was written for the present period
+  /// An operator's pin.
   struct Pin {
-    std::size_t level;
+    std::size_t level;  // index in config_.levels
     Time until;
-    bool reported = false;
+    bool reported = false;  // a record of cause `pinned` was written
   };
   std::optional<Pin> pin_;
 };
--- a/src/levels/levels.cpp
+++ b/src/levels/levels.cpp
@@ -28,23 +28,23 @@
       samples_(reading_count),
       counters_(service_.classes.size()),
       random_(service_.seed) {
-  compile_all();
+  compile_all_shed_rules();
 }
 
 /// Precomputes the shares that a level sheds by class, budget and primary state, so that a verdict is a
-/// single table look-up. Rules for a tenant go to `tenants`, or are ignored if it is null.
-void Levels::compile(const Level& level, std::vector<ShedEntry>& table,
-                     std::vector<TenantShed>* tenants) const {
-  table.assign(service_.classes.size() * 4, ShedEntry{});
-  if (tenants) tenants->clear();
+/// single table look-up. Rules for a tenant go to `tenant_sheds`, or are ignored if it is null.
+void Levels::compile_shed_rules(const Level& level, std::vector<ShedEntry>& table,
+                                std::vector<TenantShed>* tenant_sheds) const {
+  table.assign(service_.classes.size() * shed_entries_per_class, ShedEntry{});
+  if (tenant_sheds) tenant_sheds->clear();
   const auto class_count = static_cast<std::int32_t>(service_.classes.size());
   for (const auto& rule : level.shed_rules) {
     const auto share = static_cast<float>(rule.share);
     if (rule.tenant >= 0) {
-      if (!tenants) continue;
-      if (rule.classes.empty()) tenants->push_back({-1, rule.tenant, rule.only_beyond_budget, share});
+      if (!tenant_sheds) continue;
+      if (rule.classes.empty()) tenant_sheds->push_back({-1, rule.tenant, rule.only_beyond_budget, share});
       for (const auto class_index : rule.classes)
-        tenants->push_back({class_index, rule.tenant, rule.only_beyond_budget, share});
+        tenant_sheds->push_back({class_index, rule.tenant, rule.only_beyond_budget, share});
       continue;
     }
     for (std::int32_t class_index = 0; class_index < class_count; ++class_index) {
@@ -64,9 +64,10 @@
   }
 }
 
-void Levels::compile_all() {
-  compile(pressure_.current_level(), shed_table_, &tenant_sheds_);
-  for (auto& [id, group] : groups_) compile(group.faults.current_level(), group.shed_table, nullptr);
+void Levels::compile_all_shed_rules() {
+  compile_shed_rules(pressure_.current_level(), shed_table_, &tenant_sheds_);
+  for (auto& [id, group] : groups_)
+    compile_shed_rules(group.faults.current_level(), group.shed_table, nullptr);
 }
 
 /// Maps the caller to [0, 1), constant for all its requests during a pressure episode. A caller is shed if
@@ -74,6 +75,7 @@
 /// a larger share sheds the callers of a smaller share and more.
 double Levels::caller_rank(const gates::GateRequest& request) const {
   const auto caller = request.caller != 0 ? request.caller : request.request.value;
+  // The upper 53 bits of the hash, as many as a double represents exactly.
   return static_cast<double>(XXH3_64bits_withSeed(&caller, sizeof caller, episode_) >> 11U) * 0x1p-53;
 }
 
@@ -87,6 +89,7 @@
   const auto group = groups_.find(request.group);
   const bool without_primary = group != groups_.end() && !group->second.has_primary;
   const auto index = entry_index(request.class_id.value, request.beyond_budget, without_primary);
+  const auto within_budget_index = entry_index(request.class_id.value, false, without_primary);
   const auto takeover_remaining = [&] {
     return group->second.takeover.remaining(std::max(Duration::zero(), now - group->second.primary_lost_at));
   };
@@ -99,9 +102,7 @@
   }
   double share = static_cast<double>(shed_table_[index].share);
   auto reason = gates::Reason::class_shed;
-  if (request.beyond_budget &&
-      share >
-          static_cast<double>(shed_table_[entry_index(request.class_id.value, false, without_primary)].share))
+  if (request.beyond_budget && share > static_cast<double>(shed_table_[within_budget_index].share))
     reason = gates::Reason::budget_shed;
   for (const auto& shed : tenant_sheds_)
     if (shed.tenant == request.tenant &&
@@ -135,7 +136,7 @@
 }
 
 void Levels::on_request_end(const gates::GateRequest& request, const gates::RequestResult& result, Time now) {
-  // The effects of a lost primary belong to the faults axis and must not count as pressure as well.
+  // A lost primary belongs to the faults axis: its effects on requests must not count as pressure as well.
   if (const auto found = groups_.find(request.group); found != groups_.end()) {
     const auto& group = found->second;
     if (!group.has_primary || (group.primary_has_returned &&
@@ -165,19 +166,9 @@
   auto found = groups_.find(id);
   if (found == groups_.end()) {
     if (groups_.size() >= config_.max_groups) return nullptr;
-    found = groups_
-                .emplace(id, Group{Ladder(config_.faults),
-                                   TakeoverEstimator(config_.initial_takeover_estimate),
-                                   true,
-                                   {},
-                                   false,
-                                   {},
-                                   {},
-                                   {},
-                                   {},
-                                   {}})
-                .first;
-    compile(found->second.faults.current_level(), found->second.shed_table, nullptr);
+    Group group{Ladder(config_.faults), TakeoverEstimator(config_.initial_takeover_estimate)};
+    found = groups_.emplace(id, std::move(group)).first;
+    compile_shed_rules(found->second.faults.current_level(), found->second.shed_table, nullptr);
   }
   return &found->second;
 }
@@ -198,7 +189,7 @@
       now, [&](const Condition& condition) { return sample(condition, nullptr, now); }, changes);
   if (previous_level == 0 && pressure_.level_index() > 0) ++episode_;
   if (previous_level != pressure_.level_index())
-    compile(pressure_.current_level(), shed_table_, &tenant_sheds_);
+    compile_shed_rules(pressure_.current_level(), shed_table_, &tenant_sheds_);
   for (auto& change : changes) out.push_back({std::nullopt, std::move(change)});
 
   const Time observed_at = state.groups_at;
@@ -234,7 +225,7 @@
     changes.clear();
     group.faults.step(
         now, [&](const Condition& condition) { return sample(condition, &group, now); }, changes);
-    if (!changes.empty()) compile(group.faults.current_level(), group.shed_table, nullptr);
+    if (!changes.empty()) compile_shed_rules(group.faults.current_level(), group.shed_table, nullptr);
     for (auto& change : changes) out.push_back({it->first, std::move(change)});
     ++it;
   }
@@ -281,7 +272,7 @@
         own.shed += previous.shed;
         own.refused_without_primary += previous.refused_without_primary;
       }
-  compile_all();
+  compile_all_shed_rules();
 }
 
 bool Levels::pin(std::optional<GroupId> group, const std::string& level, Time until, Time now) {
@@ -311,7 +302,7 @@
     group.faults.reload(config_.faults, now, changes);
     for (auto& change : changes) out.push_back({id, std::move(change)});
   }
-  compile_all();
+  compile_all_shed_rules();
 }
 
 void add_group_views(const std::vector<GroupView>& views, Time now, GatewayState& state) {
@@ -361,10 +352,12 @@
 
 namespace {
 
+/// Whether only a primary can serve requests of the class.
 bool needs_primary(const RequestClass& request_class) {
   return request_class.freshness == Freshness::write || request_class.freshness == Freshness::fresh;
 }
 
+/// Puts the name of the axis before the path of the issue.
 std::optional<ConfigIssue> with_axis(std::optional<ConfigIssue> issue, const char* axis) {
   if (issue) issue->path = axis + issue->path;
   return issue;
@@ -383,21 +376,21 @@
   // Writes within their budget are the last requests that pressure may shed.
   const auto class_count = service.classes.size();
   for (std::size_t i = 0; i < config.pressure.levels.size(); ++i) {
-    std::vector<double> share(class_count, 0);
+    std::vector<double> shares(class_count, 0);  // by class: the share that the level sheds within budgets
     for (const auto& rule : config.pressure.levels[i].shed_rules) {
       if (rule.only_beyond_budget || rule.tenant >= 0) continue;
       for (std::size_t c = 0; c < class_count; ++c)
         if (rule.classes.empty() || std::find(rule.classes.begin(), rule.classes.end(),
                                               static_cast<std::int32_t>(c)) != rule.classes.end())
-          share[c] = std::max(share[c], rule.share);
+          shares[c] = std::max(shares[c], rule.share);
     }
     bool sheds_all_others = true;
     bool sheds_some_write = false;
     for (std::size_t c = 0; c < class_count; ++c)
       if (service.classes[c].freshness == Freshness::write)
-        sheds_some_write |= share[c] > 0;
+        sheds_some_write |= shares[c] > 0;
       else
-        sheds_all_others &= share[c] >= 1;
+        sheds_all_others &= shares[c] >= 1;
     if (sheds_some_write && !sheds_all_others)
       return ConfigIssue{"/pressure/" + std::to_string(i) + "/shed",
                          "writes within their budget are shed before all other requests are"};
@@ -405,9 +398,31 @@
   return std::nullopt;
 }
 
+namespace {
+
+/// The first level of each ladder: no conditions, sheds nothing.
+Level normal_level() {
+  Level level;
+  level.name = "normal";
+  return level;
+}
+
+/// Sheds a share of the callers of some classes; an empty list means every class.
+ShedRule shed_classes(std::vector<std::int32_t> classes, double share) {
+  ShedRule rule;
+  rule.classes = std::move(classes);
+  rule.share = share;
+  return rule;
+}
+
+}  // namespace
+
 Config default_config(const ServiceInfo& service) {
   // Share of the hosts' concurrency limits in use at or below which a pressure level may be left.
   constexpr double exit_utilization = 0.6;
+  // The bounds to leave a pressure level are its bounds to enter it, divided by this.
+  constexpr double exit_bound_divisor = 3;
+  constexpr Duration exit_hold_time{5'000'000};  // 5 s
   Config config;
   std::vector<std::int32_t> any_reads;
   std::vector<std::int32_t> bounded_reads;
@@ -425,31 +440,31 @@
   const auto milliseconds = [](std::int64_t count) { return Duration(count * 1000); };
   // Pressure is measured by the most important requests: those that need the primary. The exit rule requires
   // spare capacity at the hosts as well, since the requests fare well for as long as the level relieves them.
-  const auto rule = [&](bool require_all, double refused, double late, Duration hold_time, bool above) {
-    Rule result;
-    result.require_all = require_all;
+  const auto add_conditions = [&](Rule& rule, bool above, double refused, double late, Duration hold_time) {
     for (const auto class_index : primary_requests) {
-      result.conditions.push_back({Reading::refused, class_index, above, refused, hold_time});
-      result.conditions.push_back({Reading::late, class_index, above, late, hold_time});
+      rule.conditions.push_back({Reading::refused, class_index, above, refused, hold_time});
+      rule.conditions.push_back({Reading::late, class_index, above, late, hold_time});
     }
-    if (require_all)
-      result.conditions.push_back({Reading::in_flight, -1, false, exit_utilization, hold_time});
-    return result;
   };
-  // Heavier pressure has a shorter hold time: the minimum change interval keeps the first level reached for
-  // ten seconds.
+  // `refused` and `late`: shares of a class above which the level is entered. Heavier pressure has a shorter
+  // hold time: the minimum change interval keeps the first level reached for ten seconds.
   const auto make_level = [&](const char* name, double refused, double late, Duration hold_time) {
     Level level;
     level.name = name;
-    level.enter = rule(false, refused, late, hold_time, true);
-    level.exit = rule(true, refused / 3, late / 3, milliseconds(5000), false);
+    add_conditions(level.enter, true, refused, late, hold_time);
+    level.exit.require_all = true;
+    add_conditions(level.exit, false, refused / exit_bound_divisor, late / exit_bound_divisor,
+                   exit_hold_time);
+    level.exit.conditions.push_back({Reading::in_flight, -1, false, exit_utilization, exit_hold_time});
     level.min_dwell = milliseconds(10000);
     level.adjustments.read_spillover = 0;
     // Requests beyond a tenant's budget are shed first: they take capacity promised to other tenants.
-    level.shed_rules.push_back({{}, -1, true, false, false, 1});
+    auto beyond_budget = shed_classes({}, 1);
+    beyond_budget.only_beyond_budget = true;
+    level.shed_rules.push_back(beyond_budget);
     return level;
   };
-  config.pressure.levels.push_back({"normal", {}, {}, {}, {}, {}});
+  config.pressure.levels.push_back(normal_level());
   if (!primary_requests.empty()) {
     auto relief = make_level("relief", 0.08, 0.10, milliseconds(2500));
     relief.adjustments.read_spillover = 0.2;  // see docs/levels.md
@@ -459,13 +474,13 @@
     auto protect_gate = make_level("protect-gate", 0.40, 0.50, milliseconds(1000));
     auto survive = make_level("survive", 0.60, 0.70, milliseconds(500));
     if (!any_reads.empty()) {
-      trim.shed_rules.push_back({any_reads, -1, false, false, false, 0.5});
+      trim.shed_rules.push_back(shed_classes(any_reads, 0.5));
       for (auto* level : {&shed_history, &protect_gate, &survive})
-        level->shed_rules.push_back({any_reads, -1, false, false, false, 1});
+        level->shed_rules.push_back(shed_classes(any_reads, 1));
     }
     if (!bounded_reads.empty()) {
-      protect_gate.shed_rules.push_back({bounded_reads, -1, false, false, false, 0.5});
-      survive.shed_rules.push_back({bounded_reads, -1, false, false, false, 1});
+      protect_gate.shed_rules.push_back(shed_classes(bounded_reads, 0.5));
+      survive.shed_rules.push_back(shed_classes(bounded_reads, 1));
     }
     shed_history.adjustments.retry_budget = 0.5;
     protect_gate.adjustments.retry_budget = 0.25;
@@ -473,14 +488,28 @@
     for (auto* level : {&trim, &shed_history, &protect_gate, &survive})
       config.pressure.levels.push_back(std::move(*level));
   }
-  config.faults.levels.push_back({"normal", {}, {}, {}, {}, {}});
+  config.faults.levels.push_back(normal_level());
   if (!primary_requests.empty()) {
     Level no_writes;
     no_writes.name = "no-writes";
-    no_writes.enter = {false, {{Reading::primary_lost, -1, true, 0.3, {}}}};
-    no_writes.exit = {true, {{Reading::primary_lost, -1, false, 0, milliseconds(2000)}}};
+    Condition lost;
+    lost.reading = Reading::primary_lost;
+    lost.above = true;
+    lost.bound = 0.3;  // seconds
+    no_writes.enter.conditions = {lost};
+    Condition returned;
+    returned.reading = Reading::primary_lost;
+    returned.above = false;
+    returned.bound = 0;
+    returned.hold_time = milliseconds(2000);
+    no_writes.exit.require_all = true;
+    no_writes.exit.conditions = {returned};
     no_writes.min_dwell = milliseconds(10000);
-    no_writes.shed_rules.push_back({primary_requests, -1, false, true, true, 1});
+    // Sheds requests that cannot wait for the new primary.
+    auto without_primary = shed_classes(primary_requests, 1);
+    without_primary.only_without_primary = true;
+    without_primary.only_past_takeover_deadline = true;
+    no_writes.shed_rules.push_back(without_primary);
     config.faults.levels.push_back(no_writes);
   }
   return config;
--- a/src/levels/levels.h
+++ b/src/levels/levels.h
@@ -19,6 +19,7 @@
 /// take effect. `off`: as `watch`; the configuration has no levels (any more).
 enum class Mode : std::uint8_t { off, watch, on };
 
+/// The levels of one front end.
 struct Config {
   Mode mode = Mode::off;
   LadderConfig pressure;
@@ -42,6 +43,7 @@
 
 /// State of the gateway at an evaluation. Readings that the caller cannot provide are left out.
 struct GatewayState {
+  /// A reading of the gateway and the time at which it was taken.
   struct Value {
     Reading reading;
     double value;
@@ -82,8 +84,9 @@
 
   /// See Ladder::pin. Axis: the faults of `group`, or pressure if absent. Also false for an unknown group.
   bool pin(std::optional<GroupId> group, const std::string& level, Time until, Time now);
-  /// False for an unknown group.
+  /// See Ladder::unpin. False for an unknown group.
   bool unpin(std::optional<GroupId> group);
+  /// Replaces the configuration; see Ladder::reload.
   void reload(Config config, Time now, std::vector<AxisChange>& out);
 
   /// The state for a successor process.
@@ -96,23 +99,25 @@
 
   /// The part of a class that a level sheds, for one combination of budget and primary state.
   struct ShedEntry {
-    float share = 0;
+    float share = 0;                           // of the callers, 0 to 1
     bool only_past_takeover_deadline = false;  // see ShedRule
   };
-  /// A tracked replica group.
+  /// A tracked replica group: its ladder of the faults axis, and its state at the last evaluation.
   struct Group {
     Ladder faults;
     TakeoverEstimator takeover;
     bool has_primary = true;
-    Time primary_lost_at{};             // valid while there is no primary
-    bool primary_has_returned = false;  // a primary was lost and has come back
-    Time primary_returned_at{};         // valid if primary_has_returned
-    Sample primary_lost_sample;         // seconds without a usable primary
-    Sample unavailable;
-    Sample lagging;
-    std::vector<ShedEntry> shed_table;  // of the current level of `faults`, by entry_index
+    Time primary_lost_at{};               // valid while there is no primary
+    bool primary_has_returned = false;    // a primary was lost and has come back
+    Time primary_returned_at{};           // valid if primary_has_returned
+    Sample primary_lost_sample{};         // Reading::primary_lost
+    Sample unavailable{};                 // Reading::group_out
+    Sample lagging{};                     // Reading::group_lagging
+    std::vector<ShedEntry> shed_table{};  // of the current level of `faults`, by entry_index
   };
+  /// The tracked groups.
   [[nodiscard]] const std::map<GroupId, Group>& groups() const { return groups_; }
+  /// By class index.
   [[nodiscard]] const std::vector<Counters>& counters() const { return counters_; }
   /// The adjustments of the current levels: the strictest of all axes. Neutral unless the mode is `on`.
   [[nodiscard]] Adjustments adjustments() const;
@@ -121,18 +126,23 @@
   [[nodiscard]] Sample sample(const Condition& condition, const Group* group, Time now);
 
  private:
+  /// A shed rule of the current pressure level for one tenant, see ShedRule.
   struct TenantShed {
     std::int32_t class_index;  // -1: every class
     std::int32_t tenant;
     bool only_beyond_budget;
-    float share;
+    float share;  // of the tenant's callers, 0 to 1
   };
-  void compile(const Level& level, std::vector<ShedEntry>& table, std::vector<TenantShed>* tenants) const;
-  void compile_all();
+  void compile_shed_rules(const Level& level, std::vector<ShedEntry>& table,
+                          std::vector<TenantShed>* tenant_sheds) const;
+  void compile_all_shed_rules();
   Group* find_or_add_group(GroupId id);
+  // A shed table has one entry for each combination of class, budget and primary state.
+  static constexpr std::size_t shed_entries_per_class = 4;
   [[nodiscard]] std::size_t entry_index(std::int32_t class_index, bool beyond_budget,
                                         bool without_primary) const {
-    return static_cast<std::size_t>(class_index) * 4 + (beyond_budget ? 2 : 0) + (without_primary ? 1 : 0);
+    return static_cast<std::size_t>(class_index) * shed_entries_per_class + (beyond_budget ? 2 : 0) +
+           (without_primary ? 1 : 0);
   }
   /// Uniform in [0, 1).
   [[nodiscard]] double random_fraction() { return static_cast<double>(random_()) * 0x1p-32; }
@@ -148,8 +158,10 @@
   std::vector<TenantShed> tenant_sheds_;
   std::vector<Counters> counters_;  // by class
   double recent_requests_ = 0;      // since the last evaluation, plus earlier ones with decay
-  double recent_retries_ = 0;
-  std::uint64_t episode_ = 1;  // number of the pressure episode; seeds the choice of callers to shed
+  double recent_retries_ = 0;       // of these, requests that clients marked as retries
+  // Number of the pressure episode, which begins when the ladder leaves the normal level; seeds the choice of
+  // callers to shed.
+  std::uint64_t episode_ = 1;
   pcg32 random_;
 };
 
--- a/src/levels/meter.h
+++ b/src/levels/meter.h
@@ -13,13 +13,14 @@
 /// two such sums, so that the decay cancels out.
 class ClassMeter {
  public:
+  /// Decaying sums over the requests of one class.
   struct ClassSums {
     double relative_latency = 0;  // sum of latency / latency target over served requests
     double late = 0;              // served requests that exceeded the latency target
-    double served = 0;
-    double refused = 0;  // refused or failed requests
-    double requests = 0;
-    Time updated_at{};
+    double served = 0;            // served requests
+    double refused = 0;           // refused or failed requests
+    double requests = 0;          // served, refused or failed requests
+    Time updated_at{};            // time up to which the sums have decayed
   };
 
   /// `latency_targets`: one for each class, by class id.
--- a/src/levels/readings.h
+++ b/src/levels/readings.h
@@ -12,6 +12,7 @@
 
 namespace cedarring::levels {
 
+/// What a condition observes. Shares are 0 to 1.
 enum class Reading : std::uint8_t {
   // Of a request class.
   latency,  // smoothed latency of served answers, divided by the latency target of the class
@@ -32,18 +33,20 @@
   group_out,      // share of the group's hosts that are ejected or do not answer
   group_lagging,  // share of the group's replicas that are behind the staleness bound
 };
-inline constexpr std::size_t reading_count = 15;
+inline constexpr std::size_t reading_count = 15;  // number of values of Reading
 
 /// The kind of object that a reading describes.
 enum class Scope : std::uint8_t { request_class, gateway, group };
 
+/// The name of a reading and the limits within which its samples are used.
 struct ReadingInfo {
   const char* name;  // as written in configuration and records
   Scope scope;
-  double max_value;  // a larger value is implausible and not used
-  Duration max_age;  // an older sample is not used
+  double max_value;  // a sample above this value is implausible and not used
+  Duration max_age;  // a sample older than this is not used
 };
 
+/// Converts seconds to a Duration.
 inline constexpr Duration seconds_of(double seconds) {
   return Duration(static_cast<std::int64_t>(seconds * 1e6));
 }
@@ -69,6 +72,7 @@
     {"group_lagging", Scope::group, 1, seconds_of(2)},
 }};
 
+/// The entry of `reading_table` for a reading.
 inline constexpr const ReadingInfo& reading_info(Reading reading) {
   return reading_table[static_cast<std::size_t>(reading)];
 }
@@ -76,7 +80,7 @@
 /// Whether a sample may be used for a decision, and if not, the reason.
 enum class Usability : std::uint8_t { usable, missing, stale, out_of_range, in_future };
 
-/// The text written to records.
+/// The text of a usability in records.
 constexpr const char* name_of(Usability usability) {
   switch (usability) {
     case Usability::usable:
--- a/src/levels/snapshot.h
+++ b/src/levels/snapshot.h
@@ -1,5 +1,6 @@
-// State of the levels that a process hands over to its successor: plain records in which times are ages.
-// handover/json_archive.h converts them to and from JSON.
+// State of the levels that a process hands over to its successor: plain records that hold durations instead
+// of points in time. handover/json_archive.h converts them to and from JSON. Their JSON keys are read by
+// other versions of the program and must not change.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +12,17 @@
 
 namespace cedarring::levels {
 
+/// The state of one ladder.
 struct LadderSnapshot {
   std::string level;         // name of the current level
   Duration time_in_level{};  // time since the level was reached
-  Duration min_dwell{};      // minimum time in the level
+  Duration min_dwell{};      // minimum time in the level, with damping
   bool has_changed = false;  // whether the ladder has ever changed its level
   std::string pinned_level;  // level of an operator's pin; empty: no pin
   Duration pin_remaining{};  // time until the pin ends
 };
 
+/// The state of one replica group on the faults axis.
 struct GroupSnapshot {
   GroupId group;
   LadderSnapshot ladder;
@@ -28,6 +31,7 @@
   std::optional<Duration> primary_lost_for;  // time without a usable primary; absent while there is one
 };
 
+/// The counts of one request class, see Counters in levels.h.
 struct CountersSnapshot {
   std::string class_name;
   std::uint64_t requests = 0;
@@ -35,12 +39,14 @@
   std::uint64_t refused_without_primary = 0;
 };
 
+/// The whole state of the levels of one front end.
 struct Snapshot {
   LadderSnapshot pressure;
   std::vector<GroupSnapshot> groups;
   std::vector<CountersSnapshot> counters;
 };
 
+// Each function passes the members of a record to a reader or a writer, see handover/json_archive.h.
 template <class Archive>
 void serialize(Archive& archive, LadderSnapshot& ladder) {
   archive("level", ladder.level);
--- a/src/levels/takeover.h
+++ b/src/levels/takeover.h
@@ -14,8 +14,8 @@
   /// `hint`: the estimate until a takeover has been seen.
   explicit TakeoverEstimator(Duration hint) : estimate_(hint) {}
 
-  /// Adds the duration of a takeover; recent takeovers weigh most. An absence shorter than `min_duration` is
-  /// ignored: it is no takeover, the primary itself came back.
+  /// Adds the duration of a takeover; recent takeovers weigh most. A duration below `min_duration` is
+  /// ignored: such a short absence is no takeover, the primary itself came back.
   void record(Duration duration) {
     if (duration < min_duration) return;
     estimate_ +=
@@ -41,7 +41,7 @@
     }
   }
 
-  static constexpr Duration min_duration{100'000};  // 100 ms
+  static constexpr Duration min_duration{100'000};  // 100 ms: shortest absence that counts as a takeover
   static constexpr double gain = 0.3;               // weight of a new duration in the moving average
 
  private:
