--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -129,7 +129,7 @@
 
 StateSections Service::contract_counts_since_split() {
   if (!contracts_) return {};
-  return {{"contracts", handover::to_text(contracts_->contracts().recorded())}};
+  return {{"contracts", handover::to_text(contracts_->contracts().records_since_split())}};
 }
 
 std::vector<std::string> Service::add_contract_counts(const StateSections& sections) {
--- a/src/contracts/contracts.cpp
+++ b/src/contracts/contracts.cpp
@@ -7,43 +7,54 @@
 namespace cedarring::contracts {
 namespace {
 
-// Learnt costs.
-constexpr double initial_cost_divisor = 4;     // before any answer a request costs latency target / 4
+// The cost of a request of a class, learnt from the times of its answers.
+constexpr double initial_cost_divisor = 4;     // before any answer the cost is latency target / 4
 constexpr double cost_gain = 0.02;             // weight of one answer that is quicker than the learnt cost
 constexpr double slow_answer_gain_ratio = 20;  // slower answers weigh this many times less
 constexpr double max_cost_ratio = 3;           // an answer counts as at most this many learnt costs
 constexpr double min_answer_ms = 0.1;          // quicker answers count as this, so that a cost stays above 0
 
-// Allocation of contended resources.
+// Allocation of contended resources. Capacities are costs a second: milliseconds of host work a second.
 constexpr double resource_use_decay_time = 1;  // seconds: time constant of demand and served cost
-constexpr double min_capacity = 1;
-constexpr double headroom = 1.05;          // first limit of a contended resource, over the cost it served
-constexpr double capacity_growth = 1.05;   // for each step without contention
-constexpr double capacity_cut = 0.9;       // for each step in which the router refused requests
-constexpr double lend_cut = 0.5;           // for each step with contention
-constexpr double lend_growth = 1.02;       // for each step without contention
-constexpr double min_lend_share = 0.02;    // of the served cost: lending less than this counts as none
-constexpr double lend_restart_ratio = 10;  // lending grows by at least min_lend_share / this a step
+constexpr double min_capacity = 1;             // smallest limit on the capacity within contracts
+constexpr double headroom = 1.05;              // factor on the served cost: the first limit of a resource
+constexpr double capacity_growth = 1.05;       // factor for each step without contention
+constexpr double capacity_cut = 0.9;           // factor for each step in which the router refused requests
+constexpr double lend_cut = 0.5;               // factor for each step with contention
+constexpr double lend_growth = 1.02;           // factor for each step without contention
+constexpr double min_lend_share = 0.02;  // lending less than this share of the served cost counts as none
+// Each step without contention adds min_lend_share / lend_restart_ratio of the served cost to the lent
+// capacity, so that lending also grows from zero.
+constexpr double lend_restart_ratio = 10;
 // Seconds of an allocation that may come at once: lent capacity returns to its owner within this time.
 constexpr double resource_use_burst = 0.1;
-constexpr Duration relief_period{2'000'000};  // without contention, after which a limit is removed
+// A limit is removed once there was no contention for this time (2 s) and the demand is below the limit.
+constexpr Duration relief_period{2'000'000};
+// A use is removed after this time (10 s) without a request.
 constexpr Duration resource_use_retention{10'000'000};
-constexpr std::size_t max_resource_uses = 65536;
-constexpr double full_share = 0.95;  // of a concurrency limit, from which on a resource is contended
+constexpr std::size_t max_resource_uses = 65536;  // uses tracked; further uses are not limited
+// A resource is contended once its requests in flight reach this share of its concurrency limit.
+constexpr double contended_utilization = 0.95;
 
-constexpr Duration min_jitter_width{100'000};
+constexpr Duration min_jitter_width{100'000};    // 100 ms
 constexpr double min_share_time_constant = 0.1;  // seconds
-constexpr double min_window_seconds = 0.001;
+constexpr double min_window_seconds = 0.001;     // avoids a division by zero
 
 // Upper bounds of values accepted from another process.
-constexpr double max_snapshot_cost = 1e9;
-constexpr double max_snapshot_demand = 1e9;
-constexpr double max_snapshot_cost_rate = 1e12;
+constexpr double max_snapshot_cost = 1e9;            // milliseconds
+constexpr double max_snapshot_demand = 1e9;          // requests a second
+constexpr double max_snapshot_resource_cost = 1e12;  // milliseconds of host work, decaying
 
-double seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
+// Constants of SplitMix64, used to spread the bits of a key.
+constexpr std::uint64_t splitmix_increment = 0x9e3779b97f4a7c15ULL;
+constexpr std::uint64_t splitmix_multiplier = 0xbf58476d1ce4e5b9ULL;
 
-/// A pause of at least `wait`, with jitter of the same length but no less than 100 ms, so that clients that
-/// were refused together do not return together. `draw` is uniform in 0 to 1; the result is at most `max`.
+double seconds(Duration duration) { return static_cast<double>(duration.count()) / 1e6; }
+
+/// The time to suggest to a refused client: `wait`, plus jitter of the same length but no less than
+/// `min_jitter_width`, so that clients that were refused together do not return together. `draw`, uniform in
+/// 0 to 1, selects a point of the jitter. The result is at most `max`; where less than half of the jitter
+/// would fit below `max`, the time begins before `wait`, so that half of it fits.
 Duration jittered_pause(Duration wait, Duration max, double draw) {
   const auto width = std::max(std::min(wait, max), min_jitter_width);
   const auto from = std::clamp(wait, Duration::zero(), std::max(Duration::zero(), max - width / 2));
@@ -53,10 +64,10 @@
 }  // namespace
 
 std::size_t Contracts::ResourceUseHash::operator()(const ResourceUseKey& key) const {
-  auto hash = static_cast<std::uint64_t>(key.group) * 0x9e3779b97f4a7c15ULL;
+  auto hash = static_cast<std::uint64_t>(key.group) * splitmix_increment;
   hash ^= (static_cast<std::uint64_t>(static_cast<std::uint32_t>(key.team)) << 1U | (key.primary ? 1U : 0U)) +
           (hash >> 29U);
-  return hash * 0xbf58476d1ce4e5b9ULL;
+  return hash * splitmix_multiplier;
 }
 
 Contracts::Contracts(Config config, ServiceInfo service)
@@ -85,14 +96,15 @@
 }
 
 bool Contracts::in_closure(Time now) const {
-  const auto after = std::upper_bound(config_.closures.begin(), config_.closures.end(), now,
-                                      [](Time t, const ClosureWindow& w) { return t < w.from; });
+  const auto after =
+      std::upper_bound(config_.closures.begin(), config_.closures.end(), now,
+                       [](Time time, const ClosureWindow& window) { return time < window.from; });
   return after != config_.closures.begin() && now < std::prev(after)->to;
 }
 
 LedgerEntry Contracts::total(std::size_t team, std::size_t class_index) const {
-  auto sum = records_at(team, class_index).previous;
-  return sum += records_at(team, class_index).current;
+  auto sum = records_at(team, class_index).closed_windows_sum;
+  return sum += records_at(team, class_index).open_window;
 }
 
 void Contracts::reload(Config config, Time now) {
@@ -102,21 +114,23 @@
   std::vector<std::int32_t> team_of_tenant(service_.tenants, -1);
   std::vector<bool> added(config.teams.size(), false);
   const double even_share = 1.0 / std::max(1U, config.gateways);
-  for (std::size_t t = 0; t < config.teams.size(); ++t) {
-    teams[t].gateway_share = even_share;
-    for (const auto tenant : config.teams[t].tenants)
+  for (std::size_t team_index = 0; team_index < config.teams.size(); ++team_index) {
+    teams[team_index].gateway_share = even_share;
+    for (const auto tenant : config.teams[team_index].tenants)
       if (tenant >= 0 && static_cast<std::size_t>(tenant) < team_of_tenant.size())
-        team_of_tenant[static_cast<std::size_t>(tenant)] = static_cast<std::int32_t>(t);
+        team_of_tenant[static_cast<std::size_t>(tenant)] = static_cast<std::int32_t>(team_index);
     // A team that keeps its name keeps its limiters and records.
-    const auto old = std::find_if(config_.teams.begin(), config_.teams.end(),
-                                  [&](const Team& team) { return team.name == config.teams[t].name; });
+    const auto old = std::find_if(config_.teams.begin(), config_.teams.end(), [&](const Team& team) {
+      return team.name == config.teams[team_index].name;
+    });
     if (old == config_.teams.end()) {
-      added[t] = true;
+      added[team_index] = true;
       continue;
     }
     const auto from = static_cast<std::size_t>(old - config_.teams.begin());
-    teams[t] = teams_[from];
-    for (std::size_t c = 0; c < classes; ++c) cells[t * classes + c] = std::move(cell_at(from, c));
+    teams[team_index] = teams_[from];
+    for (std::size_t class_index = 0; class_index < classes; ++class_index)
+      cells[team_index * classes + class_index] = std::move(cell_at(from, class_index));
   }
   // Resource uses are keyed by the old team indices, which may now belong to other teams. Open requests are
   // charged to no team.
@@ -127,10 +141,12 @@
   cells_ = std::move(cells);
   teams_ = std::move(teams);
   team_of_tenant_ = std::move(team_of_tenant);
-  // During a hand-over each of the two processes spends its own share of an added team's rates.
-  for (std::size_t t = 0; t < teams_.size(); ++t)
-    for (std::size_t c = 0; c < classes; ++c)
-      if (added[t]) cell_at(t, c).process_share = handover::budget_share(stage_, burst_of(t, c));
+  // During a handover each of the two processes spends its own share of an added team's rates.
+  for (std::size_t team_index = 0; team_index < teams_.size(); ++team_index)
+    for (std::size_t class_index = 0; class_index < classes; ++class_index)
+      if (added[team_index])
+        cell_at(team_index, class_index).process_share =
+            handover::budget_share(stage_, burst_of(team_index, class_index));
   update_rates(now);
 }
 
@@ -140,7 +156,7 @@
 }
 
 /// The rate in force at this gateway: the contracted rate times the gateway's share. `share` is this
-/// process's share of the gateway's rate during a hand-over.
+/// process's share of the gateway's rate during a handover.
 Rate Contracts::rate_of(std::size_t team, std::size_t class_index, double share) const {
   const auto* terms = terms_of(team, class_index, closure_);
   return terms
@@ -150,15 +166,17 @@
 
 void Contracts::update_rates(Time now) {
   closure_ = in_closure(now);
-  for (std::size_t t = 0; t < teams_.size(); ++t)
-    for (std::size_t c = 0; c < service_.classes.size(); ++c)
-      cell_at(t, c).rate = rate_of(t, c, cell_at(t, c).process_share);
+  for (std::size_t team_index = 0; team_index < teams_.size(); ++team_index)
+    for (std::size_t class_index = 0; class_index < service_.classes.size(); ++class_index)
+      cell_at(team_index, class_index).rate =
+          rate_of(team_index, class_index, cell_at(team_index, class_index).process_share);
 }
 
 /// A share of the team's own demand at this gateway, with a small burst. Never charged to another team.
 Rate Contracts::retry_rate(std::size_t team, handover::HandoverStage stage) const {
   double demand = 0;
-  for (std::size_t c = 0; c < service_.classes.size(); ++c) demand += cell_at(team, c).demand;
+  for (std::size_t class_index = 0; class_index < service_.classes.size(); ++class_index)
+    demand += cell_at(team, class_index).demand;
   const double share = handover::budget_share(stage, config_.retry_burst);
   return Rate::of(std::max(1.0, demand * config_.retry_share) * share, config_.retry_burst * share);
 }
@@ -166,8 +184,8 @@
 CellSnapshot Contracts::cell_counts(std::size_t team, std::size_t class_index) const {
   CellSnapshot snapshot;
   const auto& records = records_at(team, class_index);
-  snapshot.current = records.current;
-  snapshot.previous = records.previous;
+  snapshot.open_window = records.open_window;
+  snapshot.closed_windows_sum = records.closed_windows_sum;
   snapshot.times = records.times.filled();
   return snapshot;
 }
@@ -176,29 +194,30 @@
   using handover::HandoverStage;
   stage_ = HandoverStage::outgoing;
   Snapshot snapshot;
-  if (started_) snapshot.window = now - window_start_;
-  for (std::size_t c = 0; c < service_.classes.size(); ++c)
-    snapshot.costs[service_.classes[c].name] = costs_[c];
-  for (std::size_t t = 0; t < teams_.size(); ++t) {
-    auto& team = snapshot.teams[config_.teams[t].name];
-    team.gateway_share = teams_[t].gateway_share;
-    team.retry_debt = teams_[t].retry_limiter.debt(now);
-    for (std::size_t c = 0; c < service_.classes.size(); ++c) {
-      auto& cell = cell_at(t, c);
-      auto& copy = team.classes[service_.classes[c].name] = cell_counts(t, c);
+  if (started_) snapshot.open_window_age = now - window_start_;
+  for (std::size_t class_index = 0; class_index < service_.classes.size(); ++class_index)
+    snapshot.costs[service_.classes[class_index].name] = costs_[class_index];
+  for (std::size_t team_index = 0; team_index < teams_.size(); ++team_index) {
+    auto& team = snapshot.teams[config_.teams[team_index].name];
+    team.gateway_share = teams_[team_index].gateway_share;
+    team.retry_debt = teams_[team_index].retry_limiter.debt(now);
+    for (std::size_t class_index = 0; class_index < service_.classes.size(); ++class_index) {
+      auto& cell = cell_at(team_index, class_index);
+      auto& copy = team.classes[service_.classes[class_index].name] = cell_counts(team_index, class_index);
       cell.records.reset();
       copy.debt = cell.limiter.debt(now);
       copy.demand = cell.demand;
-      copy.share = handover::budget_share(HandoverStage::incoming, burst_of(t, c));
-      cell.process_share = handover::budget_share(HandoverStage::outgoing, burst_of(t, c));
+      copy.share = handover::budget_share(HandoverStage::incoming, burst_of(team_index, class_index));
+      cell.process_share = handover::budget_share(HandoverStage::outgoing, burst_of(team_index, class_index));
     }
   }
   for (const auto& [key, resource] : resources_)
     snapshot.resources.push_back(
         {GroupId{key.first}, key.second, resource.served, resource.capacity, resource.lent_capacity});
   for (const auto& [key, use] : resource_uses_)
-    snapshot.flows.push_back({GroupId{key.group}, config_.teams[static_cast<std::size_t>(key.team)].name,
-                              key.primary, use.demand_within, use.demand_beyond});
+    snapshot.resource_uses.push_back({GroupId{key.group},
+                                      config_.teams[static_cast<std::size_t>(key.team)].name, key.primary,
+                                      use.demand_within, use.demand_beyond});
   update_rates(now);
   return snapshot;
 }
@@ -211,30 +230,33 @@
 
 void Contracts::assume_own_share(Time now) {
   stage_ = handover::HandoverStage::incoming;
-  for (std::size_t t = 0; t < teams_.size(); ++t)
-    for (std::size_t c = 0; c < service_.classes.size(); ++c)
-      cell_at(t, c).process_share = handover::budget_share(stage_, burst_of(t, c));
+  for (std::size_t team_index = 0; team_index < teams_.size(); ++team_index)
+    for (std::size_t class_index = 0; class_index < service_.classes.size(); ++class_index)
+      cell_at(team_index, class_index).process_share =
+          handover::budget_share(stage_, burst_of(team_index, class_index));
   update_rates(now);
-  for (std::size_t t = 0; t < teams_.size(); ++t) teams_[t].retry_limiter.exhaust(retry_rate(t, stage_), now);
+  for (std::size_t team_index = 0; team_index < teams_.size(); ++team_index)
+    teams_[team_index].retry_limiter.exhaust(retry_rate(team_index, stage_), now);
   for (auto& cell : cells_) cell.limiter.exhaust(cell.rate, now);
 }
 
 void Contracts::restore(const Snapshot& snapshot, Time now) {
   assume_own_share(now);  // limiters that the snapshot does not mention start without a burst
   const auto sanitized = [](double value, double max) { return value >= 0 && value <= max ? value : 0; };
-  for (std::size_t c = 0; c < service_.classes.size(); ++c)
-    if (const auto it = snapshot.costs.find(service_.classes[c].name);
+  for (std::size_t class_index = 0; class_index < service_.classes.size(); ++class_index)
+    if (const auto it = snapshot.costs.find(service_.classes[class_index].name);
         it != snapshot.costs.end() && sanitized(it->second, max_snapshot_cost) > 0)
-      costs_[c] = it->second;
-  for (std::size_t t = 0; t < teams_.size(); ++t) {
-    const auto team = snapshot.teams.find(config_.teams[t].name);
+      costs_[class_index] = it->second;
+  for (std::size_t team_index = 0; team_index < teams_.size(); ++team_index) {
+    const auto team = snapshot.teams.find(config_.teams[team_index].name);
     if (team == snapshot.teams.end()) continue;
-    if (sanitized(team->second.gateway_share, 1) > 0) teams_[t].gateway_share = team->second.gateway_share;
-    teams_[t].retry_limiter.set_debt(team->second.retry_debt, now);
-    for (std::size_t c = 0; c < service_.classes.size(); ++c) {
-      const auto it = team->second.classes.find(service_.classes[c].name);
+    if (sanitized(team->second.gateway_share, 1) > 0)
+      teams_[team_index].gateway_share = team->second.gateway_share;
+    teams_[team_index].retry_limiter.set_debt(team->second.retry_debt, now);
+    for (std::size_t class_index = 0; class_index < service_.classes.size(); ++class_index) {
+      const auto it = team->second.classes.find(service_.classes[class_index].name);
       if (it == team->second.classes.end()) continue;
-      auto& cell = cell_at(t, c);
+      auto& cell = cell_at(team_index, class_index);
       cell.process_share = sanitized(it->second.share, 1);
       cell.demand = sanitized(it->second.demand, max_snapshot_demand);
       cell.limiter.set_debt(it->second.debt, now);
@@ -242,55 +264,57 @@
   }
   for (const auto& received : snapshot.resources) {
     auto& resource = resources_[{received.group.value, received.primary}];
-    resource.served = sanitized(received.served, max_snapshot_cost_rate);
+    resource.served = sanitized(received.served, max_snapshot_resource_cost);
     resource.capacity = received.capacity;
     resource.lent_capacity = received.lent_capacity;
     resource.last_contended = now;
   }
-  for (const auto& received : snapshot.flows) {
+  for (const auto& received : snapshot.resource_uses) {
     const auto team = std::find_if(config_.teams.begin(), config_.teams.end(),
                                    [&](const Team& candidate) { return candidate.name == received.team; });
     if (team == config_.teams.end() || resource_uses_.size() >= max_resource_uses) continue;
     const auto team_index = static_cast<std::int32_t>(team - config_.teams.begin());
     auto& use = resource_uses_[{received.group.value, team_index, received.primary}];
-    use.demand_within = sanitized(received.within, max_snapshot_cost_rate);
-    use.demand_beyond = sanitized(received.beyond, max_snapshot_cost_rate);
+    use.demand_within = sanitized(received.within, max_snapshot_resource_cost);
+    use.demand_beyond = sanitized(received.beyond, max_snapshot_resource_cost);
     use.last_used = now;
   }
-  if (snapshot.window && *snapshot.window >= Duration::zero() && *snapshot.window < config_.window) {
+  if (snapshot.open_window_age && *snapshot.open_window_age >= Duration::zero() &&
+      *snapshot.open_window_age < config_.window) {
     started_ = true;
     last_step_ = now;
-    window_start_ = now - *snapshot.window;
+    window_start_ = now - *snapshot.open_window_age;
   }
   merge_records(snapshot);
   update_rates(now);
 }
 
 void Contracts::merge_records(const Snapshot& snapshot) {
-  for (std::size_t t = 0; t < teams_.size(); ++t) {
-    const auto team = snapshot.teams.find(config_.teams[t].name);
+  for (std::size_t team_index = 0; team_index < teams_.size(); ++team_index) {
+    const auto team = snapshot.teams.find(config_.teams[team_index].name);
     if (team == snapshot.teams.end()) continue;
-    for (std::size_t c = 0; c < service_.classes.size(); ++c) {
-      const auto it = team->second.classes.find(service_.classes[c].name);
+    for (std::size_t class_index = 0; class_index < service_.classes.size(); ++class_index) {
+      const auto it = team->second.classes.find(service_.classes[class_index].name);
       const auto& received = it == team->second.classes.end() ? CellSnapshot{} : it->second;
-      if (received.current.asked + received.current.ended() + received.previous.asked +
-              received.previous.ended() ==
+      if (received.open_window.asked + received.open_window.ended() + received.closed_windows_sum.asked +
+              received.closed_windows_sum.ended() ==
           0)
         continue;
-      auto& records = records_of(cell_at(t, c));
-      records.current += received.current;
-      records.previous += received.previous;
+      auto& records = records_of(cell_at(team_index, class_index));
+      records.open_window += received.open_window;
+      records.closed_windows_sum += received.closed_windows_sum;
       records.times.add(received.times);
     }
   }
 }
 
-Snapshot Contracts::recorded() const {
+Snapshot Contracts::records_since_split() const {
   Snapshot snapshot;
-  for (std::size_t t = 0; t < teams_.size(); ++t)
-    for (std::size_t c = 0; c < service_.classes.size(); ++c)
-      if (cell_at(t, c).records)
-        snapshot.teams[config_.teams[t].name].classes[service_.classes[c].name] = cell_counts(t, c);
+  for (std::size_t team_index = 0; team_index < teams_.size(); ++team_index)
+    for (std::size_t class_index = 0; class_index < service_.classes.size(); ++class_index)
+      if (cell_at(team_index, class_index).records)
+        snapshot.teams[config_.teams[team_index].name].classes[service_.classes[class_index].name] =
+            cell_counts(team_index, class_index);
   return snapshot;
 }
 
@@ -298,13 +322,14 @@
   using handover::HandoverStage;
   const auto previous_stage = std::exchange(stage_, HandoverStage::single);
   if (previous_stage == HandoverStage::single) return;
-  for (std::size_t t = 0; t < teams_.size(); ++t) {
-    teams_[t].retry_limiter.restore_full_rate(retry_rate(t, HandoverStage::single),
-                                              handover::budget_share(previous_stage, config_.retry_burst),
-                                              now);
-    for (std::size_t c = 0; c < service_.classes.size(); ++c) {
-      auto& cell = cell_at(t, c);
-      cell.limiter.restore_full_rate(rate_of(t, c, 1), std::exchange(cell.process_share, 1), now);
+  for (std::size_t team_index = 0; team_index < teams_.size(); ++team_index) {
+    teams_[team_index].retry_limiter.restore_full_rate(
+        retry_rate(team_index, HandoverStage::single),
+        handover::budget_share(previous_stage, config_.retry_burst), now);
+    for (std::size_t class_index = 0; class_index < service_.classes.size(); ++class_index) {
+      auto& cell = cell_at(team_index, class_index);
+      cell.limiter.restore_full_rate(rate_of(team_index, class_index, 1),
+                                     std::exchange(cell.process_share, 1), now);
     }
   }
   update_rates(now);
@@ -331,11 +356,11 @@
   const auto class_index = static_cast<std::size_t>(request.class_id.value);
   auto& cell = cell_at(team_index, class_index);
   auto& records = records_of(cell);
-  ++records.current.asked;
+  ++records.open_window.asked;
   cell.demand += 1;
   const auto* terms = terms_of(team_index, class_index, closure_);
   const bool within = !terms || cell.limiter.conforms(cell.rate, now);
-  ++(within ? records.current.within : records.current.beyond);
+  ++(within ? records.open_window.within : records.open_window.beyond);
   const double cost = costs_[class_index];
   const ResourceUseKey key{request.group.value, team, needs_primary(class_index)};
   auto use_it = resource_uses_.find(key);
@@ -364,8 +389,8 @@
     }
   }
   if (within && terms) cell.limiter.charge(cell.rate, 1, now);
-  records.current.cost += cost;
-  if (!within) records.current.borrowed += cost;
+  records.open_window.cost += cost;
+  if (!within) records.open_window.borrowed += cost;
   open_requests_[request.request.value] = {cost, !within};
   return verdict;
 }
@@ -403,32 +428,32 @@
   switch (result.end) {
     case gates::RequestEnd::served:
       in_time = result.elapsed <= latency_target;
-      ++(in_time ? records.current.in_time : records.current.late);
+      ++(in_time ? records.open_window.in_time : records.open_window.late);
       records.times.add(result.elapsed);
       break;
     case gates::RequestEnd::failed:
-      ++records.current.failed;
+      ++records.open_window.failed;
       break;
     case gates::RequestEnd::abandoned:
-      ++records.current.abandoned;
+      ++records.open_window.abandoned;
       break;
     case gates::RequestEnd::refused:
       if (result.decided_by == gates::Decider::levels)
-        ++records.current.refused_levels;
+        ++records.open_window.refused_levels;
       else if (result.decided_by != gates::Decider::contracts)
-        ++records.current.refused_router;
+        ++records.open_window.refused_router;
       else if (result.reason == gates::Reason::contention)
-        ++records.current.refused_contention;
+        ++records.open_window.refused_contention;
       else
-        ++records.current.refused_contract;
+        ++records.open_window.refused_contract;
       break;
   }
   // The gateway's promise covers requests within the contract, including those refused under contention. A
   // client that leaves by itself has not waited for the promised time.
   if (((admitted && !beyond) || result.reason == gates::Reason::contention) &&
       result.end != gates::RequestEnd::abandoned) {
-    ++records.current.within_ended;
-    if (in_time) ++records.current.within_in_time;
+    ++records.open_window.within_ended;
+    if (in_time) ++records.open_window.within_in_time;
   }
   if (!admitted) return;
   auto& resource = resources_[{request.group.value, needs_primary(class_index)}];
@@ -445,8 +470,8 @@
   } else if (!result.ran) {
     // A team does not pay for a request that never ran.
     if (!beyond && terms) cell.limiter.refund(cell.rate, 1);
-    records.current.cost -= charged;
-    if (beyond) records.current.borrowed -= charged;
+    records.open_window.cost -= charged;
+    if (beyond) records.open_window.borrowed -= charged;
   }
 }
 
@@ -454,7 +479,7 @@
   std::vector<ResourceLoad> loads;
   for (const auto& view : views) {
     const auto contended = [](int waiting, int in_flight, double concurrency_limit) {
-      return waiting > 0 || (concurrency_limit > 0 && in_flight >= full_share * concurrency_limit);
+      return waiting > 0 || (concurrency_limit > 0 && in_flight >= contended_utilization * concurrency_limit);
     };
     loads.push_back(
         {view.group, true,
@@ -485,22 +510,22 @@
     const double max_share = std::min(1.0, even_share * config_.max_share_multiple);
     const double gain =
         1 - std::exp(-passed / std::max(min_share_time_constant, seconds(config_.share_time_constant)));
-    for (std::size_t t = 0; t < teams_.size(); ++t) {
+    for (std::size_t team_index = 0; team_index < teams_.size(); ++team_index) {
       double demanded_cost = 0;
       double promised_cost = 0;
-      for (std::size_t c = 0; c < service_.classes.size(); ++c) {
-        auto& cell = cell_at(t, c);
+      for (std::size_t class_index = 0; class_index < service_.classes.size(); ++class_index) {
+        auto& cell = cell_at(team_index, class_index);
         cell.demand *= decay;
-        if (const auto* terms = terms_of(t, c, closure_)) {
-          demanded_cost += cell.demand * costs_[c];
-          promised_cost += terms->rate * costs_[c];
+        if (const auto* terms = terms_of(team_index, class_index, closure_)) {
+          demanded_cost += cell.demand * costs_[class_index];
+          promised_cost += terms->rate * costs_[class_index];
         }
       }
       const double target =
           promised_cost > 0
               ? std::clamp(demanded_cost / resource_use_decay_time / promised_cost, even_share, max_share)
               : even_share;
-      teams_[t].gateway_share += (target - teams_[t].gateway_share) * gain;
+      teams_[team_index].gateway_share += (target - teams_[team_index].gateway_share) * gain;
     }
     allocate_resources(now, loads);
     for (auto it = resource_uses_.begin(); it != resource_uses_.end();) {
@@ -568,9 +593,9 @@
     std::vector<Claim> claims;
     for (const auto& [use, team] : uses) {
       double weight = 0;
-      for (std::size_t c = 0; c < service_.classes.size(); ++c)
-        if (needs_primary(c) == load.primary)
-          if (const auto* terms = terms_of(static_cast<std::size_t>(team), c, closure_))
+      for (std::size_t class_index = 0; class_index < service_.classes.size(); ++class_index)
+        if (needs_primary(class_index) == load.primary)
+          if (const auto* terms = terms_of(static_cast<std::size_t>(team), class_index, closure_))
             weight = std::max(weight, terms->weight);
       claims.push_back({use->demand_within / resource_use_decay_time, weight > 0 ? weight : 1, 0});
     }
@@ -588,28 +613,28 @@
 
 void Contracts::close_window(Time now, std::vector<Breach>& breaches,
                              std::vector<ClosedWindow>* closed_windows) {
-  for (std::size_t t = 0; t < teams_.size(); ++t)
-    for (std::size_t c = 0; c < service_.classes.size(); ++c) {
-      if (!cell_at(t, c).records) continue;
-      auto& records = *cell_at(t, c).records;
-      auto& current = records.current;
-      if (const auto* terms = terms_of(t, c, closure_)) {
+  for (std::size_t team_index = 0; team_index < teams_.size(); ++team_index)
+    for (std::size_t class_index = 0; class_index < service_.classes.size(); ++class_index) {
+      if (!cell_at(team_index, class_index).records) continue;
+      auto& records = *cell_at(team_index, class_index).records;
+      auto& current = records.open_window;
+      if (const auto* terms = terms_of(team_index, class_index, closure_)) {
         const double window_seconds = std::max(min_window_seconds, seconds(now - window_start_));
         if (current.beyond > 0)
-          breaches.push_back({t, c, Side::team, window_start_, now, current.beyond,
-                              terms->rate * teams_[t].gateway_share,
+          breaches.push_back({team_index, class_index, Side::team, window_start_, now, current.beyond,
+                              terms->rate * teams_[team_index].gateway_share,
                               static_cast<double>(current.asked) / window_seconds, closure_});
         const auto ended = current.within_ended;
         const double in_time_share =
             ended > 0 ? static_cast<double>(current.within_in_time) / static_cast<double>(ended) : 1;
         if (in_time_share < terms->in_time_share)
-          breaches.push_back({t, c, Side::gateway, window_start_, now, ended - current.within_in_time,
-                              terms->in_time_share, in_time_share, closure_});
+          breaches.push_back({team_index, class_index, Side::gateway, window_start_, now,
+                              ended - current.within_in_time, terms->in_time_share, in_time_share, closure_});
       }
       if (closed_windows && current.asked > 0)
-        closed_windows->push_back(
-            {t, c, window_start_, now, current, records.times.quantile(0.5), records.times.quantile(0.99)});
-      records.previous += current;
+        closed_windows->push_back({team_index, class_index, window_start_, now, current,
+                                   records.times.quantile(0.5), records.times.quantile(0.99)});
+      records.closed_windows_sum += current;
       current = {};
     }
   window_start_ = now;
@@ -617,17 +642,17 @@
 
 std::optional<ConfigIssue> find_config_issue(const Config& config, const ServiceInfo& service) {
   std::vector<std::int32_t> owner(service.tenants, -1);
-  for (std::size_t t = 0; t < config.teams.size(); ++t) {
-    const auto path = "/teams/" + std::to_string(t);
-    const auto& team = config.teams[t];
-    for (std::size_t other = 0; other < t; ++other)
+  for (std::size_t team_index = 0; team_index < config.teams.size(); ++team_index) {
+    const auto path = "/teams/" + std::to_string(team_index);
+    const auto& team = config.teams[team_index];
+    for (std::size_t other = 0; other < team_index; ++other)
       if (config.teams[other].name == team.name) return ConfigIssue{path + "/name", "taken by another team"};
     for (const auto tenant : team.tenants) {
       if (tenant < 0 || static_cast<std::size_t>(tenant) >= owner.size())
         return ConfigIssue{path + "/tenants", "no such tenant"};
       if (owner[static_cast<std::size_t>(tenant)] >= 0)
         return ConfigIssue{path + "/tenants", "a tenant of two teams"};
-      owner[static_cast<std::size_t>(tenant)] = static_cast<std::int32_t>(t);
+      owner[static_cast<std::size_t>(tenant)] = static_cast<std::int32_t>(team_index);
     }
     if (team.classes.size() != service.classes.size())
       return ConfigIssue{path + "/classes", "expected one entry for each class"};
--- a/src/contracts/contracts.h
+++ b/src/contracts/contracts.h
@@ -37,7 +37,7 @@
 /// Derives the load of each resource from a router's view of its groups.
 std::vector<ResourceLoad> resource_loads(const std::vector<GroupView>& views);
 
-/// The gate of one gateway process. Not thread-safe.
+/// The contracts gate of one front end in one gateway process. Not thread-safe.
 class Contracts : public gates::Gate {
  public:
   Contracts(Config config, ServiceInfo service);
@@ -57,7 +57,7 @@
   /// Replaces the configuration. Teams that keep their name keep their limiters and windows.
   void reload(Config config, Time now);
 
-  // The hand-over between two processes of one gateway, see handover/budget_share.h.
+  // The handover between two processes of one gateway, see handover/budget_share.h.
   /// Called in the outgoing process. Returns the successor's share of the budgets and all recorded counts;
   /// records in this process start again at zero, and no window closes here.
   Snapshot split(Time now);
@@ -65,12 +65,14 @@
   void suspend_spending(Time now);
   /// Called if no snapshot arrives: this process spends its own share, with no burst saved up.
   void assume_own_share(Time now);
-  /// Takes over the state in a snapshot returned by the other process's `split`.
+  /// Called in the incoming process. Takes over the state in a snapshot returned by the other process's
+  /// `split`, and the share of the budgets that it grants.
   void restore(const Snapshot& snapshot, Time now);
   /// Adds the counts recorded by another process.
   void merge_records(const Snapshot& snapshot);
-  /// The counts recorded since the split, for the process that continues.
-  [[nodiscard]] Snapshot recorded() const;
+  /// Called in the outgoing process. The counts recorded since the split, for `merge_records` of the process
+  /// that continues; the rest of the snapshot is empty.
+  [[nodiscard]] Snapshot records_since_split() const;
   /// Called when no other process spends any more: rates apply in full; the burst that the other process had
   /// left is not taken over.
   void resume_full_spending(Time now);
@@ -83,12 +85,13 @@
   [[nodiscard]] bool in_closure(Time now) const;
   /// The index of a tenant's team; -1 if it has none.
   [[nodiscard]] std::int32_t team_of(std::int32_t tenant) const;
-  /// The entry of the open window.
+  /// The counts of the open window.
   [[nodiscard]] const LedgerEntry& entry(std::size_t team, std::size_t class_index) const {
-    return records_at(team, class_index).current;
+    return records_at(team, class_index).open_window;
   }
-  /// The sum over all windows.
+  /// The counts summed over all windows.
   [[nodiscard]] LedgerEntry total(std::size_t team, std::size_t class_index) const;
+  /// The answer times since the start.
   [[nodiscard]] const AnswerTimes& answer_times(std::size_t team, std::size_t class_index) const {
     return records_at(team, class_index).times;
   }
@@ -100,16 +103,17 @@
   [[nodiscard]] std::size_t entry_count() const { return open_requests_.size() + resource_uses_.size(); }
 
  private:
+  /// The ledger of one team and class.
   struct Records {
-    LedgerEntry current;   // of the open window
-    LedgerEntry previous;  // sum of the closed windows
-    AnswerTimes times;
+    LedgerEntry open_window;
+    LedgerEntry closed_windows_sum;
+    AnswerTimes times;  // since the start
   };
   /// The state of one team and class.
   struct Cell {
     Gcra limiter;
-    Rate rate;
-    // Share of the gateway's rate and burst that this process may spend; below 1 during a hand-over. The
+    Rate rate;  // in force in this process; see rate_of
+    // Share of the gateway's rate and burst that this process may spend; below 1 during a handover. The
     // gateway's own share of the contract is TeamState::gateway_share.
     double process_share = 1;
     double demand = 0;                 // requests a second that arrive here, decaying
@@ -125,9 +129,10 @@
     const auto& cell = cell_at(team, class_index);
     return cell.records ? *cell.records : none;
   }
+  /// The state of one team over all classes.
   struct TeamState {
     double gateway_share = 1;  // this gateway's share of the contract's rates, 0 to 1
-    Gcra retry_limiter;
+    Gcra retry_limiter;        // of attempts after the first, see may_retry
   };
   /// One team's use of one resource. Removed after a period without use.
   struct ResourceUse {
@@ -139,9 +144,10 @@
     Gcra limiter_beyond;
     Time last_used{};
   };
+  /// Identifies a team's use of a group's primary, or of its replicas.
   struct ResourceUseKey {
     std::int64_t group;
-    std::int32_t team;
+    std::int32_t team;  // index in Config::teams
     bool primary;
     bool operator==(const ResourceUseKey& other) const {
       return group == other.group && team == other.team && primary == other.primary;
@@ -150,16 +156,18 @@
   struct ResourceUseHash {
     std::size_t operator()(const ResourceUseKey& key) const;
   };
+  /// The state of one resource, see ResourceLoad.
   struct Resource {
     double served = 0;          // cost of served requests, decaying
     double capacity = -1;       // cost a second allocated within contracts; below zero: no limit
     double lent_capacity = -1;  // cost a second allocated beyond contracts; below zero: no limit
     Time last_contended{};
-    int router_refusals = 0;  // since the last step
+    int router_refusals = 0;  // admitted requests that the router refused since the last step
   };
+  /// An admitted request that has not ended.
   struct OpenRequest {
-    double cost;  // charged on admission
-    bool beyond;
+    double cost;  // charged on admission, milliseconds of host work
+    bool beyond;  // beyond the contract
   };
   [[nodiscard]] Cell& cell_at(std::size_t team, std::size_t class_index) {
     return cells_[team * service_.classes.size() + class_index];
@@ -169,36 +177,41 @@
   }
   /// The terms in force; null if the team and class have none.
   [[nodiscard]] const Terms* terms_of(std::size_t team, std::size_t class_index, bool closure) const;
+  /// Whether only a primary can serve requests of the class.
   [[nodiscard]] bool needs_primary(std::size_t class_index) const;
+  /// Determines whether a closure is on and sets the rates in force accordingly.
   void update_rates(Time now);
   [[nodiscard]] Rate rate_of(std::size_t team, std::size_t class_index, double share) const;
   [[nodiscard]] Rate retry_rate(std::size_t team, handover::HandoverStage stage) const;
+  /// The burst at this gateway: the contracted burst times the gateway's share, at least one request.
   [[nodiscard]] double burst_of(std::size_t team, std::size_t class_index) const;
+  /// The ledger of a team and class; the rest of the snapshot is not set.
   [[nodiscard]] CellSnapshot cell_counts(std::size_t team, std::size_t class_index) const;
   void allocate_resources(Time now, const std::vector<ResourceLoad>& loads);
   void close_window(Time now, std::vector<Breach>& breaches, std::vector<ClosedWindow>* closed_windows);
+  /// A refusal. Clients are asked to return once a request can be admitted, after `wait`, spread by jitter.
   gates::Verdict refuse(gates::Reason reason, Duration wait);
 
   Config config_;
   ServiceInfo service_;
-  std::vector<std::int32_t> team_of_tenant_;
+  std::vector<std::int32_t> team_of_tenant_;  // by tenant index; -1: no team
   std::vector<TeamState> teams_;
-  std::vector<Cell> cells_;
+  std::vector<Cell> cells_;    // by team and class, see cell_at
   std::vector<double> costs_;  // by class, milliseconds
   std::unordered_map<ResourceUseKey, ResourceUse, ResourceUseHash> resource_uses_;
   std::map<std::pair<std::int64_t, bool>, Resource> resources_;   // by group and whether it is the primary
   std::unordered_map<std::uint64_t, OpenRequest> open_requests_;  // by request id
   handover::HandoverStage stage_ = handover::HandoverStage::single;
-  bool closure_ = false;
+  bool closure_ = false;  // the terms around a closure apply
   Time last_step_{};
   Time window_start_{};
-  bool started_ = false;
+  bool started_ = false;  // a step has been made, or the open window was taken over
   pcg32 random_;
 };
 
 /// An invalid configuration value.
 struct ConfigIssue {
-  std::string path;     // JSON pointer below the section
+  std::string path;     // JSON pointer below the section `contracts`
   std::string problem;  // message for operators
 };
 /// The first issue of a configuration, if any.
--- a/src/contracts/gcra.h
+++ b/src/contracts/gcra.h
@@ -14,11 +14,16 @@
 struct Rate {
   std::int64_t interval = 0;   // per unit, rounded up so that the rate is never exceeded; 0: no limit
   std::int64_t tolerance = 0;  // how early a unit may arrive
-  static constexpr std::int64_t blocked_interval = INT64_MAX / 4;  // of a rate that admits nothing
+  static constexpr std::int64_t blocked_interval = INT64_MAX / 4;  // interval if no unit is admitted
   static constexpr double max_nanoseconds = 1e17;                  // three years: sums stay within 63 bits
   static constexpr double min_per_second = 1e-6;  // a lower rate, one unit in eleven days, counts as none
   static constexpr double nanoseconds_per_second = 1e9;
 
+  /// Whether every unit conforms.
+  [[nodiscard]] bool is_unlimited() const { return interval == 0; }
+  /// Whether no unit conforms.
+  [[nodiscard]] bool is_blocked() const { return interval >= blocked_interval; }
+
   /// A rate in units per second with a burst in units.
   static Rate of(double per_second, double burst) {
     Rate rate;
@@ -42,13 +47,13 @@
  public:
   /// Whether a unit conforms now. Charges nothing.
   [[nodiscard]] bool conforms(const Rate& rate, Time now) const {
-    if (rate.interval == 0) return true;
-    if (rate.interval >= Rate::blocked_interval) return false;
+    if (rate.is_unlimited()) return true;
+    if (rate.is_blocked()) return false;
     return due_ - to_nanoseconds(now) <= rate.tolerance;
   }
   /// Charges `units` even if they do not conform; later units then wait longer, up to a maximum debt.
   void charge(const Rate& rate, double units, Time now) {
-    if (rate.interval == 0 || rate.interval >= Rate::blocked_interval) return;
+    if (rate.is_unlimited() || rate.is_blocked()) return;
     const auto cost = static_cast<std::int64_t>(
         std::min(Rate::max_nanoseconds, std::ceil(static_cast<double>(rate.interval) * units)));
     due_ = std::min(std::max(due_, to_nanoseconds(now)) + cost,
@@ -56,14 +61,14 @@
   }
   /// Returns units that were charged and not used. The saved credit never exceeds the burst.
   void refund(const Rate& rate, double units) {
-    if (rate.interval == 0 || rate.interval >= Rate::blocked_interval) return;
+    if (rate.is_unlimited() || rate.is_blocked()) return;
     due_ -= static_cast<std::int64_t>(
         std::min(Rate::max_nanoseconds, static_cast<double>(rate.interval) * units));
   }
-  /// Time until a unit conforms; zero if one conforms now.
+  /// Time until a unit conforms; zero if a unit conforms now.
   [[nodiscard]] Duration wait(const Rate& rate, Time now) const {
-    if (rate.interval == 0) return Duration::zero();
-    if (rate.interval >= Rate::blocked_interval) return Duration::max();
+    if (rate.is_unlimited()) return Duration::zero();
+    if (rate.is_blocked()) return Duration::max();
     const auto left = due_ - to_nanoseconds(now) - rate.tolerance;
     return left <= 0 ? Duration::zero() : Duration((left + 999) / 1000);  // microseconds, rounded up
   }
@@ -81,14 +86,14 @@
   }
   /// Uses up the whole burst: the next unit conforms one interval from now.
   void exhaust(const Rate& rate, Time now) {
-    if (rate.interval == 0 || rate.interval >= Rate::blocked_interval) return;
+    if (rate.is_unlimited() || rate.is_blocked()) return;
     due_ = to_nanoseconds(now) + rate.tolerance + rate.interval;
   }
   /// Changes the limiter from a share (0 to 1) of `full_rate` to all of it, once no other process spends the
   /// rest. The rate applies at once; the burst of the rest counts as used, because the other process may have
   /// spent it.
   void restore_full_rate(const Rate& full_rate, double share, Time now) {
-    if (full_rate.interval == 0 || full_rate.interval >= Rate::blocked_interval) return;
+    if (full_rate.is_unlimited() || full_rate.is_blocked()) return;
     const double burst = static_cast<double>(full_rate.tolerance) + static_cast<double>(full_rate.interval);
     set_debt(static_cast<std::int64_t>((1 - share) * burst + share * static_cast<double>(debt(now))), now);
   }
@@ -97,7 +102,7 @@
   // Nanoseconds, beyond the tolerance. A charge that does not conform delays later units by at most 10 s, or
   // by its own cost if that is longer.
   static constexpr std::int64_t max_debt = 10'000'000'000;
-  static std::int64_t to_nanoseconds(Time t) { return t.count() * 1000; }
+  static std::int64_t to_nanoseconds(Time time) { return time.count() * 1000; }
   std::int64_t due_ = 0;  // theoretical arrival time of the next unit
 };
 
--- a/src/contracts/ledger.cpp
+++ b/src/contracts/ledger.cpp
@@ -8,7 +8,8 @@
 constexpr int bin_count = 120;
 constexpr double min_ms = 1;
 constexpr double max_ms = 100'000;
-constexpr double largest_on_axis = 0.999;  // of max_ms: the upper end itself lies outside the axis
+// Share of max_ms at which longer times count: the upper end itself lies outside the axis.
+constexpr double largest_on_axis = 0.999;
 
 }  // namespace
 
@@ -42,10 +43,10 @@
   return sum;
 }
 
-double AnswerTimes::quantile(double q) const {
+double AnswerTimes::quantile(double quantile) const {
   const auto total = count();
   if (total == 0) return 0;
-  const auto rank = static_cast<double>(total) * std::clamp(q, 0.0, 1.0);
+  const auto rank = static_cast<double>(total) * std::clamp(quantile, 0.0, 1.0);
   std::uint64_t cumulative = 0;
   for (int i = 0; i < bin_count; ++i) {
     cumulative += bins_.at(i);
--- a/src/contracts/ledger.h
+++ b/src/contracts/ledger.h
@@ -27,7 +27,8 @@
   /// Adds bins as returned by `filled`. An index outside the axis is ignored.
   void add(const std::vector<std::pair<std::int32_t, std::uint32_t>>& bins);
   /// The upper edge of the bin that holds the quantile (0 to 1), in milliseconds; 0 for an empty histogram.
-  [[nodiscard]] double quantile(double q) const;
+  [[nodiscard]] double quantile(double quantile) const;
+  /// The number of answers in all bins.
   [[nodiscard]] std::uint64_t count() const;
 
  private:
@@ -37,26 +38,25 @@
   Histogram bins_;
 };
 
-/// Counts of one team and class in one window. Invariants: asked = within + beyond, and asked = in_time +
-/// late
-/// + failed + abandoned + the four refusal counts + requests still open.
+/// Counts of one team and class in one window. Invariants: `asked` is the sum of `within` and `beyond`, and
+/// also of `in_time`, `late`, `failed`, `abandoned`, the four refusal counts and the requests still open.
 struct LedgerEntry {
-  std::uint64_t asked = 0;   // requests that arrived
-  std::uint64_t within = 0;  // within the contract
-  std::uint64_t beyond = 0;  // beyond the contract
-  std::uint64_t in_time = 0;
-  std::uint64_t late = 0;
+  std::uint64_t asked = 0;    // requests that arrived
+  std::uint64_t within = 0;   // within the contract
+  std::uint64_t beyond = 0;   // beyond the contract
+  std::uint64_t in_time = 0;  // answered within the latency target
+  std::uint64_t late = 0;     // answered after the latency target
   std::uint64_t failed = 0;
-  std::uint64_t abandoned = 0;  // the client left
-  std::uint64_t refused_contract = 0;
-  std::uint64_t refused_contention = 0;
-  std::uint64_t refused_levels = 0;
-  std::uint64_t refused_router = 0;
-  // The gateway's promise is judged by these two counts of requests within the contract.
+  std::uint64_t abandoned = 0;           // the client left
+  std::uint64_t refused_contract = 0;    // by this gate, as beyond the contract
+  std::uint64_t refused_contention = 0;  // by this gate, within the contract, for want of capacity
+  std::uint64_t refused_levels = 0;      // by the levels gate
+  std::uint64_t refused_router = 0;      // by the router or any other component
+  // Requests that the gateway's promise covers (see Terms::in_time_share): answered in time, and ended.
   std::uint64_t within_in_time = 0;
   std::uint64_t within_ended = 0;
   double cost = 0;      // milliseconds of host work
-  double borrowed = 0;  // the part of the cost that was beyond the contract
+  double borrowed = 0;  // the part of `cost` for requests beyond the contract
   /// The number of requests that have ended in any way.
   [[nodiscard]] std::uint64_t ended() const {
     return in_time + late + failed + abandoned + refused_contract + refused_contention + refused_levels +
@@ -74,8 +74,8 @@
   std::size_t team = 0;         // index in Config::teams
   std::size_t class_index = 0;  // index in ServiceInfo::classes
   Side side = Side::team;
-  Time from{};
-  Time to{};
+  Time from{};                      // start of the window
+  Time to{};                        // end of the window
   std::uint64_t request_count = 0;  // requests that caused the breach
   double promised = 0;              // for the team: requests a second; for the gateway: share in time
   double measured = 0;              // in the unit of `promised`
@@ -89,8 +89,8 @@
   Time from{};
   Time to{};
   LedgerEntry entry;
-  double p50_ms = 0;  // of all answers since the start, not only of this window
-  double p99_ms = 0;
+  double p50_ms = 0;  // median time of all answers since the start, not only of this window
+  double p99_ms = 0;  // 99th percentile of the same answers
 };
 
 }  // namespace cedarring::contracts
--- a/src/contracts/snapshot.h
+++ b/src/contracts/snapshot.h
@@ -17,20 +17,20 @@
 /// The state of one team and class.
 struct CellSnapshot {
   double share = 0;       // of the rate limit that the receiver may spend, 0 to 1
-  std::int64_t debt = 0;  // used part of the rate, nanoseconds
+  std::int64_t debt = 0;  // of the limiter, nanoseconds; see Gcra::debt
   double demand = 0;      // requests a second
-  LedgerEntry current;    // of the open window
-  LedgerEntry previous;   // sum of the closed windows
-  std::vector<std::pair<std::int32_t, std::uint32_t>> times;  // answer times by bin
+  LedgerEntry open_window;
+  LedgerEntry closed_windows_sum;
+  std::vector<std::pair<std::int32_t, std::uint32_t>> times;  // answer times, see AnswerTimes::filled
 };
 /// The state of one team.
 struct TeamSnapshot {
   double gateway_share = 0;     // of the team's rates, 0 to 1
-  std::int64_t retry_debt = 0;  // nanoseconds
+  std::int64_t retry_debt = 0;  // of the limiter of retries, nanoseconds; see Gcra::debt
   std::map<std::string, CellSnapshot> classes;
 };
-/// The state of one resource. Rates of cost, in milliseconds of host work a second; capacity and
-/// lent_capacity below zero mean no limit.
+/// The state of one resource. `served`: cost of the requests served, decaying, in milliseconds of host work.
+/// `capacity` and `lent_capacity`: milliseconds of host work a second; below zero: no limit.
 struct ResourceSnapshot {
   GroupId group;
   bool primary = false;
@@ -38,8 +38,8 @@
   double capacity = -1;
   double lent_capacity = -1;
 };
-/// A team's decayed demand for one resource, in milliseconds of host work.
-struct FlowSnapshot {
+/// A team's decayed demand for one resource within and beyond its contract, in milliseconds of host work.
+struct ResourceUseSnapshot {
   GroupId group;
   std::string team;
   bool primary = false;
@@ -50,9 +50,9 @@
 struct Snapshot {
   std::map<std::string, TeamSnapshot> teams;  // by name
   std::map<std::string, double> costs;        // milliseconds, by class name
-  std::optional<Duration> window;             // age of the open window
+  std::optional<Duration> open_window_age;
   std::vector<ResourceSnapshot> resources;
-  std::vector<FlowSnapshot> flows;
+  std::vector<ResourceUseSnapshot> resource_uses;
 };
 
 // Each function passes the members of a record to a reader or a writer, see handover/json_archive.h.
@@ -79,8 +79,8 @@
   archive("share", cell.share);
   archive("owed_ns", cell.debt);
   archive("demand", cell.demand);
-  archive("now", cell.current);
-  archive("before", cell.previous);
+  archive("now", cell.open_window);
+  archive("before", cell.closed_windows_sum);
   archive("times", cell.times);
 }
 template <class Archive>
@@ -98,20 +98,20 @@
   archive("lend", resource.lent_capacity);
 }
 template <class Archive>
-void serialize(Archive& archive, FlowSnapshot& flow) {
-  archive("group", flow.group);
-  archive("team", flow.team);
-  archive("primary", flow.primary);
-  archive("within", flow.within);
-  archive("beyond", flow.beyond);
+void serialize(Archive& archive, ResourceUseSnapshot& use) {
+  archive("group", use.group);
+  archive("team", use.team);
+  archive("primary", use.primary);
+  archive("within", use.within);
+  archive("beyond", use.beyond);
 }
 template <class Archive>
 void serialize(Archive& archive, Snapshot& snapshot) {
   archive("teams", snapshot.teams);
   archive("costs", snapshot.costs);
-  archive("window_us", snapshot.window);
+  archive("window_us", snapshot.open_window_age);
   archive("resources", snapshot.resources);
-  archive("flows", snapshot.flows);
+  archive("flows", snapshot.resource_uses);
 }
 
 }  // namespace cedarring::contracts
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -272,7 +272,7 @@
   EXPECT_EQ(old_process.contracts.total(0, 0).asked, 0U);
   old_process.admit(start + 1s);
   new_process.admit(start + 1s);
-  const auto rest = from_text<contracts::Snapshot>(to_text(old_process.contracts.recorded()));
+  const auto rest = from_text<contracts::Snapshot>(to_text(old_process.contracts.records_since_split()));
   ASSERT_TRUE(rest);
   new_process.contracts.merge_records(*rest);
   EXPECT_EQ(new_process.contracts.total(0, 0).asked, 16U);
