--- a/src/main.cpp
+++ b/src/main.cpp
@@ -15,7 +15,9 @@
 namespace {
 
 constexpr const char* version = CEDARRING_VERSION;
+constexpr int unknown_command_exit_code = 2;
 
+/// Runs the gateway until SIGTERM; `file`: the gateway file, empty: the default one.
 int serve(const std::string& file) {
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGHUP, SIG_IGN);  // until the gateway handles it
@@ -58,20 +60,23 @@
   return 0;
 }
 
-/// Runs the program cedarring-NAME beside this one for any other command, which keeps the gateway small.
+/// Replaces this process by the program cedarring-NAME in the same folder, where NAME is the first argument.
+/// Such commands are programs of their own to keep the gateway small.
 [[noreturn]] void run_tool(char** argv) {
   char executable[PATH_MAX] = "";
-  const auto n = ::readlink("/proc/self/exe", executable, sizeof executable - 1);
-  std::string path = n > 0 ? std::string(executable, static_cast<std::size_t>(n)) : argv[0];
+  const auto length = ::readlink("/proc/self/exe", executable, sizeof executable - 1);
+  std::string path = length > 0 ? std::string(executable, static_cast<std::size_t>(length)) : argv[0];
   path.resize(path.rfind('/') + 1);
   path += "cedarring-";
   path += argv[1];
   ::execv(path.c_str(), argv + 1);
   std::cerr << "cedarring: no command '" << argv[1] << "' (" << path << ": " << std::strerror(errno)
             << "); try cedarring --help\n";
-  std::exit(2);
+  std::exit(unknown_command_exit_code);
 }
 
+/// Whether the first argument can name a tool: a word that is neither an option nor a command of this
+/// program.
 bool names_tool(const std::string& word) {
   if (word.empty() || word == "serve" || word == "check" || word == "version" || word == "help") return false;
   return word.find_first_not_of("abcdefghijklmnopqrstuvwxyz0123456789-") == std::string::npos &&
--- a/src/telemetry/log.cpp
+++ b/src/telemetry/log.cpp
@@ -12,7 +12,7 @@
 namespace cedarring::telemetry {
 namespace {
 
-constexpr std::size_t max_causes = 64;
+constexpr std::size_t max_causes = 64;  // tracked at a time
 constexpr std::chrono::seconds rate_limit_window(10);
 constexpr std::int64_t microseconds_per_millisecond = 1000;
 
--- a/src/telemetry/log.h
+++ b/src/telemetry/log.h
@@ -29,6 +29,7 @@
 /// Settings of the log and of the decision records.
 struct LogConfig {
   Level min_level = Level::info;
+  /// Form of the lines on standard error.
   enum class Format { automatic, json, plain };
   Format format = Format::automatic;                // automatic: plain on a terminal, else JSON
   std::uint32_t max_lines_per_cause = 20;           // lines per cause in ten seconds
@@ -47,7 +48,7 @@
 /// Writes log lines and decision records. Not thread-safe.
 class Log {
  public:
-  using Field = std::pair<std::string_view, std::string>;
+  using Field = std::pair<std::string_view, std::string>;    // key and value
   using Clock = std::function<std::chrono::microseconds()>;  // Unix time
   /// Throws std::runtime_error if the records file cannot be opened.
   Log(std::string instance, const LogConfig& config, Clock clock);
@@ -71,17 +72,20 @@
   [[nodiscard]] const std::string& instance() const { return instance_; }
 
  private:
+  /// The lines of one cause in the present period of ten seconds.
   struct CauseWindow {
     std::chrono::microseconds since{};
-    std::uint32_t lines = 0, suppressed = 0;
+    std::uint32_t lines = 0;       // written or suppressed
+    std::uint32_t suppressed = 0;  // of these
   };
   void open(const LogConfig& config);
   bool within_rate_limit(std::string_view cause, std::uint32_t& suppressed);
   std::string instance_;
   LogConfig config_;
   Clock clock_;
-  bool plain_;
-  std::shared_ptr<spdlog::logger> stderr_logger_, records_logger_;
+  bool plain_;  // lines on standard error are plain text, else JSON
+  std::shared_ptr<spdlog::logger> stderr_logger_;
+  std::shared_ptr<spdlog::logger> records_logger_;  // null without a records file
   std::map<std::string, CauseWindow, std::less<>> causes_;
   std::deque<Record> records_;
 };
--- a/src/telemetry/metrics.cpp
+++ b/src/telemetry/metrics.cpp
@@ -3,6 +3,7 @@
 namespace cedarring::telemetry {
 namespace {
 
+/// Appends the # HELP and # TYPE lines of a metric.
 void append_header(std::string& out, const char* name, const char* type, const char* help) {
   out += std::string("# HELP app_") + name + ' ' + help + "\n# TYPE app_" + name + ' ' + type + '\n';
 }
--- a/src/telemetry/metrics.h
+++ b/src/telemetry/metrics.h
@@ -8,11 +8,13 @@
 
 namespace cedarring::telemetry {
 
-/// Counters of one request class. Each accepted request is counted in one of `ok`, `shed` and `errors`, or in
-/// none if its client disconnected before.
+/// Counters of one request class. Each accepted request is counted at its end in one of `ok`, `shed` and
+/// `errors`, or in none of them if its client disconnected before.
 struct ClassCounts {
-  std::uint64_t ok = 0, shed = 0, errors = 0;  // requests served, refused, failed
-  std::uint64_t tries = 0;                     // attempts written completely to hosts
+  std::uint64_t ok = 0;      // requests served
+  std::uint64_t shed = 0;    // requests refused
+  std::uint64_t errors = 0;  // requests failed
+  std::uint64_t tries = 0;   // attempts written completely to hosts
   ClassCounts& operator+=(const ClassCounts& other) {
     ok += other.ok;
     shed += other.shed;
@@ -24,11 +26,12 @@
 
 /// All metrics of the process.
 struct Metrics {
-  std::map<std::string, ClassCounts> classes;             // by name; every configured class, also at 0
-  std::uint64_t active = 0;                               // requests accepted and not ended
-  std::uint64_t pool_size = 0;                            // listed hosts
-  std::uint64_t pool_ejected = 0;                         // listed hosts disabled by operators or avoided now
-  std::uint64_t config_applied = 0, config_rejected = 0;  // configuration files read at SIGHUP
+  std::map<std::string, ClassCounts> classes;  // by name; every configured class, also at 0
+  std::uint64_t active = 0;                    // requests accepted and not ended
+  std::uint64_t pool_size = 0;                 // listed hosts
+  std::uint64_t pool_ejected = 0;              // listed hosts disabled by operators or avoided now
+  std::uint64_t config_applied = 0;            // configuration files read at SIGHUP and applied
+  std::uint64_t config_rejected = 0;           // configuration files read at SIGHUP and rejected
 };
 
 /// Prometheus text exposition format 0.0.4, with # HELP and # TYPE for each name.
