--- a/src/app/calendar.cpp
+++ b/src/app/calendar.cpp
@@ -64,6 +64,7 @@
       const std::time_t unix_time = ::mktime(&local);  // also sets the day of the week
       if (unix_time == -1 || (closure.days >> static_cast<unsigned>(local.tm_wday) & 1U) == 0) continue;
       const Time instant = std::chrono::seconds(unix_time);
+      // A trail of at least one microsecond, so that no window is empty.
       windows.push_back({instant - closure.lead, instant + std::max(closure.trail, Duration(1))});
     }
   std::sort(windows.begin(), windows.end(), [](const auto& a, const auto& b) { return a.from < b.from; });
--- a/src/app/calendar.h
+++ b/src/app/calendar.h
@@ -13,13 +13,13 @@
 struct DailyClosure {
   int hour = 0;
   int minute = 0;
-  unsigned days = 0x7f;  // bit 0: Sunday
+  unsigned days = 0x7f;  // bit 0: Sunday, to bit 6: Saturday; default: every day
   Duration lead{};       // how long before the closure its terms begin to apply
   Duration trail{};      // how long after the closure its terms still apply
 };
 /// The closures of one time zone.
 struct Calendar {
-  std::string zone = "UTC";
+  std::string zone = "UTC";  // IANA name
   std::vector<DailyClosure> closures;
 };
 
--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -19,9 +19,10 @@
 using Json = rapidjson::Value;
 
 constexpr double min_memory_mb = 16;
-constexpr double min_sockets = 64;
-constexpr double max_limit = 1e6;  // of either
+constexpr double min_descriptors = 64;
+constexpr double max_limit = 1e6;  // largest value of each limit
 
+/// The member of that key. Throws ConfigError if it is missing.
 const Json& require(const Json& object, const char* key) {
   const auto it = object.FindMember(key);
   if (it == object.MemberEnd()) throw ConfigError(std::string(key) + ": missing");
@@ -33,7 +34,8 @@
   return value.GetString();
 }
 
-/// A scalar in the form of the settings parser: spaces and commas inside strings are replaced.
+/// A scalar in the form of the settings parser. Spaces and commas, which separate values there, are replaced
+/// inside strings.
 std::string to_setting_value(const Json& value) {
   if (value.IsNull()) return "";
   if (value.IsString()) {
@@ -70,7 +72,7 @@
   out += path + "=" + value + " ";
 }
 
-/// Quotas apply to all gateways together; each enforces its share.
+/// The budgets of the tenants. Quotas apply to all gateways together; each gateway enforces its share.
 std::vector<broker::TenantBudget> read_budgets(const Json& settings, std::uint32_t gateways) {
   std::vector<broker::TenantBudget> budgets;
   const auto realms = settings.FindMember("realms");
@@ -112,10 +114,6 @@
   return text.str();
 }
 
-}  // namespace
-
-namespace {
-
 rapidjson::Document parse_json(const std::string& json, const char* file_kind) {
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(json.c_str());
@@ -171,7 +169,7 @@
     throw ConfigError(path + "settings.specifics.needs_by_class: not one for each class");
 }
 
-/// Reads the list of hosts and the settings, if present.
+/// Reads the list of hosts and the settings, if present. `path` precedes the key in error messages.
 void read_service(const Json& root, std::uint64_t seed, const std::string& path, ServiceConfig& config) {
   if (const auto known = root.FindMember("known"); known != root.MemberEnd() && !known->value.IsNull()) {
     const auto list = wire::parse_members(to_setting_value(known->value));
@@ -185,9 +183,9 @@
   std::string settings_text;
   flatten(settings->value, "", settings_text);
   Time base_time{};  // unused: positions on sockets are Unix times
-  config.zones.clear();
+  config.zone_names.clear();
   try {
-    config.settings = parse_settings(settings_text, seed, "", config.zones, base_time);
+    config.settings = parse_settings(settings_text, seed, "", config.zone_names, base_time);
     // A request refused after half its deadline without having been sent costs 0.3 of its value.
     config.settings.late_refusal_costs = true;
     check(config.settings);
@@ -202,14 +200,14 @@
 Config parse_config(const std::string& json) {
   const auto document = parse_json(json, "config");
   Config config;
-  config.text = json;
+  config.platform_text = json;
   config.name = require_string(document, "name");
   config.platform.listen = require_string(document, "listen");
   config.platform.discovery = require_string(document, "discovery");
   if (const auto it = document.FindMember("control"); it != document.MemberEnd() && !it->value.IsNull())
     config.control = require_string(document, "control");
   config.memory_mb = read_limit(document, "memory_mb", min_memory_mb, config.memory_mb);
-  config.sockets = read_limit(document, "sockets", min_sockets, config.sockets);
+  config.max_descriptors = read_limit(document, "sockets", min_descriptors, config.max_descriptors);
   require(document, "settings");
   read_service(document, read_seed(document), "", config.platform);
   return config;
@@ -217,6 +215,8 @@
 
 namespace {
 
+/// Throws ConfigError with the path if `after` lacks a key of `before`, or has another kind of value where
+/// `before` has an object or a list.
 void check_keys_kept(const Json& before, const Json& after, const std::string& path);
 
 /// Objects in a list, such as classes: each needs the keys that all previous items have.
@@ -291,14 +291,14 @@
   config.known_hosts = {};
   if (const auto dns = document.FindMember("dns"); dns != document.MemberEnd()) {
     if (!dns->value.IsObject()) throw ConfigError("mysql.dns: not an object");
-    config.zone_updates = require_string(dns->value, "listen");
-    if (!wire::is_loopback(config.zone_updates))
+    config.dns_update_address = require_string(dns->value, "listen");
+    if (!wire::is_loopback(config.dns_update_address))
       throw ConfigError("mysql.dns.listen: not a loopback address");
     std::string error;
     if (!wire::dns::parse_zone(read_file(require_string(dns->value, "zone_file").c_str()),
-                               require_string(dns->value, "origin"), config.zone, error))
+                               require_string(dns->value, "origin"), config.dns_zone, error))
       throw ConfigError("mysql.dns.zone_file: " + error);
-    config.known_hosts = wire::dns::member_list_of(config.zone, 1);
+    config.known_hosts = wire::dns::member_list_of(config.dns_zone, 1);
     config.discovery.clear();
   }
   read_service(document, platform.settings.seed + 1, "mysql.", config);
@@ -307,6 +307,7 @@
 
 namespace {
 
+// Combined with the seed of the settings, see gate_service_info().
 constexpr std::uint64_t levels_salt = 0x6c6576656c73ULL;
 constexpr std::uint64_t contracts_salt = 0x7465726d73ULL;
 
@@ -318,7 +319,7 @@
   info.tenants = budgets.size();
   info.max_retry_after = settings.max_retry_after;
   info.retry_after_allowed = settings.retry_after_allowed;
-  info.seed = settings.seed ^ salt;  // other random numbers than those of the router and of other gates
+  info.seed = settings.seed ^ salt;
   return info;
 }
 
@@ -329,8 +330,8 @@
 }
 
 void read_gateway_file(const std::string& text, const std::string& name, Config& config) {
-  config.file = parse_gateway_file(text, name);
-  if (const auto* mysql = config.file.section("mysql")) {
+  config.gateway_file = parse_gateway_file(text, name);
+  if (const auto* mysql = config.gateway_file.section("mysql")) {
     rapidjson::StringBuffer buffer;
     rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
     mysql->Accept(writer);
@@ -349,8 +350,9 @@
   const auto read = [&](ServiceConfig& service, const char* front) {
     std::vector<std::string> tenants;
     for (const auto& budget : service.budgets) tenants.push_back(budget.tenant);
-    service.levels = parse_levels(config.file, front, service.levels_service_info(), tenants);
-    service.contracts = parse_contracts(config.file, front, service.contracts_service_info(), tenants);
+    service.levels = parse_levels(config.gateway_file, front, service.levels_service_info(), tenants);
+    service.contracts =
+        parse_contracts(config.gateway_file, front, service.contracts_service_info(), tenants);
   };
   read(config.platform, "postgresql");
   if (config.mysql) read(*config.mysql, "mysql");
@@ -374,21 +376,22 @@
   check_address("listen", config.platform.listen);
   check_address("discovery", config.platform.discovery);
   if (!config.control.empty()) check_address("control", config.control);
-  std::string gateway = "deploy/gateway.json";
+  std::string gateway_path = "deploy/gateway.json";
   const bool explicitly_named = !file.empty() || std::getenv("CEDARRING_GATEWAY");
-  override_from_environment("CEDARRING_GATEWAY", gateway);
-  if (!file.empty()) gateway = file;
+  override_from_environment("CEDARRING_GATEWAY", gateway_path);
+  if (!file.empty()) gateway_path = file;
   // A file that was named must exist; the default one is optional.
-  if (explicitly_named || std::ifstream(gateway))
-    read_gateway_file(read_file(gateway.c_str()), gateway, config);
+  if (explicitly_named || std::ifstream(gateway_path))
+    read_gateway_file(read_file(gateway_path.c_str()), gateway_path, config);
   // The former file of the MySQL front is read if it is named explicitly, or if the gateway file has no
   // section for it.
-  std::string mysql = "deploy/mysql.json";
-  override_from_environment("CEDARRING_MYSQL", mysql);
-  if ((std::getenv("CEDARRING_MYSQL") || !config.file.section("mysql")) && std::ifstream(mysql)) {
-    config.mysql = parse_mysql_config(read_file(mysql.c_str()), config.platform);
+  std::string mysql_path = "deploy/mysql.json";
+  override_from_environment("CEDARRING_MYSQL", mysql_path);
+  if ((std::getenv("CEDARRING_MYSQL") || !config.gateway_file.section("mysql")) &&
+      std::ifstream(mysql_path)) {
+    config.mysql = parse_mysql_config(read_file(mysql_path.c_str()), config.platform);
     config.warnings.push_back("the MySQL front's own file is read; move it to the section mysql of " +
-                              gateway);
+                              gateway_path);
   }
   read_gates(config);
   return config;
--- a/src/app/config.h
+++ b/src/app/config.h
@@ -15,14 +15,14 @@
 
 /// The configuration of one front and the hosts behind it.
 struct ServiceConfig {
-  std::string listen;        // address of the client listener
-  std::string discovery;     // address of discovery; empty: the list does not come from there
-  std::string zone_updates;  // where dynamic updates of the zone are received; empty: no zone
-  wire::dns::Zone zone;
+  std::string listen;              // address of the client listener
+  std::string discovery;           // address of discovery; empty: the host list does not come from there
+  std::string dns_update_address;  // where dynamic updates of the DNS zone are received; empty: no DNS zone
+  wire::dns::Zone dns_zone;        // lists the hosts
   broker::MemberList known_hosts;  // the list in force until discovery sends one
   Settings settings;
   std::vector<broker::TenantBudget> budgets;
-  std::vector<std::string> zones;
+  std::vector<std::string> zone_names;       // of the hosts' availability zones, in the order of ZoneId
   std::optional<levels::Config> levels;      // absent: off
   std::optional<ContractsConfig> contracts;  // absent: off
   /// The service information that the contracts gate needs.
@@ -31,19 +31,21 @@
   [[nodiscard]] levels::ServiceInfo levels_service_info() const;
 
  private:
+  /// `salt`: a constant of the gate, so that its random numbers differ from those of the router and of other
+  /// gates.
   [[nodiscard]] gates::ServiceInfo gate_service_info(std::uint64_t salt) const;
 };
 
 /// The configuration of the process.
 struct Config {
-  std::string name;
-  std::string text;     // the file as it was read
-  std::string control;  // address of the control endpoint; empty: none
+  std::string name;           // of this gateway
+  std::string platform_text;  // the platform's file as it was read
+  std::string control;        // address of the control endpoint; empty: none
   std::size_t memory_mb = 192;
-  std::size_t sockets = 1024;  // descriptors
-  ServiceConfig platform;
-  std::optional<ServiceConfig> mysql;  // absent: off
-  GatewayFile file;                    // deploy/gateway.json; empty if there is none
+  std::size_t max_descriptors = 1024;  // limit on open file descriptors
+  ServiceConfig platform;              // the PostgreSQL front
+  std::optional<ServiceConfig> mysql;  // the MySQL front; absent: off
+  GatewayFile gateway_file;            // empty if there is none
   std::vector<std::string> warnings;   // to be logged once
 };
 
--- a/src/app/contracts_config.cpp
+++ b/src/app/contracts_config.cpp
@@ -7,7 +7,7 @@
 
 using Json = rapidjson::Value;
 
-constexpr int max_hour = 23;
+constexpr int max_hour = 23;  // not checked by the schema
 
 contracts::BeyondPolicy beyond_policy_of(const std::string& name) {
   return name == "refuse"  ? contracts::BeyondPolicy::refuse
@@ -15,7 +15,7 @@
                            : contracts::BeyondPolicy::borrow;
 }
 
-/// Members that are missing keep their value in `base`.
+/// Reads terms; members that are missing have their value in `base`.
 contracts::Terms terms_of(const Json& json, contracts::Terms base) {
   if (const auto* value = member(json, "rate")) base.rate = value->GetDouble();
   if (const auto* value = member(json, "burst")) base.burst = value->GetDouble();
@@ -27,6 +27,7 @@
   return base;
 }
 
+/// Reads the section `calendar`; `file` is named in errors.
 Calendar calendar_of(const Json& json, const std::string& file) {
   static constexpr const char* day_names[] = {"sun", "mon", "tue", "wed", "thu", "fri", "sat"};
   constexpr unsigned days_per_week = 7;
--- a/src/app/contracts_runner.cpp
+++ b/src/app/contracts_runner.cpp
@@ -9,9 +9,11 @@
 namespace {
 
 constexpr double tick_seconds = 0.1;
+// Closure windows are computed for this many days ahead, and computed again at this interval.
 constexpr int closure_days_ahead = 8;
-constexpr Duration closure_refresh_interval{6LL * 3600 * 1'000'000};  // well below closure_days_ahead
+constexpr Duration closure_refresh_interval{6LL * 3600 * 1'000'000};  // 6 h
 
+/// The contracts with the closure windows around `now`.
 contracts::Config with_closures(ContractsConfig config, Time now) {
   config.contracts.closures = closures_around(config.calendar, now, closure_days_ahead);
   return std::move(config.contracts);
--- a/src/app/contracts_runner.h
+++ b/src/app/contracts_runner.h
@@ -22,9 +22,11 @@
 telemetry::Record record_of(const contracts::ClosedWindow& window, const std::string& front_end,
                             const contracts::Config& config, const contracts::ServiceInfo& service);
 
-/// Adds its contracts to the broker as a gate. The broker and the log must outlive it.
+/// Evaluates the contracts of one front end on a timer of the event loop.
 class ContractsRunner {
  public:
+  /// Adds the contracts to the broker's gates and starts the timer. `broker` and `log` have to outlive the
+  /// runner.
   ContractsRunner(ev::loop_ref loop, std::string front_end, ContractsConfig config,
                   contracts::ServiceInfo service, broker::Broker& broker, broker::Broker::Clock clock,
                   telemetry::Log& log);
@@ -32,6 +34,7 @@
   void reload(ContractsConfig config);
   /// The totals for operators, as one JSON object.
   [[nodiscard]] std::string status() const;
+  /// The gate, for the handover between processes.
   [[nodiscard]] contracts::Contracts& contracts() { return contracts_; }
 
  private:
--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -19,30 +19,38 @@
 namespace cedarring::app {
 namespace {
 
-/// For receiving the complete handover from the predecessor.
+// Times in seconds.
+
+/// How long the start may wait for the predecessor to send the complete handover.
 constexpr double handover_timeout_s = 1;
-/// After which a predecessor exits by itself once its successor serves.
+/// How long a predecessor runs once its successor serves; then it drains and exits by itself.
 constexpr double leave_after_s = 10;
+/// The interval at which a starting process checks whether it may serve.
 constexpr double serving_check_interval_s = 0.01;
-/// From the start, for a pushed list to arrive.
+/// How long after its start a process waits at most for discovery to push the first host list.
 constexpr double first_list_timeout_s = 3;
-/// For the predecessor to send the share of the budgets.
+/// How long a successor waits for the predecessor to send its share of the budgets.
 constexpr double budgets_timeout_s = 0.5;
+/// The interval at which new ejections are sent to the other process.
 constexpr double ejections_interval_s = 0.05;
-/// After SIGTERM new connections keep arriving for 0.2 to 0.4 s.
+/// How long clients are still accepted after SIGTERM: new connections keep arriving for 0.2 to 0.4 s.
 constexpr double serve_after_term_s = 0.5;
-/// SIGKILL follows SIGTERM after the longest deadline, counted as at most 3 s, and this.
+/// SIGKILL follows SIGTERM after the longest deadline, counted as at most max_kill_deadline_s, plus this
+/// time.
 constexpr double kill_after_s = 0.7;
 constexpr double max_kill_deadline_s = 3;
-/// Before the SIGKILL, for the remaining requests to be answered.
+/// How long before the SIGKILL pending requests are ended, so that their answers still reach the clients.
 constexpr double shutdown_lead_s = 0.1;
-/// For listeners, discovery, the event loop and a burst of accepts.
+/// Descriptors kept for listeners, discovery, the event loop and a burst of accepts.
 constexpr std::size_t reserved_descriptors = 48;
-/// Ejections whose ends differ by less are the same: the processes read their clocks at different times.
+/// Ejections of a host whose ends differ by less than this (100 ms) are the same: the processes read their
+/// clocks at different times.
 constexpr Duration ejection_tolerance{100'000};
+/// The number of records that the admin command `records` returns if it names none.
 constexpr std::size_t default_record_count = 50;
-constexpr std::int64_t max_pin_seconds = 86'400;
+constexpr std::int64_t max_pin_seconds = 86'400;  // 24 h
 
+/// The factories of a protocol with these connection classes.
 template <class Host, class Client>
 Service::ConnectionFactories connection_factories(ev::loop_ref loop) {
   return {[loop](wire::Fd fd, HostId host, wire::SocketUpstream& owner) {
@@ -68,8 +76,8 @@
 Gateway::Gateway(ev::loop_ref loop, const Config& config, std::string file)
     : loop_(loop),
       file_(std::move(file)),
-      config_in_force_(config.text),
-      log_(config.name, config.file.log, [this] { return clock_.now(); }),
+      config_in_force_(config.platform_text),
+      log_(config.name, config.gateway_file.log, [this] { return clock_.now(); }),
       reaper_(loop),
       max_buffer_bytes_((config.memory_mb << 20U) / 2),
       started_at_(loop.now()),
@@ -103,7 +111,9 @@
   const auto clock = [this] { return clock_.now(); };
   const auto reserved =
       reserved_descriptors + (config.control.empty() ? 0 : wire::ControlServer::descriptors);
-  const auto descriptors = std::max(config.sockets - std::min(reserved, config.sockets), config.sockets / 4) /
+  // The fronts divide the descriptors that are not reserved, but at least a quarter of all.
+  const auto descriptors = std::max(config.max_descriptors - std::min(reserved, config.max_descriptors),
+                                    config.max_descriptors / 4) /
                            (config.mysql ? 2 : 1);
   // Another process of this gateway may be serving. An incomplete handover is ignored.
   std::optional<wire::ReceivedHandover> predecessor;
@@ -134,7 +144,7 @@
     services_.push_back(std::make_unique<Service>(
         loop, reaper_, clock, *config.mysql, connection_factories<wire::MysqlHost, wire::MysqlClient>(loop),
         descriptors, "mysql", log_, listener("mysql"), state_of_front("mysql"), listener("mysql updates")));
-  admin_path_ = config.file.admin_socket;
+  admin_path_ = config.gateway_file.admin_socket;
   for (auto& service : services_) {
     service->broker().set_role_change_callback([this](const std::string& host, Role role) {
       if (link_) link_->send("role", std::string(role_name(role)) + ' ' + host);
@@ -181,8 +191,6 @@
   send_sections("booked", sections);
 }
 
-/// Prints one line per tenant: its requests at this gateway, how many of them exceeded its share, and the
-/// results.
 void Gateway::report() const {
   for (const auto& service : services_)
     for (const auto& budget : service->budgets())
@@ -197,9 +205,9 @@
 void Gateway::reload(ev::sig&, int) {
   try {
     const auto config = load_config(true, file_, config_in_force_);
-    log_.reload(config.file.log);  // the only later step that can fail
+    log_.reload(config.gateway_file.log);  // the only later step that can fail
     update_request_traces();
-    config_in_force_ = config.text;
+    config_in_force_ = config.platform_text;
     services_[0]->update_settings(config.platform);
     if (config.mysql && services_.size() > 1) services_[1]->update_settings(*config.mysql);
     const auto reload_gates = [this](Service& service, const ServiceConfig& service_config) {
@@ -215,7 +223,7 @@
     };
     reload_gates(*services_[0], config.platform);
     if (config.mysql && services_.size() > 1) reload_gates(*services_[1], *config.mysql);
-    if (config.file.admin_socket != (admin_ ? admin_->path() : std::string()))
+    if (config.gateway_file.admin_socket != (admin_ ? admin_->path() : std::string()))
       log_.write(telemetry::Level::warning, "configuration", "a change of admin.socket needs a restart");
     if (config.mysql.has_value() != (services_.size() > 1))
       log_.write(telemetry::Level::warning, "configuration",
@@ -230,7 +238,6 @@
   }
 }
 
-/// At log level `debug` each finished request is logged with its result and its attempts.
 void Gateway::update_request_traces() {
   const bool on = log_.config().min_level == telemetry::Level::debug;
   for (auto& service : services_) {
@@ -271,7 +278,6 @@
   return buffer.GetString();
 }
 
-/// Answers a command on the admin socket. Never blocks.
 std::string Gateway::answer_admin(const std::vector<std::string>& words) {
   const std::string verb = words.empty() ? "" : words[0];
   if (verb == "levels") return answer_levels();
@@ -345,7 +351,6 @@
   return out + "]";
 }
 
-/// Handles `set-level FRONT pressure|GROUP LEVEL SECONDS` and `unset-level FRONT pressure|GROUP`.
 std::string Gateway::set_level(const std::vector<std::string>& words) {
   const bool set = words[0] == "set-level";
   if (words.size() != (set ? 5U : 3U)) return error_json("set-level FRONT pressure|GROUP LEVEL SECONDS");
@@ -392,7 +397,6 @@
   return telemetry::to_prometheus(metrics);
 }
 
-/// Answers a request at the control endpoint. Never blocks.
 wire::ControlResponse Gateway::answer_control(const wire::ControlRequest& request) {
   const auto path = wire::split_path(request.path);
   if (!path) return {400, "the path cannot be read\n", {}};
@@ -458,7 +462,7 @@
   budgets_timer_.start(budgets_timeout_s);
 }
 
-/// The predecessor does not answer: it may be hung, and its spending is unknown.
+/// The predecessor has not answered: it may be hung, and its spending is unknown.
 void Gateway::on_budgets_timeout(ev::timer&, int) {
   for (auto& service : services_) service->assume_own_share();
   serve();
@@ -475,7 +479,7 @@
   if (!handover_listener_) listen_for_successor();
 }
 
-/// The successor starts serving: from now on the budgets are divided between the processes.
+/// The successor is about to serve: from now on the budgets are divided between the processes.
 void Gateway::split_budgets() {
   if (std::exchange(budgets_split_, true)) return;
   std::map<std::string, StateSections> sections;
@@ -484,10 +488,13 @@
   ejections_timer_.start(ejections_interval_s, ejections_interval_s);
 }
 
+void Gateway::send_in_packets(const char* kind, const std::string& text) {
+  for (std::size_t offset = 0; offset < text.size(); offset += wire::max_packet_text)
+    link_->send(kind, std::string_view(text).substr(offset, wire::max_packet_text));
+}
+
 void Gateway::send_sections(const char* kind, const std::map<std::string, StateSections>& sections) {
-  const auto text = handover::to_text(sections);
-  for (std::size_t at = 0; at < text.size(); at += wire::max_packet_text)
-    link_->send("parts", std::string_view(text).substr(at, wire::max_packet_text));
+  send_in_packets("parts", handover::to_text(sections));
   link_->send(kind);
 }
 
@@ -497,7 +504,6 @@
                {{"front", front}, {"part", section}});
 }
 
-/// Sends new ejections of hosts to the other process, which sends requests to the same hosts.
 void Gateway::send_ejections(ev::timer&, int) {
   if (!link_) return ejections_timer_.stop();
   for (auto& service : services_) {
@@ -522,32 +528,31 @@
 void Gateway::listen_for_successor() {
   if (!handover_name_.empty())
     handover_listener_ = wire::HandoverListener::open(
-        loop_, handover_dir_, handover_name_, [this](wire::Fd fd) { on_successor_connected(std::move(fd)); });
+        loop_, handover_dir_, handover_name_,
+        [this](wire::Fd link) { on_successor_connected(std::move(link)); });
 }
 
-/// A successor requests the handover. It replaces one that has requested it before but does not serve yet,
-/// which may be hung.
-void Gateway::on_successor_connected(wire::Fd fd) {
+/// A successor requests the handover. It replaces an earlier successor that has requested the handover but
+/// does not serve yet, which may be hung.
+void Gateway::on_successor_connected(wire::Fd link) {
   if (handing_over_ || is_successor_) return;
   ended_links_.clear();
   if (std::exchange(budgets_split_, false))
     for (auto& service : services_) service->resume_full_spending();
   known_ejections_.clear();
   link_ = std::make_unique<wire::HandoverLink>(
-      loop_, std::move(fd),
+      loop_, std::move(link),
       wire::HandoverLink::Callbacks{[this](wire::Packet packet) { on_packet(std::move(packet)); },
                                     [this] { on_peer_end(); }});
   std::vector<ServiceState> states;
   for (const auto& service : services_) {
     link_->send("listener", service->front(), service->listener().get());
-    if (const auto* fd = service->dns_update_socket())
-      link_->send("listener", service->front() + " updates", fd->get());
+    if (const auto* socket = service->dns_update_socket())
+      link_->send("listener", service->front() + " updates", socket->get());
     states.push_back(capture_state(service->front(), service->broker().hosts()));
     states.back().sections = service->snapshot(false);
   }
-  const auto text = to_json(states);
-  for (std::size_t at = 0; at < text.size(); at += wire::max_packet_text)
-    link_->send("state", std::string_view(text).substr(at, wire::max_packet_text));
+  send_in_packets("state", to_json(states));
   link_->send("whole");
   share_resources(true, 0);
 }
@@ -567,13 +572,14 @@
   }
 }
 
+/// Acts on a packet of the other process; wire::Packet lists the kinds.
 void Gateway::on_packet(wire::Packet packet) {
   const auto find_service = [&](const std::string& front) -> Service* {
     for (auto& service : services_)
       if (service->front() == front) return service.get();
     return nullptr;
   };
-  // Most packets consist of a word and what it refers to.
+  // The text of most packets is a word, such as the name of a front, and a rest after a space.
   const auto space = packet.text.find(' ');
   const bool has_rest = space != std::string::npos;
   const auto word = packet.text.substr(0, space);
@@ -673,13 +679,16 @@
       services_.begin(), services_.end(), [](const auto& service) { return service->empty(); });
 }
 
-/// New clients are accepted for a while longer, since load balancers have not noticed yet.
+/// New clients are accepted for serve_after_term_s longer, since load balancers have not noticed the signal
+/// yet.
 void Gateway::on_stop_signal(ev::sig&, int) {
   if (!shutdown_timer_.is_active()) {
-    Duration longest{};
-    for (const auto& service : services_) longest = std::max(longest, service->longest_deadline());
-    const auto deadline = std::min(static_cast<double>(longest.count()) / 1e6, max_kill_deadline_s);
-    shutdown_timer_.start(deadline + kill_after_s - shutdown_lead_s);
+    Duration longest_deadline{};
+    for (const auto& service : services_)
+      longest_deadline = std::max(longest_deadline, service->longest_deadline());
+    const auto deadline_s =
+        std::min(static_cast<double>(longest_deadline.count()) / 1e6, max_kill_deadline_s);
+    shutdown_timer_.start(deadline_s + kill_after_s - shutdown_lead_s);
   }
   if (!drain_timer_.is_active() && !empty_check_.is_active())
     drain_timer_.start(handing_over_ ? 0 : serve_after_term_s);
@@ -697,7 +706,6 @@
   if (no_clients_left()) loop_.break_loop(ev::ALL);
 }
 
-/// While draining, ends the loop as soon as the last client has been answered and has left.
 void Gateway::check_empty(ev::prepare&, int) {
   if (no_clients_left()) loop_.break_loop(ev::ALL);
 }
--- a/src/app/gateway_file.cpp
+++ b/src/app/gateway_file.cpp
@@ -29,6 +29,7 @@
   return value ? std::string(value->GetString(), value->GetStringLength()) : fallback;
 }
 
+/// The words of the key `needs` of a shed rule.
 constexpr std::pair<const char*, Freshness> freshness_names[] = {{"any", Freshness::any},
                                                                  {"bounded", Freshness::bounded},
                                                                  {"session", Freshness::session},
@@ -154,10 +155,12 @@
     if (const auto* needs = member(value, "needs")) {
       selects_classes = true;
       for (const auto& need : needs->GetArray())
-        for (const auto& [name, freshness] : freshness_names)
-          for (std::size_t i = 0; name == std::string(need.GetString()) && i < service_.classes.size(); ++i)
+        for (const auto& [name, freshness] : freshness_names) {
+          if (name != std::string(need.GetString())) continue;
+          for (std::size_t i = 0; i < service_.classes.size(); ++i)
             if (service_.classes[i].freshness == freshness)
               rule.classes.push_back(static_cast<std::int32_t>(i));
+        }
     }
     // An empty list means every class; a selection that matches no class must not be taken for it.
     if (selects_classes && rule.classes.empty())
--- a/src/app/json_schema.h
+++ b/src/app/json_schema.h
@@ -9,7 +9,7 @@
 
 namespace cedarring::app {
 
-/// A configuration that cannot be used; the message names the place and the error.
+/// Thrown for a configuration that cannot be used; the message names the place and the error.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/app/levels_runner.cpp
+++ b/src/app/levels_runner.cpp
@@ -99,7 +99,6 @@
   publish(changes);
 }
 
-/// Records the changes and puts the adjustments of the new levels into effect.
 void LevelsRunner::publish(std::vector<levels::AxisChange>& changes) {
   if (changes.empty()) return;
   for (const auto& change : changes) log_.record(to_record(change, front_end_, service_));
--- a/src/app/levels_runner.h
+++ b/src/app/levels_runner.h
@@ -29,6 +29,7 @@
     double memory = 0;                        // share of the buffer memory limit in use
     std::optional<double> discovery_silence;  // seconds; absent without a discovery source
   };
+  /// Functions of the surrounding service.
   struct Hooks {
     std::function<Inputs()> read_inputs;
     std::function<void(double)> scale_pool_size;  // factor on the number of host connections
@@ -38,6 +39,7 @@
   /// outlive the runner.
   LevelsRunner(ev::loop_ref loop, std::string front_end, levels::Config config, levels::ServiceInfo service,
                broker::Broker& broker, broker::Broker::Clock clock, Hooks hooks, telemetry::Log& log);
+  /// Applies a new configuration.
   void reload(levels::Config config);
   /// Pins a level for `length`, on the faults axis of `group` or on pressure if absent. Returns false and
   /// sets `error` if the length is out of range or the level or group is unknown.
@@ -57,6 +59,7 @@
  private:
   void on_timer(ev::timer&, int);
   void apply_adjustments();
+  /// Records the changes and puts the adjustments of the new levels into effect.
   void publish(std::vector<levels::AxisChange>& changes);
 
   std::string front_end_;
@@ -68,6 +71,7 @@
   telemetry::Log& log_;
   ev::timer timer_;
   Time next_evaluation_{};  // when the timer is due; its lateness is the reading `loop_lag`
+  // Kept between evaluations to reuse their memory.
   std::vector<GroupView> views_;
   levels::GatewayState state_;
 };
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -11,12 +11,12 @@
 namespace cedarring::app {
 namespace {
 
-/// Of the descriptors clients have three quarters, host connections one quarter.
+/// Shares of the descriptors: three quarters for client connections, one quarter for host connections.
 std::size_t client_share(std::size_t max_descriptors) { return max_descriptors * 3 / 4; }
 std::size_t host_share(std::size_t max_descriptors) { return max_descriptors / 4; }
 
-/// Of the slow-start budget, while the other process may be spending the rest.
-constexpr double own_share = 0.5;
+/// Share of the slow-start limits that this process spends while the other process may be spending the rest.
+constexpr double own_slow_start_share = 0.5;
 
 }  // namespace
 
@@ -37,7 +37,7 @@
       upstream_(loop, reaper, clock,
                 {config.settings.connect_timeout, config.settings.idle_timeout, host_share(max_descriptors)},
                 factories.host, [this] { open_watch(); }),
-      broker_(config.settings, config.budgets, config.zones, clock, upstream_),
+      broker_(config.settings, config.budgets, config.zone_names, clock, upstream_),
       clients_(loop, reaper, broker_, config.listen, client_share(max_descriptors), factories.client,
                std::move(listener)) {
   upstream_.attach(broker_);
@@ -49,9 +49,9 @@
                        wire::DiscoveryWatch::Callbacks{
                            [this](const broker::MemberList& list) { broker_.on_member_list(list); },
                            [this] { broker_.on_member_list_failed(); }});
-  if (!config.zone_updates.empty())
+  if (!config.dns_update_address.empty())
     zone_.emplace(
-        loop, config.zone_updates, config.zone,
+        loop, config.dns_update_address, config.dns_zone,
         [this](const broker::MemberList& list) { broker_.on_member_list(list); },
         std::move(dns_update_socket));
   if (config.contracts)
@@ -115,7 +115,7 @@
   });
   // Budgets that cannot be read count as spent.
   for (const auto& name : unreadable) {
-    if (name == "hosts") broker_.set_slow_start_share(own_share);
+    if (name == "hosts") broker_.set_slow_start_share(own_slow_start_share);
     if (name == "tenants") broker_.restore_budgets({});
     if (name == "contracts" && contracts_) contracts_->contracts().assume_own_share(clock_());
   }
@@ -151,8 +151,8 @@
   contracts_->contracts().resume_full_spending(clock_());
 }
 
-/// While one process serves, clients and host connections share all descriptors by demand; beside another
-/// process each has a fixed share.
+/// While one process serves, client and host connections share all descriptors by demand; beside another
+/// process each kind has a fixed limit.
 void Service::divide_connections() {
   if (resources_.hosts < total_resources_.hosts || resources_.clients < total_resources_.clients) {
     clients_.set_max_clients(resources_.clients);
--- a/src/app/service.h
+++ b/src/app/service.h
@@ -21,7 +21,7 @@
 /// processes run a service each for the same front and share its budgets and resources.
 class Service {
  public:
-  /// Create the connections of the front's protocol.
+  /// The functions that create the connections of the front's protocol.
   struct ConnectionFactories {
     wire::SocketUpstream::Factory host;
     wire::ClientSet::Factory client;
@@ -39,6 +39,7 @@
   [[nodiscard]] bool may_start_serving() const {
     return !discovery_ || initial_settings_.discovery_mode != DiscoveryMode::push || discovery_->has_list();
   }
+  /// Starts accepting clients.
   void start_accepting() { clients_.start_accepting(); }
   /// A successor serves: `transfer` passes it a client.
   void start_handover(wire::ClientSet::Transfer transfer) {
@@ -71,6 +72,7 @@
   void adopt(wire::Fd fd, const std::string& state) { clients_.adopt(std::move(fd), state); }
   /// The UDP socket that receives DNS updates; null if the host list does not come from a DNS zone.
   [[nodiscard]] const wire::Fd* dns_update_socket() const { return zone_ ? &zone_->socket() : nullptr; }
+  /// The socket that listens for clients.
   [[nodiscard]] const wire::Fd& listener() const { return clients_.listener(); }
   [[nodiscard]] std::size_t client_count() const { return clients_.size(); }
   /// The resources of this service while one process serves: numbers of client and host connections. The
@@ -79,7 +81,9 @@
   /// Sets the resources that this process may use now.
   void set_resources(const handover::ResourceShares& resources) {
     resources_ = resources;
-    clients_.set_memory_budget(resources.memory / 2);  // a quarter of all memory; buffers may use half of it
+    // Long statements may use half of the memory for buffers: a quarter of all memory while one process
+    // serves.
+    clients_.set_memory_budget(resources.memory / 2);
     divide_connections();
   }
   /// Stops listening; clients are closed as they become idle.
@@ -93,6 +97,7 @@
   }
   /// The address and port that receive DNS updates; empty if the host list does not come from a DNS zone.
   [[nodiscard]] std::string dns_update_address() const { return zone_ ? zone_->address() : std::string(); }
+  /// The address and port that clients connect to.
   [[nodiscard]] std::string address() const { return clients_.address(); }
   [[nodiscard]] const std::deque<broker::TenantBudget>& budgets() const { return broker_.budgets(); }
   /// Whether no client is connected.
@@ -102,17 +107,22 @@
   [[nodiscard]] const std::string& front() const { return front_; }
   /// Applies another configuration of levels; without one, present levels are switched off.
   void reload_levels(const std::optional<levels::Config>& config);
+  /// Applies other settings and tenant budgets.
   void update_settings(const ServiceConfig& config);
   /// Whether the classes are the same as at the start.
   [[nodiscard]] bool same_classes(const ServiceConfig& config) const {
     return config.settings.classes == initial_settings_.classes;
   }
+  /// Applies another configuration of contracts; without one, present contracts are switched off.
   void reload_contracts(const std::optional<ContractsConfig>& config);
+  /// Null if no contracts have been configured since the start.
   [[nodiscard]] const ContractsRunner* contracts() const { return contracts_ ? &*contracts_ : nullptr; }
+  /// Null if no levels have been configured since the start.
   [[nodiscard]] LevelsRunner* levels() { return levels_ ? &*levels_ : nullptr; }
   [[nodiscard]] broker::Broker& broker() { return broker_; }
 
  private:
+  /// Requests the host list from its source.
   void open_watch();
   void divide_connections();
   void start_levels(const levels::Config& config);
@@ -120,14 +130,15 @@
   std::string front_;
   broker::Broker::Clock clock_;
   telemetry::Log& log_;
-  handover::ResourceShares total_resources_, resources_;  // while one process serves; now
-  Settings initial_settings_;
+  handover::ResourceShares total_resources_;  // while one process serves
+  handover::ResourceShares resources_;        // that this process may use now
+  Settings initial_settings_;                 // at the start
   levels::ServiceInfo levels_service_info_;
   contracts::ServiceInfo contracts_service_info_;
-  broker::MemberList known_list_;  // at the start
+  broker::MemberList known_list_;  // the host list at the start: the predecessor's, or the configured one
   wire::SocketUpstream upstream_;
   broker::Broker broker_;
-  // Without either of these the known list is the only one.
+  // The source of the host list: at most one of the two. Without a source, known_list_ stays in force.
   std::optional<wire::DiscoveryWatch> discovery_;
   std::optional<wire::ZoneSource> zone_;
   wire::ClientSet clients_;
--- a/src/app/successor.cpp
+++ b/src/app/successor.cpp
@@ -16,6 +16,7 @@
   writer.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
 }
 
+/// The string member of that key; nothing if `value` has none.
 std::optional<std::string> string_member(const rapidjson::Value& value, const char* key) {
   const auto it = value.IsObject() ? value.FindMember(key) : rapidjson::Value::ConstMemberIterator();
   if (!value.IsObject() || it == value.MemberEnd() || !it->value.IsString()) return std::nullopt;
