--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -301,6 +301,7 @@
     config.known_hosts = wire::dns::member_list_of(config.dns_zone, 1);
     config.discovery.clear();
   }
+  // A seed of its own, so that the two fronts draw different random numbers.
   read_service(document, platform.settings.seed + 1, "mysql.", config);
   return config;
 }
