--- a/src/tools/plan/main.cpp
+++ b/src/tools/plan/main.cpp
@@ -75,7 +75,7 @@
   std::vector<std::string> tenants;
   for (const auto& budget : config.platform.budgets) tenants.push_back(budget.tenant);
   const auto service = config.platform.contracts_service_info();
-  const auto parsed = app::parse_contracts(config.file, "postgresql", service, tenants);
+  const auto parsed = app::parse_contracts(config.gateway_file, "postgresql", service, tenants);
   if (!parsed) throw app::ConfigError(gateway_file + ": /contracts: expected contracts in force, found none");
   const auto fleet_json = app::parse_object(read_file(fleet_file), fleet_file);
   app::check_schema(fleet_json, fleet_schema, fleet_file);
