--- a/tests/contracts_test.cpp
+++ b/tests/contracts_test.cpp
@@ -503,8 +503,8 @@
 }
 
 // ---- With the broker and the router, in simulated time ----
-// A batch client that sends far beyond its contract around a closure must not take capacity from the other
-// teams.
+// A batch client that sends far beyond its contract, as happens around a closure, must not take capacity from
+// the other teams.
 TEST(Contracts, ABatchBeyondItsContractTakesLessThanOnePercentFromOtherTeams) {
   auto config = lab::reference_deployment();
   config.groups = 1;
@@ -517,7 +517,7 @@
   // The third tenant's batch sends 150 more reads a second from 8 to 18 s.
   config.surges.push_back({batch_team, history_class, 150, 8s, 18s});
   const auto without_contracts = lab::simulate(config);
-  constexpr double usual_rate = 157;       // requests a second without the batch
+  constexpr double usual_rate = 157;       // about the requests a second without the batch
   constexpr double contract_margin = 1.3;  // contracted rate over the usual rate
   Config enforced;
   enforced.mode = Mode::enforce;
