--- a/src/wire/client.cpp
+++ b/src/wire/client.cpp
@@ -244,7 +244,7 @@
                                          std::shared_ptr<const broker::RequestPayload> payload) {
   broker::ClientRequest request;
   request.name = info.id;
-  request.class_name = info.contract;
+  request.class_name = info.class_name;
   request.tenant = info.tenant;
   request.group = GroupId{*info.cluster};
   request.time_left = std::chrono::milliseconds(*info.deadline_ms);
--- a/src/wire/mysql_client.cpp
+++ b/src/wire/mysql_client.cpp
@@ -315,7 +315,7 @@
   submit(std::move(request));
 }
 
-/// The contract data comes from the statement's trailing comment; query attributes override it.
+/// The request fields come from the statement's trailing comment; query attributes override them.
 void MysqlClient::submit(std::shared_ptr<MysqlRequest> request) {
   std::string missing;
   parse_statement(request->sql, request->info, missing);
@@ -325,7 +325,7 @@
     const auto text = text_value(attribute);
     if (!text) continue;
     request->attribute_texts.push_back(*text);
-    if (!set_contract_field(attribute.name, request->attribute_texts.back(), request->info))
+    if (!set_request_field(attribute.name, request->attribute_texts.back(), request->info))
       return send_error(er_wrong_arguments, "HY000", "the statement lacks a number in " + attribute.name);
   }
   if (const auto field = missing_field(request->info); !field.empty())
--- a/src/wire/mysql_work.h
+++ b/src/wire/mysql_work.h
@@ -13,14 +13,14 @@
 /// The largest packet payload and the largest answer that are buffered, in bytes.
 inline constexpr std::size_t mysql_max_message_size = 200 * 1024;
 
-/// A COM_QUERY or an execution of a prepared statement, and its contract data.
+/// A COM_QUERY or an execution of a prepared statement, and its request fields.
 struct MysqlRequest : broker::RequestPayload {
-  bool prepared = false;
+  bool prepared = false;  // an execution of a prepared statement
   std::string sql;
   std::size_t placeholders = 0;
   std::vector<mysql::Parameter> parameters;  // of the statement first, then the query attributes
   StatementInfo info;                        // views into sql and attribute_texts
-  std::vector<std::string> attribute_texts;
+  std::vector<std::string> attribute_texts;  // the values of the query attributes
 };
 
 }  // namespace cedarring::wire
--- a/src/wire/pg_work.h
+++ b/src/wire/pg_work.h
@@ -23,7 +23,7 @@
 /// The longest statement: a value as long as the longest row's, and 64 KiB for the SQL around it.
 inline constexpr std::size_t pg_max_statement_size = pg_max_row_size + 64 * 1024;
 
-/// A simple query and its contract data.
+/// A simple query and its request fields.
 struct PgRequest : broker::RequestPayload {
   std::string sql;
   StatementInfo info;                             // views into sql
--- a/src/wire/statement.cpp
+++ b/src/wire/statement.cpp
@@ -20,7 +20,7 @@
   return value;
 }
 
-bool set_contract_field(std::string_view name, std::string_view value, StatementInfo& info) {
+bool set_request_field(std::string_view name, std::string_view value, StatementInfo& info) {
   const auto set_number = [&](std::optional<std::int64_t>& field) {
     field = to_int(value);
     return field.has_value();
@@ -28,7 +28,7 @@
   if (name == "id")
     info.id = value;
   else if (name == "c")
-    info.contract = value;
+    info.class_name = value;
   else if (name == "t")
     info.tenant = value;
   else if (name == "k")
@@ -46,7 +46,7 @@
 
 std::string_view missing_field(const StatementInfo& info) {
   if (info.id.empty() || info.id.size() > max_id_size) return "id";
-  if (info.contract.empty()) return "c";
+  if (info.class_name.empty()) return "c";
   if (!info.deadline_ms || *info.deadline_ms > max_deadline_ms) return "d";
   if (!info.cluster) return "cluster";
   return {};
@@ -54,7 +54,7 @@
 
 bool parse_statement(std::string_view sql, StatementInfo& info, std::string& missing) {
   info = {};
-  auto text = sql;
+  auto text = sql;  // up to the end of the comment
   while (!text.empty() && (text.back() == ' ' || text.back() == ';' || text.back() == '\n'))
     text.remove_suffix(1);
   const auto comment_start = text.rfind("/*");
@@ -72,7 +72,7 @@
     if (const auto equals = field.find('='); equals != std::string_view::npos) {
       const auto name = field.substr(0, equals);
       const auto value = field.substr(equals + 1);
-      if (!set_contract_field(name, value, info)) {
+      if (!set_request_field(name, value, info)) {
         missing = "a number in " + std::string(name);
         return false;
       }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -23,7 +23,7 @@
     std::string sql;
     bool valid;
     std::string missing;
-    std::string contract;
+    std::string class_name;
   };
   for (const auto& c : {
            Case{"SELECT 1 /* id=1,c=view,t=a,d=480,cluster=2 */", true, "", "view"},
@@ -47,7 +47,7 @@
     std::string missing;
     EXPECT_EQ(wire::parse_statement(c.sql, info, missing), c.valid) << c.sql;
     EXPECT_EQ(missing, c.missing) << c.sql;
-    EXPECT_EQ(info.contract, c.contract) << c.sql;
+    EXPECT_EQ(info.class_name, c.class_name) << c.sql;
   }
 }
 
--- a/tests/mysql_test.cpp
+++ b/tests/mysql_test.cpp
@@ -90,7 +90,7 @@
   unsigned long length_ = 0;
 };
 
-/// A COM_STMT_EXECUTE of a statement without placeholders, with its contract data in query attributes.
+/// A COM_STMT_EXECUTE of a statement without placeholders, with its request fields in query attributes.
 std::string execute_with_attributes(std::uint32_t id,
                                     const std::vector<std::pair<std::string, std::string>>& attributes) {
   std::vector<mysql_codec::Parameter> parameters;
@@ -103,9 +103,12 @@
   }
   return mysql_codec::execute_packet(id, 0, parameters);
 }
-std::vector<std::pair<std::string, std::string>> contract_attributes(
-    const std::string& id, const std::string& name, const std::string& deadline_ms = "5000") {
-  return {{"id", id}, {"c", name}, {"t", "acme"}, {"d", deadline_ms}, {"cluster", "1"}, {"k", "key-" + id}};
+/// The request fields of a statement, by their names in a query attribute.
+std::vector<std::pair<std::string, std::string>> request_attributes(const std::string& id,
+                                                                    const std::string& class_name,
+                                                                    const std::string& deadline_ms = "5000") {
+  return {{"id", id},         {"c", class_name}, {"t", "acme"},
+          {"d", deadline_ms}, {"cluster", "1"},  {"k", "key-" + id}};
 }
 
 TEST(Mysql, ClientLibraryIsServed) {
@@ -179,11 +182,11 @@
   Fixture fixture;
   MysqlRaw client(fixture.program->mysql());
   const auto id = client.prepare("INSERT INTO records VALUES (1)");
-  client.command(execute_with_attributes(id, contract_attributes("e1", "pay")));
+  client.command(execute_with_attributes(id, request_attributes("e1", "pay")));
   EXPECT_EQ(client.read_packet(), "\1");
   for (int i = 0; i < 3; ++i) client.read_packet();
   fixture.move_primary_to_b();
-  client.command(execute_with_attributes(id, contract_attributes("e2", "pay")));
+  client.command(execute_with_attributes(id, request_attributes("e2", "pay")));
   EXPECT_EQ(client.read_packet(), "\1");  // the new primary has answered
   EXPECT_EQ(fixture.b.seen(), (std::vector<std::string>{"e2"}));
   EXPECT_EQ(fixture.b.prepared(), 1U);
@@ -196,12 +199,12 @@
   MysqlRaw client(fixture.program->mysql());
   const auto id = client.prepare("INSERT INTO records VALUES (1)");
   fixture.a.forget_statements = true;
-  client.command(execute_with_attributes(id, contract_attributes("e1", "pay")));
+  client.command(execute_with_attributes(id, request_attributes("e1", "pay")));
   const auto error = client.read_error();
   EXPECT_EQ(error.code, 3168);  // refused: it has not run
   EXPECT_EQ(fixture.a.count(), 0U);
   fixture.a.forget_statements = false;
-  client.command(execute_with_attributes(id, contract_attributes("e2", "pay")));
+  client.command(execute_with_attributes(id, request_attributes("e2", "pay")));
   EXPECT_EQ(client.read_packet(), "\1");
   EXPECT_EQ(fixture.a.seen(), (std::vector<std::string>{"e2"}));
 }
@@ -211,12 +214,12 @@
   fixture.a.behavior = Behavior::reset_once;
   MysqlRaw client(fixture.program->mysql());
   const auto id = client.prepare("INSERT INTO records VALUES (1)");
-  client.command(execute_with_attributes(id, contract_attributes("e1", "pay")));
+  client.command(execute_with_attributes(id, request_attributes("e1", "pay")));
   EXPECT_EQ(client.read_error().code, 1105);
   EXPECT_EQ(fixture.total_requests(), 1U);
   fixture.a.behavior = Behavior::reset_once;
   // The class "bid" is keyed: the hosts drop a repeated key.
-  client.command(execute_with_attributes(id, contract_attributes("e2", "bid")));
+  client.command(execute_with_attributes(id, request_attributes("e2", "bid")));
   EXPECT_EQ(client.read_packet(), "\1");
   EXPECT_EQ(fixture.a.seen(), (std::vector<std::string>{"e1", "e2", "e2"}));
   EXPECT_EQ(fixture.b.count(), 0U);
@@ -228,14 +231,14 @@
   {
     MysqlRaw client(fixture.program->mysql());
     client.command(execute_with_attributes(client.prepare("INSERT INTO records VALUES (1)"),
-                                           contract_attributes("e1", "bid")));
+                                           request_attributes("e1", "bid")));
     ASSERT_TRUE(fixture.a.wait_for(1));
   }
   EXPECT_TRUE(fixture.a.wait_ended(1));  // the gateway closes the connection to the host
   fixture.a.behavior = Behavior::serve;
   MysqlRaw client(fixture.program->mysql());
   client.command(execute_with_attributes(client.prepare("INSERT INTO records VALUES (1)"),
-                                         contract_attributes("e2", "bid")));
+                                         request_attributes("e2", "bid")));
   EXPECT_EQ(client.read_packet(), "\1");
   EXPECT_EQ(fixture.a.seen(), (std::vector<std::string>{"e1", "e2"}));
   EXPECT_EQ(fixture.b.count(), 0U);
@@ -247,7 +250,7 @@
   MysqlRaw client(fixture.program->mysql());
   const auto id = client.prepare("INSERT INTO records VALUES (1)");
   const auto start = Clock::now();
-  client.command(execute_with_attributes(id, contract_attributes("e1", "pay", "600")));
+  client.command(execute_with_attributes(id, request_attributes("e1", "pay", "600")));
   EXPECT_EQ(client.read_error().code, 3024);
   EXPECT_GE(Clock::now() - start, 550ms);
   EXPECT_LT(Clock::now() - start, 3s);
@@ -276,7 +279,7 @@
   MysqlRaw busy(fixture.program->mysql());
   MysqlRaw idle(fixture.program->mysql());
   busy.command(execute_with_attributes(busy.prepare("INSERT INTO records VALUES (1)"),
-                                       contract_attributes("e1", "pay", "2500")));
+                                       request_attributes("e1", "pay", "2500")));
   ASSERT_TRUE(fixture.a.wait_for(1));
   fixture.program->signal(SIGTERM);
   EXPECT_TRUE(idle.socket.ended());
@@ -288,7 +291,7 @@
 TEST(Mysql, MalformedPacketsAndUnknownStatementsAreAnsweredWithErrors) {
   Fixture fixture;
   MysqlRaw client(fixture.program->mysql());
-  client.command(execute_with_attributes(99, contract_attributes("e1", "pay")));
+  client.command(execute_with_attributes(99, request_attributes("e1", "pay")));
   EXPECT_EQ(client.read_error().code, 1243);
   const auto id = client.prepare("SELECT ?");
   client.read_packet();  // the parameter's definition
--- a/tests/support/bad_gateway.cpp
+++ b/tests/support/bad_gateway.cpp
@@ -107,7 +107,7 @@
     wire::StatementInfo info;
     std::string missing;
     wire::parse_statement(sql, info, missing);
-    const bool read = info.contract == "history" || (defect == "stale" && info.contract == "desk-view");
+    const bool read = info.class_name == "history" || (defect == "stale" && info.class_name == "desk-view");
     const auto members = fetch_members();
     std::vector<std::string> hosts;
     for (const auto& member : members.members)
@@ -117,7 +117,7 @@
     const auto& to = hosts[turn % hosts.size()];
     if (defect == "mute") continue;
     if (defect == "unseen") std::this_thread::sleep_for(450ms);  // ignores that its client may have left
-    if (defect == "repeat" && info.contract == "bid-submit") {
+    if (defect == "repeat" && info.class_name == "bid-submit") {
       send_statement(to, sql);
       std::this_thread::sleep_for(1400ms);  // after the deduplication window, before the deadline
     }
