--- a/src/wire/admin.cpp
+++ b/src/wire/admin.cpp
@@ -16,24 +16,27 @@
 
 constexpr mode_t owner_only_mask = 0177;
 constexpr int listen_backlog = 8;
-constexpr time_t receive_timeout_s = 10;
-
-bool make_address(const std::string& path, sockaddr_un& at) {
-  at = {};
-  at.sun_family = AF_UNIX;
-  if (path.empty() || path.size() >= sizeof at.sun_path) {
+constexpr time_t receive_timeout_s = 10;    // of the client
+constexpr std::size_t receive_size = 4096;  // bytes per read of the client
+
+/// Sets the address of a Unix socket; false with errno set if the path is empty or too long.
+bool make_address(const std::string& path, sockaddr_un& address) {
+  address = {};
+  address.sun_family = AF_UNIX;
+  if (path.empty() || path.size() >= sizeof address.sun_path) {
     errno = ENAMETOOLONG;
     return false;
   }
-  std::memcpy(at.sun_path, path.data(), path.size());
+  std::memcpy(address.sun_path, path.data(), path.size());
   return true;
 }
 
+/// Connects to a Unix socket; on failure the descriptor is -1 and errno is set.
 Fd connect_local(const std::string& path) {
-  sockaddr_un at;
-  if (!make_address(path, at)) return Fd();
+  sockaddr_un address;
+  if (!make_address(path, address)) return Fd();
   Fd fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  if (fd.get() >= 0 && ::connect(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) != 0) {
+  if (fd.get() >= 0 && ::connect(fd.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) != 0) {
     const int error = errno;
     fd.reset();
     errno = error;
@@ -41,9 +44,10 @@
   return fd;
 }
 
+/// Listens on a Unix socket that only the owner may use; on failure the descriptor is -1 and errno is set.
 Fd listen_local(const std::string& path) {
-  sockaddr_un at;
-  if (!make_address(path, at)) return Fd();
+  sockaddr_un address;
+  if (!make_address(path, address)) return Fd();
   // Replace only a socket that nobody listens on, never any other file.
   struct stat existing {};
   if (::lstat(path.c_str(), &existing) == 0) {
@@ -60,7 +64,7 @@
   Fd fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (fd.get() < 0) return fd;
   const auto mask = ::umask(owner_only_mask);
-  const bool bound = ::bind(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0;
+  const bool bound = ::bind(fd.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) == 0;
   ::umask(mask);
   if (!bound || ::listen(fd.get(), listen_backlog) != 0) {
     const int error = errno;
@@ -72,6 +76,8 @@
 
 }  // namespace
 
+/// Reads one command line, sends the answer and closes the sending direction. The connection is closed when
+/// the client closes it, or at the time limit.
 class AdminSocket::Peer : public Connection {
  public:
   Peer(ev::loop_ref loop, Fd fd, AdminSocket& owner)
@@ -84,7 +90,7 @@
   void on_input() override {
     const auto in = in_.view();
     const auto end = in.find('\n');
-    if (answered_) return in_.clear();
+    if (answered_) return in_.clear();  // input after the one command is discarded
     if (end == std::string_view::npos) {
       if (in.size() >= max_line_size) send_answer("{\"error\":\"the line is too long\"}");
       return;
@@ -159,7 +165,7 @@
   const auto command = line + "\n";
   if (::send(fd.get(), command.data(), command.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(command.size()))
     return failed();
-  char bytes[4096];
+  char bytes[receive_size];
   for (;;) {
     const auto received = ::recv(fd.get(), bytes, sizeof bytes, 0);
     if (received == 0) break;
--- a/src/wire/admin.h
+++ b/src/wire/admin.h
@@ -27,15 +27,17 @@
   AdminSocket& operator=(const AdminSocket&) = delete;
   [[nodiscard]] const std::string& path() const { return path_; }
 
-  static constexpr std::size_t max_clients = 8;
+  static constexpr std::size_t max_clients = 8;                            // connected at the same time
   static constexpr std::size_t max_line_size = 1024;                       // bytes
   static constexpr std::size_t max_answer_size = std::size_t{256} * 1024;  // bytes
   static constexpr double timeout_s = 5;                                   // from connect to close
 
  private:
+  /// The connection of one client.
   class Peer;
   friend class Peer;
   void on_connection(ev::io&, int);
+  /// Gives a closed connection to the reaper.
   void remove(Peer* peer);
   ev::loop_ref loop_;
   Reaper& reaper_;
@@ -46,8 +48,8 @@
   std::unordered_map<Peer*, std::unique_ptr<Peer>> peers_;
 };
 
-/// The client side: sends a command line and reads the answer to its end. Blocks; on failure returns false
-/// and sets `error`.
+/// The client's side: sends `line` to the admin socket at `path` and reads the answer to its end. Blocks; on
+/// failure returns false and sets `error`.
 bool send_admin_command(const std::string& path, const std::string& line, std::string& answer,
                         std::string& error);
 
--- a/src/wire/connection.cpp
+++ b/src/wire/connection.cpp
@@ -17,12 +17,15 @@
 
 constexpr std::size_t read_size = 16384;  // bytes per read
 constexpr int listen_backlog = 511;
+constexpr std::int64_t max_port = 65535;
+constexpr std::uint32_t loopback_network = 127;  // the first byte of a loopback address
 
+/// Parses "address:port"; false if either part is invalid.
 bool parse_address(const std::string& address, sockaddr_in& out) {
   const auto colon = address.rfind(':');
   if (colon == std::string::npos) return false;
   const auto port = to_int(std::string_view(address).substr(colon + 1));
-  if (!port || *port > 65535) return false;
+  if (!port || *port > max_port) return false;
   out = {};
   out.sin_family = AF_INET;
   out.sin_port = htons(static_cast<std::uint16_t>(*port));
@@ -73,8 +76,8 @@
 }
 
 Fd listen_on(const std::string& address, bool shared) {
-  sockaddr_in at;
-  if (!parse_address(address, at)) {
+  sockaddr_in socket_address;
+  if (!parse_address(address, socket_address)) {
     errno = EINVAL;
     return Fd();
   }
@@ -83,7 +86,7 @@
   const int one = 1;
   setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
   if (shared) setsockopt(fd.get(), SOL_SOCKET, SO_REUSEPORT, &one, sizeof one);
-  if (::bind(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) != 0 ||
+  if (::bind(fd.get(), reinterpret_cast<sockaddr*>(&socket_address), sizeof socket_address) != 0 ||
       ::listen(fd.get(), listen_backlog) != 0) {
     const int error = errno;
     fd.reset();
@@ -93,13 +96,14 @@
 }
 
 Fd bind_datagram(const std::string& address) {
-  sockaddr_in at;
-  if (!parse_address(address, at)) {
+  sockaddr_in socket_address;
+  if (!parse_address(address, socket_address)) {
     errno = EINVAL;
     return Fd();
   }
   Fd fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (fd.get() >= 0 && ::bind(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) != 0) {
+  if (fd.get() >= 0 &&
+      ::bind(fd.get(), reinterpret_cast<sockaddr*>(&socket_address), sizeof socket_address) != 0) {
     const int error = errno;
     fd.reset();
     errno = error;
@@ -108,28 +112,30 @@
 }
 
 bool is_loopback(const std::string& address) {
-  sockaddr_in at;
-  return parse_address(address, at) && ntohl(at.sin_addr.s_addr) >> 24U == 127;
+  sockaddr_in socket_address;
+  return parse_address(address, socket_address) &&
+         ntohl(socket_address.sin_addr.s_addr) >> 24U == loopback_network;
 }
 
 std::string bound_address(const Fd& listener) {
-  sockaddr_in at{};
-  socklen_t size = sizeof at;
-  getsockname(listener.get(), reinterpret_cast<sockaddr*>(&at), &size);
+  sockaddr_in socket_address{};
+  socklen_t size = sizeof socket_address;
+  getsockname(listener.get(), reinterpret_cast<sockaddr*>(&socket_address), &size);
   char text[INET_ADDRSTRLEN] = "";
-  inet_ntop(AF_INET, &at.sin_addr, text, sizeof text);
-  return std::string(text) + ":" + std::to_string(ntohs(at.sin_port));
+  inet_ntop(AF_INET, &socket_address.sin_addr, text, sizeof text);
+  return std::string(text) + ":" + std::to_string(ntohs(socket_address.sin_port));
 }
 
 Fd accept_from(int listener) {
   Fd fd(::accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (fd.get() < 0) return fd;
   disable_nagle(fd.get());
-  // Keep-alive detects clients whose machine has vanished; they would occupy a connection slot for ever.
+  // Keep-alive detects clients whose machine has vanished: without it they would count towards the connection
+  // limit for ever.
   const int on = 1;
-  const int idle_s = 60;
-  const int interval_s = 10;
-  const int count = 3;
+  const int idle_s = 60;      // before the first keep-alive packet
+  const int interval_s = 10;  // between keep-alive packets
+  const int count = 3;        // unanswered packets after which the connection has failed
   setsockopt(fd.get(), SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
   setsockopt(fd.get(), IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof idle_s);
   setsockopt(fd.get(), IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof interval_s);
@@ -165,22 +171,23 @@
   out_.clear();
 }
 
-/// Whether there is memory to read on. Over the limit the largest connection without pending work is closed,
-/// not the one that happens to read next. If all have pending work, clients that have sent much are paused
-/// until others have been answered. Only over 5/4 of the limit is a connection with pending work closed.
+/// Whether this connection may read now. Over the memory limit the largest connection without pending work is
+/// closed, not the one that happens to read next. If all have pending work, this connection is paused, if it
+/// can be and holds much input, until others have been answered. Only over 5/4 of the limit is the largest
+/// connection closed although it has pending work.
 bool Connection::ensure_memory() {
   if (RingBuffer::total_capacity() <= RingBuffer::total_limit()) return true;
-  Connection* idle = nullptr;
+  Connection* largest_idle = nullptr;  // the largest one without pending work
   Connection* largest = nullptr;
   for (auto* connection = first_; connection; connection = connection->next_) {
     if (connection->closed()) continue;
     if (!largest || connection->memory() > largest->memory()) largest = connection;
     if (!connection->has_pending_work() && connection->memory() > read_size &&
-        (!idle || connection->memory() > idle->memory()))
-      idle = connection;
+        (!largest_idle || connection->memory() > largest_idle->memory()))
+      largest_idle = connection;
   }
-  if (idle) {
-    idle->close_for_memory();
+  if (largest_idle) {
+    largest_idle->close_for_memory();
     return !closed();
   }
   if (can_pause_reading() && in_.size() >= read_size) {
@@ -207,15 +214,15 @@
 bool Connection::has_pending_input() const {
   if (!in_.empty()) return true;
   char byte = 0;
-  const auto n = ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return n >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
+  const auto received = ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return received >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
 bool Connection::peer_closed() const {
   char byte = 0;
-  const auto n = ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  if (n == 0) return true;
-  if (n < 0) return errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR;
+  const auto received = ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  if (received == 0) return true;
+  if (received < 0) return errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR;
   pollfd descriptor{fd_.get(), POLLRDHUP, 0};
   return ::poll(&descriptor, 1, 0) > 0 && (descriptor.revents & (POLLRDHUP | POLLERR | POLLHUP)) != 0;
 }
@@ -232,8 +239,8 @@
   return true;
 }
 
-/// A write error is reported from the event loop, never from inside write(): its caller may not expect
-/// callbacks.
+/// A write error is only stored here and reported from the event loop: the caller of write() may not expect
+/// on_end().
 void Connection::flush() {
   while (!out_.empty() && write_error_ == 0) {
     iovec regions[2];
@@ -262,16 +269,16 @@
 }
 
 void Connection::read_some() {
-  if (!in_.reserve(read_size)) in_.reserve(1);
+  if (!in_.reserve(read_size)) in_.reserve(1);  // near its limit the buffer takes what still fits
   iovec regions[2];
   const int region_count = in_.writable_regions(regions);
   if (region_count == 0) return;
   if (!ensure_memory()) return;
-  const auto got = ::readv(fd_.get(), regions, region_count);
-  if (got > 0) {
-    in_.commit(static_cast<std::size_t>(got));
+  const auto received = ::readv(fd_.get(), regions, region_count);
+  if (received > 0) {
+    in_.commit(static_cast<std::size_t>(received));
     on_input();
-  } else if (got == 0) {
+  } else if (received == 0) {
     disconnect(0);
   } else if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) {
     disconnect(errno);
--- a/src/wire/connection.h
+++ b/src/wire/connection.h
@@ -1,5 +1,5 @@
-// A non-blocking TCP connection with one ring buffer per direction, and helpers for sockets. The owner of a
-// connection is notified through virtual callbacks.
+// A non-blocking stream connection with one ring buffer per direction, and helpers for sockets. Subclasses
+// handle the events of a connection in virtual functions.
 #pragma once
 
 #include <ev++.h>
@@ -29,25 +29,29 @@
 
 /// Whether the text is an IPv4 address and port in the form "address:port".
 bool valid_address(const std::string& address);
-/// Starts connecting without blocking; on failure the descriptor is -1 and errno is set.
+/// Starts a TCP connect without blocking and without Nagle's algorithm; on failure the descriptor is -1 and
+/// errno is set.
 Fd connect_to(const std::string& address);
-/// Listens on exactly this address; on failure the descriptor is -1 and errno is set. `shared` sets
-/// SO_REUSEPORT, so that another process of this gateway may listen on the address, too.
+/// Listens for TCP connections on exactly this address; on failure the descriptor is -1 and errno is set.
+/// `shared` sets SO_REUSEPORT, so that another process of this gateway can listen on the address at the same
+/// time.
 Fd listen_on(const std::string& address, bool shared = false);
-/// Binds a UDP socket; on failure the descriptor is -1 and errno is set.
+/// Binds a non-blocking UDP socket to the address; on failure the descriptor is -1 and errno is set.
 Fd bind_datagram(const std::string& address);
 /// Whether the address is in 127.0.0.0/8, which only processes of this machine can reach.
 bool is_loopback(const std::string& address);
 /// The address and port that a socket is bound to, with the actual port if port 0 was requested.
 std::string bound_address(const Fd& listener);
-/// Accepts the next pending connection; -1 with errno set if there is none.
+/// Accepts the next pending connection as non-blocking, with TCP keep-alive and without Nagle's algorithm; -1
+/// with errno set if there is none.
 Fd accept_from(int listener);
 
 /// A stream connection driven by an event loop. All connections of the process share one memory limit
 /// (RingBuffer::total_limit); over it the connection that holds most memory is closed.
 class Connection {
  public:
-  /// `connecting`: the connect is still in progress. `max_input` and `max_output`: bytes per buffer.
+  /// `connecting`: the connect of `fd` is still in progress. `max_input` and `max_output`: bytes that the
+  /// buffers may hold.
   Connection(ev::loop_ref loop, Fd fd, bool connecting, std::size_t max_input, std::size_t max_output);
   virtual ~Connection();
   Connection(const Connection&) = delete;
@@ -63,27 +67,29 @@
   static void resume_after_memory_shortage();
 
  protected:
-  /// Whether closing the connection would lose somebody's answer. When memory is short, connections without
-  /// pending work are closed first.
+  /// Whether closing the connection would lose an answer that somebody waits for. When memory is short,
+  /// connections without pending work are closed first.
   [[nodiscard]] virtual bool has_pending_work() const { return true; }
   /// Whether reading may be paused for a while when memory is short.
   [[nodiscard]] virtual bool can_pause_reading() const { return false; }
   /// Whether input from the peer, including its close, is being read.
   [[nodiscard]] bool reading() const { return reads_; }
-  /// The connect has succeeded.
+  /// Called when the connect has succeeded.
   virtual void on_open() {}
-  /// in_ has grown.
+  /// Called when bytes have been added to in_.
   virtual void on_input() = 0;
-  /// The peer has closed the connection (`error` is 0) or it has failed (errno). It is closed already.
+  /// The peer has closed the connection (`error` is 0), or the connection has failed (`error` is its errno).
+  /// The descriptor has been closed before the call.
   virtual void on_end(int error) = 0;
-  /// out_ has become empty.
+  /// Called when the event loop has sent the last byte of out_; not if write() could send it at once.
   virtual void on_sent() {}
 
   /// Queues bytes and tries to send them; false if the connection is closed or they exceed the buffer's
   /// limit.
   bool write(std::string_view bytes);
+  /// Closes the descriptor without calling on_end().
   void close();
-  /// Closes the sending direction after everything written so far; the peer may go on sending.
+  /// Closes the sending direction behind the bytes sent so far; the peer may go on sending.
   void shut_down_writing();
   /// To be called by subclasses that may leave input in in_, after they have removed some: reading stops
   /// while in_ is full, and this call resumes it.
@@ -102,25 +108,29 @@
   [[nodiscard]] std::size_t max_input() const { return in_.max_size(); }
 
   ev::loop_ref loop_;
-  RingBuffer in_, out_;
+  RingBuffer in_, out_;  // bytes received and not processed yet; bytes to be sent
 
  private:
+  /// Handles the events of the socket: the end of the connect, room for output, input.
   void on_ready(ev::io& watcher, int events);
   void read_some();
   bool ensure_memory();
   void close_for_memory();
+  /// Bytes allocated for both buffers.
   [[nodiscard]] std::size_t memory() const { return in_.capacity() + out_.capacity(); }
+  /// Sends as much of out_ as the socket takes.
   void flush();
+  /// Watches the socket for the events that the connection can handle now.
   void update_events();
   void disconnect(int error);
   Fd fd_;
   ev::io io_;
   bool connecting_;
-  bool paused_ = false;   // by the owner
-  bool starved_ = false;  // paused for lack of memory
-  bool reads_ = false;
+  bool paused_ = false;   // by set_reading_paused()
+  bool starved_ = false;  // reading is paused for lack of memory
+  bool reads_ = false;    // the event loop watches the socket for input
   std::uint64_t bytes_sent_ = 0;
-  int write_error_ = 0;
+  int write_error_ = 0;  // errno of a failed write that has not been reported yet; 0 if there is none
   // Intrusive list of all connections of the process.
   Connection *next_, *previous_ = nullptr;
   inline static Connection* first_ = nullptr;
--- a/src/wire/control_endpoint.cpp
+++ b/src/wire/control_endpoint.cpp
@@ -29,6 +29,7 @@
   }
 }
 
+/// The value of a hexadecimal digit; -1 for any other character.
 int hex_digit(char c) {
   if (c >= '0' && c <= '9') return c - '0';
   if (c >= 'a' && c <= 'f') return c - 'a' + 10;
@@ -60,6 +61,7 @@
   return segments;
 }
 
+/// Reads one request, lets the owner handle it and sends the response.
 class ControlServer::Exchange : public Connection {
  public:
   Exchange(ev::loop_ref loop, Fd fd, ControlServer& owner)
@@ -73,7 +75,7 @@
     raise_priority();
   }
   [[nodiscard]] bool responded() const { return responded_; }
-  void leave() {
+  void close_and_remove() {
     timer_.stop();
     if (!closed()) close();
     owner_.remove(this);
@@ -85,7 +87,7 @@
     bytes_read_ += in.size();
     if (responded_) {  // input after the one request is discarded
       in_.clear();
-      if (bytes_read_ > max_body_size * 2) leave();
+      if (bytes_read_ > max_body_size * 2) close_and_remove();
       return;
     }
     const auto used = http_parser_execute(&parser_, &parser_callbacks(), in.data(), in.size());
@@ -103,8 +105,8 @@
     static const http_parser_settings callbacks = [] {
       http_parser_settings settings;
       http_parser_settings_init(&settings);
-      const auto exchange_of_parser = [](http_parser* p) { return static_cast<Exchange*>(p->data); };
-      static constexpr auto exchange_of = exchange_of_parser;
+      static constexpr auto exchange_of = [](http_parser* p) { return static_cast<Exchange*>(p->data); };
+      // Callbacks return 0 to go on and -1 to stop the parser.
       static constexpr auto count_head = [](http_parser* p, const char*, std::size_t n) {
         exchange_of(p)->head_size_ += n;
         return exchange_of(p)->head_size_ > max_head_size ? -1 : 0;
@@ -135,9 +137,10 @@
   ControlResponse handle_request() {
     ControlRequest request{http_method_str(static_cast<http_method>(parser_.method)),
                            target_.substr(0, target_.find('?'))};
-    // RFC 9112: a server accepts the absolute form, too.
-    if (const auto host = request.path.find("://"); host != std::string::npos && request.path[0] != '/') {
-      const auto slash = request.path.find('/', host + 3);
+    // RFC 9112: a server accepts the absolute form, too; the path begins with the first slash behind "://".
+    if (const auto separator = request.path.find("://");
+        separator != std::string::npos && request.path[0] != '/') {
+      const auto slash = request.path.find('/', separator + 3);
       request.path = slash == std::string::npos ? "/" : request.path.substr(slash);
     }
     return owner_.handler_(request);
@@ -148,21 +151,26 @@
                       "\r\nContent-Type: text/plain; version=0.0.4; charset=utf-8\r\nContent-Length: " +
                       std::to_string(response.body.size()) + "\r\nConnection: close\r\n";
     if (!response.allow.empty()) out += "Allow: " + response.allow + "\r\n";
-    if (!write(out + "\r\n" + response.body)) return leave();
+    if (!write(out + "\r\n" + response.body)) return close_and_remove();
     if (out_.empty()) shut_down_writing();
   }
   // The sending direction is closed after the response; the connection is closed once the client has closed
   // it, too, or at the time-out. Closing with unread input would reset it and lose the response in transit.
   void on_sent() override { shut_down_writing(); }
-  void on_end(int) override { leave(); }
-  void on_timeout(ev::timer&, int) { leave(); }
+  void on_end(int) override { close_and_remove(); }
+  void on_timeout(ev::timer&, int) { close_and_remove(); }
 
   ControlServer& owner_;
   ev::timer timer_;
   http_parser parser_{};
-  std::string target_;
-  std::size_t bytes_read_ = 0, head_size_ = 0, body_size_ = 0;
-  bool responded_ = false, head_complete_ = false, complete_ = false, body_too_large_ = false;
+  std::string target_;          // the path and the query, or the absolute form
+  std::size_t bytes_read_ = 0;  // in total
+  std::size_t head_size_ = 0;   // of the target and the header fields, in bytes
+  std::size_t body_size_ = 0;   // bytes
+  bool responded_ = false;
+  bool head_complete_ = false;
+  bool complete_ = false;  // the whole request has been read
+  bool body_too_large_ = false;
 };
 
 ControlServer::ControlServer(ev::loop_ref loop, Reaper& reaper, const std::string& address, Handler handler)
@@ -182,7 +190,7 @@
 ControlServer::~ControlServer() = default;
 
 void ControlServer::on_connection(ev::io&, int) {
-  for (std::size_t i = 0; i < max_connections; ++i) {
+  for (std::size_t i = 0; i < max_connections; ++i) {  // the others are accepted at the next event
     Fd fd = accept_from(listener_.get());
     if (fd.get() < 0) {
       if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
@@ -193,13 +201,13 @@
     }
     // At the limit a new connection replaces one that has been answered, or else the oldest one.
     if (exchanges_.size() >= max_connections) {
-      auto* first = exchanges_.front().get();
+      auto* replaced = exchanges_.front().get();
       for (const auto& exchange : exchanges_)
         if (exchange->responded()) {
-          first = exchange.get();
+          replaced = exchange.get();
           break;
         }
-      first->leave();
+      replaced->close_and_remove();
     }
     exchanges_.push_back(std::make_unique<Exchange>(loop_, std::move(fd), *this));
   }
--- a/src/wire/control_endpoint.h
+++ b/src/wire/control_endpoint.h
@@ -16,23 +16,27 @@
 
 namespace cedarring::wire {
 
+/// An operator's HTTP request.
 struct ControlRequest {
-  std::string method, path;  // the path as sent, without the query
+  std::string method;
+  std::string path;  // as sent, percent-encoded; without the query
 };
+/// The HTTP response to an operator's request.
 struct ControlResponse {
   int status = 200;
   std::string body;
-  std::string allow;  // the methods of the path, with status 405
+  std::string allow;  // with status 405: the methods that the path allows
 };
 
-/// The percent-decoded segments of a path; nothing if a per cent sign is not followed by two hexadecimal
-/// digits or a zero byte is encoded, which no name contains.
+/// The percent-decoded segments of a path. Nothing if the path does not begin with a slash, if a per cent
+/// sign is not followed by two hexadecimal digits, or if a zero byte is encoded, which no name contains.
 std::optional<std::vector<std::string>> split_path(std::string_view path);
 
 /// The listener of the control endpoint and its connections.
 class ControlServer {
  public:
-  /// Must not block: it runs in the event loop, and clients wait for 1 s only.
+  /// Returns the response to a request. Must not block: it runs in the event loop, and clients wait for 1 s
+  /// only.
   using Handler = std::function<ControlResponse(const ControlRequest&)>;
   /// Listens on exactly `address`. Throws std::system_error.
   ControlServer(ev::loop_ref loop, Reaper& reaper, const std::string& address, Handler handler);
@@ -48,10 +52,12 @@
   static constexpr double timeout_s = 5;                                     // from connect to close
 
  private:
+  /// A connection with its one request and response.
   class Exchange;
   friend class Exchange;
   void on_connection(ev::io&, int);
   void resume_accepting(ev::timer&, int) { io_.start(); }
+  /// Gives a closed connection to the reaper.
   void remove(Exchange* exchange);
   ev::loop_ref loop_;
   Reaper& reaper_;
--- a/src/wire/ring_buffer.h
+++ b/src/wire/ring_buffer.h
@@ -60,21 +60,21 @@
   int writable_regions(iovec (&regions)[2]) {
     const auto free = capacity_ - size_;
     if (free == 0) return 0;
-    const auto at = (head_ + size_) % capacity_;
-    const auto first = std::min(free, capacity_ - at);
-    regions[0] = {data_.get() + at, first};
-    regions[1] = {data_.get(), free - first};
-    return free > first ? 2 : 1;
+    const auto tail = (head_ + size_) % capacity_;
+    const auto first_size = std::min(free, capacity_ - tail);
+    regions[0] = {data_.get() + tail, first_size};
+    regions[1] = {data_.get(), free - first_size};
+    return free > first_size ? 2 : 1;
   }
   /// Adds bytes that were written into the writable regions to the content.
   void commit(std::size_t written) { size_ += written; }
   /// Sets the regions of the content, for writev(); returns their number, 0 to 2.
   int readable_regions(iovec (&regions)[2]) const {
     if (size_ == 0) return 0;
-    const auto first = std::min(size_, capacity_ - head_);
-    regions[0] = {data_.get() + head_, first};
-    regions[1] = {data_.get(), size_ - first};
-    return size_ > first ? 2 : 1;
+    const auto first_size = std::min(size_, capacity_ - head_);
+    regions[0] = {data_.get() + head_, first_size};
+    regions[1] = {data_.get(), size_ - first_size};
+    return size_ > first_size ? 2 : 1;
   }
   /// Removes bytes from the front; `count` must not exceed size().
   void consume(std::size_t count) {
@@ -90,8 +90,9 @@
   }
 
  private:
-  static constexpr std::size_t initial_capacity = 1024;
+  static constexpr std::size_t initial_capacity = 1024;  // bytes
 
+  /// Moves the content to new memory of `capacity` bytes, where it starts at the front.
   void resize(std::size_t capacity) {
     std::unique_ptr<char[]> data;
     if (capacity > 0) {
@@ -110,12 +111,12 @@
     head_ = 0;
   }
   inline static std::size_t total_capacity_ = 0;
-  inline static std::size_t total_limit_ = std::size_t{96} << 20U;
+  inline static std::size_t total_limit_ = std::size_t{96} << 20U;  // until set_total_limit() is called
   std::unique_ptr<char[]> data_;
   std::size_t max_size_;
   std::size_t capacity_ = 0;
-  std::size_t head_ = 0;
-  std::size_t size_ = 0;
+  std::size_t head_ = 0;  // where the content starts in data_; it may wrap around
+  std::size_t size_ = 0;  // of the content
 };
 
 }  // namespace cedarring::wire
