--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -41,7 +41,7 @@
       clients_(loop, reaper, broker_, config.listen, client_share(max_descriptors), factories.client,
                std::move(listener)) {
   upstream_.attach(broker_);
-  clients_.on_new_client([this] { divide_connections(); });
+  clients_.set_new_client_callback([this] { divide_connections(); });
   upstream_.set_limit_callback([this] { divide_connections(); });
   if (!config.discovery.empty())
     discovery_.emplace(loop, reaper, config.discovery, known_list_.version,
--- a/src/wire/client.cpp
+++ b/src/wire/client.cpp
@@ -10,10 +10,11 @@
 // Time limits in seconds.
 // A connection that sends nothing complete has to be closed within 3 s of connecting.
 constexpr double command_timeout_s = 2.5;
-constexpr double unread_answer_timeout_s = 10;
+constexpr double unread_answer_timeout_s = 10;  // of a client that does not read its answer
 constexpr double linger_timeout_s = 1;
 // Usual clients send their startup message right after connecting and the first command soon after. A new
-// client that has stayed longer than this without doing so may be evicted.
+// client may be evicted after min_silent_stay_s without a byte, or min_first_command_stay_s without a
+// command.
 constexpr double min_silent_stay_s = 0.05;
 constexpr double min_first_command_stay_s = 1;
 /// For the first command of a client that connected just before the listener was closed.
@@ -28,13 +29,13 @@
 constexpr std::size_t initial_memory_budget = std::size_t{8} << 20U;
 /// Bytes of a long answer that may be buffered for a client that has not read them yet.
 constexpr std::size_t answer_window = 64 * 1024;
-constexpr std::size_t max_queued_answers = 256;
-constexpr std::size_t max_arrivals = 64;
-constexpr std::size_t max_discarded_bytes = 256 * 1024;
-constexpr std::size_t max_lingering = 24;
-constexpr std::size_t message_overhead = 16;  // bytes that a command may have beside its message
+constexpr std::size_t max_queued_answers = 256;          // of one client with pipelining
+constexpr std::size_t max_arrivals = 64;                 // arrival times kept for one client
+constexpr std::size_t max_discarded_bytes = 256 * 1024;  // input of a lingering client
+constexpr std::size_t max_lingering = 24;                // clients at the same time
+constexpr std::size_t message_overhead = 16;             // bytes that a command may have beside its message
 constexpr int accepts_per_event = 64;
-constexpr int accept_rounds_at_drain = 16;
+constexpr int accept_rounds_at_drain = 16;  // each of accepts_per_event
 
 }  // namespace
 
@@ -51,7 +52,9 @@
 
 void Client::reply(std::string bytes) {
   queued_answer_bytes_ += bytes.size();
-  slots_.push_back({{}, false, std::move(bytes)});
+  Slot slot;
+  slot.output = std::move(bytes);
+  slots_.push_back(std::move(slot));
   flush_answers();
 }
 
@@ -89,7 +92,7 @@
     queued_answer_bytes_ += bytes.size();
     return false;
   }
-  // At most one part exceeds the window: the host connection then waits to be resumed.
+  // At most one part exceeds the answer window: the host connection then waits for resume_answer().
   if (!write(bytes)) {
     slot->output += bytes;
     queued_answer_bytes_ += bytes.size();
@@ -125,12 +128,12 @@
   const auto waited = now - waiting_since_;
   if (lingering_) return waited > linger_timeout_s;
   if (draining_ && !command_received_) return waited > drain_first_command_s;
-  // A long answer may be read slowly, as long as any of it is read.
+  // A long answer may be read slowly: each byte sent restarts the time limit.
   if (!slots_.empty() && (slots_.front().streaming || !slots_.front().pending) && !out_.empty()) {
     if (std::exchange(last_bytes_sent_, bytes_sent()) != bytes_sent()) waiting_since_ = now;
     return now - waiting_since_ > unread_answer_timeout_s;
   }
-  if (!slots_.empty() || reading_paused()) return false;
+  if (!slots_.empty() || reading_paused()) return false;  // the client waits for a host or for memory
   if (!out_.empty()) return waited > unread_answer_timeout_s;
   return (!command_received_ || partial_command_) && waited > command_timeout_s;
 }
@@ -147,14 +150,13 @@
   return false;
 }
 
-/// While a client makes progress its time limit restarts; waiting for memory is not its fault either.
 void Client::on_command_progress() {
   waiting_since_ = loop_.now();
   (void)arrival_time();  // drops entries for input that has been taken
 }
 
 void Client::on_memory_available() {
-  waiting_since_ = loop_.now();
+  waiting_since_ = loop_.now();  // the time spent waiting for memory does not count against the client
   set_reading_paused(false);
   process_commands();
 }
@@ -171,11 +173,13 @@
 
 void Client::on_sent() {
   if (lingering_) return shut_down_writing();
+  // An answer, or a part of a streamed one, has been waiting for room in the output buffer.
   if (!slots_.empty() && (!slots_.front().pending || !slots_.front().output.empty())) {
     flush_answers();
     if (!closed()) process_commands();
     return;
   }
+  // All that has been received of a streamed answer is sent: request the next part.
   if (!slots_.empty() && slots_.front().streaming && slots_.front().pending) {
     waiting_since_ = loop_.now();
     return owner_.broker().resume_answer(slots_.front().request);
@@ -196,8 +200,8 @@
   return (command_received_ || loop_.now() - waiting_since_ > drain_first_command_s) && !has_pending_input();
 }
 
-/// Records when the input just read was received. If the list is full the last entry is extended: its older
-/// time only makes a deadline earlier.
+/// Records when the input just read was received. If the list is full, the new bytes count as received with
+/// the last entry: its older time only makes a deadline earlier.
 void Client::record_arrival() {
   bytes_received_ += in_.size() - seen_input_;
   seen_input_ = in_.size();
@@ -207,15 +211,16 @@
     arrivals_.back().first = bytes_received_;
 }
 
-/// When the last byte of the command just taken from the buffer was received.
+/// When the last byte of the command just taken from the buffer was received. Drops the entries of earlier
+/// bytes.
 Time Client::arrival_time() {
-  const auto end = bytes_received_ - in_.size();
-  while (!arrivals_.empty() && arrivals_.front().first < end) arrivals_.pop_front();
+  const auto command_end = bytes_received_ - in_.size();
+  while (!arrivals_.empty() && arrivals_.front().first < command_end) arrivals_.pop_front();
   return arrivals_.empty() ? owner_.broker().now() : arrivals_.front().second;
 }
 
-/// With pipelining a host that does not respond must not block the commands behind it, so only requests
-/// pending at hosts count towards the depth; queued answers have their own limits.
+/// With pipelining a host that does not respond must not block the commands behind its request, so only
+/// pending requests count towards the depth; queued answers have their own limits.
 bool Client::can_process_command() const {
   return pending_requests_ < pipeline_depth() &&
          (pipeline_depth() == 1 ||
@@ -223,7 +228,7 @@
 }
 
 /// Processes as many commands as may be pending at once: a command that waited for the one before it would
-/// miss its deadline. The guard prevents an immediate answer from processing the next command recursively.
+/// miss its deadline. processing_ prevents an immediate answer from processing the next command recursively.
 void Client::process_commands() {
   if (processing_) return;
   processing_ = true;
@@ -234,9 +239,10 @@
   if (in_.empty()) arrivals_.clear();
   if (closed() || lingering_) return;
   if (drained()) return close_and_cancel();
-  const bool partial = slots_.empty() && (!in_.empty() || reading_long_command());
-  if (partial && !std::exchange(partial_command_, partial) && command_received_) waiting_since_ = loop_.now();
-  partial_command_ = partial;
+  const bool was_partial = partial_command_;
+  partial_command_ = slots_.empty() && (!in_.empty() || reading_long_command());
+  // The time limit of a command counts from its first bytes; that of the first one, from the connect.
+  if (partial_command_ && !was_partial && command_received_) waiting_since_ = loop_.now();
   input_consumed();
 }
 
@@ -253,7 +259,9 @@
   request.retry = info.retry;
   if (info.after_ms) request.required_position = std::chrono::milliseconds(*info.after_ms);
   request.payload = std::move(payload);
-  slots_.push_back({{}, true, {}});
+  Slot slot;
+  slot.pending = true;
+  slots_.push_back(std::move(slot));
   ++pending_requests_;
   const auto rejection = owner_.broker().accept(request, *this, slots_.back().request);
   if (rejection != broker::Rejection::none) {
@@ -274,7 +282,8 @@
   slot->pending = false;
   --pending_requests_;
   waiting_since_ = loop_.now();
-  // The connection is closed inside the message, so that the client notices that the value is incomplete.
+  // The connection is closed in the middle of the answer, so that the client notices that the value is
+  // incomplete.
   if (answer.truncated) return close_and_cancel();
   std::string rest;
   put_answer(std::move(answer), rest);
@@ -290,7 +299,7 @@
       reaper_(reaper),
       broker_(broker),
       max_clients_(max_clients),
-      idle_limit_(max_clients),
+      idle_timeout_limit_(max_clients),
       factory_(std::move(factory)),
       listener_(listener.get() >= 0 ? std::move(listener) : listen_on(address, true)),
       io_(loop),
@@ -317,7 +326,8 @@
   }
   accept_pause_.stop();
   listener_.reset();
-  if (transfer_) return;  // present clients are transferred as they become idle
+  if (transfer_) return;  // the clients are transferred as they become idle
+  // Copied, since closed clients are removed from clients_.
   std::vector<Client*> all;
   for (const auto& [key, client] : clients_) all.push_back(client.get());
   for (auto* client : all) client->drain();
@@ -327,12 +337,13 @@
 
 /// Wakes the clients that wait for memory in their order, until one still finds none.
 void ClientSet::on_memory_freed(ev::timer&, int) {
-  for (const void* last = nullptr; memory_budget_->next_waiter() && memory_budget_->next_waiter() != last;) {
-    last = memory_budget_->next_waiter();
+  const void* last_woken = nullptr;
+  while (memory_budget_->next_waiter() && memory_budget_->next_waiter() != last_woken) {
+    last_woken = memory_budget_->next_waiter();
     const auto it = std::find_if(clients_.begin(), clients_.end(),
-                                 [&](const auto& entry) { return entry.first == last; });
+                                 [&](const auto& entry) { return entry.first == last_woken; });
     if (it == clients_.end())
-      memory_budget_->stop_waiting(last);
+      memory_budget_->stop_waiting(last_woken);
     else
       it->second->on_memory_available();
   }
@@ -355,6 +366,7 @@
   io_.start(listener_.get(), ev::READ);
 }
 
+/// Transfers the clients that are between two commands, and closes those that cannot be transferred.
 void ClientSet::transfer_idle() {
   std::vector<Client*> idle;
   for (const auto& [key, client] : clients_)
@@ -407,21 +419,22 @@
 /// Closes idle clients, the longest idle first, while the number of connections calls for it. The permitted
 /// idle time grows with each client closed.
 void ClientSet::retire_idle() {
-  if (!idle_limits_.should_close(Duration::max(), active_count(), idle_limit_)) return;
+  if (!idle_limits_.should_close(Duration::max(), active_count(), idle_timeout_limit_)) return;
   std::vector<Client*> idle;
   for (const auto& [key, client] : clients_)
     if (client->idle()) idle.push_back(key);
   std::sort(idle.begin(), idle.end(),
             [](const Client* a, const Client* b) { return a->waiting_since() < b->waiting_since(); });
   for (auto* client : idle) {
-    if (!idle_limits_.should_close(idle_time(*client), active_count(), idle_limit_)) return;
-    if (!client->has_pending_input())
-      client->close_and_cancel();  // its next request may have arrived already
+    if (!idle_limits_.should_close(idle_time(*client), active_count(), idle_timeout_limit_)) return;
+    if (client->has_pending_input()) continue;  // its next request may have arrived already
+    client->close_and_cancel();
   }
 }
 
 Duration ClientSet::idle_time(const Client& client) const {
-  return Duration(static_cast<std::int64_t>((loop_.now() - client.waiting_since()) * 1e6));
+  constexpr double us_per_s = 1e6;
+  return Duration(static_cast<std::int64_t>((loop_.now() - client.waiting_since()) * us_per_s));
 }
 
 /// Whether another client can be accepted, if need be in place of an evicted one.
@@ -429,21 +442,22 @@
 
 /// Closes the evictable client that has waited longest, preferring clients that have never sent a command.
 bool ClientSet::evict() {
-  Client* first = nullptr;
-  const auto before = [](const Client* a, const Client* b) {
+  Client* evicted = nullptr;
+  const auto evict_before = [](const Client* a, const Client* b) {
     return a->has_sent_command() != b->has_sent_command() ? !a->has_sent_command()
                                                           : a->waiting_since() < b->waiting_since();
   };
   for (const auto& [key, client] : clients_)
     if (client->evictable(loop_.now()) &&
-        (!client->idle() || idle_limits_.should_close(idle_time(*client), active_count(), idle_limit_)) &&
-        (!first || before(key, first)) && !client->has_pending_input())
-      first = key;
-  if (first) first->close_and_cancel();
-  return first != nullptr;
+        (!client->idle() ||
+         idle_limits_.should_close(idle_time(*client), active_count(), idle_timeout_limit_)) &&
+        (!evicted || evict_before(key, evicted)) && !client->has_pending_input())
+      evicted = key;
+  if (evicted) evicted->close_and_cancel();
+  return evicted != nullptr;
 }
 
-/// Accepts a limited number of connections; false once none is pending.
+/// Accepts up to accepts_per_event connections; false once none is pending or no more can be accepted now.
 bool ClientSet::accept_pending() {
   for (int i = 0; i < accepts_per_event; ++i) {
     Fd fd = accept_from(listener_.get());
--- a/src/wire/client.h
+++ b/src/wire/client.h
@@ -35,9 +35,10 @@
   /// Whether the client has closed the connection while requests are pending and input is not being read, so
   /// that no event reports the close; the owner has to poll for this.
   [[nodiscard]] bool closed_unnoticed() const { return pending_requests_ > 0 && !reading() && peer_closed(); }
-  /// Closes the connection now if it is idle, otherwise as soon as it is.
+  /// Closes the connection once all its commands are answered, at once if none is pending. A client that has
+  /// just connected is given a short time for its first command.
   void drain();
-  /// Memory for the long command being read may have become available: reads on.
+  /// To be called when memory for the long command being read may have become available: reads on.
   void on_memory_available();
   /// Closes the connection at once, cancels its pending requests and removes it from its owner.
   void close_and_cancel();
@@ -52,16 +53,18 @@
   [[nodiscard]] bool between_commands() const {
     return nothing_pending() && in_.empty() && !partial_command_;
   }
-  /// Whether it may be closed in favour of a new client when the connection limit is reached.
+  /// Whether this client may be closed in favour of a new one when the connection limit is reached.
   [[nodiscard]] bool evictable(ev::tstamp now) const;
   /// Whether the final reply has been written and the connection only waits for the client's close.
   [[nodiscard]] bool lingering() const { return lingering_; }
   [[nodiscard]] bool has_sent_command() const { return command_received_; }
-  /// When its current wait began, in loop time.
+  /// When the wait that the time limits apply to began, in loop time: at the connect, or at the last event
+  /// that restarted it (a command or a part of one, an answer or a part of one, the final reply).
   [[nodiscard]] ev::tstamp waiting_since() const { return waiting_since_; }
   /// Replies with the protocol's error for too many connections, and closes.
   virtual void reject_too_many_clients() = 0;
-  /// Whether the connection can be passed to another process: it has no state beyond transfer_state().
+  /// Whether the connection can be passed to another process, which needs nothing but transfer_state() to
+  /// continue it.
   [[nodiscard]] virtual bool transferable() const { return false; }
   /// Continues a connection that another process has set up; `state` is its transfer_state().
   virtual void continue_transferred(const std::string& /*state*/) {}
@@ -86,13 +89,13 @@
 
   /// Whether a command that exceeds the input buffer is being read into separate memory.
   [[nodiscard]] virtual bool reading_long_command() const { return false; }
-  /// Reserves memory for such a command of `bytes`. On failure reading pauses until memory is available, then
-  /// process_command() is called again.
+  /// Reserves memory for a long command of `bytes`. Returns false if there is none: reading pauses until
+  /// memory is available, then process_command() is called again.
   bool reserve_memory(std::size_t bytes, broker::MemoryBudget::Reservation& out);
   /// To be called when a part of a long command has been taken from in_: its time limit restarts.
   void on_command_progress();
 
-  /// Answers the command just processed.
+  /// Answers the command just processed. The answer is sent after those of earlier commands.
   void reply(std::string bytes);
   /// Sends `bytes`, closes the sending direction and discards further input for a while before closing:
   /// closing with unread input would reset the connection and lose the reply in transit.
@@ -104,7 +107,7 @@
     command_received_ = true;
     waiting_since_ = loop_.now();
   }
-  /// Submits a request to the broker; the result says why it was rejected, if so.
+  /// Submits a request to the broker; returns why the request was rejected, or Rejection::none.
   broker::Rejection submit_request(const StatementInfo& info,
                                    std::shared_ptr<const broker::RequestPayload> payload);
 
@@ -124,28 +127,30 @@
   ClientSet& owner_;
   /// The answer to one command.
   struct Slot {
-    RequestId request{};
-    bool pending = false;  // the answer is not complete
-    std::string output;
+    RequestId request{};     // not set for commands that the gateway answers itself
+    bool pending = false;    // the answer is not complete
+    std::string output;      // the encoded answer, or the part of it that has not been passed to write()
     bool streaming = false;  // part of the answer has been received; in the first slot it is sent at once
   };
+  /// The slot of a pending request; the end of slots_ if there is none.
   [[nodiscard]] std::deque<Slot>::iterator find_slot(RequestId request);
   std::deque<Slot> slots_;               // in the order of commands
   std::size_t pending_requests_ = 0;     // pending slots
   std::size_t queued_answer_bytes_ = 0;  // of answers that wait for an earlier one
-  /// When input was received, up to which offset: a command's deadline counts from its last byte, not from
-  /// when it is processed. Bounded; beyond the bound later bytes count as received with the last entry.
+  /// Offsets into the received bytes, each with the time at which the bytes before it had been received: a
+  /// command's deadline counts from the arrival of its last byte, not from its processing. At most
+  /// max_arrivals entries; bytes beyond them count as received with the last entry.
   std::deque<std::pair<std::uint64_t, Time>> arrivals_;
   std::uint64_t bytes_received_ = 0;  // since the connection was opened
   std::size_t seen_input_ = 0;        // bytes in in_ when it was last processed
   bool final_reply_ = false;          // the last slot holds the final reply
-  bool lingering_ = false;
-  bool draining_ = false;
-  bool processing_ = false;
-  bool command_received_ = false;
-  bool partial_command_ = false;
+  bool lingering_ = false;            // the final reply has been written; input is discarded
+  bool draining_ = false;             // drain() has been called
+  bool processing_ = false;           // process_commands() is running
+  bool command_received_ = false;     // at least one command has been received
+  bool partial_command_ = false;      // nothing is pending and a part of a command has been received
   ev::tstamp waiting_since_;
-  std::size_t discarded_bytes_ = 0;
+  std::size_t discarded_bytes_ = 0;    // while lingering
   std::uint64_t last_bytes_sent_ = 0;  // bytes_sent() when a long answer was last checked for progress
 };
 
@@ -154,7 +159,7 @@
  public:
   /// Creates the client of an accepted connection.
   using Factory = std::function<std::unique_ptr<Client>(Fd fd, ClientSet& owner)>;
-  /// Passes a client's descriptor and transfer state to another process; whether that has received them.
+  /// Passes a client's descriptor and transfer state to another process; returns whether they have been sent.
   using Transfer = std::function<bool(int fd, const std::string& state)>;
   /// Uses `listener` if it is valid, otherwise listens at `address`. Clients are accepted from
   /// start_accepting() on; until then they wait in the listener's queue. Throws std::system_error.
@@ -177,25 +182,27 @@
   /// Stops accepting, keeps the listener open, and transfers each client as it becomes idle. Clients that are
   /// not transferable are closed once idle.
   void start_handover(Transfer transfer);
-  /// The other process is gone: accepts and serves clients again.
+  /// To be called when the other process has ended during the handover: accepts and serves clients again.
   void cancel_handover();
   /// Continues a client that another process has transferred.
   void adopt(Fd fd, const std::string& state);
-  /// `idle_limit`: a number of clients; the time after which idle clients are closed is computed from the
-  /// number of clients relative to `idle_limit` or `max_clients`, whichever is greater.
-  void set_max_clients(std::size_t max_clients, std::size_t idle_limit = 0) {
+  /// Sets the limit on active_count(). The idle timeout of clients shrinks as their number approaches
+  /// `idle_timeout_limit` or `max_clients`, whichever is greater (see broker::IdleConnectionLimits).
+  void set_max_clients(std::size_t max_clients, std::size_t idle_timeout_limit = 0) {
     max_clients_ = max_clients;
-    idle_limit_ = std::max(max_clients, idle_limit);
+    idle_timeout_limit_ = std::max(max_clients, idle_timeout_limit);
   }
-  /// The callback runs when a client has connected, before it is counted; it may change the limit.
-  void on_new_client(std::function<void()> callback) { new_client_ = std::move(callback); }
+  /// Sets the callback that runs when a client has connected, before the client is counted; it may change the
+  /// limit.
+  void set_new_client_callback(std::function<void()> callback) { new_client_ = std::move(callback); }
   /// Clients that count towards the limit: all but lingering ones.
   [[nodiscard]] std::size_t active_count() const { return clients_.size() - lingering_; }
   [[nodiscard]] std::size_t max_clients() const { return max_clients_; }
+  /// All clients, with lingering ones.
   [[nodiscard]] std::size_t size() const { return clients_.size(); }
   /// To be called by a client that has closed.
   void remove(Client* client);
-  /// To be called by a client that starts lingering. If too many linger, the one that has done so longest is
+  /// To be called by a client that starts lingering. If too many linger, the one that has lingered longest is
   /// closed.
   void on_lingering(Client* client);
   /// The memory for long commands.
@@ -217,17 +224,18 @@
   ev::loop_ref loop_;
   Reaper& reaper_;
   broker::Broker& broker_;
-  std::size_t max_clients_, idle_limit_;
+  std::size_t max_clients_, idle_timeout_limit_;
   std::function<void()> new_client_;
   Factory factory_;
   Fd listener_;
   ev::io io_;
-  ev::timer accept_pause_, sweep_;
+  ev::timer accept_pause_;  // runs while accepting is paused
+  ev::timer sweep_;
   broker::IdleConnectionLimits idle_limits_;
   std::shared_ptr<broker::MemoryBudget> memory_budget_;  // reservations may outlive this object
-  ev::timer memory_freed_;
-  std::size_t lingering_ = 0;
-  Transfer transfer_;  // set during a handover
+  ev::timer memory_freed_;                               // runs on_memory_freed() from the event loop
+  std::size_t lingering_ = 0;                            // number of lingering clients
+  Transfer transfer_;                                    // set during a handover
   std::unordered_map<Client*, std::unique_ptr<Client>> clients_;
 };
 
--- a/src/wire/pg_host.cpp
+++ b/src/wire/pg_host.cpp
@@ -86,7 +86,7 @@
   part += in.substr(0, count);
   in_.consume(count);
   row_remaining_ -= count;
-  return part.empty() || pass(part);
+  return part.empty() || forward_answer_part(part);
 }
 
 void PgHost::on_input() {
--- a/src/wire/upstream.cpp
+++ b/src/wire/upstream.cpp
@@ -8,19 +8,23 @@
 
 using broker::AttemptResult;
 
-constexpr double stream_stall_timeout_s = 10;  // that a host may pause within a streamed value
+constexpr double stream_stall_timeout_s = 10;  // between two parts of a streamed answer
 /// One in this many connections is reserved for probes.
 constexpr std::size_t probe_reserve = 8;
 constexpr std::size_t message_overhead = 16;  // bytes that a message may have beside its content
 constexpr double sweep_interval_s = 1;
 
-double seconds(Duration d) { return std::max(0.0, static_cast<double>(d.count()) / 1e6); }
+/// The duration as the event loop takes it; 0 if it is negative.
+double seconds(Duration duration) {
+  constexpr double us_per_s = 1e6;
+  return std::max(0.0, static_cast<double>(duration.count()) / us_per_s);
+}
 
 /// The outcome of an attempt whose connection failed or timed out; outcomes that hosts report are mapped by
 /// each protocol's codec. If the connection was refused, not established, or failed before the last byte of
 /// the request was sent, the request did not run.
-Outcome outcome_of_loss(bool submitted, bool timed_out) {
-  if (!submitted) return Outcome::connect_failed;
+Outcome outcome_of_loss(bool request_sent, bool timed_out) {
+  if (!request_sent) return Outcome::connect_failed;
   return timed_out ? Outcome::timeout : Outcome::reset;
 }
 
@@ -96,17 +100,17 @@
 void HostConnection::on_timeout(ev::timer&, int) {
   if (!job_) return;
   AttemptResult result;
-  result.outcome = outcome_of_loss(submitted_ && out_.empty(), true);
+  result.outcome = outcome_of_loss(request_sent(), true);
   result.connect_timed_out = true;
   if (!handshake_done_) owner_.adaptive_connect_timeout().timed_out();
   finish(std::move(result), false);
 }
 
-bool HostConnection::pass(std::string_view bytes) {
+bool HostConnection::forward_answer_part(std::string_view bytes) {
   streaming_ = true;
   const bool read_on = owner_.on_answer_part(*job_, bytes);
   if (closed() || !job_) return false;
-  // While the client does not read, the host must not time out.
+  // No timeout may end the attempt while the host waits for the client to read.
   if (read_on) {
     timer_.start(stream_stall_timeout_s);
   } else {
@@ -139,16 +143,16 @@
 
 void HostConnection::protocol_error() {
   if (!closed()) close();
-  end(std::nullopt);
+  on_closed(std::nullopt);
 }
 
-void HostConnection::on_end(int) { end(received_result()); }
+void HostConnection::on_end(int) { on_closed(received_result()); }
 
-void HostConnection::end(std::optional<AttemptResult> result) {
+void HostConnection::on_closed(std::optional<AttemptResult> result) {
   if (!job_) return owner_.remove(this);
   if (!result) {
     result.emplace();
-    result->outcome = outcome_of_loss(submitted_ && out_.empty(), false);
+    result->outcome = outcome_of_loss(request_sent(), false);
   }
   finish(std::move(*result), false);
 }
@@ -173,7 +177,7 @@
 /// has become lower than the router knows.
 void SocketUpstream::apply_limit() {
   limit_ = std::max<std::size_t>(
-      1, static_cast<std::size_t>(static_cast<double>(options_.max_connections) * factor_));
+      1, static_cast<std::size_t>(static_cast<double>(options_.max_connections) * limit_factor_));
   if (broker_) broker_->set_max_in_flight(limit_ - limit_ / probe_reserve);
 }
 
@@ -198,8 +202,8 @@
 
 void SocketUpstream::run(HostId host, const std::string& address, Job job) {
   auto* connection = pool_.take(host);
-  // If the host has just closed the connection, the loop has not reported it yet: a request written now would
-  // count as possibly executed.
+  // The host may have closed the connection without the event loop having reported that yet: a request
+  // written now would count as possibly executed.
   while (connection && connection->has_pending_input()) {
     close(connection);
     connection = pool_.take(host);
@@ -311,7 +315,8 @@
   broker_->timer_fired();
 }
 
-/// Idle connections are closed well before the host would close them: a request written then would be lost.
+/// Idle connections are closed after half the idle timeout, well before the host would close them: a request
+/// written at that moment would be lost.
 void SocketUpstream::sweep(ev::timer&, int) {
   for (auto* idle : pool_.take_expired(clock_() - options_.idle_timeout / 2)) close(idle);
 }
--- a/src/wire/upstream.h
+++ b/src/wire/upstream.h
@@ -21,26 +21,27 @@
 
 /// The task of a host connection: an attempt of a request, or a probe.
 struct Job {
-  std::optional<broker::AttemptKey> attempt;  // absent: a probe
-  std::shared_ptr<const broker::RequestPayload> payload;
+  std::optional<broker::AttemptKey> attempt;              // absent: a probe
+  std::shared_ptr<const broker::RequestPayload> payload;  // null for a probe
   Time started_at{};
   Time give_up_at{};  // applies until the first part of a streamed answer; then only a stall ends the attempt
-  bool sole_candidate = true;  // see cedarring::Send; also set for probes
+  bool sole_candidate = true;  // the full connect timeout applies, see cedarring::Send; set for probes, too
 };
 
-/// One connection to a host. It executes a job from connecting to the complete answer and never resends a
-/// request. Subclasses speak the protocol.
+/// One connection to a host. It executes one job at a time, up to the complete answer, and never resends a
+/// request. The first job begins with the connect and the handshake. Subclasses implement the protocol.
 class HostConnection : public Connection {
  public:
   /// `max_message`: bytes of the longest message that fits the input buffer.
   HostConnection(ev::loop_ref loop, Fd fd, HostId host, SocketUpstream& owner, std::size_t max_message);
+  /// Starts a job on a new or idle connection. Its request is sent once the handshake is complete.
   void run(Job job);
   /// Closes the connection and drops its job without reporting a result; the owner removes it.
   void abandon();
   /// To be called when the host is draining, gone or has another address: a job whose request has not been
-  /// written yet ends as not sent; any other job is completed. The connection is not reused.
+  /// submitted yet ends as not sent; any other job is completed. The connection is not reused.
   void retire();
-  /// The client has read enough of a streamed answer: reads on.
+  /// To be called when the client has read enough of a streamed answer: reads on.
   void resume();
   [[nodiscard]] HostId host() const { return host_; }
 
@@ -57,7 +58,7 @@
   void on_sent() final;
   /// To be called when the connection has closed: finishes the job with `result`, or, if there is none, with
   /// the outcome that a lost connection implies. Without a job, only removes the connection.
-  void end(std::optional<broker::AttemptResult> result);
+  void on_closed(std::optional<broker::AttemptResult> result);
   /// To be called when the host has completed the handshake.
   void on_handshake_done();
   /// Writes the last or only part of the request: once its last byte is sent the request may run.
@@ -66,12 +67,12 @@
   /// only if `keep` is set and no unexpected bytes are left on it, which would be taken for part of the next
   /// answer.
   void finish(broker::AttemptResult result, bool keep);
-  /// Passes a part of a long answer on. From the first part on only a stalled host ends the attempt. Returns
-  /// false if the connection has to wait: nothing is read until on_resume().
-  bool pass(std::string_view bytes);
-  /// Reading goes on after pass() has returned false.
+  /// Passes a part of a long answer to the client. From the first part on only a stalled host ends the
+  /// attempt. Returns false if the connection has ended or has to wait: nothing is read until on_resume().
+  bool forward_answer_part(std::string_view bytes);
+  /// Called when reading goes on after forward_answer_part() has returned false.
   virtual void on_resume() {}
-  /// The output buffer has been sent while the job's request has not been submitted completely.
+  /// Called when the output buffer has been sent while the job's request has not been submitted completely.
   virtual void on_writable() {}
   /// Ends a connection that has violated the protocol; what it had sent of the job's answer is discarded.
   void protocol_error();
@@ -83,10 +84,14 @@
   bool submitted_ = false;  // the last part of the request has been passed to write()
 
  private:
+  /// Ends the job: the connect, the answer or the next part of a streamed answer has taken too long.
   void on_timeout(ev::timer&, int);
+  /// Starts the timer of the job's connect or answer.
   void start_timer();
-  bool retired_ = false;  // not to be reused after the current job
-  bool streaming_ = false;
+  /// Whether the last byte of the request has been passed to the kernel, so that the request may run.
+  [[nodiscard]] bool request_sent() const { return submitted_ && out_.empty(); }
+  bool retired_ = false;        // not to be reused after the current job
+  bool streaming_ = false;      // a part of the job's answer has been forwarded
   bool sent_reported_ = false;  // the broker knows that the request has been sent completely
   SocketUpstream& owner_;
   HostId host_;
@@ -96,9 +101,10 @@
 /// The broker's upstream: opens, reuses and closes host connections.
 class SocketUpstream : public broker::Upstream {
  public:
+  /// Limits on the connections to all hosts; Duration counts microseconds.
   struct Options {
-    Duration connect_timeout{250'000};
-    Duration idle_timeout{30'000'000};
+    Duration connect_timeout{250'000};  // from the start of a connect to the end of the handshake
+    Duration idle_timeout{30'000'000};  // idle connections are closed after half of it
     std::size_t max_connections = 300;
   };
   using Clock = broker::Broker::Clock;
@@ -112,17 +118,17 @@
     broker_ = &broker;
     apply_limit();
   }
-  /// Multiplies the connection limit by `factor`. Connections above the new limit are closed when they become
-  /// idle, or when an idle one must make room for a new one.
+  /// Sets the connection limit to max_connections times `factor`, regardless of earlier factors. Connections
+  /// above the new limit are closed when they become idle, or when an idle one must make room for a new one.
   void scale_limit(double factor) {
-    factor_ = factor;
+    limit_factor_ = factor;
     apply_limit();
   }
 
-  /// true while another process takes over: idle connections are closed at once, others as they become idle.
-  /// false: connections are pooled again.
+  /// Set while another process takes over: idle connections are closed at once, others as they become idle.
+  /// When it is no longer set, connections are pooled again.
   void set_draining(bool draining);
-  /// Apply from the next connection or sweep on.
+  /// Sets the timeouts that apply from the next connection or sweep on.
   void set_timeouts(Duration connect_timeout, Duration idle_timeout) {
     options_.connect_timeout = connect_timeout;
     options_.idle_timeout = idle_timeout;
@@ -153,7 +159,8 @@
   [[nodiscard]] Time now() const { return clock_(); }
   [[nodiscard]] const Options& options() const { return options_; }
   fleet::AdaptiveConnectTimeout& adaptive_connect_timeout() { return adaptive_connect_timeout_; }
-  /// A job is done; the connection becomes idle if `keep`, else it is destroyed.
+  /// Reports the result of a finished job to the broker. The connection becomes idle if `keep` is set and it
+  /// is within the limit; otherwise it is removed.
   void on_job_done(HostConnection* connection, const Job& job, broker::AttemptResult result, bool keep);
   /// Removes a connection that is closed already; the reaper destroys it later.
   void remove(HostConnection* connection);
@@ -170,25 +177,27 @@
   void on_timer(ev::timer&, int);
   void sweep(ev::timer&, int);
   void start_timer();
+  /// Computes the connection limit and tells the broker how many attempts may be in flight within it.
+  void apply_limit();
 
   ev::loop_ref loop_;
   Reaper& reaper_;
   Clock clock_;
   Options options_;
   fleet::AdaptiveConnectTimeout adaptive_connect_timeout_;
-  void apply_limit();
-  std::size_t limit_;  // options_.max_connections times factor_
-  double factor_ = 1;
+  std::size_t limit_;  // options_.max_connections times limit_factor_, at least 1
+  double limit_factor_ = 1;
   std::function<void()> limit_reached_;
   bool draining_ = false;
   Factory factory_;
   std::function<void()> open_watch_;
   broker::Broker* broker_ = nullptr;
   std::unordered_map<HostConnection*, std::unique_ptr<HostConnection>> connections_;
-  std::map<std::pair<std::uint64_t, std::uint32_t>, HostConnection*>
-      attempts_;  // by request and attempt number
+  // The connections that execute attempts, by request and attempt number.
+  std::map<std::pair<std::uint64_t, std::uint32_t>, HostConnection*> attempts_;
   broker::IdlePool<HostConnection> pool_;
-  ev::timer timer_, sweep_;
+  ev::timer timer_;  // of the broker, see set_timer()
+  ev::timer sweep_;
   Time timer_due_{};
 };
 
