--- a/src/wire/discovery.cpp
+++ b/src/wire/discovery.cpp
@@ -13,22 +13,27 @@
 constexpr std::size_t max_object_size = std::size_t{1} << 20U;  // bytes
 /// Start times from this on (milliseconds since 1970) are ignored as invalid.
 constexpr double max_started_ms = 1e13;
-constexpr std::size_t input_buffer_size = 65536;
-constexpr std::size_t output_buffer_size = 4096;
+constexpr std::size_t input_buffer_size = 65536;  // bytes
+constexpr std::size_t output_buffer_size = 4096;  // bytes
+constexpr double us_per_s = 1e6;
+constexpr double us_per_ms = 1000;
 
-double seconds(Duration duration) { return static_cast<double>(duration.count()) / 1e6; }
+double seconds(Duration duration) { return static_cast<double>(duration.count()) / us_per_s; }
 
+/// The string of that name in a JSON object; empty if there is none.
 std::string string_member(const rapidjson::Value& entry, const char* name) {
   const auto it = entry.FindMember(name);
   return it != entry.MemberEnd() && it->value.IsString()
              ? std::string(it->value.GetString(), it->value.GetStringLength())
              : std::string();
 }
+/// The number of that name in a JSON object; `fallback` if there is none.
 double number_member(const rapidjson::Value& entry, const char* name, double fallback) {
   const auto it = entry.FindMember(name);
   return it != entry.MemberEnd() && it->value.IsNumber() ? it->value.GetDouble() : fallback;
 }
 
+/// Parses one entry of a list; false if it cannot be used.
 bool parse_member(const rapidjson::Value& entry, broker::Member& member) {
   if (!entry.IsObject()) return false;
   member.id = string_member(entry, "id");
@@ -47,9 +52,9 @@
     return false;
   member.weight = number_member(entry, "weight", 1);
   member.primary = string_member(entry, "recovery") == "off";
-  const double started = number_member(entry, "started_ms", 0);
-  if (started > 0 && started < max_started_ms)
-    member.started_at = Time(static_cast<std::int64_t>(started * 1000));
+  const double started_ms = number_member(entry, "started_ms", 0);
+  if (started_ms > 0 && started_ms < max_started_ms)
+    member.started_at = Time(static_cast<std::int64_t>(started_ms * us_per_ms));
   // A host that gets no new requests needs no address.
   if (member.state != HostState::ready && !valid_address(member.address)) member.address.clear();
   return !member.id.empty() && (member.state != HostState::ready || valid_address(member.address));
@@ -147,6 +152,7 @@
   return partial_.size() > max_object_size ? Result::malformed : Result::incomplete;
 }
 
+/// Sends the request, decodes the response and reports its lists and heartbeats to the watch.
 class DiscoveryWatch::Stream : public Connection {
  public:
   Stream(ev::loop_ref loop, Fd fd, std::string request, DiscoveryWatch& owner)
@@ -169,17 +175,18 @@
   }
   void on_input() override {
     static const http_parser_settings settings = [] {
-      http_parser_settings s;
-      http_parser_settings_init(&s);
-      s.on_headers_complete = [](http_parser* p) { return p->status_code == 200 ? 0 : -1; };
-      s.on_body = [](http_parser* p, const char* at, std::size_t n) {
-        return static_cast<Stream*>(p->data)->body({at, n}) ? 0 : -1;
+      // Callbacks return 0 to go on and -1 to stop the parser.
+      http_parser_settings callbacks;
+      http_parser_settings_init(&callbacks);
+      callbacks.on_headers_complete = [](http_parser* p) { return p->status_code == 200 ? 0 : -1; };
+      callbacks.on_body = [](http_parser* p, const char* at, std::size_t n) {
+        return static_cast<Stream*>(p->data)->read_body({at, n}) ? 0 : -1;
       };
-      s.on_message_complete = [](http_parser* p) {
+      callbacks.on_message_complete = [](http_parser* p) {
         static_cast<Stream*>(p->data)->complete_ = true;
         return 0;
       };
-      return s;
+      return callbacks;
     }();
     const auto in = in_.view();
     const auto used = http_parser_execute(&parser_, &settings, in.data(), in.size());
@@ -189,9 +196,9 @@
     if (malformed || complete_) owner_.on_stream_end(false);
   }
   void on_end(int) override { owner_.on_stream_end(false); }
-  /// Only complete objects and heartbeats count as activity: an endless object would otherwise keep a useless
-  /// watch open.
-  bool body(std::string_view bytes) {
+  /// Reports the lists and heartbeats in a part of the body; false if the watch has to end. Only complete
+  /// objects and heartbeats count as activity: an endless object would otherwise keep a useless watch open.
+  bool read_body(std::string_view bytes) {
     std::string object;
     for (;;) {
       switch (splitter_.next(bytes, object)) {
@@ -217,7 +224,7 @@
   DiscoveryWatch& owner_;
   http_parser parser_{};
   ObjectSplitter splitter_;
-  bool complete_ = false;
+  bool complete_ = false;  // the response has ended
 };
 
 DiscoveryWatch::DiscoveryWatch(ev::loop_ref loop, Reaper& reaper, std::string address, std::uint64_t version,
@@ -317,9 +324,10 @@
     callbacks_.on_failure();
 }
 
-/// A watch on a machine that was cut off from the network would stay silent for ever. If it has sent
-/// something before, it is reopened at once, since the gateway is expected to know the changes that it misses
-/// a few seconds later; otherwise the attempt to open it counts as failed.
+/// The watch has been silent for too long; to a machine that was cut off from the network it would stay
+/// silent for ever. A watch that has delivered something before is reopened at once, since the gateway is
+/// expected to know all changes after a few seconds; for any other watch the attempt to open it counts as
+/// failed.
 void DiscoveryWatch::on_silence(ev::timer&, int) { on_stream_end(answered_); }
 
 }  // namespace cedarring::wire
--- a/src/wire/handover.cpp
+++ b/src/wire/handover.cpp
@@ -17,12 +17,13 @@
 
 constexpr std::string_view format_marker = "cedarring1";  // the number is that of the packet format
 constexpr std::size_t max_descriptors = 4;                // per packet
-constexpr std::size_t header_overhead = 256;              // bytes of a packet beside its text, at most
+constexpr std::size_t max_head_size = 256;                // bytes before the text of a packet
 constexpr std::size_t checksum_size = 16;                 // hexadecimal digits
 constexpr mode_t owner_only_mask = 0177;
 constexpr int listen_backlog = 4;
 constexpr int packets_per_event = 64;
 
+/// The XXH64 hash of the text, in hexadecimal.
 std::string checksum(std::string_view text) {
   char hex[checksum_size + 1];
   std::snprintf(hex, sizeof hex, "%016llx",
@@ -30,8 +31,8 @@
   return hex;
 }
 
-/// The address of a socket, with its folder given by descriptor: a socket path may have 107 bytes, a folder
-/// path more.
+/// The address of a Unix socket, with its directory given by a descriptor: a socket address takes a path of
+/// 107 bytes, and the path of the directory may be longer.
 struct SocketAddress {
   Fd dir;
   sockaddr_un address{};
@@ -46,10 +47,10 @@
 
 Fd packet_socket() { return Fd(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)); }
 
-/// Receives one packet; returns -1 with errno set, 0 at the end of the link, else 1. An invalid packet has an
-/// empty kind.
+/// Receives one packet without blocking. Returns 1 if there was one, 0 at the end of the link, and -1 with
+/// errno set on failure. The kind of an invalid packet is empty.
 int receive_packet(int fd, Packet& out) {
-  std::vector<char> bytes(max_packet_text + header_overhead);
+  std::vector<char> bytes(max_packet_text + max_head_size);
   alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int) * max_descriptors)];
   iovec region{bytes.data(), bytes.size()};
   msghdr message{};
@@ -57,8 +58,8 @@
   message.msg_iovlen = 1;
   message.msg_control = control;
   message.msg_controllen = sizeof control;
-  const auto n = ::recvmsg(fd, &message, MSG_DONTWAIT | MSG_CMSG_CLOEXEC);
-  if (n <= 0) return static_cast<int>(n);
+  const auto received = ::recvmsg(fd, &message, MSG_DONTWAIT | MSG_CMSG_CLOEXEC);
+  if (received <= 0) return static_cast<int>(received);
   std::vector<Fd> fds;
   for (auto* header = CMSG_FIRSTHDR(&message); header; header = CMSG_NXTHDR(&message, header)) {
     if (header->cmsg_level != SOL_SOCKET || header->cmsg_type != SCM_RIGHTS) continue;
@@ -71,7 +72,7 @@
   }
   auto packet = (message.msg_flags & (MSG_TRUNC | MSG_CTRUNC)) != 0
                     ? std::nullopt
-                    : decode_packet({bytes.data(), static_cast<std::size_t>(n)});
+                    : decode_packet({bytes.data(), static_cast<std::size_t>(received)});
   out = packet ? std::move(*packet) : Packet{};
   out.fds = std::move(fds);
   return 1;
@@ -87,9 +88,10 @@
 }
 
 std::optional<Packet> decode_packet(std::string_view bytes) {
-  const auto head = format_marker.size() + 1 + checksum_size + 1;
-  if (bytes.size() < head || bytes.substr(0, format_marker.size()) != format_marker) return std::nullopt;
-  const auto body = bytes.substr(head);
+  const auto body_offset = format_marker.size() + 1 + checksum_size + 1;
+  if (bytes.size() < body_offset || bytes.substr(0, format_marker.size()) != format_marker)
+    return std::nullopt;
+  const auto body = bytes.substr(body_offset);
   if (bytes.substr(format_marker.size() + 1, checksum_size) != checksum(body)) return std::nullopt;
   const auto space = body.find(' ');
   if (space == 0 || space == std::string_view::npos) return std::nullopt;
@@ -131,7 +133,7 @@
   if (fd_.get() < 0) return;
   auto bytes = encode_packet(kind, text);
   if (queue_.empty() && send_packet(bytes, fd)) return;
-  // A peer that does not read loses packets: its state becomes stale, but this process is not held up.
+  // A peer that does not read loses packets: its state becomes stale, but this process is not delayed.
   if (queued_bytes_ + bytes.size() > max_link_bytes) return;
   queued_bytes_ += bytes.size();
   queue_.emplace_back(std::move(bytes), Fd(fd >= 0 ? ::fcntl(fd, F_DUPFD_CLOEXEC, 0) : -1));
@@ -149,9 +151,9 @@
   if ((events & ev::READ) == 0) return;
   for (int i = 0; i < packets_per_event; ++i) {
     Packet packet;
-    const int n = receive_packet(fd_.get(), packet);
-    if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
-    if (n <= 0 || packet.kind.empty()) return end();
+    const int status = receive_packet(fd_.get(), packet);
+    if (status < 0 && (errno == EAGAIN || errno == EINTR)) return;
+    if (status <= 0 || packet.kind.empty()) return end();
     callbacks_.on_packet(std::move(packet));
   }
 }
@@ -160,7 +162,7 @@
   io_.stop();
   fd_.reset();
   queue_.clear();
-  const auto on_end = callbacks_.on_end;
+  const auto on_end = callbacks_.on_end;  // copied, since the call may destroy the link
   on_end();
 }
 
@@ -204,9 +206,9 @@
     if (remaining_ms <= 0 || ::poll(&descriptor, 1, static_cast<int>(remaining_ms) + 1) <= 0)
       return std::nullopt;
     Packet packet;
-    const int n = receive_packet(handover.link.get(), packet);
-    if (n < 0 && (errno == EAGAIN || errno == EINTR)) continue;
-    if (n <= 0) return std::nullopt;
+    const int status = receive_packet(handover.link.get(), packet);
+    if (status < 0 && (errno == EAGAIN || errno == EINTR)) continue;
+    if (status <= 0) return std::nullopt;
     if (packet.kind == "listener" && packet.fds.size() == 1) {
       handover.listeners.emplace_back(packet.text, std::move(packet.fds[0]));
     } else if (packet.kind == "state") {
@@ -215,7 +217,7 @@
     } else if (packet.kind == "whole") {
       return handover;
     } else {
-      return std::nullopt;  // invalid, or a format unknown to this build
+      return std::nullopt;  // invalid, or of a kind that this build does not know
     }
   }
 }
--- a/src/wire/handover.h
+++ b/src/wire/handover.h
@@ -17,28 +17,38 @@
 
 namespace cedarring::wire {
 
-inline constexpr std::size_t max_packet_text = 60'000;  // bytes
-/// Bytes that may wait to be sent on a link, and that the transferred state may have in total.
+inline constexpr std::size_t max_packet_text = 60'000;  // bytes that the sender may put into one packet
+/// Bytes that may wait to be sent on a link, and that the transferred state may have in all its packets.
 inline constexpr std::size_t max_link_bytes = std::size_t{8} << 20U;
 
-/// One message of the link. The kinds; "the new process" is the successor:
-/// - From the serving process: "parts" (a part of the sections that the next "yes" or "booked" completes),
-///   "listener" (text: the front's name, followed by " updates" for the socket of DNS
-///   updates; with the descriptor), "state" (a part of the JSON state), "whole" (the state is complete),
-///   "yes" (answers "ready"; the parts sent hold the new process's share of the budgets), "booked" (the parts
-///   sent hold its contract counts since the split, when it ends), "client" (front and transfer state; with
-///   the descriptor), "stopped" (accepts no more clients; the number of clients still to be transferred).
-/// - From the new process: "ready" (requests its share of the budgets), "serving" (accepts clients).
-/// - From either: "commit" (front and a session's position), "hosts" (front and ejections), "out" and "back"
-///   (a host disabled or enabled by an operator), "role" (role and host, as observed).
+/// One message of the link. A front end is given by its name. The kinds, with their texts:
+/// - From the serving process:
+///   - "listener": a front end, with its listener as descriptor; or, with " updates" behind the name, the
+///     socket that receives its DNS updates.
+///   - "state": a part of the JSON state.
+///   - "whole": no text; the state is complete.
+///   - "parts": a part of the sections that the next "yes" or "booked" completes.
+///   - "yes": no text; answers "ready". The sections sent hold the new process's share of the budgets.
+///   - "booked": no text; sent when the serving process ends. The sections sent hold its contract counts
+///     since the budgets were split.
+///   - "client": a front end and a client's transfer state; the descriptor is the client's connection.
+///   - "stopped": the number of clients still to be transferred; the sender accepts no more clients.
+/// - From the new process:
+///   - "ready": no text; requests its share of the budgets.
+///   - "serving": no text; the sender accepts clients.
+/// - From either:
+///   - "commit": a front end and the position of a session.
+///   - "hosts": a front end and the ejected hosts.
+///   - "out", "back": a host that an operator has disabled or enabled.
+///   - "role": a role and the host that has been observed in it.
 struct Packet {
   std::string kind, text;
-  std::vector<Fd> fds;
+  std::vector<Fd> fds;  // the descriptors passed with the message
 };
 
 /// Encodes a packet with format version and checksum.
 std::string encode_packet(std::string_view kind, std::string_view text);
-/// Decodes a packet; nothing if it has another format version or a wrong checksum.
+/// Decodes a packet; nothing if it is malformed or has another format version or a wrong checksum.
 std::optional<Packet> decode_packet(std::string_view bytes);
 
 /// One end of the link.
@@ -46,12 +56,13 @@
  public:
   struct Callbacks {
     std::function<void(Packet)> on_packet;
-    std::function<void()> on_end;  // may destroy the link
+    /// The other process has closed the link, or the link has failed. May destroy the link.
+    std::function<void()> on_end;
   };
   HandoverLink(ev::loop_ref loop, Fd fd, Callbacks callbacks);
-  /// Sends the packet at once or queues it. It is dropped without notice if more than max_link_bytes would be
-  /// queued, since a peer that does not read must not hold this process up. A descriptor is duplicated if it
-  /// has to wait.
+  /// Sends the packet, with the descriptor `fd` unless it is -1, at once or queues it. The packet is dropped
+  /// without notice if more than max_link_bytes would be queued, since a peer that does not read must not
+  /// delay this process. The descriptor of a queued packet is duplicated, so the caller may close `fd`.
   void send(std::string_view kind, std::string_view text = {}, int fd = -1);
   /// Sends the packet at once or not at all. On success the kernel holds it for the other process, along with
   /// the descriptor.
@@ -59,21 +70,24 @@
 
  private:
   void on_ready(ev::io&, int events);
+  /// Sends an encoded packet; false if the socket does not take it now.
   bool send_packet(const std::string& bytes, int fd);
+  /// Closes the link and calls on_end.
   void end();
   ev::loop_ref loop_;
   Fd fd_;
   ev::io io_;
   Callbacks callbacks_;
-  std::deque<std::pair<std::string, Fd>> queue_;
-  std::size_t queued_bytes_ = 0;
+  std::deque<std::pair<std::string, Fd>> queue_;  // encoded packets to be sent, with their descriptors
+  std::size_t queued_bytes_ = 0;                  // of these packets
 };
 
 /// The socket on which the serving process waits for a successor.
 class HandoverListener {
  public:
+  /// Takes the connection of a successor.
   using OnConnection = std::function<void(Fd)>;
-  /// Listens at `dir`/`name`, replacing any previous socket there. Null if Unix sockets are not available
+  /// Listens at `dir`/`name`, replacing any previous socket there. Null if no Unix socket can be opened
   /// there.
   static std::unique_ptr<HandoverListener> open(ev::loop_ref loop, const std::string& dir,
                                                 const std::string& name, OnConnection on_connection);
@@ -88,12 +102,13 @@
 
 /// What a new process receives from the serving one at its start.
 struct ReceivedHandover {
-  std::vector<std::pair<std::string, Fd>> listeners;  // by front
-  std::string state;
-  Fd link;  // stays open for a HandoverLink
+  std::vector<std::pair<std::string, Fd>> listeners;  // with the texts of their "listener" packets
+  std::string state;                                  // JSON
+  Fd link;                                            // stays open for a HandoverLink
 };
-/// Requests the handover and waits for it; nothing if no process listens or the handover is not complete
-/// within `timeout_s` seconds.
+/// Connects to the process that listens at `dir`/`name` and receives its handover. Blocks. Nothing if no
+/// process listens, if it sends anything invalid, or if the handover is not complete within `timeout_s`
+/// seconds.
 std::optional<ReceivedHandover> receive_handover(const std::string& dir, const std::string& name,
                                                  double timeout_s);
 
--- a/src/wire/zone_source.h
+++ b/src/wire/zone_source.h
@@ -15,12 +15,12 @@
 class ZoneSource {
  public:
   using ListCallback = std::function<void(const broker::MemberList&)>;
-  /// Updates are not authenticated, so `address` has to be a loopback address. `inherited`: a socket bound
-  /// there by another process of this gateway, used in place of a new one. Throws std::system_error if the
-  /// address cannot be bound.
+  /// Receives updates at `address`, which has to be a loopback address, since updates are not authenticated.
+  /// `inherited`: a socket that another process of this gateway has bound there, used in place of a new one.
+  /// Throws std::system_error if the address cannot be bound.
   ZoneSource(ev::loop_ref loop, const std::string& address, dns::Zone zone, ListCallback on_list,
              Fd inherited = Fd());
-  /// Stops or resumes reading, for the time in which another process reads the updates.
+  /// Stops (true) or resumes (false) reading, for the time in which another process reads the updates.
   void pause(bool paused) { paused ? io_.stop() : io_.start(fd_.get(), ev::READ); }
   [[nodiscard]] const Fd& socket() const { return fd_; }
   /// The current member list.
@@ -30,7 +30,7 @@
  private:
   void on_readable(ev::io&, int);
   dns::Zone zone_;
-  std::uint64_t version_ = 1;
+  std::uint64_t version_ = 1;  // of the member list; counts the changes of the zone
   ListCallback on_list_;
   Fd fd_;
   ev::io io_;
