--- a/src/wire/dns.cpp
+++ b/src/wire/dns.cpp
@@ -17,16 +17,25 @@
 constexpr std::size_t max_label_size = 63;
 constexpr std::size_t max_text_size = 255;  // of one string of a TXT record
 constexpr std::size_t message_header_size = 12;
-constexpr std::size_t soa_numbers_size = 20;  // serial, refresh, retry, expire, minimum: the end of SOA data
-constexpr std::size_t srv_numbers_size = 6;   // priority, weight, port: the start of SRV data
+constexpr std::size_t message_id_size = 2;  // at the start of the header
+constexpr std::size_t ipv4_size = 4;
+constexpr std::size_t ipv6_size = 16;
+constexpr std::size_t mx_preference_size = 2;  // the start of MX data
+constexpr std::size_t soa_numbers_size = 20;   // serial, refresh, retry, expire, minimum: the end of SOA data
+constexpr std::size_t serial_size = 4;
+constexpr std::size_t srv_numbers_size = 6;  // priority, weight, port: the start of SRV data
+constexpr std::size_t srv_priority_offset = 0;
 constexpr std::size_t srv_weight_offset = 2;
 constexpr std::size_t srv_port_offset = 4;
 
 constexpr unsigned char pointer_mark = 0xc0;    // the top bits of a compression pointer
 constexpr std::uint32_t pointer_mask = 0x3fff;  // its offset into the message
 constexpr unsigned opcode_update = 5;
-constexpr unsigned char response_flag = 0x80;  // in the third byte of a message
-constexpr unsigned char opcode_mask = 0x78;    // in the same byte
+constexpr unsigned opcode_shift = 11;  // of the opcode in the flags of the header, a 16-bit field
+constexpr std::uint32_t max_opcode = 0xf;
+constexpr std::size_t flags_offset = 2;        // of the first byte of the flags in a message
+constexpr unsigned char response_flag = 0x80;  // in this byte
+constexpr unsigned char opcode_mask = 0x78;    // in this byte
 constexpr std::int64_t max_ttl = 0x7fffffff;   // seconds
 constexpr std::int64_t max_u16 = 0xffff;
 constexpr std::int64_t max_u32 = 0xffffffff;
@@ -34,6 +43,8 @@
 constexpr std::uint16_t last_meta_type = 254;
 constexpr std::int64_t started_limit_ms = 10'000'000'000'000;  // larger times do not fit the router's clock
 
+// Numbers of 16 and 32 bits in network byte order.
+
 void put16(std::string& out, std::uint32_t value) {
   out += static_cast<char>(value >> 8U & 0xffU);
   out += static_cast<char>(value & 0xffU);
@@ -49,7 +60,7 @@
 std::uint32_t get32(std::string_view in, std::size_t at) { return get16(in, at) << 16U | get16(in, at + 2); }
 char to_lower(char c) { return static_cast<char>(std::tolower(static_cast<unsigned char>(c))); }
 
-/// Whether `name` is `origin` or below it.
+/// Whether `name` is `origin` or below it; both are given as on the wire.
 bool in_zone(std::string_view name, std::string_view origin) {
   while (name.size() > origin.size()) name.remove_prefix(1U + static_cast<unsigned char>(name[0]));
   return name == origin;
@@ -82,31 +93,32 @@
   /// A name, uncompressed and in lower case.
   std::string name() {
     std::string out;
-    std::size_t at = at_;
+    std::size_t label_at = at_;
     std::size_t lowest_target = at_;
-    bool pointer_followed = false;
+    bool pointer_followed = false;  // at_ is behind the name already
     while (ok_) {
-      if (at >= in_.size()) return fail();
-      const auto length = static_cast<unsigned char>(in_[at]);
+      if (label_at >= in_.size()) return fail();
+      const auto length = static_cast<unsigned char>(in_[label_at]);
       if (length >= pointer_mark) {
-        if (at + 2 > in_.size()) return fail();
-        const auto target = get16(in_, at) & pointer_mask;
-        if (!pointer_followed) at_ = at + 2;
+        if (label_at + 2 > in_.size()) return fail();
+        const auto target = get16(in_, label_at) & pointer_mask;
+        if (!pointer_followed) at_ = label_at + 2;
         pointer_followed = true;
         // Each pointer has to lead further back than all before it: rejects loops.
         if (target >= lowest_target) return fail();
-        at = target;
+        label_at = target;
         lowest_target = target;
         continue;
       }
-      if (length > max_label_size || at + 1 + length > in_.size() || out.size() + 1 + length > max_name_size)
+      if (length > max_label_size || label_at + 1 + length > in_.size() ||
+          out.size() + 1 + length > max_name_size)
         return fail();
       out += static_cast<char>(length);
-      for (std::size_t i = 1; i <= length; ++i) out += to_lower(in_[at + i]);
-      at += 1U + length;
+      for (std::size_t i = 1; i <= length; ++i) out += to_lower(in_[label_at + i]);
+      label_at += 1U + length;
       if (length == 0) break;
     }
-    if (!pointer_followed) at_ = at;
+    if (!pointer_followed) at_ = label_at;
     return out;
   }
   /// A record, with the names in its data uncompressed. The data of a deletion or a prerequisite may be
@@ -126,15 +138,16 @@
   }
 
  private:
+  /// The data of a record up to `end`, with the names in it uncompressed.
   std::string data(std::uint16_t type, std::size_t end) {
     std::string out;
     const auto copy = [&](std::size_t count) { out += bytes(count); };
     switch (type) {
       case type_a:
-        copy(4);
+        copy(ipv4_size);
         break;
       case type_aaaa:
-        copy(16);
+        copy(ipv6_size);
         break;
       case type_ns:
       case type_cname:
@@ -142,7 +155,7 @@
         out += name();
         break;
       case type_mx:
-        copy(2);
+        copy(mx_preference_size);
         out += name();
         break;
       case type_srv:
@@ -165,6 +178,7 @@
     }
     return out;
   }
+  /// Whether `count` more bytes can be read; if not, ok() is false from now on.
   bool available(std::size_t count) {
     if (in_.size() - at_ < count) ok_ = false;
     return ok_;
@@ -174,15 +188,15 @@
     return {};
   }
   std::string_view in_;
-  std::size_t at_ = 0;
+  std::size_t at_ = 0;  // offset of the next byte to read
   bool ok_ = true;
 };
 
 // ---- master files ----
 
-/// A word of a master file.
+/// A word of a master file, or a quoted string.
 struct Token {
-  std::string text;
+  std::string text;  // without the quotes; escapes are kept
   bool quoted = false;
 };
 /// A record or directive of a master file.
@@ -193,7 +207,7 @@
 };
 
 /// Splits a master file into entries: parentheses join lines, comments are dropped, quoted tokens may hold
-/// white space. Returns false and sets `line` to the line at fault if a quote or parenthesis is unbalanced.
+/// white space. Returns false if a quote or parenthesis is unbalanced, with `line` set to the line at fault.
 bool split_entries(std::string_view text, std::vector<Entry>& entries, int& line) {
   Entry entry;
   Token token;
@@ -275,6 +289,7 @@
   return true;
 }
 
+/// The record type of that name, in any case; nothing if master files may not hold this type.
 std::optional<std::uint16_t> type_from_text(std::string_view text) {
   static constexpr std::array<std::pair<std::string_view, Type>, 9> types{{{"A", type_a},
                                                                            {"NS", type_ns},
@@ -303,7 +318,8 @@
   return true;
 }
 
-/// Parses the data of a record from `tokens`, starting with the token at `first`.
+/// Parses the data of a record from the tokens from `first` on and appends it to `out`; false if it is
+/// invalid.
 bool data_from_text(std::uint16_t type, const std::vector<Token>& tokens, std::size_t first,
                     std::string_view origin, std::string& out) {
   const auto count = tokens.size() - first;
@@ -318,11 +334,11 @@
   switch (type) {
     case type_a:
     case type_aaaa: {
-      unsigned char address[16];
+      unsigned char address[ipv6_size];
       if (count != 1 ||
           inet_pton(type == type_a ? AF_INET : AF_INET6, tokens[first].text.c_str(), address) != 1)
         return false;
-      out.assign(reinterpret_cast<const char*>(address), type == type_a ? 4 : 16);
+      out.assign(reinterpret_cast<const char*>(address), type == type_a ? ipv4_size : ipv6_size);
       return true;
     }
     case type_ns:
@@ -334,6 +350,7 @@
     case type_srv:
       return count == 4 && number(0, max_u16) && number(1, max_u16) && number(2, max_u16) && name(3);
     case type_soa:
+      // Two names and five numbers.
       if (count != 7 || !name(0) || !name(1)) return false;
       for (std::size_t i = 2; i < 7; ++i)
         if (!number(i, max_u32)) return false;
@@ -353,29 +370,31 @@
 
 // ---- updates ----
 
+/// The sections of an update message. The class of a record tells which condition or change it stands for.
 struct Update {
   std::vector<Record> prerequisites;
   std::vector<Record> changes;
 };
 
+/// Whether the zone has a record of that name and type; type_any stands for every type.
 bool has_record(const Zone& zone, const std::string& name, std::uint16_t type) {
   return std::any_of(
       zone.records.begin(), zone.records.end(),
-      [&](const Record& r) { return r.name == name && (type == type_any || r.type == type); });
+      [&](const Record& record) { return record.name == name && (type == type_any || record.type == type); });
 }
 
 /// The data of the record set with the name and type of `key`, sorted.
 std::vector<std::string> sorted_data(const std::vector<Record>& records, const Record& key) {
   std::vector<std::string> data;
-  for (const auto& r : records)
-    if (r.name == key.name && r.type == key.type) data.push_back(r.data);
+  for (const auto& record : records)
+    if (record.name == key.name && record.type == key.type) data.push_back(record.data);
   std::sort(data.begin(), data.end());
   return data;
 }
 
 /// Checks the prerequisites of an update (RFC 2136, 3.2).
 Rcode check_prerequisites(const Zone& zone, const std::vector<Record>& prerequisites) {
-  std::vector<Record> exact_sets;
+  std::vector<Record> exact_sets;  // record sets that the zone must have exactly as given
   for (const auto& prerequisite : prerequisites) {
     if (prerequisite.ttl != 0) return Rcode::form_error;
     if (!in_zone(prerequisite.name, zone.origin)) return Rcode::not_zone;
@@ -413,6 +432,7 @@
   return Rcode::ok;
 }
 
+/// The serial number in an SOA record.
 std::uint32_t serial_of(const Record& soa) { return get32(soa.data, soa.data.size() - soa_numbers_size); }
 
 /// Removes the records that match; returns whether there were any.
@@ -478,7 +498,7 @@
   if (auto it = soa(); changed && serial_of(*it) == serial) {
     std::string next_serial;
     put32(next_serial, serial + 1 == 0 ? 1 : serial + 1);
-    it->data.replace(it->data.size() - soa_numbers_size, 4, next_serial);
+    it->data.replace(it->data.size() - soa_numbers_size, serial_size, next_serial);
   }
   return Rcode::ok;
 }
@@ -492,7 +512,7 @@
   const auto prerequisite_count = in.u16();
   const auto change_count = in.u16();
   in.u16();  // the number of additional records, which are ignored
-  if ((flags >> 11U & 0xfU) != opcode_update) return Rcode::not_implemented;
+  if ((flags >> opcode_shift & max_opcode) != opcode_update) return Rcode::not_implemented;
   if (zone_count != 1) return Rcode::form_error;
   const auto origin = in.name();
   const auto type = in.u16();
@@ -580,10 +600,10 @@
     return false;
   }
   zone.origin = *zone_origin;
-  std::string origin = *zone_origin;
-  std::string owner;
-  std::optional<std::uint32_t> default_ttl;
-  std::uint32_t last_ttl = 0;
+  std::string origin = *zone_origin;         // as set by the last $ORIGIN
+  std::string owner;                         // of the last record
+  std::optional<std::uint32_t> default_ttl;  // as set by the last $TTL
+  std::uint32_t last_ttl = 0;                // the last one that a record has stated
   std::vector<Entry> entries;
   int error_line = 0;
   const auto fail = [&](int line) {
@@ -604,9 +624,9 @@
         default_ttl = static_cast<std::uint32_t>(*ttl);
       continue;
     }
-    std::size_t at = 0;
+    std::size_t next = 0;  // index of the next token
     if (!entry.blank_owner) {
-      const auto name = name_from_text(tokens[at++].text, origin);
+      const auto name = name_from_text(tokens[next++].text, origin);
       if (!name) return fail(entry.line);
       owner = *name;
     }
@@ -614,17 +634,17 @@
     Record record;
     record.name = owner;
     record.ttl = default_ttl.value_or(last_ttl);
-    for (; at < tokens.size(); ++at)  // TTL and class, in either order
-      if (const auto ttl = to_int(tokens[at].text); ttl && *ttl <= max_ttl) {
+    for (; next < tokens.size(); ++next)  // TTL and class, in either order
+      if (const auto ttl = to_int(tokens[next].text); ttl && *ttl <= max_ttl) {
         last_ttl = static_cast<std::uint32_t>(*ttl);
         record.ttl = last_ttl;
-      } else if (tokens[at].text != "IN" && tokens[at].text != "in") {
+      } else if (tokens[next].text != "IN" && tokens[next].text != "in") {
         break;
       }
-    const auto type = at < tokens.size() ? type_from_text(tokens[at].text) : std::nullopt;
+    const auto type = next < tokens.size() ? type_from_text(tokens[next].text) : std::nullopt;
     if (!type) return fail(entry.line);
     record.type = *type;
-    if (!data_from_text(record.type, tokens, at + 1, origin, record.data)) return fail(entry.line);
+    if (!data_from_text(record.type, tokens, next + 1, origin, record.data)) return fail(entry.line);
     if (record.type == type_soa && (record.name != zone.origin || has_record(zone, record.name, type_soa)))
       return fail(entry.line);
     zone.records.push_back(std::move(record));
@@ -640,13 +660,14 @@
   changed = false;
   // Responses are not answered, so that two servers cannot answer each other without end. Messages without a
   // complete header have no usable id.
-  if (message.size() < message_header_size || (static_cast<unsigned char>(message[2]) & response_flag) != 0)
-    return {};
+  if (message.size() < message_header_size) return {};
+  const auto flags = static_cast<unsigned char>(message[flags_offset]);
+  if ((flags & response_flag) != 0) return {};
   const auto rcode = process_update(message, zone, changed);
-  std::string out(message.substr(0, 2));
-  out += static_cast<char>(response_flag | (static_cast<unsigned char>(message[2]) & opcode_mask));
+  std::string out(message.substr(0, message_id_size));
+  out += static_cast<char>(response_flag | (flags & opcode_mask));
   out += static_cast<char>(rcode);
-  out.append(message_header_size - out.size(), '\0');  // counts of sections, all empty
+  out.append(message_header_size - out.size(), '\0');  // the counts of sections, which are all empty
   return out;
 }
 
@@ -658,28 +679,31 @@
   for (const auto& service : zone.records) {
     if (service.type != type_srv || service.name.compare(0, service_prefix.size(), service_prefix) != 0)
       continue;
+    // The group's label, behind its length, and the origin.
     const auto rest = std::string_view(service.name).substr(service_prefix.size());
     const auto length = static_cast<unsigned char>(rest[0]);
     const auto group = length > 1 && rest[1] == 'g' ? to_int(rest.substr(2, length - 1U)) : std::nullopt;
     if (!group || rest.substr(1U + length) != zone.origin) continue;
     const auto target = service.data.substr(srv_numbers_size);
-    const auto address = std::find_if(zone.records.begin(), zone.records.end(),
-                                      [&](const Record& a) { return a.type == type_a && a.name == target; });
+    const auto address = std::find_if(zone.records.begin(), zone.records.end(), [&](const Record& record) {
+      return record.type == type_a && record.name == target;
+    });
     if (address == zone.records.end()) continue;
-    char text[INET_ADDRSTRLEN] = "";
-    inet_ntop(AF_INET, address->data.data(), text, sizeof text);
+    char ip_text[INET_ADDRSTRLEN] = "";
+    inet_ntop(AF_INET, address->data.data(), ip_text, sizeof ip_text);
     auto attributes = txt_attributes(zone, target);
     broker::Member member;
     const auto port = std::to_string(get16(service.data, srv_port_offset));
     member.id = name_to_text(target) + ":" + port;
-    member.address = std::string(text) + ":" + port;
+    member.address = std::string(ip_text) + ":" + port;
     member.zone = attributes["zone"];
     member.group = GroupId{*group};
-    member.primary = get16(service.data, 0) == 0;
+    member.primary = get16(service.data, srv_priority_offset) == 0;
     member.weight = std::max<double>(1, get16(service.data, srv_weight_offset));
     if (attributes["state"] == "draining") member.state = HostState::draining;
-    if (const auto at = to_int(attributes["started_ms"]); at && *at > 0 && *at < started_limit_ms)
-      member.started_at = std::chrono::milliseconds(*at);
+    const auto started_ms = to_int(attributes["started_ms"]);
+    if (started_ms && *started_ms > 0 && *started_ms < started_limit_ms)
+      member.started_at = std::chrono::milliseconds(*started_ms);
     list.members.push_back(std::move(member));
   }
   return list;
--- a/src/wire/dns.h
+++ b/src/wire/dns.h
@@ -1,5 +1,5 @@
 // DNS zones: master files (RFC 1035), dynamic updates (RFC 2136), and the hosts that SRV records list (RFC
-// 2782). Pure functions over bytes.
+// 2782). Pure functions over bytes. "Zone" means a DNS zone here, unless an availability zone is named.
 #pragma once
 
 #include <cstdint>
@@ -26,9 +26,9 @@
   type_opt = 41,
   type_any = 255
 };
-/// Record classes, as on the wire. In updates, none and any mark prerequisites and deletions.
+/// Record classes, as on the wire. In updates, class_none and class_any mark prerequisites and deletions.
 enum Class : std::uint16_t { class_in = 1, class_none = 254, class_any = 255 };
-/// Response codes, as on the wire.
+/// Response codes (RFC 2136, 2.2), as on the wire.
 enum class Rcode : std::uint8_t {
   ok = 0,
   form_error = 1,
@@ -52,28 +52,29 @@
   std::uint32_t ttl = 0;  // seconds
   std::string data;       // as on the wire, with its names uncompressed and in lower case
 };
-/// The records at and below `origin`.
+/// The records at and below the name `origin`.
 struct Zone {
-  std::string origin;
+  std::string origin;  // as on the wire
   std::vector<Record> records;
 };
 
-/// Parses a name in text form; `origin` is appended to a relative one. Nothing if it is not a valid name.
+/// Parses a name in text form; a relative name is completed with `origin`, which is given as on the wire.
+/// Nothing if the result is not a valid name.
 std::optional<std::string> name_from_text(std::string_view text, std::string_view origin);
-/// The text form of a name, with its final dot.
+/// The text form of a name given as on the wire, with its final dot.
 std::string name_to_text(std::string_view name);
 
-/// Parses a master file. Returns false if it is invalid and sets `error` to the reason: "origin" for an
-/// invalid `origin`, "line N" for an invalid line, or "no SOA record".
+/// Parses a master file of the zone at `origin`, which is given in text form. Returns false if either is
+/// invalid and sets `error` to the reason: "origin", "line N" for an invalid line, or "no SOA record".
 bool parse_zone(std::string_view text, std::string_view origin, Zone& zone, std::string& error);
 
 /// Applies an update message to the zone, completely or not at all, and returns the response; empty if the
-/// message must not be answered. `changed`: whether the zone has changed.
+/// message must not be answered. Sets `changed` to whether the zone has changed.
 std::string handle_update(std::string_view message, Zone& zone, bool& changed);
 
-/// The member list of a zone. Each SRV record of _mysql._tcp.gN is a host of group N, a primary if its
-/// priority is 0. The target's TXT record may set zone= (the host's availability zone, not a DNS
-/// zone), state= and started_ms=. Targets without an A record are left out.
+/// The member list of a zone. Each SRV record of _mysql._tcp.gN is a host of group N, a primary if the
+/// record's priority is 0. TXT records of the target may set zone= (the host's availability zone),
+/// state=draining and started_ms= (Unix time). Targets without an A record are left out.
 broker::MemberList member_list_of(const Zone& zone, std::uint64_t version);
 
 }  // namespace cedarring::wire::dns
--- a/tests/dns_test.cpp
+++ b/tests/dns_test.cpp
@@ -15,8 +15,20 @@
 using namespace std::string_literals;
 namespace dns = wire::dns;
 
+// Codes of record types and classes, written out here to check those that the code under test uses.
+constexpr unsigned rr_a = 1;
+constexpr unsigned rr_ns = 2;
+constexpr unsigned rr_srv = 33;
+constexpr unsigned rr_any = 255;
+constexpr unsigned in = 1;
+constexpr unsigned none = 254;
+constexpr unsigned any = 255;
+
+/// The first three lines of each zone: its default TTL, an SOA record with the serial number 7 and an NS
+/// record.
 const std::string zone_head = "$TTL 60\n@ IN SOA ns hostmaster 7 3600 600 86400 60\n@ NS ns\n";
 
+/// The wire format of a name in the zone ledger.test.
 std::string name(const std::string& text) { return *dns::name_from_text(text, "\6ledger\4test\0"s); }
 
 void put16(std::string& out, unsigned value) {
@@ -24,7 +36,7 @@
   out += static_cast<char>(value & 0xffU);
 }
 
-/// A record in wire format.
+/// A record in wire format; `ttl` in seconds.
 std::string record(const std::string& owner, unsigned type, unsigned class_code, unsigned ttl,
                    const std::string& data = "") {
   std::string out = name(owner);
@@ -51,7 +63,9 @@
   return out;
 }
 
+/// The data of an A record for the address 127.0.0.`last_byte`.
 std::string a_data(char last_byte) { return std::string("\x7f\0\0", 3) + last_byte; }
+/// The data of an SRV record with the weight 1.
 std::string srv_data(unsigned priority, unsigned port, const std::string& target) {
   std::string out;
   put16(out, priority);
@@ -60,6 +74,7 @@
   return out + name(target);
 }
 
+/// The zone ledger.test with the records of a master file.
 dns::Zone zone_of(const std::string& text) {
   dns::Zone zone;
   std::string error;
@@ -112,35 +127,38 @@
   };
   const auto text = zone_head + "a A 127.0.0.1\na A 127.0.0.2\nc CNAME a\n";
   for (const auto& c : {
-           Case{"add", update({}, {record("b", 1, 1, 60, a_data(3))}), Rcode::ok, true},
-           Case{"add an existing record", update({}, {record("a", 1, 1, 60, a_data(1))}), Rcode::ok, false},
-           Case{"add beside a CNAME", update({}, {record("c", 1, 1, 60, a_data(3))}), Rcode::ok, false},
-           Case{"delete a record", update({}, {record("a", 1, 254, 0, a_data(2))}), Rcode::ok, true},
-           Case{"delete a record set", update({}, {record("a", 1, 255, 0)}), Rcode::ok, true},
-           Case{"delete a name", update({}, {record("a", 255, 255, 0)}), Rcode::ok, true},
-           Case{"the apex keeps SOA and NS", update({}, {record("@", 255, 255, 0)}), Rcode::ok, false},
-           Case{"the last NS stays", update({}, {record("@", 2, 254, 0, name("ns"))}), Rcode::ok, false},
-           Case{"name in use", update({record("a", 255, 255, 0)}, {}), Rcode::ok, false},
-           Case{"name not in use", update({record("x", 255, 255, 0)}, {}), Rcode::nx_domain, false},
-           Case{"record set missing", update({record("a", 33, 255, 0)}, {}), Rcode::nx_rrset, false},
-           Case{"name exists unexpectedly", update({record("a", 255, 254, 0)}, {}), Rcode::yx_domain, false},
-           Case{"record set exists unexpectedly", update({record("a", 1, 254, 0)}, {}), Rcode::yx_rrset,
+           Case{"add", update({}, {record("b", rr_a, in, 60, a_data(3))}), Rcode::ok, true},
+           Case{"add an existing record", update({}, {record("a", rr_a, in, 60, a_data(1))}), Rcode::ok,
+                false},
+           Case{"add beside a CNAME", update({}, {record("c", rr_a, in, 60, a_data(3))}), Rcode::ok, false},
+           Case{"delete a record", update({}, {record("a", rr_a, none, 0, a_data(2))}), Rcode::ok, true},
+           Case{"delete a record set", update({}, {record("a", rr_a, any, 0)}), Rcode::ok, true},
+           Case{"delete a name", update({}, {record("a", rr_any, any, 0)}), Rcode::ok, true},
+           Case{"the apex keeps SOA and NS", update({}, {record("@", rr_any, any, 0)}), Rcode::ok, false},
+           Case{"the last NS stays", update({}, {record("@", rr_ns, none, 0, name("ns"))}), Rcode::ok, false},
+           Case{"name in use", update({record("a", rr_any, any, 0)}, {}), Rcode::ok, false},
+           Case{"name not in use", update({record("x", rr_any, any, 0)}, {}), Rcode::nx_domain, false},
+           Case{"record set missing", update({record("a", rr_srv, any, 0)}, {}), Rcode::nx_rrset, false},
+           Case{"name exists unexpectedly", update({record("a", rr_any, none, 0)}, {}), Rcode::yx_domain,
+                false},
+           Case{"record set exists unexpectedly", update({record("a", rr_a, none, 0)}, {}), Rcode::yx_rrset,
                 false},
            Case{"record set matches",
-                update({record("a", 1, 1, 0, a_data(2)), record("a", 1, 1, 0, a_data(1))}, {}), Rcode::ok,
+                update({record("a", rr_a, in, 0, a_data(2)), record("a", rr_a, in, 0, a_data(1))}, {}),
+                Rcode::ok, false},
+           Case{"record set differs", update({record("a", rr_a, in, 0, a_data(1))}, {}), Rcode::nx_rrset,
                 false},
-           Case{"record set differs", update({record("a", 1, 1, 0, a_data(1))}, {}), Rcode::nx_rrset, false},
            Case{"a failed prerequisite rejects the update",
-                update({record("x", 255, 255, 0)}, {record("b", 1, 1, 60, a_data(3))}), Rcode::nx_domain,
-                false},
+                update({record("x", rr_any, any, 0)}, {record("b", rr_a, in, 60, a_data(3))}),
+                Rcode::nx_domain, false},
            Case{"an invalid change rejects the update",
-                update({}, {record("b", 1, 1, 60, a_data(3)), record("b", 255, 1, 60, "x")}),
+                update({}, {record("b", rr_a, in, 60, a_data(3)), record("b", rr_any, in, 60, "x")}),
                 Rcode::form_error, false},
            Case{"another zone", update({}, {}, "x.other."), Rcode::not_auth, false},
-           Case{"a name outside the zone", update({}, {record("b.other.", 1, 1, 60, a_data(3))}),
+           Case{"a name outside the zone", update({}, {record("b.other.", rr_a, in, 60, a_data(3))}),
                 Rcode::not_zone, false},
            Case{"a query", update({}, {}, "@", 0), Rcode::not_implemented, false},
-           Case{"truncated data", update({}, {record("b", 1, 1, 60, "\x7f"s)}), Rcode::form_error, false},
+           Case{"truncated data", update({}, {record("b", rr_a, in, 60, "\x7f"s)}), Rcode::form_error, false},
        }) {
     auto zone = zone_of(text);
     const auto before = zone.records.size();
@@ -156,7 +174,8 @@
   }
   auto zone = zone_of(text);
   bool changed = false;
-  const auto complete = update({record("a", 255, 255, 0)}, {record("b", 33, 1, 60, srv_data(0, 9, "a"))});
+  const auto complete =
+      update({record("a", rr_any, any, 0)}, {record("b", rr_srv, in, 60, srv_data(0, 9, "a"))});
   for (std::size_t length = 0; length < complete.size(); ++length) {
     const auto answer = dns::handle_update(complete.substr(0, length), zone, changed);
     EXPECT_EQ(answer.size(), length < 12 ? 0U : 12U);
@@ -214,8 +233,8 @@
     return first == "\1";
   };
   EXPECT_TRUE(run("e1"));
-  const auto message = update({}, {record("_mysql._tcp.g1", 33, 255, 0),
-                                   record("_mysql._tcp.g1", 33, 1, 60,
+  const auto message = update({}, {record("_mysql._tcp.g1", rr_srv, any, 0),
+                                   record("_mysql._tcp.g1", rr_srv, in, 60,
                                           srv_data(0, static_cast<unsigned>(std::stoul(port(b))), "b"))});
   Socket dns(wire::bind_datagram("127.0.0.1:0"));
   ASSERT_TRUE(dns.connect(program.dns()));
