--- a/src/wire/mysql.cpp
+++ b/src/wire/mysql.cpp
@@ -6,19 +6,23 @@
 namespace {
 
 constexpr std::string_view auth_plugin = "mysql_native_password";
+// The parts of Parameter::type.
 constexpr std::uint16_t type_mask = 0xff;
 constexpr std::uint16_t unsigned_flag = 0x8000;
 
 constexpr unsigned protocol_version = 10;
 constexpr std::uint32_t max_client_packet = 1U << 24U;  // bytes, as a login announces it
 constexpr std::size_t login_filler_size = 23;           // zero bytes after the character set in a login
+constexpr std::size_t greeting_filler_size = 10;        // zero bytes before the rest of the scramble
+constexpr std::size_t scramble_first_part_size = 8;     // the rest follows at the end of the greeting
 constexpr std::size_t sql_state_size = 5;
-constexpr std::uint64_t session_track_system_variables = 0;
+constexpr std::uint64_t session_track_system_variables = 0;  // the type of an entry of the session state
 
-// First bytes of length-encoded integers of 2, 3 and 8 bytes; smaller first bytes are the value itself.
+// First bytes of length-encoded integers of 2, 3 and 8 bytes.
 constexpr unsigned char lenenc_2_bytes = 0xfc;
 constexpr unsigned char lenenc_3_bytes = 0xfd;
 constexpr unsigned char lenenc_8_bytes = 0xfe;
+// First bytes below this one are the value itself.
 constexpr unsigned char lenenc_value_end = 0xfb;
 
 bool is_integer_type(std::uint16_t type) {
@@ -35,8 +39,8 @@
   }
 }
 
-/// Parses the types, names (if `named`) and values of `count` parameters. `previous_parameters` are those
-/// bound before, `long_data` the values sent ahead.
+/// Parses the null bits, types, names (if `named`) and values of `count` parameters. `previous_parameters`
+/// and `long_data` as for parse_execute().
 bool parse_parameters(PacketReader& in, std::size_t count, bool named,
                       const std::vector<Parameter>& previous_parameters,
                       const std::vector<std::optional<std::string>>& long_data, std::vector<Parameter>& out) {
@@ -74,6 +78,7 @@
   return in.ok();
 }
 
+/// Appends the null bits, types, names and values of the parameters.
 void put_parameters(std::string& out, const std::vector<Parameter>& parameters) {
   if (parameters.empty()) return;
   std::string nulls((parameters.size() + 7) / 8, '\0');
@@ -167,15 +172,15 @@
   out += "8.0.34-cedarring";
   out += '\0';
   put_little_endian(out, connection_id, 4);
-  out += scramble.substr(0, 8);
+  out += scramble.substr(0, scramble_first_part_size);
   out += '\0';
   put_little_endian(out, capabilities & 0xffffU, 2);
   out += static_cast<char>(charset_utf8mb4);
   put_little_endian(out, status_autocommit, 2);
   put_little_endian(out, capabilities >> 16U, 2);
   out += static_cast<char>(scramble.size() + 1);
-  out.append(10, '\0');
-  out += scramble.substr(8);
+  out.append(greeting_filler_size, '\0');
+  out += scramble.substr(scramble_first_part_size);
   out += '\0';
   out += auth_plugin;
   out += '\0';
@@ -185,8 +190,8 @@
 bool parse_greeting(std::string_view payload, Greeting& out) {
   PacketReader in(payload);
   if (in.little_endian(1) != protocol_version) return false;
-  in.null_terminated_text();
-  in.text(4 + 8 + 1);  // connection id, first part of the scramble, filler
+  in.null_terminated_text();                  // server version
+  in.text(4 + scramble_first_part_size + 1);  // connection id, first part of the scramble, filler
   out.capabilities = static_cast<std::uint32_t>(in.little_endian(2));
   if (!in.ok()) return false;
   in.text(1 + 2);  // character set, status
@@ -376,10 +381,12 @@
     const auto raw = reader.little_endian(bytes);
     const auto unused_bits = static_cast<unsigned>(64 - 8 * bytes);
     if ((parameter.type & unsigned_flag) != 0) return std::to_string(raw);
+    // Shifting up and down extends the sign.
     return std::to_string(static_cast<std::int64_t>(raw << unused_bits) >> unused_bits);
   }
-  if (const auto type = parameter.type & type_mask; type != type_varchar && type < type_tiny_blob)
-    return std::nullopt;
+  const auto type = parameter.type & type_mask;
+  const bool is_string = type == type_varchar || type >= type_tiny_blob;
+  if (!is_string) return std::nullopt;
   const auto text = reader.lenenc_text();
   if (!reader.ok()) return std::nullopt;
   return std::string(text);
@@ -389,7 +396,7 @@
                    const std::vector<Parameter>& previous_parameters,
                    const std::vector<std::optional<std::string>>& long_data, Execute& out) {
   PacketReader in(payload);
-  in.text(1);
+  in.text(1);  // the command
   out.statement = static_cast<std::uint32_t>(in.little_endian(4));
   out.flags = static_cast<unsigned char>(in.little_endian(1));
   in.little_endian(4);  // iteration count, always 1
@@ -417,7 +424,7 @@
 
 bool parse_query(std::string_view payload, bool with_attributes, Query& out) {
   PacketReader in(payload);
-  in.text(1);
+  in.text(1);  // the command
   out.attributes.clear();
   if (with_attributes) {
     const auto count = in.lenenc();
@@ -444,6 +451,7 @@
   for (std::size_t i = 0; i < sql.size(); ++i) {
     const char c = sql[i];
     const char next = i + 1 < sql.size() ? sql[i + 1] : '\0';
+    // Two hyphens begin a comment only if white space or the end of the statement follows.
     if (c == '#' ||
         (c == '-' && next == '-' && (i + 2 >= sql.size() || static_cast<unsigned char>(sql[i + 2]) <= ' '))) {
       i = std::min(sql.find('\n', i), sql.size());
--- a/src/wire/mysql.h
+++ b/src/wire/mysql.h
@@ -1,5 +1,7 @@
 // MySQL protocol 4.1: packet framing, handshake, answers, parameters and statements. Pure functions over
 // bytes; all sizes are in bytes. Parsed texts are views into the payload unless they are std::string.
+// "lenenc" stands for the protocol's length-encoded integers and strings. The parse functions return false
+// for a malformed payload.
 #pragma once
 
 #include <cstdint>
@@ -138,18 +140,20 @@
 
 /// The payload of the server's first packet.
 std::string greeting(std::uint32_t connection_id, std::uint32_t capabilities);
+/// The server's first packet, as far as the gateway needs it.
 struct Greeting {
   std::uint32_t capabilities = 0;
 };
-/// False for a malformed payload or another protocol version than 10.
+/// False also for another protocol version than 10.
 bool parse_greeting(std::string_view payload, Greeting& out);
 /// The payload of the client's login without a password.
 std::string handshake_response(std::uint32_t capabilities, std::string_view user, std::string_view database);
+/// The client's login, as far as the gateway needs it.
 struct HandshakeResponse {
   std::uint32_t capabilities = 0;
   std::string_view user;
 };
-/// False for a malformed payload or a client without protocol 4.1.
+/// False also for a client without protocol 4.1.
 bool parse_handshake_response(std::string_view payload, HandshakeResponse& out);
 
 // ---- answers ----
@@ -164,7 +168,7 @@
 };
 /// Parses an OK packet with either header (OK or EOF) from a peer that tracks session state.
 bool parse_ok(std::string_view payload, Ok& out);
-/// The payload of an OK packet; `track_session`: with the session variables.
+/// The payload of an OK packet with `header` as its first byte; `track_session`: with the session variables.
 std::string ok_packet(const Ok& ok, unsigned char header, bool track_session);
 /// The payload of an EOF packet.
 std::string eof_packet(std::uint16_t status);
@@ -200,6 +204,7 @@
   std::string message;
 };
 bool parse_error(std::string_view payload, Error& out);
+/// The payload of an ERR packet.
 std::string error_packet(const Error& error);
 /// Classifies a host's error as the outcome of an attempt.
 Outcome outcome_of(const Error& error);
@@ -213,26 +218,29 @@
   bool null = false;
   std::string value;  // as encoded on the wire, with its length if the type has one
 };
-/// The encoded size of the value at the front of `in`; nothing for an unknown type or a truncated value.
+/// The encoded size of the value of that type at the front of `in`; nothing for an unknown type or a
+/// truncated value.
 std::optional<std::size_t> encoded_value_size(std::uint16_t type, std::string_view in);
-/// The text of a string, or of an integer in decimal; nothing for other types and null.
+/// The value of a string parameter, or that of an integer in decimal; nothing for other types and null.
 std::optional<std::string> text_value(const Parameter& parameter);
 
 /// A COM_STMT_EXECUTE command.
 struct Execute {
-  std::uint32_t statement = 0;
+  std::uint32_t statement = 0;  // its id
   unsigned char flags = 0;
   std::vector<Parameter> parameters;  // of the statement first, then the query attributes
 };
 /// Flags of COM_STMT_EXECUTE.
 inline constexpr unsigned char execute_cursor_flags = 7;
 inline constexpr unsigned char execute_parameter_count_flag = 8;
-/// Parses a COM_STMT_EXECUTE payload. `with_attributes`: the peers use query attributes;
-/// `previous_parameters`: their types were bound by an earlier execution and apply if this one binds none;
-/// `long_data`: the values sent ahead, by parameter index.
+/// Parses a COM_STMT_EXECUTE payload. `with_attributes`: both sides use query attributes; `placeholders`: the
+/// number of parameters of the statement; `previous_parameters`: those of an earlier execution, whose types
+/// apply if this one binds none; `long_data`: the values sent ahead by COM_STMT_SEND_LONG_DATA, by parameter
+/// index.
 bool parse_execute(std::string_view payload, bool with_attributes, std::size_t placeholders,
                    const std::vector<Parameter>& previous_parameters,
                    const std::vector<std::optional<std::string>>& long_data, Execute& out);
+/// The payload of a COM_STMT_EXECUTE; the parameters beyond `placeholders` are query attributes.
 std::string execute_packet(std::uint32_t statement, std::size_t placeholders,
                            const std::vector<Parameter>& parameters);
 /// A COM_QUERY command.
@@ -240,18 +248,20 @@
   std::vector<Parameter> attributes;
   std::string_view sql;
 };
-/// Parses a COM_QUERY payload. `with_attributes`: the peers use query attributes.
+/// Parses a COM_QUERY payload. `with_attributes`: both sides use query attributes.
 bool parse_query(std::string_view payload, bool with_attributes, Query& out);
+/// The payload of a COM_QUERY for a peer that uses query attributes.
 std::string query_packet(const std::vector<Parameter>& attributes, std::string_view sql);
 
 // ---- statements ----
 
-/// What a scan of a statement's tokens finds.
+/// The properties of a statement that can be told without parsing its SQL.
 struct StatementShape {
-  std::size_t placeholders = 0;
-  bool multiple = false;   // more than one statement
-  bool terminated = true;  // every quote and comment is closed; false if the text ends inside one
+  std::size_t placeholders = 0;  // question marks
+  bool multiple = false;         // more than one statement
+  bool terminated = true;        // every quote and comment is closed; false if the text ends inside one
 };
+/// Scans a statement, skipping quoted literals, quoted names and comments.
 StatementShape scan_statement(std::string_view sql);
 
 }  // namespace cedarring::wire::mysql
--- a/src/wire/mysql_client.cpp
+++ b/src/wire/mysql_client.cpp
@@ -12,15 +12,19 @@
     long_password | found_rows | long_flag | connect_with_db | protocol_41 | transactions |
     secure_connection | ps_multi_results | plugin_auth | connect_attrs | plugin_auth_lenenc | session_track |
     deprecate_eof | query_attributes;
-// Limits for one client's prepared statements.
+// Limits for one client's prepared statements, so that one client cannot use up the memory for all.
 constexpr std::size_t max_statements = 256;
 constexpr std::size_t max_statement_memory = mysql_max_message_size * 2;  // bytes, with their long data
 constexpr std::size_t max_placeholders = 0xffff;  // the protocol counts them in two bytes
 
+// The longest form that check_supported() recognizes: SET SESSION AUTOCOMMIT and the value.
+constexpr std::size_t words_checked = 4;
+
 constexpr std::uint16_t parameter_definition_flags = 0x80;  // BINARY_FLAG
 constexpr int definition_fixed_size = 12;                   // bytes after the texts of a column definition
 
-/// The first words of a statement in upper case, without comments; at least `count`, padded with empty ones.
+/// The first words of a statement in upper case, comments and punctuation skipped: at least `count`, with
+/// empty words behind those that the statement has.
 std::vector<std::string> leading_words(std::string_view sql, std::size_t count) {
   std::vector<std::string> words(1);
   for (std::size_t i = 0; i < sql.size() && words.size() <= count; ++i) {
@@ -40,17 +44,17 @@
   return words;
 }
 
-/// Writes the packets of a host's answer to a client with new sequence numbers. The client's capabilities
-/// decide whether an OK or an EOF packet ends the row set.
+/// Appends the packets of a host's answer to `out` with new sequence numbers. If the client supports that
+/// (`eof_deprecated`), an OK packet ends the row set, otherwise an EOF packet.
 void put_result(std::string_view answer, bool eof_deprecated, bool track_session, std::uint8_t& sequence,
                 std::string& out) {
   Packet packet;
-  const auto next = [&] {
+  const auto read_packet = [&] {
     if (next_packet(answer, answer.size(), packet) != FrameStatus::complete) return false;
     answer.remove_prefix(packet.size);
     return true;
   };
-  if (!next()) return;
+  if (!read_packet()) return;
   Ok ok;
   if (!packet.payload.empty() && packet.payload[0] == static_cast<char>(header_ok)) {
     parse_ok(packet.payload, ok);
@@ -59,10 +63,10 @@
   PacketReader header(packet.payload);
   const auto columns = header.lenenc();
   put_packet(out, sequence, packet.payload);
-  for (std::uint64_t i = 0; i < columns && next(); ++i) put_packet(out, sequence, packet.payload);
+  for (std::uint64_t i = 0; i < columns && read_packet(); ++i) put_packet(out, sequence, packet.payload);
   if (!eof_deprecated) put_packet(out, sequence, eof_packet(status_autocommit));
-  while (next()) {
-    if (!answer.empty()) {
+  while (read_packet()) {
+    if (!answer.empty()) {  // a row; only the last packet ends the answer
       put_packet(out, sequence, packet.payload);
       continue;
     }
@@ -140,7 +144,6 @@
   long_data_rejected = false;
 }
 
-/// Bounded, so that one client cannot use up the memory for all.
 std::size_t MysqlClient::statement_memory() const {
   std::size_t sum = 0;
   for (const auto& [id, statement] : statements_) sum += statement.size();
@@ -205,7 +208,7 @@
     send_error(er_not_supported_yet, "42000", "This gateway doesn't yet support 'multi-statements'");
     return false;
   }
-  const auto words = leading_words(sql, 4);
+  const auto words = leading_words(sql, words_checked);
   const auto autocommit = std::find(words.begin(), words.end(), "AUTOCOMMIT");
   const bool autocommit_off = words[0] == "SET" && autocommit != words.end() &&
                               autocommit + 1 != words.end() && *(autocommit + 1) != "1" &&
@@ -262,6 +265,7 @@
   std::string out;
   put_packet(out, sequence_, header);
   std::string column;
+  // Catalog, schema, table, original table, name, original name.
   for (const auto text : {"def", "", "", "", "?", ""}) put_lenenc_text(column, text);
   put_lenenc(column, definition_fixed_size);
   put_little_endian(column, charset_binary, 2);
--- a/src/wire/mysql_client.h
+++ b/src/wire/mysql_client.h
@@ -18,12 +18,13 @@
       : Client(loop, std::move(fd), owner, mysql_max_message_size) {}
   void reject_too_many_clients() override;
   void greet() override;
-  /// A client with prepared statements cannot move: they are held by this process.
+  /// A client with prepared statements cannot be transferred: only this process holds them.
   [[nodiscard]] bool transferable() const override { return logged_in_ && statements_.empty(); }
   [[nodiscard]] std::string transfer_state() const override { return std::to_string(capabilities_); }
   void continue_transferred(const std::string& state) override;
 
  private:
+  /// A prepared statement.
   struct Statement {
     std::string sql;
     std::size_t placeholders = 0;
@@ -31,7 +32,9 @@
     std::vector<std::optional<std::string>> long_data;  // by parameter index
     std::size_t long_data_size = 0;                     // bytes
     bool long_data_rejected = false;                    // for its size or its parameter index
+    /// Bytes that count towards statement_memory().
     [[nodiscard]] std::size_t size() const { return sql.size() + long_data_size; }
+    /// Drops the long data, after an execution or when the client asks for that.
     void reset_long_data();
   };
   [[nodiscard]] bool nothing_received() const override { return !logged_in_ && in_.empty(); }
@@ -43,6 +46,7 @@
   void handle_prepare(std::string_view sql);
   void handle_execute(std::string_view payload);
   void handle_long_data(std::string_view body);
+  /// Submits a request, or answers it with an error if it is rejected.
   void submit(std::shared_ptr<MysqlRequest> request);
   /// Whether the gateway supports the statement; answers it with an error if not.
   bool check_supported(std::string_view sql);
@@ -58,11 +62,11 @@
     return (capabilities_ & capability) != 0;
   }
 
-  std::uint32_t capabilities_ = 0;  // shared by the client and this gateway
+  std::uint32_t capabilities_ = 0;  // those that both the client and this gateway support
   bool logged_in_ = false;
-  std::uint8_t sequence_ = 0;  // of the next packet to write
-  std::map<std::uint32_t, Statement> statements_;
-  std::uint32_t next_statement_ = 1;
+  std::uint8_t sequence_ = 0;                      // of the next packet to write
+  std::map<std::uint32_t, Statement> statements_;  // by the id that the client has been given
+  std::uint32_t next_statement_ = 1;               // the next id
 };
 
 }  // namespace cedarring::wire
--- a/src/wire/mysql_host.cpp
+++ b/src/wire/mysql_host.cpp
@@ -27,8 +27,8 @@
 bool is_eof(std::string_view payload) { return has_header(payload, header_eof); }
 bool is_error(std::string_view payload) { return has_header(payload, header_error); }
 
-/// The parameters with the deadline attribute set to `remaining_ms`. It is added to a prepared statement
-/// without one, whose comment can no longer be changed.
+/// The parameters of a request, with its deadline attribute (d) set to `remaining_ms`. A prepared statement
+/// without this attribute gets one, since the comment of a prepared statement can no longer be changed.
 std::vector<Parameter> with_remaining_time(const MysqlRequest& request, std::int64_t remaining_ms) {
   auto parameters = request.parameters;
   auto deadline = std::find_if(parameters.begin() + static_cast<std::ptrdiff_t>(request.placeholders),
@@ -116,7 +116,7 @@
     case State::login:
       return handle_login_response(payload);
     case State::idle:
-      return false;  // unsolicited
+      return false;  // nothing has been requested
     case State::preparing:
       return handle_prepare_response(payload);
     case State::prepare_definitions:
@@ -128,6 +128,7 @@
     case State::rows:
       break;
   }
+  // A column definition or a row.
   std::uint8_t sequence = packet.sequence;
   put_packet(answer_, sequence, payload);
   if (answer_.size() > mysql_max_message_size) return false;
@@ -158,7 +159,7 @@
     finish_with_error(payload);
     return true;
   }
-  if (!is_ok(payload)) return false;  // asks for a password
+  if (!is_ok(payload)) return false;  // the host asks for a password
   state_ = State::idle;
   on_handshake_done();
   return true;
--- a/src/wire/mysql_host.h
+++ b/src/wire/mysql_host.h
@@ -9,8 +9,8 @@
 
 namespace cedarring::wire {
 
-/// A connection to a MySQL host: runs attempts and health probes, one at a time. It keeps its own map of
-/// prepared statements and prepares a client's statement when it is first executed here.
+/// A connection to a MySQL host: runs attempts and health probes, one at a time. It keeps its own list of
+/// prepared statements and prepares a client's statement when that is first executed on this connection.
 class MysqlHost : public HostConnection {
  public:
   MysqlHost(ev::loop_ref loop, Fd fd, HostId host, SocketUpstream& owner)
@@ -20,15 +20,16 @@
   /// The packet that is due next. prepare_definitions: those of a prepared statement's parameters and
   /// columns, which are skipped; first_packet: the first one of an answer.
   enum class State { greeting, login, idle, preparing, prepare_definitions, first_packet, columns, rows };
+  /// A statement that is prepared on this connection.
   struct Prepared {
     std::string sql;
-    std::uint32_t id = 0;
+    std::uint32_t id = 0;  // assigned by the host
   };
   void on_input() override;
   void reset() override;
   void submit() override;
   std::optional<broker::AttemptResult> received_result() override;
-  /// These return false if the host has violated the protocol.
+  // The functions that handle packets return false if the host has violated the protocol.
   bool handle_packet(const mysql::Packet& packet);
   bool handle_greeting(std::string_view payload);
   bool handle_login_response(std::string_view payload);
@@ -41,8 +42,9 @@
   void finish_with_error(std::string_view payload);
   /// Executes the prepared statement `id` for the job.
   void execute_prepared(std::uint32_t id);
-  /// Writes a command; `is_request`: from its last byte on the job's request may run.
+  /// Writes a command. `is_request`: the job's request may run once the last byte of the command is sent.
   void write_command(std::string_view payload, bool is_request);
+  /// The request of the job, which has to be an attempt.
   [[nodiscard]] const MysqlRequest& request() const {
     return static_cast<const MysqlRequest&>(*job_->payload);
   }
