--- a/src/wire/pg.cpp
+++ b/src/wire/pg.cpp
@@ -7,13 +7,20 @@
 
 constexpr std::size_t max_startup_size = 10000;  // bytes; the limit of PostgreSQL itself
 constexpr char no_type = 0;                      // of a StartupMessage
-constexpr std::size_t row_header_size = 11;      // message header, column count, length of the first column
+constexpr std::uint32_t protocol_major = 3;      // the upper half of a protocol version
+// Sizes in bytes.
+constexpr std::size_t length_size = 4;        // of a length field
+constexpr std::size_t column_count_size = 2;  // of the number of columns
+constexpr std::size_t startup_code_size = 4;  // of the protocol version, or the code in its place
+// Message header, number of columns, length of the first column.
+constexpr std::size_t row_header_size = message_header_size + column_count_size + length_size;
 
 // Codes in place of a protocol version in the first message of a client.
 constexpr std::uint32_t cancel_request_code = 80877102;
 constexpr std::uint32_t ssl_request_code = 80877103;
 constexpr std::uint32_t gss_request_code = 80877104;
 
+/// The number in the first four bytes of `in`, in network byte order.
 std::uint32_t read_u32(std::string_view in) {
   std::uint32_t value = 0;
   for (int i = 0; i < 4; ++i) value = value << 8U | static_cast<unsigned char>(in[i]);
@@ -32,18 +39,24 @@
 
 void put_message(std::string& out, char type, std::string_view body) {
   if (type != no_type) out += type;
-  put_u32(out, static_cast<std::uint32_t>(body.size() + 4));
+  put_u32(out, static_cast<std::uint32_t>(body.size() + length_size));
   out += body;
 }
 
+/// Whether `in` starts with the number of columns 1.
+bool counts_one_column(std::string_view in) {
+  return in.size() >= column_count_size && in[0] == 0 && in[1] == 1;
+}
+
 }  // namespace
 
 FrameStatus next_message(std::string_view in, std::size_t max_length, Message& out) {
   if (in.size() < message_header_size) return FrameStatus::partial;
   const auto length = read_u32(in.substr(1));
-  if (length < 4 || length > max_length) return FrameStatus::malformed;
-  if (in.size() < length + 1U) return FrameStatus::partial;
-  out = {in[0], in.substr(5, length - 4), length + 1U};
+  if (length < length_size || length > max_length) return FrameStatus::malformed;
+  const std::size_t size = length + 1U;  // with the type byte
+  if (in.size() < size) return FrameStatus::partial;
+  out = {in[0], in.substr(message_header_size, length - length_size), size};
   return FrameStatus::complete;
 }
 
@@ -52,31 +65,32 @@
   if (in.size() < message_header_size || in[0] != message_type::query) return std::nullopt;
   const std::size_t length = read_u32(in.substr(1));
   if (length <= threshold || length > max_length) return std::nullopt;
-  return length - 4;
+  return length - length_size;
 }
 
 std::optional<std::size_t> long_row_size(std::string_view in, std::size_t threshold, std::size_t max_size) {
   if (in.size() < row_header_size || in[0] != message_type::data_row) return std::nullopt;
-  const std::size_t length = read_u32(in.substr(1));
-  const std::size_t size = length + 1;
-  if (size <= threshold || size > max_size || in[5] != 0 || in[6] != 1) return std::nullopt;
-  if (read_u32(in.substr(7)) != length - 10) return std::nullopt;
+  const std::size_t size = std::size_t{read_u32(in.substr(1))} + 1;  // with the type byte
+  if (size <= threshold || size > max_size || !counts_one_column(in.substr(message_header_size)))
+    return std::nullopt;
+  const std::size_t column_size = read_u32(in.substr(message_header_size + column_count_size));
+  if (column_size != size - row_header_size) return std::nullopt;
   return size;
 }
 
 bool may_begin_long_row(std::string_view in, std::size_t threshold, std::size_t max_size) {
   if (in.size() < message_header_size || in.size() >= row_header_size || in[0] != message_type::data_row)
     return false;
-  const std::size_t size = std::size_t{read_u32(in.substr(1))} + 1;
+  const std::size_t size = std::size_t{read_u32(in.substr(1))} + 1;  // with the type byte
   return size > threshold && size <= max_size;
 }
 
 FrameStatus next_startup(std::string_view in, Startup& out) {
-  if (in.size() < 4) return FrameStatus::partial;
+  if (in.size() < length_size) return FrameStatus::partial;
   const auto length = read_u32(in);
-  if (length < 8 || length > max_startup_size) return FrameStatus::malformed;
+  if (length < length_size + startup_code_size || length > max_startup_size) return FrameStatus::malformed;
   if (in.size() < length) return FrameStatus::partial;
-  const auto code = read_u32(in.substr(4));
+  const auto code = read_u32(in.substr(length_size));
   out.size = length;
   if (code == ssl_request_code)
     out.kind = StartupKind::ssl;
@@ -85,7 +99,7 @@
   else if (code == cancel_request_code)
     out.kind = StartupKind::cancel;
   else
-    out.kind = code >> 16U == 3 ? StartupKind::startup : StartupKind::unknown;
+    out.kind = code >> 16U == protocol_major ? StartupKind::startup : StartupKind::unknown;
   return FrameStatus::complete;
 }
 
@@ -117,16 +131,18 @@
 
 bool has_one_column(std::string_view body) {
   constexpr std::size_t attributes_size = 18;  // table, column, type, size, modifier, format
-  if (body.size() < 2 || body[0] != 0 || body[1] != 1) return false;
-  body.remove_prefix(2);
+  if (!counts_one_column(body)) return false;
+  body.remove_prefix(column_count_size);
   return read_cstring(body) && body.size() == attributes_size;
 }
 
 std::optional<std::string_view> single_column_value(std::string_view body) {
-  if (body.size() < 6 || body[0] != 0 || body[1] != 1) return std::nullopt;
-  const auto length = read_u32(body.substr(2));
-  if (length != body.size() - 6) return std::nullopt;  // the length of null is 0xffffffff: never equal
-  return body.substr(6);
+  constexpr std::size_t value_offset = column_count_size + length_size;
+  if (body.size() < value_offset || !counts_one_column(body)) return std::nullopt;
+  const auto length = read_u32(body.substr(column_count_size));
+  if (length != body.size() - value_offset)
+    return std::nullopt;  // the length of null is 0xffffffff: never equal
+  return body.substr(value_offset);
 }
 
 Outcome outcome_of(std::string_view code) {
@@ -138,7 +154,7 @@
 
 void put_startup(std::string& out, std::string_view user, std::string_view database) {
   std::string body;
-  put_u32(body, 3U << 16U);
+  put_u32(body, protocol_major << 16U);
   put_cstring(body, "user");
   put_cstring(body, user);
   put_cstring(body, "database");
@@ -155,7 +171,7 @@
 
 void put_query_header(std::string& out, std::size_t size) {
   out += message_type::query;
-  put_u32(out, static_cast<std::uint32_t>(size + 5));
+  put_u32(out, static_cast<std::uint32_t>(length_size + size + 1));  // with the zero byte
 }
 
 void put_startup_response(std::string& out) {
--- a/src/wire/pg.h
+++ b/src/wire/pg.h
@@ -11,7 +11,7 @@
 
 namespace cedarring::wire::pg {
 
-/// The type byte and the length of a message.
+/// The size of a message's header: the type byte and the length field, which counts itself and the body.
 inline constexpr std::size_t message_header_size = 5;
 
 /// Types of messages. Startup messages have none.
@@ -43,7 +43,8 @@
 
 /// Whether a buffer starts with a complete message, with a part of one, or with an invalid one.
 enum class FrameStatus { complete, partial, malformed };
-/// Kinds of the untyped first message of a client.
+/// Kinds of the untyped first message of a client: a StartupMessage of protocol 3, a request for TLS or
+/// GSSAPI encryption, a CancelRequest, or another protocol version.
 enum class StartupKind { startup, ssl, gss, cancel, unknown };
 
 /// A typed message; `body` is a view into the parsed buffer.
@@ -61,27 +62,28 @@
 /// Parses the message at the front of `in`; malformed if its length field is less than 4 or more than
 /// `max_length`.
 FrameStatus next_message(std::string_view in, std::size_t max_length, Message& out);
-/// For a Query message too long for the input buffer, which is read into separate memory: the body size of
-/// the Query message at the front of `in`, if its length field is more than `threshold` (the longest length
-/// that the input buffer takes) and at most `max_length`; otherwise nothing. Only the five bytes of the
-/// header have to be there.
+/// The body size of the Query message at the front of `in`, if its length field is more than `threshold` and
+/// at most `max_length`; otherwise nothing. Used for messages that are too long for the input buffer
+/// (`threshold` is the longest that the buffer takes) and are read into separate memory. Only the header has
+/// to be there.
 std::optional<std::size_t> long_query_size(std::string_view in, std::size_t threshold,
                                            std::size_t max_length);
 /// Parses the first message of a client, which has no type byte.
 FrameStatus next_startup(std::string_view in, Startup& out);
 
-/// For a DataRow that is streamed to the client instead of being buffered whole: the size of the DataRow at
-/// the front of `in`, if it has a single column that fills it and is longer than `threshold` (the longest row
-/// that is buffered) and at most `max_size`; otherwise nothing. Only its header of 11 bytes has to be there.
+/// The size of the DataRow at the front of `in`, if it is longer than `threshold`, at most `max_size` and
+/// filled by a single column; otherwise nothing. Used for rows that are too long to be buffered whole
+/// (`threshold` is the longest that is) and are streamed to the client. Only its first 11 bytes have to be
+/// there: the header, the number of columns and the length of the first.
 std::optional<std::size_t> long_row_size(std::string_view in, std::size_t threshold, std::size_t max_size);
 /// Whether more input is needed to call long_row_size(): `in` starts with a DataRow longer than `threshold`
-/// and at most `max_size`, but holds less than the 11 bytes of its header.
+/// and at most `max_size`, but does not hold its first 11 bytes yet.
 bool may_begin_long_row(std::string_view in, std::size_t threshold, std::size_t max_size);
 /// Removes a null-terminated string from the front of `body` and returns it; nothing if there is no
 /// terminator.
 std::optional<std::string_view> read_cstring(std::string_view& body);
-/// One field ('C' code, 'M' message, 'S' severity) of an ErrorResponse body; empty if the field is absent or
-/// the body is malformed.
+/// One field of an ErrorResponse body ('C' for the SQLSTATE, 'M' for the message, 'S' for the severity);
+/// empty if the field is absent or the body is malformed.
 std::string_view error_response_field(std::string_view body, char field);
 /// Whether `code` has the form of an SQLSTATE: five capital letters or digits.
 bool is_sqlstate(std::string_view code);
@@ -107,7 +109,7 @@
 void put_ready_for_query(std::string& out);
 /// Appends EmptyQueryResponse.
 void put_empty_query_response(std::string& out);
-/// Appends CommandComplete.
+/// Appends CommandComplete; `tag` names the command that has been executed.
 void put_command_complete(std::string& out, std::string_view tag);
 /// Appends an ErrorResponse of severity FATAL or ERROR; an empty `detail` is left out.
 void put_error_response(std::string& out, bool fatal, std::string_view code, std::string_view message,
--- a/src/wire/pg_client.cpp
+++ b/src/wire/pg_client.cpp
@@ -22,9 +22,9 @@
 
 /// The statement without white space and semicolons around it.
 std::string_view trimmed(std::string_view sql) {
-  const auto skipped = [](char c) { return std::isspace(static_cast<unsigned char>(c)) != 0 || c == ';'; };
-  while (!sql.empty() && skipped(sql.front())) sql.remove_prefix(1);
-  while (!sql.empty() && skipped(sql.back())) sql.remove_suffix(1);
+  const auto is_trimmed = [](char c) { return std::isspace(static_cast<unsigned char>(c)) != 0 || c == ';'; };
+  while (!sql.empty() && is_trimmed(sql.front())) sql.remove_prefix(1);
+  while (!sql.empty() && is_trimmed(sql.back())) sql.remove_suffix(1);
   return sql;
 }
 
@@ -51,7 +51,7 @@
   switch (startup.kind) {
     case pg::StartupKind::ssl:
     case pg::StartupKind::gss:
-      reply("N");
+      reply("N");  // encryption is not supported; a StartupMessage may follow
       return true;
     case pg::StartupKind::cancel:
       close_and_cancel();
@@ -105,7 +105,10 @@
     return send_fatal(pg::sqlstate::protocol_violation, "message length out of range");
   if (frame == pg::FrameStatus::partial) return false;
   if (message.type == pg::message_type::terminate) {
-    nothing_pending() ? close_and_cancel() : reply_and_close({});
+    if (nothing_pending())
+      close_and_cancel();
+    else
+      reply_and_close({});  // after the pending answers
     return false;
   }
   if (message.type != pg::message_type::query)
--- a/src/wire/pg_client.h
+++ b/src/wire/pg_client.h
@@ -26,17 +26,18 @@
   [[nodiscard]] std::size_t pipeline_depth() const override { return max_pipelined_queries; }
   bool process_command() override { return startup_done_ ? read_message() : read_startup(); }
   void put_answer(broker::FinalAnswer answer, std::string& out) override;
-  /// These three return false if no complete message has come or the connection is ending.
+  // The read functions process one message. They return false if there is no complete one or the connection
+  // is to be closed.
   bool read_startup();
   bool read_message();
-  /// Reads a statement that is too long for the input buffer: reserves memory for it, then collects its
-  /// bytes.
+  /// Reads a statement that is too long for the input buffer: reserves memory for all of it, then collects
+  /// its bytes.
   bool read_long_query();
   [[nodiscard]] bool reading_long_command() const override { return long_query_size_ > 0; }
   /// Answers a session command, or submits the statement as a request. `reservation` holds the memory of a
   /// long statement.
   void handle_query(std::string sql, broker::MemoryBudget::Reservation reservation = {});
-  /// Answers a statement with an ERROR; the connection goes on.
+  /// Answers a statement with an ERROR; the connection stays open.
   void send_error(std::string_view code, const std::string& message);
   /// Ends the connection with a FATAL error; always returns false.
   bool send_fatal(std::string_view code, std::string_view message);
@@ -44,9 +45,10 @@
   static constexpr std::size_t max_pipelined_queries = 16;
 
   bool startup_done_ = false;
-  std::size_t long_query_size_ =
-      0;                    // of the long statement being read, with its zero byte; 0 if there is none
-  std::string long_query_;  // its bytes so far, once memory is reserved for all of them
+  // The long statement being read: its size with the zero byte (0 if there is none), and its bytes so far,
+  // once memory is reserved for all of them.
+  std::size_t long_query_size_ = 0;
+  std::string long_query_;
   broker::MemoryBudget::Reservation long_query_reservation_;
 };
 
--- a/src/wire/pg_host.cpp
+++ b/src/wire/pg_host.cpp
@@ -21,15 +21,16 @@
   if (!writing_statement_ || closed() || !job_) return;
   const auto& request = static_cast<const PgRequest&>(*job_->payload);
   const std::string_view sql = request.sql;
+  // The statement with the remaining time in place of the client's deadline.
   const std::string_view pieces[] = {sql.substr(0, request.info.deadline_offset), deadline_digits_,
                                      sql.substr(request.info.deadline_offset + request.info.deadline_length)};
   const auto total = pieces[0].size() + pieces[1].size() + pieces[2].size();
   while (writing_statement_ && out_.empty()) {
-    auto skip = statement_written_;
+    auto bytes_to_skip = statement_written_;
     std::string chunk;
     for (auto piece : pieces) {
-      const auto skipped = std::min(skip, piece.size());
-      skip -= skipped;
+      const auto skipped = std::min(bytes_to_skip, piece.size());
+      bytes_to_skip -= skipped;
       chunk += piece.substr(skipped, pg_write_chunk_size - chunk.size());
     }
     statement_written_ += chunk.size();
@@ -68,8 +69,8 @@
   write_request(out);
 }
 
-/// The row's header is checked before its first byte is passed on, for the client may already have it when
-/// the rest arrives.
+/// The row's header is checked before its first byte is forwarded, since the client may have received this
+/// byte by the time the rest arrives.
 bool PgHost::start_row_stream() {
   if (!job_ || !job_->attempt || !handshake_done_ || !submitted_ || expected_ != Expected::row) return false;
   const auto size = pg::long_row_size(in_.view(), pg_stream_threshold, pg_max_row_size);
@@ -95,7 +96,7 @@
       if (!stream_row() || row_remaining_ > 0) return;
       continue;
     }
-    // A row that may be long is judged by its complete header.
+    // Whether a row is streamed can be told only from its complete header.
     if (expected_ == Expected::row &&
         pg::may_begin_long_row(in_.view(), pg_stream_threshold, pg_max_row_size))
       return;
@@ -177,7 +178,7 @@
 /// ReadyForQuery ends the startup or an answer.
 void PgHost::handle_ready_for_query() {
   if (!handshake_done_) {
-    if (!error_code_.empty() || !in_.empty()) return protocol_error();
+    if (!error_code_.empty() || !in_.empty()) return protocol_error();  // nothing has been requested yet
     return on_handshake_done();
   }
   auto result = received_result().value_or(broker::AttemptResult{});
--- a/src/wire/pg_host.h
+++ b/src/wire/pg_host.h
@@ -21,9 +21,10 @@
   void reset() override;
   void submit() override;
   std::optional<broker::AttemptResult> received_result() override;
-  /// Handles one message; `message` is the whole of it. False if it is malformed or not expected in this
-  /// state: the connection can no longer be used.
-  bool handle_message(char type, std::string_view body, std::string_view message);
+  /// Handles one message; `message_bytes` holds it whole, with its header. False if the message is malformed
+  /// or not expected in this state: the connection can no longer be used.
+  bool handle_message(char type, std::string_view body, std::string_view message_bytes);
+  /// Handles an ErrorResponse; false as for handle_message().
   bool handle_error(std::string_view body);
   void handle_ready_for_query();
   /// Streams the available part of a long row; false if it has to wait or the connection has ended.
@@ -40,12 +41,14 @@
   /// ReadyForQuery ends the answer.
   enum class Expected { description, row, complete, ready };
   Expected expected_ = Expected::description;
-  std::string error_code_;
+  std::string error_code_;  // the SQLSTATE of the host's ErrorResponse; empty if there is none
   std::string error_message_;
   std::string health_;  // the load report that a probe has read
   AnswerMetadata metadata_;
-  std::string deadline_digits_;        // the deadline written into a long statement
-  std::size_t statement_written_ = 0;  // bytes of the long statement, with these digits, written so far
+  // The long statement being written: the digits that replace those of its deadline, its bytes written so far
+  // (with these digits), and whether bytes are left.
+  std::string deadline_digits_;
+  std::size_t statement_written_ = 0;
   bool writing_statement_ = false;
   std::size_t row_remaining_ = 0;  // bytes still to come of the row that is being streamed
 };
--- a/src/wire/pg_work.h
+++ b/src/wire/pg_work.h
@@ -13,7 +13,7 @@
 /// The largest message that is buffered whole: a statement with a value of 64 KiB in hexadecimal.
 inline constexpr std::size_t pg_max_message_size = 200 * 1024;
 
-/// Rows longer than this are streamed to the client; a value of 64 KiB is still buffered until complete.
+/// Rows longer than this are streamed to the client; a row with a value of 64 KiB is still buffered whole.
 inline constexpr std::size_t pg_stream_threshold = 64 * 1024 + 64;
 /// The longest row accepted from a host: a value of 4 MiB in hexadecimal.
 inline constexpr std::size_t pg_max_row_size = (std::size_t{8} << 20U) + 64;
