--- a/src/wire/upstream.cpp
+++ b/src/wire/upstream.cpp
@@ -209,6 +209,7 @@
     if (connections_.size() >= limit_ && limit_reached_) limit_reached_();
     if (connections_.size() >= limit_)
       if (auto* idle = pool_.take_oldest()) close(idle);
+    if (connections_.size() >= limit_ && job.attempt) abandon_newest_probe();
     AttemptResult failed;
     failed.outcome = Outcome::not_sent;
     if (connections_.size() >= limit_) return report(job, host, std::move(failed));
@@ -226,6 +227,24 @@
   connection->run(std::move(job));
 }
 
+/// The router counts on every connection but the reserve of probes for its attempts. Slow probes of many
+/// hosts can take more than their reserve. Without a connection the attempt would end as not sent, and so
+/// would its retries: within milliseconds the request would be refused. The newest probe is closed because
+/// the oldest ones show which hosts do not answer. It counts as not sent, which is no failure of its host.
+void SocketUpstream::abandon_newest_probe() {
+  HostConnection* newest = nullptr;
+  for (const auto& [connection, owned] : connections_)
+    if (const auto started_at = connection->probe_started_at();
+        started_at && (!newest || std::pair(*newest->probe_started_at(), newest->host()) <
+                                      std::pair(*started_at, connection->host())))
+      newest = connection;
+  if (!newest) return;
+  const auto host = newest->host();
+  const auto elapsed = clock_() - *newest->probe_started_at();
+  close(newest);
+  broker_->probe_ended(host, Outcome::not_sent, elapsed, {});
+}
+
 /// Cancelling an attempt closes its connection: the pending answer must not be taken for another request's.
 void SocketUpstream::cancel(broker::AttemptKey key) {
   const auto it = attempts_.find({key.request.value, key.number});
--- a/src/wire/upstream.h
+++ b/src/wire/upstream.h
@@ -43,6 +43,10 @@
   /// The client has read enough of a streamed answer: reads on.
   void resume();
   [[nodiscard]] HostId host() const { return host_; }
+  /// When the probe that it executes was started; nullopt if it executes none.
+  [[nodiscard]] std::optional<Time> probe_started_at() const {
+    return job_ && !job_->attempt ? std::optional(job_->started_at) : std::nullopt;
+  }
 
  protected:
   /// Clears the state of the previous job's answer.
@@ -164,6 +168,8 @@
 
  private:
   void run(HostId host, const std::string& address, Job job);
+  /// Closes the connection of the newest probe, if any, to make room for an attempt.
+  void abandon_newest_probe();
   void report(const Job& job, HostId host, broker::AttemptResult result);
   /// Abandons the connection's job, if any, and removes the connection.
   void close(HostConnection* connection);
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -8,6 +8,7 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <numeric>
 #include <thread>
 
 #include "app/config.h"
@@ -968,6 +969,43 @@
   EXPECT_EQ(metric_value(call(program.control(), "GET", "/-/metrics").body, "app_active"), 0);
 }
 
+/// Unanswered probes hold more connections than are reserved for them. Attempts got none then: each request
+/// used up its attempts within milliseconds and was refused.
+TEST(LargeFleet, RequestsAreServedWhilePendingProbesHoldConnections) {
+  std::vector<std::unique_ptr<PgStandIn>> hosts;
+  std::vector<std::string> members;
+  for (int i = 0; i < 60; ++i) {
+    hosts.push_back(std::make_unique<PgStandIn>());
+    hosts.back()->primary = i == 0;
+    hosts.back()->answers_probes = false;
+    members.push_back(member("h" + std::to_string(i), hosts.back()->address(), i == 0));
+  }
+  Discovery discovery(list_of(1, members));
+  auto config = replaced(config_json(discovery.address(), list_of(1, members)),
+                         R"("memory_mb":192,"sockets":1024)", R"("memory_mb":32,"sockets":256)");
+  // Probes stay pending for as long as the test runs.
+  config = replaced(config, R"("connect_timeout":1000)", R"("connect_timeout":20000)");
+  GatewayProcess program(config);
+  std::vector<std::unique_ptr<PgClient>> clients;
+  const auto pending_probes = [&] {
+    return std::accumulate(hosts.begin(), hosts.end(), 0,
+                           [](int sum, const auto& host) { return sum + host->pending_probes; });
+  };
+  int request_number = 0;
+  const auto send_round = [&](std::size_t client_count) {
+    while (clients.size() < client_count) clients.push_back(std::make_unique<PgClient>(program.pg()));
+    for (auto& client : clients)
+      client->socket.send(pg_query(statement("q" + std::to_string(++request_number), "history")));
+    for (auto& client : clients) EXPECT_EQ(client->read_answer().types, "TDCZ") << request_number;
+  };
+  const auto start = Clock::now();
+  while (pending_probes() < 20) {  // hosts of a group without requests are not probed
+    ASSERT_LT(Clock::now() - start, 10s) << pending_probes();
+    send_round(20);
+  }
+  send_round(100);
+}
+
 TEST(LargeFleet, RequestsAreAnsweredWhenHostsRejectConnections) {
   Service service;
   service.primary.connection_limit = 2;
--- a/tests/support/stand_in.cpp
+++ b/tests/support/stand_in.cpp
@@ -253,6 +253,12 @@
     const std::string sql = message->second.substr(0, message->second.size() - 1);
     longest_statement_ = std::max<std::size_t>(longest_statement_, sql.size());
     if (sql == "SHOW health") {
+      if (!answers_probes) {
+        ++pending_probes;
+        hang(socket);
+        --pending_probes;
+        return;
+      }
       socket.send(pg_row(health()) + ready);
       continue;
     }
--- a/tests/support/stand_in.h
+++ b/tests/support/stand_in.h
@@ -90,6 +90,10 @@
   std::atomic<int> connection_limit{1 << 20};
   /// Number of connections that were rejected for `connection_limit`.
   std::atomic<int> rejected_connections{0};
+  /// While false, probes are read but not answered (PostgreSQL only).
+  std::atomic<bool> answers_probes{true};
+  /// Number of unanswered probes whose connections are open.
+  std::atomic<int> pending_probes{0};
   /// The id of each received request, in order of arrival.
   std::vector<std::string> seen();
   std::size_t count() { return seen().size(); }
