--- a/src/tools/lab/host_model.cpp
+++ b/src/tools/lab/host_model.cpp
@@ -5,9 +5,10 @@
 namespace cedarring::lab {
 namespace {
 
-// Numbers of jobs that never finish stay in the list of cancelled jobs: the oldest are dropped in bulk.
+// Numbers of jobs that never finish stay in the list of cancelled jobs: above max_cancelled, the oldest
+// dropped_cancelled entries are removed.
 constexpr std::size_t max_cancelled = 4096;
-constexpr std::ptrdiff_t cancelled_batch = 2048;
+constexpr std::ptrdiff_t dropped_cancelled = 2048;
 
 }  // namespace
 
@@ -42,11 +43,11 @@
 
 void HostModel::receive_write(Time commit) {
   const auto now = timeline_.now();
-  while (!log_.empty() && log_.front().second <= now) log_.pop_front();
+  while (!log_.empty() && log_.front().applied_at <= now) log_.pop_front();
   const auto apply_time =
       Duration(static_cast<std::int64_t>(static_cast<double>(spec_.apply_time.count()) * apply_slowdown_));
   applier_free_at_ = std::max(applier_free_at_, now + spec_.replication_delay) + apply_time;
-  log_.emplace_back(commit, applier_free_at_);
+  log_.push_back({commit, applier_free_at_});
 }
 
 AnswerMetadata HostModel::metadata() const {
@@ -152,14 +153,14 @@
 }
 
 void HostModel::cancel(std::uint64_t number) {
-  const auto it =
-      std::find_if(queue_.begin(), queue_.end(), [&](const QueuedJob& q) { return q.number == number; });
+  const auto it = std::find_if(queue_.begin(), queue_.end(),
+                               [&](const QueuedJob& queued) { return queued.number == number; });
   if (it != queue_.end())
     queue_.erase(it);
   else
     cancelled_.push_back(number);
   if (cancelled_.size() > max_cancelled)
-    cancelled_.erase(cancelled_.begin(), cancelled_.begin() + cancelled_batch);
+    cancelled_.erase(cancelled_.begin(), cancelled_.begin() + dropped_cancelled);
 }
 
 void HostModel::crash() {
--- a/src/tools/lab/host_model.h
+++ b/src/tools/lab/host_model.h
@@ -21,25 +21,25 @@
 /// itself does not use it.
 using Random = pcg64;
 
-/// The capacity and behaviour of a host.
+/// The capacity and behaviour of a host. Durations are in microseconds.
 struct HostSpec {
   int cores = 3;
   int max_requests = 24;              // running and queued; further requests are refused
-  double speed = 1;                   // of each core: a job runs for its work divided by this
-  Duration replication_delay{5'000};  // until the log arrives at a replica
-  Duration apply_time{4'000};         // of one write on a replica, which applies writes one by one
-  bool checks_staleness = true;       // refuses a read that it is too stale for; else answers it all the same
-  int max_connections = 0;            // 0: no limit
-  Duration handshake_work{};          // of a core for each new connection
+  double speed = 1;                   // of each core: a job runs for its work divided by the speed
+  Duration replication_delay{5'000};  // from a write on the primary until a replica receives it
+  Duration apply_time{4'000};         // for one write on a replica, which applies writes one by one
+  bool checks_staleness = true;  // a replica refuses reads that it is too stale for; false: it answers them
+  int max_connections = 0;       // 0: no limit
+  Duration handshake_work{};     // that each new connection costs on a core of speed 1
 };
 
 /// A request to a host.
 struct Job {
-  Duration work{};  // on a core of speed 1
+  Duration work{};  // time that it takes on a core of speed 1
   bool write = false;
   Freshness freshness = Freshness::any;
   Duration staleness_bound{};        // of a bounded read
-  std::optional<Time> min_position;  // of a session read
+  std::optional<Time> min_position;  // of a session read: the position that the host must have reached
   std::function<void(Outcome, AnswerMetadata)> on_done;
 };
 
@@ -70,7 +70,9 @@
   void set_unresponsive(bool unresponsive);
   [[nodiscard]] bool alive() const { return alive_; }
   [[nodiscard]] bool unresponsive() const { return unresponsive_; }
+  /// What the host reports with each answer: its role and position.
   [[nodiscard]] AnswerMetadata metadata() const;
+  /// The answer to a probe: role, position and queue length.
   [[nodiscard]] LoadReport load_report() const;
   /// The replication position, as the commit time up to which the host has the log applied.
   [[nodiscard]] Time position() const;
@@ -80,8 +82,10 @@
   [[nodiscard]] HostId id() const { return id_; }
   [[nodiscard]] const std::string& zone() const { return zone_; }
   [[nodiscard]] const HostSpec& spec() const { return spec_; }
+  /// The time of the last call to start(); Time{} if the host has never been restarted.
   [[nodiscard]] Time started_at() const { return started_at_; }
   [[nodiscard]] std::size_t queue_length() const { return queue_.size(); }
+  /// The number of jobs that are running on cores.
   [[nodiscard]] int running() const { return running_; }
   /// The time that cores have been assigned to jobs, summed over cores.
   [[nodiscard]] Duration busy_time() const { return busy_time_; }
@@ -91,6 +95,12 @@
     std::uint64_t number;
     Job job;
   };
+  /// A write received by replication.
+  struct LoggedWrite {
+    Time commit;
+    Time applied_at;  // here
+  };
+  /// Starts queued jobs while cores are free.
   void run_queued();
   void finish(std::uint64_t process_number, std::uint64_t number, const Job& job);
   [[nodiscard]] double capacity() const;
@@ -101,7 +111,7 @@
   std::string zone_;
   std::deque<QueuedJob> queue_;
   std::vector<std::uint64_t> cancelled_;            // running jobs whose result is discarded
-  std::deque<std::function<void()>> held_answers_;  // of an unresponsive host
+  std::deque<std::function<void()>> held_answers_;  // sent when an unresponsive host responds again
   std::uint64_t next_number_ = 1;
   std::uint64_t process_number_ = 0;  // counts crashes: results of an earlier process are dropped
   int running_ = 0;
@@ -111,12 +121,12 @@
   bool unresponsive_ = false;
   double apply_slowdown_ = 1;
   Time started_at_{};
-  Time warm_at_{};
+  Time warm_at_{};  // end of the warm-up
   Duration warm_up_{};
   double initial_capacity_ = 1;
   Duration busy_time_{};
-  std::deque<std::pair<Time, Time>> log_;  // by write: commit time, time at which it is applied here
-  Time applier_free_at_{};
+  std::deque<LoggedWrite> log_;
+  Time applier_free_at_{};  // when all received writes are applied
 };
 
 /// One primary and its replicas.
--- a/src/tools/lab/main.cpp
+++ b/src/tools/lab/main.cpp
@@ -15,13 +15,14 @@
 using namespace cedarring;
 using namespace cedarring::lab;
 
-constexpr double upper_quantile = 0.975;  // of a two-sided confidence interval of 95%
+constexpr double upper_quantile = 0.975;  // level of the upper end of a two-sided 95% confidence interval
 
 /// A mean over seeds and half the width of its 95% confidence interval.
 struct Estimate {
   double mean = 0;
   double half_width = 0;
 };
+/// The estimate by Student's t; without a second sample the half width is 0.
 Estimate estimate(const std::vector<double>& samples) {
   Estimate result;
   for (const double sample : samples) result.mean += sample / static_cast<double>(samples.size());
@@ -57,7 +58,8 @@
   return result.overlapping_attempts + result.excess_attempts + result.unanswered + result.late_answers;
 }
 
-/// Value and in-time shares by class, with levels off and on, for several loads and a failure of a primary.
+/// Prints the share of value earned and the in-time share of each class, with levels off and on, for several
+/// loads and a failure of a primary.
 int levels_experiment(int seeds, int length) {
   struct Run {
     std::string name;
@@ -118,14 +120,16 @@
   return 0;
 }
 
-/// Three teams, desks, a partner and a settlement batch. In two of three runs the batch sends far beyond its
-/// contract in the middle third; in one of them contracts are enforced.
+/// Prints how three teams' requests end: desks, a partner and a settlement batch. In two of three runs the
+/// batch sends far beyond its contract in the middle third; in one of these, contracts are enforced.
 int contracts_experiment(int seeds, int length) {
   constexpr double load = 0.7;
-  constexpr double full_load_utilization = 0.92;
-  constexpr double mean_work_seconds = 0.0622;
-  constexpr double contract_margin = 1.3;  // contracted rate over the usual one
-  constexpr double min_burst = 15;
+  constexpr double full_load_utilization = 0.92;  // of the hosts' cores at load 1
+  constexpr double mean_work_seconds = 0.0622;    // of a request of the reference deployment
+  constexpr double contract_margin = 1.3;         // contracted rate over the usual one
+  constexpr double min_burst = 15;                // requests
+  constexpr std::size_t batch_tenant = 2;
+  constexpr std::size_t history_class = 1;
   auto config = reference_deployment();
   config.tenants = {{"desks", 0.70}, {"partner", 0.18}, {"batch", 0.12}};
   config.load = load;
@@ -163,10 +167,10 @@
   for (const auto& run : {Run{"usual, counting", false, false}, Run{"runaway, counting", true, false},
                           Run{"runaway, enforcing", true, true}}) {
     auto run_config = config;
-    // On top of its share the batch sends as many requests as all teams together usually do.
+    // In addition to its share the batch sends as many requests as all teams together usually do.
     if (run.surge)
-      run_config.surges.push_back(
-          {2, 1, usual_rate, std::chrono::seconds(length / 3), std::chrono::seconds(2 * length / 3)});
+      run_config.surges.push_back({batch_tenant, history_class, usual_rate, std::chrono::seconds(length / 3),
+                                   std::chrono::seconds(2 * length / 3)});
     run_config.contracts = contracts_config(run.enforce);
     const auto results = run_seeds(run_config, seeds);
     std::uint64_t violation_count = 0;
@@ -198,13 +202,14 @@
   return 0;
 }
 
+/// The placement's name in the printed table.
 const char* placement_name(ReadPlacement placement) {
   return placement == ReadPlacement::router   ? "module"
          : placement == ReadPlacement::random ? "blind"
                                               : "oracle";
 }
 
-/// How evenly reads are distributed over replicas, by number of gateways and load, for the router's
+/// Prints how evenly reads are distributed over replicas, by number of gateways and load, for the router's
 /// placement, a uniform draw and an oracle.
 int spread_experiment(int seeds, int length, const std::vector<int>& gateway_counts,
                       const std::vector<double>& loads, int groups, int hosts_per_group, double traffic_skew,
@@ -259,13 +264,13 @@
             " %7.3f %7.4f ",
             estimate_of([](const auto& result) { return result.read_distribution.min_share; }).mean,
             estimate_of([](const auto& result) { return result.read_distribution.idle_beside_queue; }).mean);
-        for (std::size_t c = 0; c < 4; ++c) std::printf(" %.4f  ", in_time_share(c).mean);
+        for (std::size_t c = 0; c < config.classes.size(); ++c) std::printf(" %.4f  ", in_time_share(c).mean);
         std::printf(" %.3f, %llu\n",
                     static_cast<double>(probes) / std::max<double>(1, static_cast<double>(requests)),
                     static_cast<unsigned long long>(violation_count));
         if (print_autocorrelation) {
           std::printf("%23s", "after 0.1 to 2 s:");
-          for (std::size_t lag = 0; lag < 20; ++lag)
+          for (std::size_t lag = 0; lag < ReadDistribution::lag_count; ++lag)
             std::printf(" %+.2f", estimate_of([lag](const auto& result) {
                                     return result.read_distribution.autocorrelation[lag];
                                   }).mean);
--- a/src/tools/lab/simulation.cpp
+++ b/src/tools/lab/simulation.cpp
@@ -13,23 +13,26 @@
 constexpr double full_load_utilization = 0.92;       // of the hosts' cores at load 1
 constexpr int session_key_count = 5000;
 constexpr int zone_count = 3;
-constexpr std::uint32_t max_attempts = 6;
-constexpr int max_client_tries = 2;
-constexpr double cold_capacity_share = 0.17;
-constexpr std::size_t autocorrelation_lags = 20;
-constexpr std::uint64_t seeds_per_run = 1000;  // distance of the gateways' seeds of consecutive runs
-
-constexpr Duration network_delay{100};  // one way between a gateway and a host
-constexpr Duration probe_work{300};
+constexpr std::uint32_t max_attempts = 6;      // of one try of a request
+constexpr int max_client_tries = 2;            // of a request, by its client
+constexpr double cold_capacity_share = 0.17;   // of a restarted host's capacity, at its start
+constexpr std::uint64_t seeds_per_run = 1000;  // a run with seed s uses the seeds from s * seeds_per_run
+constexpr double microseconds_per_second = 1e6;
+constexpr Time simulation_start{1'000'000'000'000};  // microseconds since the epoch
+
+// Durations in microseconds.
+constexpr Duration network_delay{100};            // one way between a gateway and a host
+constexpr Duration probe_work{300};               // time that a host takes to answer a probe
 constexpr Duration warm_up_duration{14'000'000};  // of a host
 constexpr Duration step_interval{100'000};        // of contracts and levels
 constexpr Duration queue_sample_interval{20'000};
-constexpr Duration discovery_delay{3'000'000};  // until a member list shows a failure or a promotion
-constexpr Duration restart_delay{2'000'000};    // of a failed primary, after the takeover
-constexpr Duration drain_time{10'000'000};      // at the end of a run, for answers to open requests
-constexpr Duration late_answer_tolerance{50'000};
-constexpr Duration default_retry_pause{200'000};
+constexpr Duration discovery_delay{3'000'000};     // until a member list shows a failure or a promotion
+constexpr Duration restart_delay{2'000'000};       // of a failed primary, after the takeover
+constexpr Duration drain_time{10'000'000};         // at the end of a run, for answers to open requests
+constexpr Duration late_answer_tolerance{50'000};  // after the deadline
+constexpr Duration default_retry_pause{200'000};   // of a client, after a refusal without a retry-after time
 
+/// The payload of a request: what the host model and the checks need of it.
 struct SimulatedPayload : broker::RequestPayload {
   Duration work{};
   std::size_t class_index = 0;
@@ -53,18 +56,21 @@
   void close_idle(HostId) override {}
 
  private:
-  struct Destination {
+  /// Request and attempt number, as in broker::AttemptKey.
+  using AttemptId = std::pair<std::uint64_t, std::uint32_t>;
+  struct InFlightAttempt {
+    std::uint64_t serial = 0;  // tells it from an earlier attempt with the same id
     HostModel* host = nullptr;
     std::uint64_t job_number = 0;  // 0 until the host has accepted the job
   };
+  static AttemptId id_of(broker::AttemptKey key) { return {key.request.value, key.number}; }
+  /// Ends an attempt, unless it has been cancelled or has ended before.
   void end(broker::AttemptKey key, std::uint64_t serial, broker::AttemptResult result);
   Simulation& simulation_;
   std::size_t gateway_;
-  /// By request and attempt number: a serial number, which tells a repeated key from the earlier one, and the
-  /// destination.
-  std::map<std::pair<std::uint64_t, std::uint32_t>, std::pair<std::uint64_t, Destination>> in_flight_;
+  std::map<AttemptId, InFlightAttempt> in_flight_;
   std::uint64_t last_serial_ = 0;
-  std::uint64_t last_timer_ = 0;
+  std::uint64_t last_timer_ = 0;  // earlier timers are void
 };
 
 /// Notes whether the last request was beyond its tenant's budget.
@@ -77,6 +83,7 @@
   bool last_beyond_budget = false;
 };
 
+/// A gateway: the real broker and gates over a simulated upstream. Passes final answers to the simulation.
 struct SimulatedGateway : broker::FrontEnd {
   SimulatedGateway(Simulation& owner, std::size_t number);
   void finish(RequestId request, broker::FinalAnswer answer) override;
@@ -89,7 +96,7 @@
   std::unique_ptr<contracts::Contracts> contracts;
 };
 
-/// A request from the view of its client: all its tries together.
+/// A request as its client sees it. The client may try it several times; each try is a request to a broker.
 struct SimulatedRequest {
   std::size_t class_index = 0;
   std::size_t tenant_index = 0;
@@ -100,14 +107,15 @@
   Time deadline{};
   Duration work{};
   bool beyond_budget = false;  // at the first try
-  bool counted = false;
-  int tries = 0;
+  bool counted = false;        // its arrival has been counted, or left out as part of the warm-up
+  int tries = 0;               // sent so far
 };
 
+/// One run: hosts, gateways and clients on one timeline.
 class Simulation {
  public:
-  explicit Simulation(const SimulationConfig& c)
-      : config(c), timeline(Time{1'000'000'000'000}), random(c.seed), start(timeline.now()) {
+  explicit Simulation(const SimulationConfig& run_config)
+      : config(run_config), timeline(simulation_start), random(run_config.seed), start(timeline.now()) {
     std::uint32_t id = 1;
     for (int g = 0; g < config.groups; ++g) {
       groups.push_back(std::make_unique<ReplicaGroup>(timeline, GroupId{g + 1}));
@@ -146,6 +154,7 @@
     reads.resize(static_cast<std::size_t>(config.groups * config.hosts_per_group));
     double sum = 0;
     for (int g = 0; g < config.gateways; ++g) {
+      // 0 for the first gateway, 1 for the last.
       const double rank = config.gateways > 1 ? static_cast<double>(g) / (config.gateways - 1) : 0;
       traffic_shares.push_back(std::pow(config.traffic_skew, 1 - 2 * rank));
       sum += traffic_shares.back();
@@ -153,9 +162,18 @@
     for (auto& share : traffic_shares) share /= sum;
   }
 
-  static double seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
+  static double seconds(Duration duration) {
+    return static_cast<double>(duration.count()) / microseconds_per_second;
+  }
+  /// The time to the next arrival of a Poisson process, `rate` in arrivals a second.
+  Duration draw_gap(double rate) {
+    const auto gap_seconds = boost::random::exponential_distribution<double>(rate)(random);
+    return Duration(static_cast<std::int64_t>(gap_seconds * microseconds_per_second));
+  }
+  /// A uniform draw from [0, 1).
   double draw() { return boost::random::uniform_01<double>()(random); }
 
+  /// The present list of the hosts that are alive, under the next version.
   broker::MemberList member_list() const {
     broker::MemberList list;
     list.version = ++list_version;
@@ -175,6 +193,7 @@
     return list;
   }
 
+  /// The host at an address of the member list, which is its id; null if there is none.
   HostModel* find_host(const std::string& address) const {
     const HostId id{static_cast<std::uint32_t>(std::stoul(address))};
     for (const auto& group : groups)
@@ -188,10 +207,10 @@
     double rate = full_load_rate * config.load * spec.share;
     if (!config.load_factors.empty()) rate *= config.load_factors[class_index];
     if (rate <= 0) return;
-    const auto gap_seconds = boost::random::exponential_distribution<double>(rate)(random);
-    timeline.after(Duration(static_cast<std::int64_t>(gap_seconds * 1e6)), [this, class_index] {
+    timeline.after(draw_gap(rate), [this, class_index] {
       if (timeline.now() >= start + config.duration) return;
       schedule_arrival(class_index);
+      // Draws the tenant by the tenants' shares.
       double remainder = draw();
       std::size_t tenant = 0;
       for (; tenant + 1 < config.tenants.size() && (remainder -= config.tenants[tenant].share) >= 0;
@@ -216,6 +235,7 @@
         spec.min_work + Duration(static_cast<std::int64_t>(
                             static_cast<double>((spec.max_work - spec.min_work).count()) * draw()));
     ++result.requests;
+    // Draws the gateway by the gateways' shares of the traffic.
     std::size_t gateway = 0;
     for (double remainder = draw();
          gateway + 1 < traffic_shares.size() && (remainder -= traffic_shares[gateway]) >= 0; ++gateway) {
@@ -226,6 +246,7 @@
   /// The replica that a read goes to: the router's choice unless the configuration places reads otherwise.
   /// Counts the read.
   HostModel* place_read(HostModel* chosen) {
+    // Host ids are assigned group by group, from 1.
     auto& group = *groups[(chosen->id().value - 1) / static_cast<std::uint32_t>(config.hosts_per_group)];
     if (config.read_placement != ReadPlacement::router) {
       std::vector<HostModel*> replicas;
@@ -275,13 +296,13 @@
     const auto window_count =
         static_cast<std::size_t>((config.duration - config.warm_up) / ReadDistribution::windows[0]);
     std::vector<double> dispersion_sums(std::size(ReadDistribution::windows));
-    std::vector<double> autocorrelation(autocorrelation_lags);
+    std::vector<double> autocorrelation(ReadDistribution::lag_count);
     double replicas = 0;
     double min_share_sum = 0;
     double varying_replicas = 0;
     for (const auto& group : groups) {
       double group_total = 0;
-      double smallest = 1e18;
+      double smallest = 1e18;  // above any number of reads
       double group_replicas = 0;
       for (const auto& host : group->hosts()) {
         if (host.get() == group->primary()) continue;
@@ -330,15 +351,16 @@
 
   /// Schedules the next additional request of a surge.
   void schedule_surge_arrival(const SimulationConfig::Surge& surge) {
-    const auto gap_seconds = boost::random::exponential_distribution<double>(surge.per_second)(random);
-    timeline.after(Duration(static_cast<std::int64_t>(gap_seconds * 1e6)), [this, surge] {
-      if (timeline.now() >= start + surge.to) return;
-      schedule_surge_arrival(surge);
-      create_request(surge.class_index, surge.tenant);
-    });
+    timeline.after(
+        draw_gap(surge.per_second),
+        [this, surge] {
+          if (timeline.now() >= start + surge.to) return;
+          schedule_surge_arrival(surge);
+          create_request(surge.class_index, surge.tenant);
+        });
   }
 
-  /// Sends a try of a request to a gateway.
+  /// Sends a try of a request to a gateway. The broker may answer before it returns from accept().
   void send(const std::shared_ptr<SimulatedRequest>& request, std::size_t gateway_index) {
     auto& gateway = *gateways[gateway_index];
     auto payload = std::make_shared<SimulatedPayload>();
@@ -355,7 +377,7 @@
     client_request.payload = std::move(payload);
     ++request->tries;
     RequestId id;
-    pending = &id;  // set by accept() before any answer
+    pending = &id;  // accept() sets the id before any answer
     const auto rejection = gateway.broker->accept(client_request, gateway, id);
     if (!request->counted) {
       request->counted = true;
@@ -373,6 +395,7 @@
     open[gateway_index][id.value] = request;
   }
 
+  /// Receives the final answer of a broker to one try.
   void finish(std::size_t gateway_index, RequestId id, broker::FinalAnswer answer) {
     if (pending && *pending == id) {  // before accept() has returned
       early_answer = std::move(answer);
@@ -385,7 +408,7 @@
     on_answer(request, gateway_index, answer);
   }
 
-  /// The client's side of an answer: retries a refused request once, or counts the result.
+  /// What the client does with an answer: retries a refused request once, or counts the result.
   void on_answer(const std::shared_ptr<SimulatedRequest>& request, std::size_t gateway_index,
                  const broker::FinalAnswer& answer) {
     const auto now = timeline.now();
@@ -422,6 +445,7 @@
   Tally& class_tally(const SimulatedRequest& request) {
     return (request.beyond_budget ? result.beyond : result.within)[request.class_index];
   }
+  /// The value that an answer within the latency target earns.
   [[nodiscard]] double value_of(const SimulatedRequest& request) const {
     return config.classes[request.class_index].request_class.value *
            (request.beyond_budget ? beyond_budget_value_factor : 1);
@@ -450,6 +474,7 @@
     timeline.after(step_interval, [this] { step_gates(); });
   }
 
+  /// Runs the simulation. To be called once.
   SimulationResult run() {
     open.resize(gateways.size());
     for (auto& gateway : gateways) gateway->broker->start(member_list());
@@ -484,6 +509,7 @@
     summarize_reads();
     return std::move(result);
   }
+  /// Sends the present member list to all gateways.
   void publish_members() {
     for (auto& gateway : gateways) gateway->broker->on_member_list(member_list());
   }
@@ -497,16 +523,16 @@
   std::vector<std::unique_ptr<ReplicaGroup>> groups;
   std::vector<std::unique_ptr<SimulatedGateway>> gateways;
   std::vector<std::unordered_map<std::uint64_t, std::shared_ptr<SimulatedRequest>>>
-      open;                                         // by gateway and id
-  const RequestId* pending = nullptr;               // of the request that a broker is accepting
-  std::optional<broker::FinalAnswer> early_answer;  // to the pending request
-  std::uint64_t request_names = 0;
+      open;                                         // tries without an answer, by gateway and request id
+  const RequestId* pending = nullptr;               // id of the try that a broker is accepting, if any
+  std::optional<broker::FinalAnswer> early_answer;  // to the pending try, received during accept()
+  std::uint64_t request_names = 0;                  // number of names given to tries
   mutable std::uint64_t list_version = 0;
   std::vector<double> traffic_shares;                      // by gateway
   std::vector<std::vector<std::uint32_t>> reads;           // by host and window of 100 ms
   std::unordered_map<HostModel*, std::size_t> on_the_way;  // attempts sent that have not reached the host
-  std::uint64_t queue_samples = 0;
-  std::uint64_t unbalanced_samples = 0;  // with a free core beside a queue
+  std::uint64_t queue_samples = 0;                         // one for each group and sampling
+  std::uint64_t unbalanced_samples = 0;  // with a free core at one replica and a queue at another
   SimulationResult result;
 };
 
@@ -534,7 +560,7 @@
     contracts::ServiceInfo contracts_service;
     contracts_service.classes = settings.classes;
     contracts_service.tenants = levels_service.tenants;
-    contracts_service.seed = settings.seed ^ 1;
+    contracts_service.seed = settings.seed ^ 1;  // not the seed of the levels
     contracts = std::make_unique<contracts::Contracts>(*config.contracts, contracts_service);
     broker->add_gate(*contracts);
   }
@@ -554,12 +580,12 @@
   auto& timeline = simulation_.timeline;
   ++simulation_.result.attempts;
   if (key.number >= max_attempts) ++simulation_.result.excess_attempts;
-  const auto earlier = in_flight_.lower_bound({key.request.value, 0});
-  if (earlier != in_flight_.end() && earlier->first.first == key.request.value)
+  const auto earlier_attempt = in_flight_.lower_bound({key.request.value, 0});
+  if (earlier_attempt != in_flight_.end() && earlier_attempt->first.first == key.request.value)
     ++simulation_.result.overlapping_attempts;
   const auto serial = ++last_serial_;
   auto* host = simulation_.find_host(address);
-  in_flight_[{key.request.value, key.number}] = {serial, {host, 0}};
+  in_flight_[id_of(key)] = {serial, host, 0};
   const auto& simulated_payload = static_cast<const SimulatedPayload&>(*payload);
   const auto& request_class = simulation_.config.classes[simulated_payload.class_index].request_class;
   if (request_class.freshness <= Freshness::bounded) {
@@ -567,7 +593,7 @@
     ++(replica ? simulation_.result.replica_reads : simulation_.result.primary_reads);
     if (replica) {
       host = simulation_.place_read(host);
-      in_flight_[{key.request.value, key.number}].second.host = host;
+      in_flight_[id_of(key)].host = host;
     }
   }
   if (host) ++simulation_.on_the_way[host];
@@ -586,18 +612,19 @@
   };
   timeline.after(network_delay, [this, key, serial, host, job = std::move(job)]() mutable {
     if (host) --simulation_.on_the_way[host];
-    const auto it = in_flight_.find({key.request.value, key.number});
-    if (it == in_flight_.end() || it->second.first != serial) return;  // cancelled before it arrived
+    const auto it = in_flight_.find(id_of(key));
+    if (it == in_flight_.end() || it->second.serial != serial) return;  // cancelled before it arrived
     const auto job_number = host->submit(std::move(job));
-    const auto still = in_flight_.find({key.request.value, key.number});
-    if (still != in_flight_.end() && still->second.first == serial)
-      still->second.second.job_number = job_number;
+    // submit() may have ended the attempt.
+    const auto submitted = in_flight_.find(id_of(key));
+    if (submitted != in_flight_.end() && submitted->second.serial == serial)
+      submitted->second.job_number = job_number;
   });
   timeline.at(give_up_at, [this, key, serial] {
-    const auto it = in_flight_.find({key.request.value, key.number});
-    if (it == in_flight_.end() || it->second.first != serial) return;
-    const auto& destination = it->second.second;
-    if (destination.job_number) destination.host->cancel(destination.job_number);
+    const auto it = in_flight_.find(id_of(key));
+    if (it == in_flight_.end() || it->second.serial != serial) return;
+    const auto& overdue = it->second;
+    if (overdue.job_number) overdue.host->cancel(overdue.job_number);
     broker::AttemptResult result;
     result.outcome = Outcome::timeout;
     end(key, serial, std::move(result));
@@ -605,17 +632,17 @@
 }
 
 void SimulatedUpstream::end(broker::AttemptKey key, std::uint64_t serial, broker::AttemptResult result) {
-  const auto it = in_flight_.find({key.request.value, key.number});
-  if (it == in_flight_.end() || it->second.first != serial) return;
+  const auto it = in_flight_.find(id_of(key));
+  if (it == in_flight_.end() || it->second.serial != serial) return;
   in_flight_.erase(it);
   simulation_.gateways[gateway_]->broker->attempt_ended(key, std::move(result));
 }
 
 void SimulatedUpstream::cancel(broker::AttemptKey key) {
-  const auto it = in_flight_.find({key.request.value, key.number});
+  const auto it = in_flight_.find(id_of(key));
   if (it == in_flight_.end()) return;
-  const auto& destination = it->second.second;
-  if (destination.job_number) destination.host->cancel(destination.job_number);
+  const auto& cancelled = it->second;
+  if (cancelled.job_number) cancelled.host->cancel(cancelled.job_number);
   in_flight_.erase(it);
 }
 
--- a/src/tools/lab/simulation.h
+++ b/src/tools/lab/simulation.h
@@ -22,7 +22,7 @@
 struct ClassSpec {
   RequestClass request_class;
   double share = 0;  // of the requests
-  // Work of a request on a core of speed 1, uniformly distributed.
+  // Range of the work of a request (its time on a core of speed 1), uniformly distributed.
   Duration min_work{};
   Duration max_work{};
 };
@@ -39,7 +39,7 @@
   oracle   // the least loaded replica by the true state of all hosts
 };
 
-/// The parameters of a run.
+/// The parameters of a run. Durations are in microseconds.
 struct SimulationConfig {
   std::uint64_t seed = 1;
   int gateways = 3;
@@ -48,27 +48,27 @@
   HostSpec host;
   std::vector<ClassSpec> classes;
   std::vector<TenantSpec> tenants;
-  double load = 1;                   // as a share of what the hosts can serve
-  std::vector<double> load_factors;  // by class, on its share of the requests; empty: all 1
+  double load = 1;                   // requests sent, as a share of what the hosts can serve
+  std::vector<double> load_factors;  // by class, multiplies the rate of its requests; empty: all 1
   Duration duration{30'000'000};
   Duration warm_up{5'000'000};  // start of `duration`; requests that arrive in it are not counted
-  double probe_cost = 0.01;     // of the value of a request, as in the settings
-  bool client_retries = true;   // once, after the retry-after time or 200 ms
+  double probe_cost = 0.01;     // of one probe, in values of a request
+  bool client_retries = true;   // clients retry a refused request once, after its retry-after time or 200 ms
   std::optional<levels::Config> levels;
   std::optional<contracts::Config> contracts;
-  /// Additional requests of one tenant and class for a period.
+  /// Additional requests of one tenant and class for a period. Times are since the start of the run.
   struct Surge {
-    std::size_t tenant = 0;
+    std::size_t tenant = 0;  // index in `tenants`
     std::size_t class_index = 0;
-    double per_second = 0;  // on top of the tenant's share
+    double per_second = 0;  // requests, in addition to those of `load`
     Duration from{};
     Duration to{};
   };
   std::vector<Surge> surges;
   /// The crash of a group's primary.
   struct PrimaryFailure {
-    Duration at{};
-    int group = 0;
+    Duration at{};        // since the start of the run
+    int group = 0;        // counted from 0
     Duration takeover{};  // from the failure of the primary to the promotion of a replica
   };
   std::vector<PrimaryFailure> primary_failures;
@@ -95,6 +95,7 @@
 
 /// How evenly reads are distributed over the replicas of their groups, after the warm-up.
 struct ReadDistribution {
+  /// Lengths of the windows in which reads are counted: 0.1, 1 and 10 s.
   static constexpr Duration windows[] = {Duration{100'000}, Duration{1'000'000}, Duration{10'000'000}};
   /// The index of dispersion (variance over mean) of the reads at a replica, by window length, as the mean
   /// over replicas. A uniform draw gives 1.
@@ -103,21 +104,23 @@
   double min_share = 0;
   /// The share of time in which a replica has a free core while another of its group has queued requests.
   double idle_beside_queue = 0;
-  /// Autocorrelation of the reads at a replica in windows of 100 ms, for lags of 1 to 20 windows. An
-  /// oscillation shows as a period.
+  static constexpr std::size_t lag_count = 20;
+  /// Autocorrelation of the reads at a replica in windows of 100 ms, as the mean over the replicas whose
+  /// reads vary, for lags of 1 to `lag_count` windows. An oscillation shows as a period.
   std::vector<double> autocorrelation;
 };
 
 /// The counts of a run.
 struct SimulationResult {
   ReadDistribution read_distribution;
-  std::vector<Tally> within;                      // by class, within the tenant's budget
-  std::vector<Tally> beyond;                      // by class, beyond the tenant's budget
-  std::vector<Tally> by_tenant_class;             // tenant x classes + class
-  std::vector<contracts::LedgerEntry> ledger;     // team x classes + class, sum over gateways
+  std::vector<Tally> within;                   // by class, within the tenant's budget
+  std::vector<Tally> beyond;                   // by class, beyond the tenant's budget
+  std::vector<Tally> by_tenant_class;          // at index tenant * number of classes + class
+  std::vector<contracts::LedgerEntry> ledger;  // at index team * number of classes + class, sum over gateways
   std::vector<levels::AxisChange> level_changes;  // of the first gateway
+  // Totals of the run, with the warm-up.
   std::uint64_t requests = 0;
-  std::uint64_t events = 0;
+  std::uint64_t events = 0;  // of the timeline
   std::uint64_t attempts = 0;
   std::uint64_t probes = 0;
   // Attempts of reads that a replica may answer, by the role of their host.
@@ -134,7 +137,8 @@
   [[nodiscard]] double in_time_share(std::size_t class_index) const;
 };
 
-/// The request classes and tenants of the reference deployment.
+/// A configuration with the request classes and tenants of the reference deployment; all else has the
+/// default.
 SimulationConfig reference_deployment();
 
 /// Runs a simulation. Deterministic: the result depends only on the configuration.
--- a/src/tools/lab/timeline.h
+++ b/src/tools/lab/timeline.h
@@ -18,7 +18,7 @@
  public:
   explicit Timeline(Time start) : now_(start) {}
   [[nodiscard]] Time now() const { return now_; }
-  /// Schedules an action. A time in the past counts as now.
+  /// Schedules an action for the time `due`. A time in the past counts as now.
   void at(Time due, std::function<void()> action) {
     queue_.push({due < now_ ? now_ : due, next_order_++, std::move(action)});
   }
@@ -48,6 +48,7 @@
     Time due;
     std::uint64_t order;
     std::function<void()> action;
+    /// Reversed, as std::priority_queue returns its largest element first.
     bool operator<(const Event& other) const {
       return due != other.due ? due > other.due : order > other.order;
     }
