--- a/src/tools/ctl/main.cpp
+++ b/src/tools/ctl/main.cpp
@@ -14,6 +14,7 @@
       ->envname("CEDARRING_ADMIN");
   app.add_flag("--json", json, "Print the response as received");
   std::string command;
+  // Adds a subcommand that is sent as it is.
   const auto add_query = [&](const char* name, const char* description) {
     app.add_subcommand(name, description)->callback([&command, name] { command = name; });
   };
@@ -24,7 +25,9 @@
   auto* records = app.add_subcommand("records", "The latest decision records");
   records->add_option("N", count, "Number of records")->check(CLI::Range(1, 10000));
   records->callback([&] { command = "records " + std::to_string(count); });
-  std::string front_end, axis, level;
+  std::string front_end;
+  std::string axis;
+  std::string level;
   int seconds = 0;
   auto* set = app.add_subcommand("set-level", "Hold a degradation level for a number of seconds");
   set->add_option("FRONT", front_end, "postgresql or mysql")->required();
@@ -40,7 +43,8 @@
   app.require_subcommand(1);
   CLI11_PARSE(app, argc, argv);
 
-  std::string response, error;
+  std::string response;
+  std::string error;
   if (!cedarring::wire::send_admin_command(socket, command, response, error)) {
     std::cerr << "cedarring ctl: " << error << '\n';
     return 1;
--- a/src/tools/ctl/show.cpp
+++ b/src/tools/ctl/show.cpp
@@ -14,6 +14,7 @@
 using Json = rapidjson::Value;
 
 constexpr std::int64_t milliseconds_per_second = 1000;
+constexpr std::size_t column_gap = 2;  // spaces between the columns of a table
 
 /// Formats a scalar or a table cell. The keys at_ms, since_ms and pinned_until_ms hold Unix times, which are
 /// written as UTC dates.
@@ -35,7 +36,8 @@
   return buffer.GetString();
 }
 
-/// Whether the value is a non-empty list of objects without nested values, other than readings.
+/// Whether the value is a non-empty list of objects without nested values. An object under the key `readings`
+/// is allowed: it is printed as JSON in its cell.
 bool is_table(const Json& value) {
   return value.IsArray() && !value.Empty() &&
          std::all_of(
@@ -61,8 +63,8 @@
   for (const auto& row : rows.GetArray()) {
     cells.emplace_back();
     for (const auto& key : keys) {
-      const auto it = row.FindMember(key.c_str());
-      cells.back().push_back(it == row.MemberEnd() ? "-" : format_value(key, it->value));
+      const auto member = row.FindMember(key.c_str());
+      cells.back().push_back(member == row.MemberEnd() ? "-" : format_value(key, member->value));
     }
   }
   std::vector<std::size_t> widths(keys.size(), 0);
@@ -71,11 +73,12 @@
   for (const auto& row : cells) {
     out += indent;
     for (std::size_t i = 0; i < row.size(); ++i)
-      out += row[i] + (i + 1 < row.size() ? std::string(widths[i] - row[i].size() + 2, ' ') : "");
+      out += row[i] + (i + 1 < row.size() ? std::string(widths[i] - row[i].size() + column_gap, ' ') : "");
     out += '\n';
   }
 }
 
+/// Appends an object, one member a line, or an array. Scalars in an array are left out.
 void append_value(const Json& value, const std::string& indent, std::string& out) {
   if (is_table(value)) return append_table(value, indent, out);
   if (value.IsArray())
--- a/src/tools/ctl/show.h
+++ b/src/tools/ctl/show.h
@@ -6,7 +6,8 @@
 
 namespace cedarring::tools {
 
-/// The response as text. A response that is not a JSON object or array is returned unchanged.
+/// The response as text, without a line feed at its end. A response that is not a JSON object or array is
+/// returned unchanged.
 std::string format_response(const std::string& json);
 
 }  // namespace cedarring::tools
--- a/src/tools/plan/main.cpp
+++ b/src/tools/plan/main.cpp
@@ -20,9 +20,11 @@
 constexpr int exit_error = 1;
 constexpr int exit_does_not_fit = 3;
 constexpr int exit_bad_certificate = 4;
+// Smaller values count as zero.
 constexpr double min_printed_shadow_price = 1e-9;
-constexpr double min_printed_reduction = 1e-6;
+constexpr double min_printed_reduction = 1e-6;  // requests a second
 
+/// The contents of a file. Throws app::ConfigError if it cannot be read.
 std::string read_file(const std::string& path) {
   std::ifstream in(path);
   std::stringstream text;
@@ -31,6 +33,7 @@
   return text.str();
 }
 
+/// JSON schema of the fleet file.
 constexpr const char* fleet_schema = R"({
   "type": "object", "additionalProperties": false, "required": ["groups", "cost_ms"],
   "properties": {
@@ -49,6 +52,7 @@
   }
 })";
 
+/// Reads a fleet file that matches the schema. Groups without a share get an equal one.
 Fleet fleet_of(const rapidjson::Document& json) {
   Fleet fleet;
   if (json.HasMember("use")) fleet.max_utilization = json["use"].GetDouble();
--- a/src/tools/plan/plan.cpp
+++ b/src/tools/plan/plan.cpp
@@ -12,16 +12,18 @@
 namespace cedarring::plan {
 namespace {
 
-constexpr double tolerance = 1e-6;
+constexpr double tolerance = 1e-6;  // for rounding errors, in cores, penalties or requests a second
+constexpr double ms_per_second = 1000;
 constexpr double duality_gap_factor = 10;  // sums over all rates and limits accumulate rounding errors
 
-/// The cores of a group under one failure.
+/// The cores that a group has left after one failure, or without a failure.
 struct Capacity {
-  std::string failure;
-  double primary = 0;
-  double all = 0;
+  std::string failure;  // its description
+  double primary = 0;   // cores of the primary
+  double all = 0;       // cores of all hosts
 };
 
+/// The capacity of a group without a failure and after each failure that the fleet must survive.
 std::vector<Capacity> capacities(const Group& group, const Fleet& fleet) {
   std::vector<Capacity> result;
   const auto add = [&](const std::string& failure, const std::vector<bool>& lost) {
@@ -67,8 +69,9 @@
                               capacity.failure;
           limit.cores = (primary ? capacity.primary : capacity.all) * fleet.max_utilization;
           for (const auto& rate : rates)
-            limit.coefficients.push_back(
-                rate.period == period && (rate.primary || !primary) ? rate.cost_ms / 1000 * group.share : 0);
+            limit.coefficients.push_back(rate.period == period && (rate.primary || !primary)
+                                             ? rate.cost_ms / ms_per_second * group.share
+                                             : 0);
           limits.push_back(std::move(limit));
         }
   return limits;
@@ -89,7 +92,8 @@
     solution.fits = true;
     return solution;
   }
-  // The variables are the reductions. Each row requires that the reductions cover the excess over a limit.
+  // The columns are the variables, the reductions. Each row requires that the reductions cover the excess
+  // over a limit.
   const std::unique_ptr<glp_prob, void (*)(glp_prob*)> problem(
       glp_create_prob(), [](glp_prob* created) { glp_delete_prob(created); });
   glp_term_out(GLP_OFF);
@@ -105,6 +109,7 @@
     glp_set_obj_coef(problem.get(), i, rate.reduction_penalty);
   }
   glp_add_rows(problem.get(), row_count);
+  // The matrix row j, as column numbers and their coefficients; GLPK ignores the first element of both.
   std::vector<int> columns(1);
   std::vector<double> values(1);
   for (int j = 1; j <= row_count; ++j) {
--- a/src/tools/plan/plan.h
+++ b/src/tools/plan/plan.h
@@ -30,7 +30,7 @@
 /// The hosts, and the failures that the plan must allow for.
 struct Fleet {
   std::vector<Group> groups;
-  double max_utilization = 0.8;      // share of the cores' time that may be planned for
+  double max_utilization = 0.8;      // share of the cores' time that the contracted rates may use
   bool survive_replica_loss = true;  // the rates must fit without the largest replica of a group
   bool survive_room_loss = false;    // the rates must fit without any one room; primaries there are replaced
 };
--- a/src/tools/report/contracts.cpp
+++ b/src/tools/report/contracts.cpp
@@ -11,7 +11,7 @@
 namespace cedarring::report {
 namespace {
 
-// Names of readings in the records, and of the report's columns.
+// Names of the readings that are reported, which are also the names of their columns.
 constexpr const char* columns[] = {"asked",
                                    "within",
                                    "beyond",
@@ -27,12 +27,14 @@
                                    "kept",
                                    "cost_ms"};
 
+/// The number, rounded to an integer.
 std::string format_number(double value) {
   char text[32];
   std::snprintf(text, sizeof text, "%.0f", value);
   return text;
 }
 
+/// The sum in a column; 0 if no record had the reading.
 double sum_of(const ContractUsage& usage, const std::string& column) {
   const auto it = usage.sums.find(column);
   return it == usage.sums.end() ? 0 : it->second;
@@ -57,6 +59,7 @@
     };
     const auto kind = text_member("record");
     const auto subject = text_member("subject");
+    // The rule of a breach begins with the party that broke it: the team or the gateway.
     if (kind == "breach")
       ++(text_member("rule").rfind("the team", 0) == 0 ? report.by_subject[subject].by_team
                                                        : report.by_subject[subject].by_gateway);
@@ -65,6 +68,7 @@
     ++usage.windows;
     const auto readings = document.FindMember("readings");
     if (readings == document.MemberEnd() || !readings->value.IsObject()) continue;
+    // from_ms, the start of the window, is no count to be summed.
     for (const auto& reading : readings->value.GetObject())
       if (reading.value.IsNumber() && reading.name != "from_ms")
         usage.sums[reading.name.GetString()] += reading.value.GetDouble();
--- a/src/tools/report/main.cpp
+++ b/src/tools/report/main.cpp
@@ -10,7 +10,8 @@
   using namespace cedarring::report;
   CLI::App app("Reports from gateways' records and logs", "cedarring report");
   std::vector<std::string> files;
-  bool json = false, csv = false;
+  bool json = false;
+  bool csv = false;
   auto* contracts =
       app.add_subcommand("contracts", "Each team's usage against its contract, over all gateways");
   contracts->add_option("RECORDS", files, "Records files of one gateway or several")
--- a/src/tools/report/requests.cpp
+++ b/src/tools/report/requests.cpp
@@ -14,6 +14,7 @@
 
 constexpr std::int64_t milliseconds_per_second = 1000;
 
+/// Counts one request; `outcomes`: of its attempts, `ms`: its duration.
 void add(RequestStats& stats, const std::string& end, const std::vector<std::string>& outcomes, double ms) {
   ++stats.requests;
   ++stats.by_end[end];
@@ -29,6 +30,7 @@
   return it == map.end() ? std::size_t{0} : it->second;
 }
 
+/// One line under the header of print().
 std::string format_row(const std::string& name, const RequestStats& stats) {
   char text[256];
   const auto served = count_of(stats.by_end, "served");
@@ -79,6 +81,7 @@
          {&report.all, &report.by_second[document["at_ms"].GetInt64() / milliseconds_per_second],
           &report.by_class[text_member("class")], &report.by_group[text_member("group")]})
       add(*stats, end, outcomes, ms);
+    // The pattern of all requests but those served at the first attempt.
     if (end == "served" && outcomes.size() == 1) continue;
     auto pattern = text_member("class") + " " + end + ":";
     for (const auto& outcome : outcomes) pattern += " " + outcome;
