--- a/src/tools/rig/scenario.cpp
+++ b/src/tools/rig/scenario.cpp
@@ -10,6 +10,11 @@
 namespace cedarring::rig {
 namespace {
 
+constexpr double microseconds_per_second = 1e6;
+constexpr double full_load_utilization = 0.92;  // of the hosts' cores at load 1
+constexpr std::uint64_t seeds_per_scenario =
+    1000;  // gateways of seed s use the seeds from s * seeds_per_scenario
+
 /// JSON schema of a scenario file.
 constexpr const char* schema = R"({
   "type": "object", "additionalProperties": false, "required": ["name"],
@@ -68,33 +73,37 @@
     "kill",  "term",   "stop",  "hup",   "upgrade", "slow",  "fail", "silent", "lag",  "drain", "cut",
     "delay", "refuse", "break", "spoil", "late",    "hurry", "mute", "tear",   "loss", "twice", "disorder"};
 
-Duration to_duration(double seconds) { return Duration(static_cast<std::int64_t>(seconds * 1e6)); }
+Duration to_duration(double seconds) {
+  return Duration(static_cast<std::int64_t>(seconds * microseconds_per_second));
+}
+std::int64_t to_ms(Duration duration) { return duration.count() / 1000; }
 
-Target parse_target(const rapidjson::Value& v, const std::string& file, const std::string& at,
+/// Parses a target; `pointer` is its JSON pointer, for errors.
+Target parse_target(const rapidjson::Value& json, const std::string& file, const std::string& pointer,
                     const Scenario& scenario) {
   Target target;
-  const std::string of = v["of"].GetString();
+  const std::string of = json["of"].GetString();
   target.kind = of == "gateways"  ? Target::Kind::gateways
                 : of == "hosts"   ? Target::Kind::hosts
                 : of == "primary" ? Target::Kind::primary
                                   : Target::Kind::discovery;
-  if (const auto* z = app::member(v, "zone")) {
-    target.zone = z->GetString();
+  if (const auto* zone = app::member(json, "zone")) {
+    target.zone = zone->GetString();
     if (std::find(scenario.zones.begin(), scenario.zones.end(), target.zone) == scenario.zones.end())
-      throw app::config_error_at(file, at + "/zone", "one of the zones", app::to_excerpt(*z));
+      throw app::config_error_at(file, pointer + "/zone", "one of the zones", app::to_excerpt(*zone));
   }
-  if (const auto* n = app::member(v, "numbers")) {
+  if (const auto* numbers = app::member(json, "numbers")) {
     const int limit = target.kind == Target::Kind::gateways ? scenario.gateways
                       : target.kind == Target::Kind::hosts  ? scenario.groups * scenario.members
                                                             : scenario.groups;
-    for (const auto& x : n->GetArray()) {
-      if (x.GetInt() >= limit)
-        throw app::config_error_at(file, at + "/numbers", "numbers below " + std::to_string(limit),
-                                   app::to_excerpt(x));
-      target.numbers.push_back(x.GetInt());
+    for (const auto& number : numbers->GetArray()) {
+      if (number.GetInt() >= limit)
+        throw app::config_error_at(file, pointer + "/numbers", "numbers below " + std::to_string(limit),
+                                   app::to_excerpt(number));
+      target.numbers.push_back(number.GetInt());
     }
   }
-  if (const auto* n = app::member(v, "share")) target.share = n->GetDouble();
+  if (const auto* share = app::member(json, "share")) target.share = share->GetDouble();
   return target;
 }
 
@@ -130,21 +139,21 @@
   const auto document = app::parse_object(text, file);
   app::check_schema(document, schema, file);
   Scenario scenario;
-  const auto world = lab::reference_deployment();
-  scenario.classes = world.classes;
-  scenario.tenants = world.tenants;
+  const auto reference = lab::reference_deployment();
+  scenario.classes = reference.classes;
+  scenario.tenants = reference.tenants;
   scenario.name = document["name"].GetString();
   const auto number = [&](const char* key, double default_value) {
-    const auto* v = app::member(document, key);
-    return v ? v->GetDouble() : default_value;
+    const auto* value = app::member(document, key);
+    return value ? value->GetDouble() : default_value;
   };
   scenario.seed = static_cast<std::uint64_t>(number("seed", 1));
   scenario.gateways = static_cast<int>(number("gateways", scenario.gateways));
   scenario.groups = static_cast<int>(number("groups", scenario.groups));
   scenario.members = static_cast<int>(number("members", scenario.members));
-  if (const auto* z = app::member(document, "zones")) {
+  if (const auto* zones = app::member(document, "zones")) {
     scenario.zones.clear();
-    for (const auto& x : z->GetArray()) scenario.zones.emplace_back(x.GetString());
+    for (const auto& zone : zones->GetArray()) scenario.zones.emplace_back(zone.GetString());
   }
   scenario.run_time = to_duration(number("seconds", 10));
   scenario.warm_up = to_duration(number("warm_up_s", 2));
@@ -160,9 +169,10 @@
   scenario.host.cores = static_cast<int>(number("cores", scenario.host.cores));
   scenario.host.max_requests = static_cast<int>(number("room", scenario.host.max_requests));
   scenario.host.speed = number("speed", scenario.host.speed);
-  if (const auto* p = app::member(document, "peers")) scenario.peer_links = p->GetBool();
+  if (const auto* peers = app::member(document, "peers")) scenario.peer_links = peers->GetBool();
   scenario.client_exit_share = number("leaving", 0);
-  if (const auto* c = app::member(document, "checks")) scenario.host.checks_staleness = c->GetBool();
+  if (const auto* checks = app::member(document, "checks"))
+    scenario.host.checks_staleness = checks->GetBool();
   scenario.host.max_connections = static_cast<int>(number("connections", 0));
   scenario.host.handshake_work = to_duration(number("handshake_ms", 0) / 1000);
   scenario.probe_cost = number("probe_price", scenario.probe_cost);
@@ -170,69 +180,73 @@
   if (scenario.warm_up >= scenario.run_time)
     throw app::config_error_at(file, "/warm_up_s", "less than seconds",
                                std::to_string(number("warm_up_s", 2)));
-  if (const auto* g = app::member(document, "gateway_file")) {
+  if (const auto* gateway_file = app::member(document, "gateway_file")) {
     rapidjson::StringBuffer buffer;
     rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
-    g->Accept(writer);
+    gateway_file->Accept(writer);
     scenario.gateway_file = buffer.GetString();
   }
   if (const auto* faults = app::member(document, "faults"))
     for (rapidjson::SizeType i = 0; i < faults->Size(); ++i) {
-      const auto& v = (*faults)[i];
-      const auto at = "/faults/" + std::to_string(i);
+      const auto& json = (*faults)[i];
+      const auto pointer = "/faults/" + std::to_string(i);
       Fault fault;
-      fault.at = to_duration(v["at_s"].GetDouble());
+      fault.at = to_duration(json["at_s"].GetDouble());
       fault.kind = static_cast<FaultKind>(
-          std::find(std::begin(fault_words), std::end(fault_words), std::string(v["do"].GetString())) -
+          std::find(std::begin(fault_words), std::end(fault_words), std::string(json["do"].GetString())) -
           std::begin(fault_words));
-      fault.target = parse_target(v["on"], file, at + "/on", scenario);
+      fault.target = parse_target(json["on"], file, pointer + "/on", scenario);
       if (!fault_applies_to(fault.kind, fault.target.kind))
-        throw app::config_error_at(file, at + "/on/of",
-                                   "a target of '" + std::string(v["do"].GetString()) + "'",
-                                   app::to_excerpt(v["on"]["of"]));
+        throw app::config_error_at(file, pointer + "/on/of",
+                                   "a target of '" + std::string(json["do"].GetString()) + "'",
+                                   app::to_excerpt(json["on"]["of"]));
       const bool datagram_fault = fault.kind == FaultKind::loss || fault.kind == FaultKind::duplicate ||
                                   fault.kind == FaultKind::reorder;
       const bool link_fault =
           fault.kind == FaultKind::cut || fault.kind == FaultKind::delay || datagram_fault;
-      if (link_fault != v.HasMember("to"))
-        throw app::config_error_at(file, at + "/to", link_fault ? "the hosts of the link" : "none",
+      if (link_fault != json.HasMember("to"))
+        throw app::config_error_at(file, pointer + "/to", link_fault ? "the hosts of the link" : "none",
                                    link_fault ? "none" : "one");
       if (link_fault) {
-        fault.link_end = parse_target(v["to"], file, at + "/to", scenario);
+        fault.link_end = parse_target(json["to"], file, pointer + "/to", scenario);
         if (datagram_fault && fault.link_end.kind != Target::Kind::gateways)
-          throw app::config_error_at(file, at + "/to/of", "gateways, as only they send datagrams",
-                                     app::to_excerpt(v["to"]["of"]));
+          throw app::config_error_at(file, pointer + "/to/of", "gateways, as only they send datagrams",
+                                     app::to_excerpt(json["to"]["of"]));
         if (fault.link_end.kind == Target::Kind::gateways && !scenario.peer_links)
           throw app::config_error_at(file, "/peers", "true, where links between gateways have faults",
                                      "none");
       }
-      if (const auto* x = app::member(v, "for_s")) fault.duration = to_duration(x->GetDouble());
-      if (const auto* x = app::member(v, "factor")) fault.factor = x->GetDouble();
-      if (const auto* x = app::member(v, "reset")) fault.reset = x->GetBool();
-      if (const auto* x = app::member(v, "way")) {
-        const std::string way = x->GetString();
-        fault.forward = way != "back";
-        fault.reverse = way != "there";
+      if (const auto* seconds = app::member(json, "for_s"))
+        fault.duration = to_duration(seconds->GetDouble());
+      if (const auto* factor = app::member(json, "factor")) fault.factor = factor->GetDouble();
+      if (const auto* reset = app::member(json, "reset")) fault.reset = reset->GetBool();
+      if (const auto* way = app::member(json, "way")) {
+        const std::string direction = way->GetString();
+        fault.forward = direction != "back";
+        fault.reverse = direction != "there";
       }
       if (fault.at >= scenario.run_time)
-        throw app::config_error_at(file, at + "/at_s", "before the end", app::to_excerpt(v["at_s"]));
+        throw app::config_error_at(file, pointer + "/at_s", "before the end", app::to_excerpt(json["at_s"]));
       scenario.faults.push_back(fault);
     }
   return scenario;
 }
 
 double mean_work_seconds(const Scenario& scenario) {
-  double mean = 0, shares = 0;
-  for (const auto& k : scenario.classes) {
-    mean += k.share * static_cast<double>((k.min_work + k.max_work).count()) / 2e6;
-    shares += k.share;
+  double mean = 0;
+  double shares = 0;
+  for (const auto& class_spec : scenario.classes) {
+    // The mean of a uniform distribution is half the sum of its bounds.
+    mean += class_spec.share * static_cast<double>((class_spec.min_work + class_spec.max_work).count()) /
+            (2 * microseconds_per_second);
+    shares += class_spec.share;
   }
   return mean / shares;
 }
 
 double full_load_rate(const Scenario& scenario) {
-  return 0.92 * scenario.groups * scenario.members * scenario.host.cores * scenario.host.speed /
-         mean_work_seconds(scenario);
+  return full_load_utilization * scenario.groups * scenario.members * scenario.host.cores *
+         scenario.host.speed / mean_work_seconds(scenario);
 }
 
 std::string gateway_config(const Scenario& scenario, int gateway, const std::string& listen,
@@ -240,17 +254,17 @@
                            const std::string& initial_list) {
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
-  const auto write_string = [&](const char* key, const std::string& v) {
+  const auto write_string = [&](const char* key, const std::string& value) {
     writer.Key(key);
-    writer.String(v.c_str());
+    writer.String(value.c_str());
   };
-  const auto write_integer = [&](const char* key, std::int64_t v) {
+  const auto write_integer = [&](const char* key, std::int64_t value) {
     writer.Key(key);
-    writer.Int64(v);
+    writer.Int64(value);
   };
-  const auto write_number = [&](const char* key, double v) {
+  const auto write_number = [&](const char* key, double value) {
     writer.Key(key);
-    writer.Double(v);
+    writer.Double(value);
   };
   const auto write_true = [&](const char* key) {
     writer.Key(key);
@@ -263,7 +277,8 @@
   write_string("discovery", discovery);
   char seed[17];
   std::snprintf(seed, sizeof seed, "%llx",
-                static_cast<unsigned long long>(scenario.seed * 1000 + static_cast<std::uint64_t>(gateway)));
+                static_cast<unsigned long long>(scenario.seed * seeds_per_scenario +
+                                                static_cast<std::uint64_t>(gateway)));
   write_string("seed", seed);
   writer.Key("known");
   writer.RawValue(initial_list.data(), initial_list.size(), rapidjson::kObjectType);
@@ -277,35 +292,35 @@
   write_string("az", scenario.zones[static_cast<std::size_t>(gateway) % scenario.zones.size()]);
   writer.Key("zones");
   writer.StartArray();
-  for (const auto& z : scenario.zones) writer.String(z.c_str());
+  for (const auto& zone : scenario.zones) writer.String(zone.c_str());
   writer.EndArray();
   write_integer("balancers", scenario.gateways);
   write_integer("position", gateway);
   write_string("registry_mode", "subscribe");
   writer.Key("classes");
   writer.StartArray();
-  for (const auto& k : scenario.classes) {
-    const auto& c = k.request_class;
+  for (const auto& class_spec : scenario.classes) {
+    const auto& request_class = class_spec.request_class;
     writer.StartObject();
-    write_string("name", c.name);
-    write_integer("aim", c.latency_target.count() / 1000);
-    write_integer("deadline", c.deadline.count() / 1000);
-    write_number("importance", c.value);
-    write_number("late_worth", c.late_value);
-    write_string("effect", c.idempotency == Idempotency::safe    ? "read_like"
-                           : c.idempotency == Idempotency::keyed ? "idempotency_key"
-                                                                 : "non_idempotent");
+    write_string("name", request_class.name);
+    write_integer("aim", to_ms(request_class.latency_target));
+    write_integer("deadline", to_ms(request_class.deadline));
+    write_number("importance", request_class.value);
+    write_number("late_worth", request_class.late_value);
+    write_string("effect", request_class.idempotency == Idempotency::safe    ? "read_like"
+                           : request_class.idempotency == Idempotency::keyed ? "idempotency_key"
+                                                                             : "non_idempotent");
     write_string("group", "cell");
-    write_integer("window", c.dedup_window.count() / 1000);
+    write_integer("window", to_ms(request_class.dedup_window));
     writer.EndObject();
   }
   writer.EndArray();
   writer.Key("realms");
   writer.StartArray();
-  for (const auto& t : scenario.tenants) {
+  for (const auto& tenant : scenario.tenants) {
     writer.StartObject();
-    write_string("name", t.name);
-    write_number("quota_per_s", full_load_rate(scenario) * t.share / scenario.gateways);
+    write_string("name", tenant.name);
+    write_number("quota_per_s", full_load_rate(scenario) * tenant.share / scenario.gateways);
     writer.EndObject();
   }
   writer.EndArray();
@@ -317,19 +332,20 @@
   write_string("token_mode", "brought");
   writer.Key("class_bound");
   writer.StartArray();
-  for (const auto& k : scenario.classes)
-    writer.Int64(
-        k.request_class.freshness == Freshness::bounded ? k.request_class.staleness_bound.count() / 1000 : 0);
+  for (const auto& class_spec : scenario.classes) {
+    const auto& request_class = class_spec.request_class;
+    writer.Int64(request_class.freshness == Freshness::bounded ? to_ms(request_class.staleness_bound) : 0);
+  }
   writer.EndArray();
   writer.Key("needs_by_class");
   writer.StartArray();
-  for (const auto& k : scenario.classes) {
-    const auto f = k.request_class.freshness;
-    writer.String(f == Freshness::write     ? "mutate"
-                  : f == Freshness::fresh   ? "strong"
-                  : f == Freshness::session ? "causal"
-                  : f == Freshness::bounded ? "lag_bound"
-                                            : "eventual");
+  for (const auto& class_spec : scenario.classes) {
+    const auto freshness = class_spec.request_class.freshness;
+    writer.String(freshness == Freshness::write     ? "mutate"
+                  : freshness == Freshness::fresh   ? "strong"
+                  : freshness == Freshness::session ? "causal"
+                  : freshness == Freshness::bounded ? "lag_bound"
+                                                    : "eventual");
   }
   writer.EndArray();
   writer.EndObject();
@@ -346,7 +362,7 @@
   writer.Key("guarantees");
   writer.StartObject();
   write_integer("ask_within", 10000);
-  write_integer("cold", scenario.warm_up_duration.count() / 1000);
+  write_integer("cold", to_ms(scenario.warm_up_duration));
   write_number("cold_from", scenario.cold_capacity_share);
   write_number("tip_multiple", 2);
   write_integer("tip_after", 2000);
