--- a/src/tools/rig/rules.cpp
+++ b/src/tools/rig/rules.cpp
@@ -7,16 +7,23 @@
 namespace {
 
 constexpr std::size_t max_stored_violations = 100;
+constexpr double microseconds_per_second = 1e6;
+constexpr double min_warm_up_seconds = 0.001;  // keeps a division by a warm-up of zero defined
+// From the end of a request's time limit until a missing answer is reported: the answer may still be queued
+// in a delayed event loop.
+constexpr Duration missing_answer_delay{1'000'000};
 
+/// The word in traces.
 const char* name_of(AttemptEnd end) {
   constexpr const char* names[] = {"served", "miss", "full", "error", "closed"};
   return names[static_cast<int>(end)];
 }
+/// The word in traces.
 const char* name_of(Answer answer) {
   constexpr const char* names[] = {"served", "refused", "failed", "lost"};
   return names[static_cast<int>(answer)];
 }
-double seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
+double seconds(Duration duration) { return static_cast<double>(duration.count()) / microseconds_per_second; }
 
 /// Whether the statement may have been executed: hosts reject it unexecuted when full or too stale.
 bool may_have_run(AttemptEnd end) { return end != AttemptEnd::too_stale && end != AttemptEnd::full; }
@@ -30,7 +37,7 @@
   const auto it = requests_.find(id);
   if (it == requests_.end()) return {};
   char text[160];
-  const auto ms = [&](Time t) { return seconds(t - start_) * 1000; };
+  const auto ms = [&](Time time) { return seconds(time - start_) * 1000; };
   const auto& request = it->second;
   std::snprintf(text, sizeof text, "asked of g%d at %.1f, deadline %.1f", request.gateway, ms(request.at),
                 ms(request.deadline));
@@ -77,7 +84,6 @@
   return false;
 }
 
-/// When a gateway can receive a notice sent at `at`: a paused one only once it resumes.
 Time RuleChecker::resumes_at(int gateway, Time at) const {
   const auto it = excused_periods_.find(gateway);
   if (it == excused_periods_.end()) return at;
@@ -103,8 +109,8 @@
   if (!in_time && !excused) return report("in time", id, "answered behind its deadline");
   const auto& class_rule = classes_[*request.class_index];
   if (answer != Answer::refused || class_rule.idempotency == Idempotency::safe) return;
-  // A refusal says that a retry is harmless. After an execution that holds only for safe requests, and for
-  // keyed ones if hosts of all groups drop repeats.
+  // A refusal tells the client that a retry is harmless. If the request may have been executed, a retry is
+  // harmless only for safe requests, and for keyed ones if hosts of all groups drop repeats.
   const bool may_have_executed =
       std::any_of(request.attempts.begin(), request.attempts.end(),
                   [](const Attempt& attempt) { return !attempt.ended || may_have_run(attempt.end); });
@@ -115,7 +121,9 @@
 
 void RuleChecker::on_client_exit(const std::string& id, Time at) {
   const auto it = requests_.find(id);
-  if (it != requests_.end() && !it->second.answered) it->second.answered = it->second.client_left = at;
+  if (it == requests_.end() || it->second.answered) return;
+  it->second.answered = at;
+  it->second.client_left = at;
 }
 
 std::size_t RuleChecker::on_attempt(const std::string& id, int gateway, int host, int group, Duration work,
@@ -137,6 +145,7 @@
     }
   if (request.class_index && number > 0) {
     const auto& class_rule = classes_[*request.class_index];
+    // The first attempt that may have been executed; the last entry is the attempt itself.
     const auto earlier =
         std::find_if(request.attempts.begin(), request.attempts.end() - 1,
                      [](const Attempt& attempt) { return !attempt.ended || may_have_run(attempt.end); });
@@ -149,8 +158,8 @@
         report("never again what may have run", id, "to another group");
     }
   }
-  if (const auto it = closed_hosts_.find({gateway, host});
-      it != closed_hosts_.end() && at > it->second + limits_.drain_deadline + limits_.grace)
+  if (const auto it = unusable_hosts_.find({gateway, host});
+      it != unusable_hosts_.end() && at > it->second + limits_.drain_deadline + limits_.grace)
     report("nothing new after a drain", id,
            "g" + std::to_string(gateway) + " had been told of h" + std::to_string(host));
   if (const auto it = cold_hosts_.find(host); it != cold_hosts_.end()) {
@@ -161,10 +170,12 @@
       cold_host.recent_total -= cold_host.recent_work.front().second;
       cold_host.recent_work.pop_front();
     }
+    // How long the host had been up at the start of the window; its capacity at that time sets the bound.
     const auto warm_time = std::max(Duration::zero(), at - limits_.overload_window - cold_host.started_at);
     const double share =
-        std::min(1.0, limits_.cold_capacity_share + (1 - limits_.cold_capacity_share) * seconds(warm_time) /
-                                                        std::max(0.001, seconds(limits_.warm_up_duration)));
+        std::min(1.0, limits_.cold_capacity_share +
+                          (1 - limits_.cold_capacity_share) * seconds(warm_time) /
+                              std::max(min_warm_up_seconds, seconds(limits_.warm_up_duration)));
     const double bound =
         limits_.overload_multiple * share * cold_host.capacity * seconds(limits_.overload_window);
     if (seconds(cold_host.recent_total) > bound && !std::exchange(cold_host.reported, true)) {
@@ -197,15 +208,15 @@
 
 void RuleChecker::on_listing(int gateway, int host, bool usable, Time at) {
   if (usable)
-    closed_hosts_.erase({gateway, host});
+    unusable_hosts_.erase({gateway, host});
   else
-    closed_hosts_.try_emplace({gateway, host},
-                              std::max({at, resumes_at(gateway, at), binding_from_[gateway]}));
+    unusable_hosts_.try_emplace({gateway, host},
+                                std::max({at, resumes_at(gateway, at), binding_from_[gateway]}));
 }
 
 void RuleChecker::on_new_process(int gateway) {
-  for (auto it = closed_hosts_.begin(); it != closed_hosts_.end();)
-    it = it->first.first == gateway ? closed_hosts_.erase(it) : std::next(it);
+  for (auto it = unusable_hosts_.begin(); it != unusable_hosts_.end();)
+    it = it->first.first == gateway ? unusable_hosts_.erase(it) : std::next(it);
 }
 
 void RuleChecker::on_host_start(int host, double capacity, Time at) {
@@ -218,18 +229,18 @@
 void RuleChecker::check_timeouts(Time now) {
   for (auto it = requests_.begin(); it != requests_.end();) {
     auto& request = it->second;
-    // One more second, as the answer may still be queued in a delayed event loop.
     if (request.class_index && !request.answered &&
-        now > request.deadline + limits_.grace + Duration(1'000'000)) {
+        now > request.deadline + limits_.grace + missing_answer_delay) {
       if (!excused(request, now)) report("one final answer", it->first, "no answer");
       request.answered = now;
     }
     const bool finished =
         !request.class_index ||
         (request.answered && now > std::max(*request.answered, request.deadline) + limits_.retention);
-    const bool unowned = !request.class_index && !request.attempts.empty() &&
-                         now <= request.attempts.back().at + limits_.retention;
-    it = finished && !unowned ? requests_.erase(it) : std::next(it);
+    // A request that no client sent is forgotten when its last attempt is old.
+    const bool recent_without_client = !request.class_index && !request.attempts.empty() &&
+                                       now <= request.attempts.back().at + limits_.retention;
+    it = finished && !recent_without_client ? requests_.erase(it) : std::next(it);
   }
 }
 
--- a/src/tools/rig/rules.h
+++ b/src/tools/rig/rules.h
@@ -17,17 +17,17 @@
 
 namespace cedarring::rig {
 
-/// Limits of the rules. Times are in microseconds.
+/// Limits of the rules. Durations are in microseconds.
 struct Limits {
   std::size_t max_attempts = 6;           // for each request
   Duration grace{50'000};                 // added to each time limit, for delays on sockets
-  Duration drain_deadline{1'000'000};     // from a drain notice until no more attempts may arrive
+  Duration drain_deadline{1'000'000};     // from a drain notice until attempts may no longer arrive
   Duration stale_grace{100'000};          // added to the staleness bound of a read
   Duration warm_up_duration{14'000'000};  // from a host's start until it has full capacity
   double cold_capacity_share = 0.17;      // share of the capacity at the start
   double overload_multiple = 2;           // of the host's capacity, within any overload_window
   Duration overload_window{2'000'000};
-  Duration client_exit_deadline{300'000};  // from a client's exit until no more attempts may arrive
+  Duration client_exit_deadline{300'000};  // from a client's exit until attempts may no longer arrive
   Duration retention{5'000'000};           // how long finished requests are remembered
 };
 
@@ -42,12 +42,14 @@
 
 /// How an attempt ended at its host; `closed`: either side closed the connection before an answer.
 enum class AttemptEnd { served, too_stale, full, error, closed };
-/// What a client got; `lost`: its connection ended without an answer.
+/// The answer that a client received; `lost`: its connection ended without one.
 enum class Answer { served, refused, failed, lost };
 
-/// A broken rule; `details` contains the trace of the request, with times in ms since the start.
+/// A broken rule.
 struct Violation {
-  std::string rule, request, details;
+  std::string rule;
+  std::string request;  // its id
+  std::string details;  // a description and the trace of the request, with times in ms since the start
 };
 
 /// Collects events and reports violations. Gateways and hosts are identified by their index.
@@ -59,7 +61,8 @@
   void on_request(const std::string& id, int gateway, std::size_t class_index, Time at, Time deadline);
   /// A client has received its final answer, or lost its connection.
   void on_answer(const std::string& id, Answer answer, Time at);
-  /// The client left before its answer: no answer is owed, and no further attempts may be sent.
+  /// The client left before its answer: no answer is owed, and no further attempts may be sent after
+  /// Limits::client_exit_deadline.
   void on_client_exit(const std::string& id, Time at);
   /// The rig killed or paused the gateway in this period: its requests are exempt from time limits.
   void excuse_gateway(int gateway, Time from, Time to) { excused_periods_[gateway].emplace_back(from, to); }
@@ -70,7 +73,7 @@
       periods.back().second = std::max(periods.back().second, to);
     else
       periods.emplace_back(from, to);
-    if (periods.size() > 10'000) periods.erase(periods.begin());
+    if (periods.size() > max_excused_periods) periods.erase(periods.begin());
   }
   /// A host received a complete statement; returns the index of the attempt. `connection_ended`: the gateway
   /// had already closed the connection, as when a cut link heals; such a statement may have been sent before
@@ -110,42 +113,51 @@
 
  private:
   static constexpr int all_gateways = -1;
+  static constexpr std::size_t max_excused_periods = 10'000;  // of all gateways; the oldest are dropped
   struct Attempt {
-    int gateway = 0, host = 0, group = 0;
-    Time at{};
-    std::optional<Time> ended;
+    int gateway = 0;
+    int host = 0;
+    int group = 0;
+    Time at{};                  // arrival at the host
+    std::optional<Time> ended;  // empty: still open
     AttemptEnd end = AttemptEnd::closed;
   };
   struct Request {
     std::optional<std::size_t> class_index;  // empty: a host received it, but no client sent it
     int gateway = 0;
-    Time at{}, deadline{};
-    std::optional<Time> answered, client_left;
+    Time at{};  // when its client sent it
+    Time deadline{};
+    std::optional<Time> answered;     // or left by its client, or reported as unanswered
+    std::optional<Time> client_left;  // set with `answered` if the client left
     Answer answer = Answer::lost;
     std::vector<Attempt> attempts;
   };
+  /// A host that has not been up for the warm-up duration yet.
   struct ColdHost {
     Time started_at{};
-    double capacity = 0;
+    double capacity = 0;                                // seconds of work in a second, once it is warm
     std::deque<std::pair<Time, Duration>> recent_work;  // arrival and work, within the last overload_window
-    Duration recent_total{};
-    bool reported = false;  // report an overload once for each start
+    Duration recent_total{};                            // sum of recent_work
+    bool reported = false;                              // an overload is reported once for each start
   };
+  /// Whether an excused period of the gateway, or of all, overlaps the request's time up to `until`.
   [[nodiscard]] bool excused(const Request& request, Time until) const;
+  /// When a gateway can receive a notice sent at `at`: a paused one only once it resumes.
   [[nodiscard]] Time resumes_at(int gateway, Time at) const;
   void report(const char* rule, const std::string& id, const std::string& description);
+  /// The request and its attempts as text; empty for an unknown request.
   [[nodiscard]] std::string trace(const std::string& id) const;
   Limits limits_;
   std::vector<ClassRule> classes_;
   Time start_;
   std::unordered_map<std::string, Request> requests_;
-  std::map<int, Time> binding_from_;  // by gateway, after an upgrade
-
-  std::map<std::pair<int, int>, Time> closed_hosts_;  // by gateway and host: when the drain notice binds
+  std::map<int, Time> binding_from_;                    // by gateway, after an upgrade
+  std::map<std::pair<int, int>, Time> unusable_hosts_;  // by gateway and host: when the drain notice binds
   std::map<int, ColdHost> cold_hosts_;
   std::map<int, std::vector<std::pair<Time, Time>>> excused_periods_;  // by gateway, or all_gateways
   std::vector<Violation> violations_;                                  // at most max_stored_violations
-  std::uint64_t violation_count_ = 0, attempt_count_ = 0;
+  std::uint64_t violation_count_ = 0;
+  std::uint64_t attempt_count_ = 0;
 };
 
 }  // namespace cedarring::rig
