--- a/src/tools/rig/processes.cpp
+++ b/src/tools/rig/processes.cpp
@@ -12,16 +12,21 @@
 extern char** environ;
 
 namespace cedarring::rig {
+namespace {
+
+constexpr int exit_error = 2;
+constexpr int exit_not_executed = 127;  // as a shell has it for a program that cannot be executed
+
+}  // namespace
 
-/// argv: the rig, "become", the process id of the parent, the program.
 int become(char** argv) {
-  if (!argv[2] || !argv[3]) return 2;
-  if (::prctl(PR_SET_PDEATHSIG, SIGKILL) != 0) return 2;
+  if (!argv[2] || !argv[3]) return exit_error;
+  if (::prctl(PR_SET_PDEATHSIG, SIGKILL) != 0) return exit_error;
   // The parent may have exited before the signal was requested.
-  if (::getppid() != std::atoi(argv[2])) return 2;
+  if (::getppid() != std::atoi(argv[2])) return exit_error;
   char* args[] = {argv[3], nullptr};
   ::execv(argv[3], args);
-  return 127;
+  return exit_not_executed;
 }
 
 pid_t start_program(const std::string& program,
@@ -29,15 +34,17 @@
                     const std::string& log) {
   std::vector<std::string> assignments;
   for (const auto& [name, value] : variables) assignments.push_back(name + '=' + value);
-  std::vector<char*> env;
-  for (auto& v : assignments) env.push_back(v.data());
-  for (char** v = environ; *v; ++v) {
-    bool replaced = std::strncmp(*v, "ROUTER_", 7) == 0 || std::strncmp(*v, "CEDARRING_", 10) == 0;
-    for (const auto& [name, value] : variables)
-      replaced = replaced || std::strncmp(*v, (name + '=').c_str(), name.size() + 1) == 0;
-    if (!replaced) env.push_back(*v);
+  std::vector<char*> environment;
+  for (auto& assignment : assignments) environment.push_back(assignment.data());
+  const auto starts_with = [](const char* text, const std::string& prefix) {
+    return std::strncmp(text, prefix.c_str(), prefix.size()) == 0;
+  };
+  for (char** inherited = environ; *inherited; ++inherited) {
+    bool dropped = starts_with(*inherited, "ROUTER_") || starts_with(*inherited, "CEDARRING_");
+    for (const auto& [name, value] : variables) dropped = dropped || starts_with(*inherited, name + '=');
+    if (!dropped) environment.push_back(*inherited);
   }
-  env.push_back(nullptr);
+  environment.push_back(nullptr);
   posix_spawn_file_actions_t files;
   posix_spawn_file_actions_init(&files);
   posix_spawn_file_actions_addopen(&files, 0, "/dev/null", O_RDONLY, 0);
@@ -45,17 +52,22 @@
   posix_spawn_file_actions_adddup2(&files, 1, 2);
   posix_spawnattr_t attributes;
   posix_spawnattr_init(&attributes);
-  sigset_t empty_mask, default_signals;
+  // Ignored or blocked signals of the rig must not pass to the program.
+  sigset_t empty_mask;
+  sigset_t default_signals;
   sigemptyset(&empty_mask);
   sigemptyset(&default_signals);
-  for (const int s : {SIGPIPE, SIGINT, SIGTERM, SIGHUP}) sigaddset(&default_signals, s);
+  for (const int signal : {SIGPIPE, SIGINT, SIGTERM, SIGHUP}) sigaddset(&default_signals, signal);
   posix_spawnattr_setsigmask(&attributes, &empty_mask);
   posix_spawnattr_setsigdefault(&attributes, &default_signals);
   posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETSIGMASK | POSIX_SPAWN_SETSIGDEF);
-  std::string self = "/proc/self/exe", word = "become", parent = std::to_string(::getpid()), path = program;
-  char* args[] = {self.data(), word.data(), parent.data(), path.data(), nullptr};
+  std::string self = "/proc/self/exe";
+  std::string subcommand = "become";
+  std::string parent = std::to_string(::getpid());
+  std::string path = program;
+  char* args[] = {self.data(), subcommand.data(), parent.data(), path.data(), nullptr};
   pid_t pid = -1;
-  if (::posix_spawn(&pid, self.c_str(), &files, &attributes, args, env.data()) != 0) pid = -1;
+  if (::posix_spawn(&pid, self.c_str(), &files, &attributes, args, environment.data()) != 0) pid = -1;
   posix_spawn_file_actions_destroy(&files);
   posix_spawnattr_destroy(&attributes);
   return pid;
--- a/src/tools/rig/processes.h
+++ b/src/tools/rig/processes.h
@@ -9,12 +9,14 @@
 
 namespace cedarring::rig {
 
-/// Runs in a child of the rig before it becomes the program: asks to be killed with its parent, then executes
-/// the program. Returns an exit code only on failure.
+/// The part of start_program() that runs in the child process: asks the kernel to kill the process with its
+/// parent, then executes the program. Returns only on failure, an exit code. `argv`: the rig, "become", the
+/// process id of the parent, the program.
 int become(char** argv);
 
-/// Starts `program` through this executable, with these environment variables added to the rig's own, and its
-/// output appended to the file `log`. Returns the process id, or -1 on failure.
+/// Starts `program` through this executable, with its output appended to the file `log`. Its environment is
+/// that of the rig without all variables of gateways (ROUTER_ and CEDARRING_), and with `variables`, given as
+/// names and values. Returns the process id, or -1 on failure.
 pid_t start_program(const std::string& program,
                     const std::vector<std::pair<std::string, std::string>>& variables,
                     const std::string& log);
--- a/src/tools/rig/relay.cpp
+++ b/src/tools/rig/relay.cpp
@@ -14,17 +14,26 @@
 namespace cedarring::rig {
 namespace {
 
-constexpr std::size_t max_datagram_bytes = 65536, max_stream_buffer_bytes = 256 * 1024;
-constexpr Duration min_reorder_delay{5'000};  // delay of a reordered datagram; at most ten times this
+constexpr std::size_t max_datagram_bytes = 65536;
+constexpr std::size_t max_stream_buffer_bytes = 256 * 1024;
+constexpr int max_datagrams_per_event = 256;
+constexpr int max_accepts_per_event = 64;
+constexpr Duration min_reorder_delay{5'000};  // delay of a reordered datagram, in microseconds
+constexpr double max_reorder_factor = 10;     // largest delay, as a multiple of the smallest
+// How long a closed stream is kept for callbacks that are still running.
+constexpr Duration stream_release_delay{1'000};
+// Selects the random sequence of the relay among those of the rig's seed.
+constexpr std::uint64_t random_stream = 7;
 
+/// Parses "address:port".
 std::optional<sockaddr_in> address_of(const std::string& text) {
   const auto colon = text.rfind(':');
-  sockaddr_in at{};
-  at.sin_family = AF_INET;
-  if (colon == std::string::npos || inet_pton(AF_INET, text.substr(0, colon).c_str(), &at.sin_addr) != 1)
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  if (colon == std::string::npos || inet_pton(AF_INET, text.substr(0, colon).c_str(), &address.sin_addr) != 1)
     return std::nullopt;
-  at.sin_port = htons(static_cast<std::uint16_t>(std::atoi(text.c_str() + colon + 1)));
-  return at;
+  address.sin_port = htons(static_cast<std::uint16_t>(std::atoi(text.c_str() + colon + 1)));
+  return address;
 }
 
 }  // namespace
@@ -38,15 +47,19 @@
         relay_(relay),
         stream_(stream),
         peer_(peer) {}
+  /// Pauses the input while the direction from this peer is cut; else forwards what was read.
   void update();
+  /// Closes the connection with a TCP reset.
   void reset() {
-    const linger now{1, 0};
-    ::setsockopt(descriptor(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    const linger reset_on_close{1, 0};
+    ::setsockopt(descriptor(), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     close();
   }
+  /// Closes the connection in an orderly way.
   void end() {
     if (!closed()) close();
   }
+  /// Writes to the connection; false if its output buffer has no room.
   bool put(std::string_view bytes) { return write(bytes); }
 
  private:
@@ -59,15 +72,17 @@
   int peer_;
 };
 
+/// A relayed connection between two gateways.
 struct Relay::Stream {
-  int from = 0, to = 0;
-  std::unique_ptr<Endpoint> client_side, server_side;  // toward the gateway that connected; toward its peer
-  [[nodiscard]] Endpoint& other(const Endpoint& one) {
-    return &one == client_side.get() ? *server_side : *client_side;
+  int from = 0;  // the gateway that connected
+  int to = 0;
+  std::unique_ptr<Endpoint> client_side;  // connection to `from`
+  std::unique_ptr<Endpoint> server_side;  // connection to `to`
+  [[nodiscard]] Endpoint& other(const Endpoint& endpoint) {
+    return &endpoint == client_side.get() ? *server_side : *client_side;
   }
 };
 
-/// Pauses the input while the direction from this peer is cut; else forwards what was read.
 void Relay::Endpoint::update() {
   if (closed()) return;
   const int to = peer_ == stream_.from ? stream_.to : stream_.from;
@@ -93,23 +108,23 @@
              std::function<LinkState(int, int)> link_state)
     : loop_(loop),
       timeline_(timeline),
-      random_(seed, 7),
+      random_(seed, random_stream),
       peers_(std::move(peers)),
       link_state_(std::move(link_state)),
       listeners_(peers_.size()),
       reaper_(loop) {
   for (std::size_t i = 0; i < peers_.size(); ++i) {
     auto& listener = listeners_[i];
-    const auto real = address_of(peers_[i].bound_address);
+    const auto bound = address_of(peers_[i].bound_address);
     listener.datagrams = wire::bind_datagram(peers_[i].advertised_address);
     listener.stream = wire::listen_on(peers_[i].advertised_address);
-    if (!real || !wire::is_loopback(peers_[i].bound_address) ||
+    if (!bound || !wire::is_loopback(peers_[i].bound_address) ||
         !wire::is_loopback(peers_[i].advertised_address) || listener.datagrams.get() < 0 ||
         listener.stream.get() < 0) {
       error_ = "cannot open relay at " + peers_[i].advertised_address + ": " + std::strerror(errno);
       return;
     }
-    by_address_[real->sin_addr.s_addr] = static_cast<int>(i);
+    peer_by_address_[bound->sin_addr.s_addr] = static_cast<int>(i);
     listener.datagram_watcher = std::make_unique<ev::io>(loop_);
     listener.stream_watcher = std::make_unique<ev::io>(loop_);
     listener.datagram_watcher->set<Relay, &Relay::on_datagram>(this);
@@ -129,20 +144,20 @@
 }
 
 int Relay::peer_at(std::uint32_t address) const {
-  const auto it = by_address_.find(address);
-  return it == by_address_.end() ? -1 : it->second;
+  const auto it = peer_by_address_.find(address);
+  return it == peer_by_address_.end() ? -1 : it->second;
 }
 
 void Relay::on_datagram(ev::io& watcher, int) {
   const int to = peer_by_watcher_.at(&watcher);
   std::string bytes(max_datagram_bytes, '\0');
-  for (int i = 0; i < 256; ++i) {
-    sockaddr_in at{};
-    socklen_t size = sizeof at;
-    const auto n =
-        ::recvfrom(watcher.fd, bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&at), &size);
-    if (n < 0) return;
-    const int from = peer_at(at.sin_addr.s_addr);
+  for (int i = 0; i < max_datagrams_per_event; ++i) {
+    sockaddr_in sender{};
+    socklen_t sender_size = sizeof sender;
+    const auto received = ::recvfrom(watcher.fd, bytes.data(), bytes.size(), 0,
+                                     reinterpret_cast<sockaddr*>(&sender), &sender_size);
+    if (received < 0) return;
+    const int from = peer_at(sender.sin_addr.s_addr);
     if (from < 0) {
       ++counts_.unknown_sender;
       continue;
@@ -161,43 +176,42 @@
     auto delay = link.delay;
     if (reorder_draw < link.reorder) {
       ++counts_.reordered;
-      delay += Duration(
-          static_cast<std::int64_t>(static_cast<double>(min_reorder_delay.count()) * (1 + 9 * delay_draw)));
+      delay += Duration(static_cast<std::int64_t>(static_cast<double>(min_reorder_delay.count()) *
+                                                  (1 + (max_reorder_factor - 1) * delay_draw)));
     }
-    const auto text = bytes.substr(0, static_cast<std::size_t>(n));
+    const auto datagram = bytes.substr(0, static_cast<std::size_t>(received));
     const int copies = duplicate_draw < link.duplicate ? 2 : 1;
     counts_.duplicated += copies - 1;
     for (int k = 0; k < copies; ++k) {
       if (delay <= Duration::zero())
-        forward(from, to, text);
+        forward(from, to, datagram);
       else
         timeline_.after(
             delay,
-            [this, alive = std::weak_ptr<bool>(alive_), from, to, text] {
-              if (!alive.expired()) forward(from, to, text);
+            [this, alive = std::weak_ptr<bool>(alive_), from, to, datagram] {
+              if (!alive.expired()) forward(from, to, datagram);
             });
     }
   }
 }
 
-/// Sends from the advertised address of the sender.
 void Relay::forward(int from, int to, const std::string& bytes) {
-  const auto at = address_of(peers_[static_cast<std::size_t>(to)].bound_address);
+  const auto destination = address_of(peers_[static_cast<std::size_t>(to)].bound_address);
   ++counts_.forwarded;
   counts_.bytes += bytes.size();
   ::sendto(listeners_[static_cast<std::size_t>(from)].datagrams.get(), bytes.data(), bytes.size(),
-           MSG_DONTWAIT, reinterpret_cast<const sockaddr*>(&*at), sizeof *at);
+           MSG_DONTWAIT, reinterpret_cast<const sockaddr*>(&*destination), sizeof *destination);
 }
 
 void Relay::on_connection(ev::io& watcher, int) {
   const int to = peer_by_watcher_.at(&watcher);
-  for (int i = 0; i < 64; ++i) {
+  for (int i = 0; i < max_accepts_per_event; ++i) {
     auto fd = wire::accept_from(watcher.fd);
     if (fd.get() < 0) return;
-    sockaddr_in at{};
-    socklen_t size = sizeof at;
-    ::getpeername(fd.get(), reinterpret_cast<sockaddr*>(&at), &size);
-    const int from = peer_at(at.sin_addr.s_addr);
+    sockaddr_in sender{};
+    socklen_t sender_size = sizeof sender;
+    ::getpeername(fd.get(), reinterpret_cast<sockaddr*>(&sender), &sender_size);
+    const int from = peer_at(sender.sin_addr.s_addr);
     if (from < 0) {
       ++counts_.unknown_sender;
       continue;
@@ -209,9 +223,9 @@
     stream->to = to;
     stream->client_side = std::make_unique<Endpoint>(*this, std::move(fd), false, *stream, from);
     stream->server_side = std::make_unique<Endpoint>(*this, std::move(out), true, *stream, to);
-    auto* raw = stream.get();
+    auto* opened = stream.get();
     streams_.push_back(std::move(stream));
-    raw->client_side->update();
+    opened->client_side->update();
   }
 }
 
@@ -219,6 +233,7 @@
   for (std::size_t i = 0; i < streams_.size(); ++i) {
     auto* stream = streams_[i].get();
     stream->client_side->update();
+    // The update may have closed the stream.
     if (i < streams_.size() && streams_[i].get() == stream) stream->server_side->update();
   }
 }
@@ -231,17 +246,16 @@
   for (auto* stream : matching) close_stream(stream, true);
 }
 
-/// Closes both sides of a stream.
 void Relay::close_stream(Stream* stream, bool with_reset) {
   const auto it = std::find_if(streams_.begin(), streams_.end(),
                                [&](const auto& stream_entry) { return stream_entry.get() == stream; });
   if (it == streams_.end()) return;
-  for (auto* end : {stream->client_side.get(), stream->server_side.get()})
-    if (!end->closed()) with_reset ? end->reset() : end->end();
+  for (auto* endpoint : {stream->client_side.get(), stream->server_side.get()})
+    if (!endpoint->closed()) with_reset ? endpoint->reset() : endpoint->end();
   reaper_.add(std::move(stream->client_side));
   reaper_.add(std::move(stream->server_side));
   // Callbacks of the endpoints may still be running and refer to the stream until the loop blocks next.
-  timeline_.after(Duration(1000), [gone = std::shared_ptr<Stream>(std::move(*it))] {});
+  timeline_.after(stream_release_delay, [closed = std::shared_ptr<Stream>(std::move(*it))] {});
   streams_.erase(it);
 }
 
--- a/src/tools/rig/report.cpp
+++ b/src/tools/rig/report.cpp
@@ -11,18 +11,28 @@
 namespace cedarring::rig {
 namespace {
 
+constexpr double min_printed_send_delay_ms = 100;
+constexpr std::size_t max_printed_violations = 10;
+
 /// Index of dispersion: variance over mean of the attempts at a replica in each second, averaged over all
-/// replicas. Random choice at constant load gives 1; a changing load gives more.
+/// replicas, without the warm-up and the last second. Random choice at constant load gives 1; a changing load
+/// gives more.
 double dispersion(const Scenario& scenario, const RunResult& result) {
   const auto first_second = static_cast<std::size_t>(scenario.warm_up.count() / 1'000'000) + 1;
-  double sum = 0, replicas = 0;
+  double sum = 0;
+  double replicas = 0;
   for (int h = 0; h < scenario.groups * scenario.members; ++h) {
     if (h % scenario.members == 0) continue;  // the first of a group is its primary at the start
-    double count = 0, mean = 0, squares = 0;
+    // Welford's algorithm for mean and variance.
+    double count = 0;
+    double mean = 0;
+    double squares = 0;
     for (std::size_t t = first_second; t + 1 < result.seconds.size(); ++t) {
-      const double v = result.seconds[t].attempts_by_host[static_cast<std::size_t>(h)], previous_mean = mean;
-      mean += (v - mean) / ++count;
-      squares += (v - previous_mean) * (v - mean);
+      const double attempts = result.seconds[t].attempts_by_host[static_cast<std::size_t>(h)];
+      const double previous_mean = mean;
+      ++count;
+      mean += (attempts - mean) / count;
+      squares += (attempts - previous_mean) * (attempts - mean);
     }
     if (count > 1 && mean > 0) {
       sum += squares / (count - 1) / mean;
@@ -58,10 +68,11 @@
         "lost", "p50 ms", "p99 ms");
   for (std::size_t i = 0; i < result.classes.size(); ++i) {
     auto& class_result = result.classes[i];
-    const auto n = [](std::uint64_t v) { return static_cast<unsigned long long>(v); };
+    const auto printable = [](std::uint64_t count) { return static_cast<unsigned long long>(count); };
     print("%-12s %8llu %8llu %7llu %8llu %7llu %6llu %8.1f %8.1f\n",
-          scenario.classes[i].request_class.name.c_str(), n(class_result.asked), n(class_result.in_time),
-          n(class_result.late), n(class_result.refused), n(class_result.failed), n(class_result.lost),
+          scenario.classes[i].request_class.name.c_str(), printable(class_result.asked),
+          printable(class_result.in_time), printable(class_result.late), printable(class_result.refused),
+          printable(class_result.failed), printable(class_result.lost),
           quantile(class_result.latencies_ms, 0.5), quantile(class_result.latencies_ms, 0.99));
   }
   print(
@@ -71,14 +82,14 @@
   print("the rig's own sends: p99 %.1f ms late%s\n", result.send_delay_p99_ms,
         result.too_slow ? "; TOO SLOW for a verdict on figures" : "");
   for (std::size_t t = 0; t < result.seconds.size(); ++t)
-    if (result.seconds[t].worst_send_delay_ms > 100)
+    if (result.seconds[t].worst_send_delay_ms > min_printed_send_delay_ms)
       print("  second %zu: sent up to %.0f ms late\n", t, result.seconds[t].worst_send_delay_ms);
   if (result.crashes > 0) print("%llu gateways CRASHED\n", static_cast<unsigned long long>(result.crashes));
   if (result.violation_count == 0)
     print("rules kept\n");
   else
     print("%llu times a rule was BROKEN\n", static_cast<unsigned long long>(result.violation_count));
-  for (std::size_t i = 0; i < result.violations.size() && i < 10; ++i)
+  for (std::size_t i = 0; i < result.violations.size() && i < max_printed_violations; ++i)
     out += "  " + result.violations[i].rule + ": " + result.violations[i].request + ' ' +
            result.violations[i].details + '\n';
   return out;
@@ -88,17 +99,17 @@
   rapidjson::StringBuffer buffer;
   rapidjson::PrettyWriter<rapidjson::StringBuffer> writer(buffer);
   writer.SetIndent(' ', 1);
-  const auto write_string = [&](const char* key, const std::string& v) {
+  const auto write_string = [&](const char* key, const std::string& value) {
     writer.Key(key);
-    writer.String(v.c_str());
+    writer.String(value.c_str());
   };
-  const auto write_number = [&](const char* key, double v) {
+  const auto write_number = [&](const char* key, double value) {
     writer.Key(key);
-    writer.Double(v);
+    writer.Double(value);
   };
-  const auto write_integer = [&](const char* key, std::uint64_t v) {
+  const auto write_integer = [&](const char* key, std::uint64_t value) {
     writer.Key(key);
-    writer.Uint64(v);
+    writer.Uint64(value);
   };
   writer.StartObject();
   writer.Key("complete");
@@ -168,7 +179,7 @@
     write_number("late_ms", second.worst_send_delay_ms);
     writer.Key("by_host");
     writer.StartArray();
-    for (const auto v : second.attempts_by_host) writer.Uint(v);
+    for (const auto attempts : second.attempts_by_host) writer.Uint(attempts);
     writer.EndArray();
     writer.EndObject();
   }
@@ -178,14 +189,16 @@
 }
 
 void write_plots(const Scenario& scenario, const RunResult& result, const std::string& folder) {
-  std::ofstream load(folder + "/load.dat"), hosts(folder + "/hosts.dat"), script(folder + "/plot.gp");
+  std::ofstream load(folder + "/load.dat");
+  std::ofstream hosts(folder + "/hosts.dat");
+  std::ofstream script(folder + "/plot.gp");
   load << "# second asked in_time refused failed p99_ms\n";
   for (std::size_t t = 0; t < result.seconds.size(); ++t) {
     const auto& second = result.seconds[t];
     load << t << ' ' << second.asked << ' ' << second.in_time << ' ' << second.refused << ' ' << second.failed
          << ' ' << second.p99_ms << '\n';
     hosts << t;
-    for (const auto v : second.attempts_by_host) hosts << ' ' << v;
+    for (const auto attempts : second.attempts_by_host) hosts << ' ' << attempts;
     hosts << '\n';
   }
   script << "set datafile commentschars '#'\nset key outside\nset xlabel 'seconds'\nset grid\n";
@@ -194,8 +207,8 @@
            << ", graph 1 nohead dt 2 lc 'gray'\n"
            << "set label \"" << event.text << "\" at " << event.at
            << ", graph 0.98 rotate by -90 font ',7' tc 'gray'\n";
-  const auto write_plot = [&](const char* terminal, const char* kind) {
-    script << "set terminal " << terminal << "\nset output '" << kind << "'\n"
+  const auto write_plot = [&](const char* terminal, const char* file) {
+    script << "set terminal " << terminal << "\nset output '" << file << "'\n"
            << "set multiplot layout 3,1 title '" << scenario.name << ", seed " << scenario.seed << "'\n"
            << "set ylabel 'requests a second'\nplot 'load.dat' using 1:2 with lines title 'asked', '' using "
               "1:3 with lines title 'in "
