--- a/src/tools/rig/relay.cpp
+++ b/src/tools/rig/relay.cpp
@@ -59,7 +59,7 @@
   void end() {
     if (!closed()) close();
   }
-  /// Writes to the connection; false if its output buffer has no room.
+  /// Writes to the connection; false if it is closed or its output buffer has no room.
   bool put(std::string_view bytes) { return write(bytes); }
 
  private:
--- a/src/tools/rig/rig.cpp
+++ b/src/tools/rig/rig.cpp
@@ -37,54 +37,97 @@
 constexpr Duration stall_threshold = std::chrono::milliseconds(25);
 // For a gateway to process its backlog after a pause.
 constexpr Duration resume_grace = std::chrono::milliseconds(500);
-constexpr double max_send_delay_ms = 20;  // of the rig's own sends; larger delays distort the metrics
-constexpr double abort_send_delay_ms = 2000;
-constexpr double max_delayed_share = 0.01;
+constexpr double max_send_delay_ms = 20;       // of the rig's own sends; larger delays distort the metrics
+constexpr double abort_send_delay_ms = 2000;   // ends the run
+constexpr double max_delayed_share = 0.01;     // of sends with a larger delay than max_send_delay_ms
 constexpr int wildcard_listener_links = 2000;  // with more links, a host has a single listener
-constexpr int addresses_per_block = 250;       // gateways whose addresses differ only in the last byte
+// Loopback addresses are 127.<network>.<block>.<number>. The network is that of the run; gateways are
+// numbered from 1, and addresses_per_block of them share a block. Each use of an address has blocks of its
+// own: the links to hosts and discovery from 0, then those below.
+constexpr int addresses_per_block = 250;
+constexpr int client_block = 100;           // listeners for clients, control endpoints
+constexpr int bound_peer_block = 150;       // messages between gateways: where a gateway is bound
+constexpr int advertised_peer_block = 200;  // messages between gateways: the relay
+constexpr int first_control_port = 7001;
+constexpr int control_port_count = 900;
 constexpr int max_accepts_per_event = 64;
-constexpr int max_redirects = 20;  // of a request whose gateways do not accept it
-constexpr int immediate_redirects = 4;
+constexpr int max_redirects = 20;       // of a request whose gateways do not accept it
+constexpr int immediate_redirects = 4;  // from this redirect on, the later delay applies
 constexpr Duration immediate_redirect_delay{1000};
 constexpr Duration later_redirect_delay{50'000};
 constexpr Duration default_retry_delay{200'000};  // after a refusal without a retry-after
+constexpr int max_client_attempts = 2;
+constexpr int row_key_count = 5000;  // keys of rows that requests name
 constexpr Duration process_poll_interval = std::chrono::milliseconds(20);
 constexpr Duration probe_interval = std::chrono::milliseconds(50);
-constexpr Duration term_rotation_delay =
-    std::chrono::milliseconds(300);  // from SIGTERM until out of rotation
+// From SIGTERM until the load balancer sends no more new connections.
+constexpr Duration term_rotation_delay = std::chrono::milliseconds(300);
+// A terminated gateway is killed after the longest deadline or max_drain_time, whichever is shorter, and
+// drain_margin.
 constexpr Duration max_drain_time = std::chrono::seconds(3);
 constexpr Duration drain_margin = std::chrono::milliseconds(700);
+// Time limits are not checked in this period around a kill.
+constexpr Duration kill_excuse_before = std::chrono::milliseconds(1);
+constexpr Duration kill_excuse_after = std::chrono::milliseconds(200);
+constexpr Duration rest_of_run = std::chrono::hours(1);     // longer than any run
+constexpr Duration stop_timeout = std::chrono::seconds(4);  // for the exits of gateways at the end
+constexpr std::size_t max_named_targets = 4;                // of a fault, in its event
+constexpr int seed_address_count = 3;                       // gateways in the list that @SEEDS@ stands for
+constexpr double rounding_tolerance = 1e-9;                 // of the number of targets
+constexpr double microseconds_per_second = 1e6;
+// Select the random sequences of a seed. The relay has a further one.
+constexpr std::uint64_t arrival_stream = 1;
+constexpr std::uint64_t fault_stream = 2;
+constexpr std::uint64_t weight_stream = 3;
+constexpr std::uint64_t exit_stream = 4;
+constexpr std::uint64_t first_target_stream = 100;  // two for each fault: its target and its other end
 
+/// A uniform draw from [0, 1).
 double draw(lab::Random& random) { return boost::random::uniform_01<double>()(random); }
+double seconds(Duration duration) { return static_cast<double>(duration.count()) / microseconds_per_second; }
+Duration from_ms(double ms) { return Duration(static_cast<std::int64_t>(ms * 1000)); }
 
 /// Opens a listener at all loopback addresses and at no other interface.
 wire::Fd listen_on_all_loopback(int port) {
   wire::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  const int one = 1;
-  ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
+  const int enabled = 1;
+  ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
   if (::setsockopt(fd.get(), SOL_SOCKET, SO_BINDTODEVICE, "lo", 3) != 0) return wire::Fd();
-  sockaddr_in at{};
-  at.sin_family = AF_INET;
-  at.sin_port = htons(static_cast<std::uint16_t>(port));
-  if (::bind(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) != 0 || ::listen(fd.get(), 1024) != 0)
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(static_cast<std::uint16_t>(port));
+  if (::bind(fd.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) != 0 ||
+      ::listen(fd.get(), 1024) != 0)
     return wire::Fd();
   return fd;
 }
 
+/// The port that a socket is bound to.
 int port_of(const wire::Fd& fd) {
-  const auto at = wire::bound_address(fd);
-  return std::atoi(at.substr(at.rfind(':') + 1).c_str());
+  const auto address = wire::bound_address(fd);
+  return std::atoi(address.substr(address.rfind(':') + 1).c_str());
 }
 
-std::vector<ClassRule> class_rules(const Scenario& s) {
-  std::vector<ClassRule> all;
-  for (const auto& class_spec : s.classes)
-    all.push_back({class_spec.request_class.idempotency, class_spec.request_class.dedup_scope,
-                   class_spec.request_class.dedup_window, class_spec.request_class.freshness,
-                   class_spec.request_class.staleness_bound});
-  return all;
+/// What the rule checker needs of each class.
+std::vector<ClassRule> class_rules(const Scenario& scenario) {
+  std::vector<ClassRule> rules;
+  for (const auto& class_spec : scenario.classes)
+    rules.push_back({class_spec.request_class.idempotency, class_spec.request_class.dedup_scope,
+                     class_spec.request_class.dedup_window, class_spec.request_class.freshness,
+                     class_spec.request_class.staleness_bound});
+  return rules;
 }
 
+Duration longest_deadline(const Scenario& scenario) {
+  Duration longest{};
+  for (const auto& class_spec : scenario.classes)
+    longest = std::max(longest, class_spec.request_class.deadline);
+  return longest;
+}
+
+/// The first two bytes of an address "127.x.y.z", as text.
+std::string network_of(const std::string& address) { return address.substr(0, address.find('.', 4)); }
+
 }  // namespace
 
 Rig::Rig(Scenario scenario, Options options)
@@ -95,9 +138,9 @@
       prepare_(loop_),
       check_(loop_),
       timer_(loop_),
-      arrival_random_(scenario_.seed, 1),
-      fault_random_(scenario_.seed, 2),
-      exit_random_(scenario_.seed, 4) {
+      arrival_random_(scenario_.seed, arrival_stream),
+      fault_random_(scenario_.seed, fault_stream),
+      exit_random_(scenario_.seed, exit_stream) {
   prepare_.set<Rig, &Rig::before_blocking>(this);
   check_.set<Rig, &Rig::after_blocking>(this);
   check_.priority = EV_MAXPRI;
@@ -126,21 +169,19 @@
 void Rig::before_blocking(ev::prepare&, int) {
   advance();
   timer_.stop();
-  if (const auto next = timeline_.next_due())
-    timer_.start(std::max(0.0, static_cast<double>((*next - clock_.now()).count()) / 1e6));
+  if (const auto next = timeline_.next_due()) timer_.start(std::max(0.0, seconds(*next - clock_.now())));
 }
 
-double Rig::elapsed_seconds() const {
-  return static_cast<double>((timeline_.now() - load_started_at_).count()) / 1e6;
-}
+double Rig::elapsed_seconds() const { return seconds(timeline_.now() - load_started_at_); }
 
 SecondResult& Rig::current_second() {
-  const auto at = static_cast<std::size_t>(std::clamp(elapsed_seconds(), 0.0, 3600.0));
-  while (result_.seconds.size() <= at) {
+  constexpr double max_index = 3600;
+  const auto index = static_cast<std::size_t>(std::clamp(elapsed_seconds(), 0.0, max_index));
+  while (result_.seconds.size() <= index) {
     result_.seconds.emplace_back();
     result_.seconds.back().attempts_by_host.resize(hosts_.size());
   }
-  return result_.seconds[at];
+  return result_.seconds[index];
 }
 
 void Rig::add_event(const std::string& text) {
@@ -152,6 +193,7 @@
 }
 
 // ---- hosts and discovery ----
+/// One listener for each gateway, at its link address, or a single one at all loopback addresses.
 void Rig::open_listeners(Host& emulated_host) {
   const bool wildcard = static_cast<int>(hosts_.size()) * scenario_.gateways > wildcard_listener_links;
   const auto count = wildcard ? 1 : gateways_.size();
@@ -165,24 +207,25 @@
       return;
     }
     if (!reopening) emulated_host.ports.push_back(port_of(fd));
-    auto io = std::make_unique<ev::io>(loop_);
-    io->set<Rig, &Rig::on_connection>(this);
-    io->start(fd.get(), ev::READ);
-    host_by_watcher_[io.get()] =
-        &emulated_host == &discovery_ ? -1 : static_cast<int>(&emulated_host - hosts_.data());
-    emulated_host.accept_watchers.push_back(std::move(io));
+    auto watcher = std::make_unique<ev::io>(loop_);
+    watcher->set<Rig, &Rig::on_connection>(this);
+    watcher->start(fd.get(), ev::READ);
+    host_by_watcher_[watcher.get()] =
+        &emulated_host == &discovery_ ? discovery_index : static_cast<int>(&emulated_host - hosts_.data());
+    emulated_host.accept_watchers.push_back(std::move(watcher));
     emulated_host.listeners.push_back(std::move(fd));
   }
 }
 
 int Rig::gateway_of(int fd) const {
-  sockaddr_in at{};
-  socklen_t size = sizeof at;
-  ::getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
-  const auto low = ntohl(at.sin_addr.s_addr) & 0xffffU;
-  const int g =
-      static_cast<int>((low >> 8U) * static_cast<unsigned>(addresses_per_block) + (low & 0xffU)) - 1;
-  return g >= 0 && g < scenario_.gateways ? g : -1;
+  sockaddr_in address{};
+  socklen_t size = sizeof address;
+  ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
+  const auto block_and_number = ntohl(address.sin_addr.s_addr) & 0xffffU;
+  const auto block = block_and_number >> 8U;
+  const auto number = block_and_number & 0xffU;
+  const int gateway = static_cast<int>(block * static_cast<unsigned>(addresses_per_block) + number) - 1;
+  return gateway >= 0 && gateway < scenario_.gateways ? gateway : -1;
 }
 
 void Rig::on_connection(ev::io& watcher, int) {
@@ -195,14 +238,14 @@
         add_event("out of file descriptors");
       return;
     }
-    const int g = gateway_of(fd.get());
-    if (g < 0) continue;
-    if (it->second < 0) {
-      discovery_links_.push_back(new DiscoveryLink(*this, std::move(fd), g));
+    const int gateway = gateway_of(fd.get());
+    if (gateway < 0) continue;
+    if (it->second == discovery_index) {
+      discovery_links_.push_back(new DiscoveryLink(*this, std::move(fd), gateway));
       continue;
     }
-    const auto number = next_link_++;
-    host_links_[number] = new HostLink(*this, std::move(fd), number, g, it->second);
+    const auto number = next_link_number_++;
+    host_links_[number] = new HostLink(*this, std::move(fd), number, gateway, it->second);
   }
 }
 
@@ -212,10 +255,9 @@
   return it == link_faults_.end() ? none : it->second;
 }
 
-/// Returns the member list for one gateway, with the host addresses of that gateway's own links.
 std::string Rig::member_list_for(int gateway) {
   broker::MemberList list;
-  list.version = version_;
+  list.version = list_version_;
   list.full = true;
   for (std::size_t i = 0; i < hosts_.size(); ++i) {
     const auto& emulated_host = hosts_[i];
@@ -234,9 +276,9 @@
   return wire::members_json(list);
 }
 
-/// On a delayed link the gateway keeps an older list than others until the list arrives.
+/// On a delayed link the gateway keeps an older list than other gateways until the list arrives.
 void Rig::send_list(int gateway) {
-  const auto& fault = link_fault_of(gateway, -1);
+  const auto& fault = link_fault_of(gateway, discovery_index);
   if (fault.answers_cut) return;
   if (fault.delay > Duration::zero())
     timeline_.after(fault.delay, [this, gateway] { send_list_now(gateway); });
@@ -245,7 +287,7 @@
 }
 
 void Rig::send_list_now(int gateway) {
-  if (link_fault_of(gateway, -1).answers_cut) return;
+  if (link_fault_of(gateway, discovery_index).answers_cut) return;
   const auto list = member_list_for(gateway);
   bool delivered = false;
   for (auto* watch : discovery_links_)
@@ -263,7 +305,7 @@
   timeline_.after(
       scenario_.discovery_delay,
       [this] {
-        ++version_;
+        ++list_version_;
         for (int g = 0; g < scenario_.gateways; ++g) send_list(g);
       });
 }
@@ -271,7 +313,7 @@
 void Rig::stop_host(int host) {
   auto& emulated_host = hosts_[static_cast<std::size_t>(host)];
   if (!emulated_host.model->alive()) return;
-  for (auto& io : emulated_host.accept_watchers) host_by_watcher_.erase(io.get());
+  for (auto& watcher : emulated_host.accept_watchers) host_by_watcher_.erase(watcher.get());
   emulated_host.accept_watchers.clear();
   emulated_host.listeners.clear();
   if (emulated_host.group->primary() == emulated_host.model) {
@@ -285,7 +327,7 @@
     emulated_host.model->crash();
   }
   std::vector<HostLink*> links;
-  for (const auto& [n, link] : host_links_)
+  for (const auto& [number, link] : host_links_)
     if (link->host() == host) links.push_back(link);
   for (auto* link : links) link->shut_down(true);
   emulated_host.removed = true;
@@ -303,45 +345,46 @@
   on_list_change();
 }
 
-/// Passes over all links once: there are thousands of them, and a cut of zones is thousands of pairs.
+/// Passes over all links once, not once for each pair: there are thousands of links, and a cut between zones
+/// is thousands of pairs.
 void Rig::update_links(const std::set<std::pair<int, int>>& pairs, bool with_reset) {
   std::vector<HostLink*> links;
-  for (const auto& [n, link] : host_links_)
+  for (const auto& [number, link] : host_links_)
     if (pairs.count({link->gateway(), link->host()}) > 0) links.push_back(link);
   for (auto* link : links) with_reset ? link->shut_down(true) : link->on_link_change();
   std::vector<DiscoveryLink*> watches;
   for (auto* watch : discovery_links_)
-    if (pairs.count({watch->gateway(), -1}) > 0) watches.push_back(watch);
+    if (pairs.count({watch->gateway(), discovery_index}) > 0) watches.push_back(watch);
   for (auto* watch : watches) with_reset ? watch->shut_down(true) : watch->on_link_change();
 }
 
 void Rig::close_ended_links(const std::string& id) {
   const auto it = links_by_request_.find(id);
   if (it == links_by_request_.end()) return;
-  const auto links = it->second;
+  const auto links = it->second;  // a copy: closing a link removes it
   for (auto* link : links)
     if (link->peer_closed()) link->shut_down(false);
 }
 
 // ---- between gateways ----
 std::string Rig::peer_address(int gateway, bool advertised) const {
-  const auto& links = gateways_[static_cast<std::size_t>(gateway)].link_address;
-  const auto net = links.substr(0, links.find('.', 4));
-  const int n = gateway + 1;
-  return net + "." + std::to_string((advertised ? 200 : 150) + n / addresses_per_block) + "." +
-         std::to_string(n % addresses_per_block) + ":7100";
+  const auto network = network_of(gateways_[static_cast<std::size_t>(gateway)].link_address);
+  const int first_block = advertised ? advertised_peer_block : bound_peer_block;
+  const int number = gateway + 1;
+  return network + "." + std::to_string(first_block + number / addresses_per_block) + "." +
+         std::to_string(number % addresses_per_block) + ":7100";
 }
 
 void Rig::set_peer_links(const Fault& fault, const std::vector<int>& from, const std::vector<int>& to,
                          bool active) {
-  const auto set = [&](int a, int b) {
-    auto& link = peer_links_[{a, b}];
+  const auto set_direction = [&](int sender, int receiver) {
+    auto& link = peer_links_[{sender, receiver}];
     switch (fault.kind) {
       case FaultKind::cut:
         link.cut = active;
         break;
       case FaultKind::delay:
-        link.delay = active ? Duration(static_cast<std::int64_t>(fault.factor * 1000)) : Duration{};
+        link.delay = active ? from_ms(fault.factor) : Duration{};
         break;
       case FaultKind::loss:
         link.loss = active ? fault.factor : 0;
@@ -352,13 +395,13 @@
       default:
         link.reorder = active ? fault.factor : 0;
     }
-    if (link.healthy()) peer_links_.erase({a, b});
+    if (link.healthy()) peer_links_.erase({sender, receiver});
   };
   for (const int a : from)
     for (const int b : to) {
       if (a == b) continue;
-      if (fault.forward) set(a, b);
-      if (fault.reverse) set(b, a);
+      if (fault.forward) set_direction(a, b);
+      if (fault.reverse) set_direction(b, a);
       if (active && fault.reset) relay_->reset(a, b);
     }
   relay_->update_streams();
@@ -367,12 +410,12 @@
 // ---- processes ----
 void Rig::start_gateway(int gateway, bool upgrade) {
   auto& process = gateways_[static_cast<std::size_t>(gateway)];
-  const auto low = "." + std::to_string((gateway + 1) / addresses_per_block) + "." +
-                   std::to_string((gateway + 1) % addresses_per_block);
-  const auto net = process.link_address.substr(0, process.link_address.find('.', 4));
-  // Each process has a control port of its own, as two may run at once.
-  const auto control = net + "." + std::to_string(100 + (gateway + 1) / addresses_per_block) +
-                       low.substr(low.rfind('.')) + ":" + std::to_string(7001 + process.starts++ % 900);
+  const int number = gateway + 1;
+  // Each process has a control port of its own, as two processes of a gateway may run at once.
+  const int control_port = first_control_port + process.starts++ % control_port_count;
+  const auto control = network_of(process.link_address) + "." +
+                       std::to_string(client_block + number / addresses_per_block) + "." +
+                       std::to_string(number % addresses_per_block) + ":" + std::to_string(control_port);
   std::ofstream(process.folder + "/config.json") << gateway_config(
       scenario_, gateway, process.listen_address, control,
       process.link_address + ':' + std::to_string(discovery_.port_for(gateway)), member_list_for(gateway));
@@ -386,7 +429,7 @@
         file.replace(at, placeholder.size(), value);
     };
     std::string seeds;
-    for (int i = 0; i < std::min(3, scenario_.gateways); ++i)
+    for (int i = 0; i < std::min(seed_address_count, scenario_.gateways); ++i)
       seeds += (i ? ",\"" : "\"") + peer_address(i, true) + '"';
     replace_all("\"@SEEDS@\"", '[' + seeds + ']');
     replace_all("@REAL@", peer_address(gateway, false));
@@ -407,11 +450,11 @@
   probe_gateway(gateway);
 }
 
-/// Probes a gateway until it answers an empty query, which takes it into rotation.
 void Rig::probe_gateway(int gateway) {
   auto& process = gateways_[static_cast<std::size_t>(gateway)];
   if (process.in_rotation || !process.should_run || stopping_) return;
-  auto link = std::make_unique<ClientLink>(*this, process.listen_address, gateway, true);
+  constexpr bool is_probe = true;
+  auto link = std::make_unique<ClientLink>(*this, process.listen_address, gateway, is_probe);
   if (!link->closed()) clients_.push_back(std::move(link));
   timeline_.after(probe_interval, [this, gateway] { probe_gateway(gateway); });
 }
@@ -430,7 +473,7 @@
       result_.gateways_cpu_seconds +=
           static_cast<double>(used.ru_utime.tv_sec + used.ru_stime.tv_sec) +
           static_cast<double>(used.ru_utime.tv_usec + used.ru_stime.tv_usec) / 1e6;
-      result_.gateways_mb += static_cast<double>(used.ru_maxrss) / 1024;
+      result_.gateways_mb += static_cast<double>(used.ru_maxrss) / 1024;  // from KiB
     };
     if (process.previous_pid > 0 &&
         ::wait4(process.previous_pid, &status, WNOHANG, &used) == process.previous_pid) {
@@ -447,7 +490,7 @@
       if (process.should_run && !stopping_) {
         ++result_.crashes;
         add_event("g" + std::to_string(i) + " has crashed");
-        rules_->excuse_gateway(i, timeline_.now(), timeline_.now() + std::chrono::hours(1));
+        rules_->excuse_gateway(i, timeline_.now(), timeline_.now() + rest_of_run);
         process.in_rotation = false;
       }
     }
@@ -460,25 +503,26 @@
 /// whatever the state of earlier requests.
 void Rig::next_arrival() {
   const double elapsed = elapsed_seconds();
-  const double run_seconds = static_cast<double>(scenario_.run_time.count()) / 1e6;
+  const double run_seconds = seconds(scenario_.run_time);
   const double rate =
       full_load_rate(scenario_) * scenario_.load * (1 + (scenario_.ramp - 1) * elapsed / run_seconds);
   const auto intended = timeline_.now();
-  const auto gap = boost::random::exponential_distribution<double>(rate)(arrival_random_);
+  const auto gap_seconds = boost::random::exponential_distribution<double>(rate)(arrival_random_);
   auto request = std::make_shared<Request>();
+  // Draws the class and the tenant by their shares.
   double shares = 0;
   for (const auto& class_spec : scenario_.classes) shares += class_spec.share;
-  double position = draw(arrival_random_) * shares;
+  double remainder = draw(arrival_random_) * shares;
   while (request->class_index + 1 < scenario_.classes.size() &&
-         (position -= scenario_.classes[request->class_index].share) >= 0)
+         (remainder -= scenario_.classes[request->class_index].share) >= 0)
     ++request->class_index;
-  position = draw(arrival_random_);
+  remainder = draw(arrival_random_);
   while (request->tenant + 1 < scenario_.tenants.size() &&
-         (position -= scenario_.tenants[request->tenant].share) >= 0)
+         (remainder -= scenario_.tenants[request->tenant].share) >= 0)
     ++request->tenant;
   const auto& class_spec = scenario_.classes[request->class_index];
   request->group = static_cast<int>(draw(arrival_random_) * scenario_.groups);
-  request->key = std::to_string(static_cast<int>(draw(arrival_random_) * 5000));
+  request->key = std::to_string(static_cast<int>(draw(arrival_random_) * row_key_count));
   request->work =
       class_spec.min_work +
       Duration(static_cast<std::int64_t>(
@@ -497,8 +541,8 @@
   ++current_second().asked;
   if (intended >= load_started_at_ + scenario_.warm_up) ++result_.classes[request->class_index].asked;
   send_request(request);
-  if (intended + Duration(static_cast<std::int64_t>(gap * 1e6)) < load_started_at_ + scenario_.run_time)
-    timeline_.at(intended + Duration(static_cast<std::int64_t>(gap * 1e6)), [this] { next_arrival(); });
+  const auto next = intended + Duration(static_cast<std::int64_t>(gap_seconds * microseconds_per_second));
+  if (next < load_started_at_ + scenario_.run_time) timeline_.at(next, [this] { next_arrival(); });
 }
 
 std::optional<int> Rig::choose_gateway() {
@@ -507,9 +551,9 @@
   };
   double total_weight = 0;
   for (const auto& process : gateways_) total_weight += weight(process);
-  double position = draw(fault_random_) * total_weight;
+  double remainder = draw(fault_random_) * total_weight;
   for (std::size_t i = 0; i < gateways_.size(); ++i)
-    if (weight(gateways_[i]) > 0 && (position -= gateways_[i].weight) < 0) return static_cast<int>(i);
+    if (weight(gateways_[i]) > 0 && (remainder -= gateways_[i].weight) < 0) return static_cast<int>(i);
   return std::nullopt;
 }
 
@@ -525,61 +569,60 @@
 void Rig::send_request(const std::shared_ptr<Request>& request) {
   ClientAttempt attempt;
   attempt.request = request;
-  attempt.sent = timeline_.now();
-  std::optional<int> g;
+  attempt.sent_at = timeline_.now();
+  std::optional<int> gateway;
   ClientLink* idle = nullptr;
   // A terminating gateway accepts no new connections, so only an idle one can be used.
   do {
-    g = choose_gateway();
-    idle = g ? take_idle_client(gateways_[static_cast<std::size_t>(*g)]) : nullptr;
-  } while (g && !idle && !gateways_[static_cast<std::size_t>(*g)].in_rotation);
-  if (!g || attempt.sent >= request->deadline) {
+    gateway = choose_gateway();
+    idle = gateway ? take_idle_client(gateways_[static_cast<std::size_t>(*gateway)]) : nullptr;
+  } while (gateway && !idle && !gateways_[static_cast<std::size_t>(*gateway)].in_rotation);
+  if (!gateway || attempt.sent_at >= request->deadline) {
     on_answer(attempt, Answer::lost, {});
     return;
   }
-  attempt.gateway = *g;
+  attempt.gateway = *gateway;
   char id[24];
-  std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(next_id_++));
+  std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(next_attempt_id_++));
   attempt.id = id;
   const auto& request_class = scenario_.classes[request->class_index].request_class;
   const bool write = request_class.freshness == Freshness::write;
   std::string sql = write ? "INSERT INTO records (k, v) VALUES ('" + request->key + "', '\\x9f') RETURNING v"
                           : "SELECT v FROM records WHERE k = '" + request->key + "'";
-  sql += " /* id=" + attempt.id + ",c=" + request_class.name +
-         ",t=" + scenario_.tenants[request->tenant].name +
-         ",d=" + std::to_string(std::max<std::int64_t>(1, (request->deadline - attempt.sent).count() / 1000));
+  sql +=
+      " /* id=" + attempt.id + ",c=" + request_class.name + ",t=" + scenario_.tenants[request->tenant].name +
+      ",d=" + std::to_string(std::max<std::int64_t>(1, (request->deadline - attempt.sent_at).count() / 1000));
   if (request_class.idempotency == Idempotency::keyed) sql += ",k=key-" + attempt.id;
   if (request->attempts > 0) sql += ",r=1";
   sql += ",cluster=" + std::to_string(request->group + 1) + " */";
   ++request->attempts;
-  rules_->on_request(attempt.id, attempt.gateway, request->class_index, attempt.sent, request->deadline);
+  rules_->on_request(attempt.id, attempt.gateway, request->class_index, attempt.sent_at, request->deadline);
   open_attempts_[attempt.id] = attempt;
   timeline_.at(request->deadline + answer_grace, [this, id = attempt.id] { abandon(id); });
   if (scenario_.client_exit_share > 0) {
     const double exit_draw = draw(exit_random_);
     const double time_draw = draw(exit_random_);
     const auto delay = Duration(static_cast<std::int64_t>(
-        time_draw * static_cast<double>((request->deadline - attempt.sent).count())));
+        time_draw * static_cast<double>((request->deadline - attempt.sent_at).count())));
     if (exit_draw < scenario_.client_exit_share)
       timeline_.after(delay, [this, id = attempt.id] { leave_early(id); });
   }
   if (idle) return idle->send_request(attempt, sql);
-  auto link =
-      std::make_unique<ClientLink>(*this, gateways_[static_cast<std::size_t>(*g)].listen_address, *g, false);
-  auto* raw = link.get();
+  constexpr bool is_probe = false;
+  const auto& address = gateways_[static_cast<std::size_t>(*gateway)].listen_address;
+  auto link = std::make_unique<ClientLink>(*this, address, *gateway, is_probe);
+  auto* opened = link.get();
   clients_.push_back(std::move(link));
-  raw->send_request(attempt, sql);
-  if (raw->closed()) raw->shut_down();
+  opened->send_request(attempt, sql);
+  if (opened->closed()) opened->shut_down();
 }
 
-/// The client gives up after its deadline and closes the connection.
 void Rig::abandon(const std::string& id) {
   if (open_attempts_.count(id) == 0) return;
   for (const auto& client : clients_)
     if (client->waits_for(id)) return client->shut_down();
 }
 
-/// The client leaves before its deadline, in one of the ways of ClientExit.
 void Rig::leave_early(const std::string& id) {
   const auto it = open_attempts_.find(id);
   if (it == open_attempts_.end()) return;
@@ -590,16 +633,12 @@
       ++result_.classes[request.class_index].client_left;
     rules_->on_client_exit(id, timeline_.now());
     open_attempts_.erase(it);
-    return client->leave(static_cast<ClientLink::ClientExit>(exit_random_() % 4));
+    return client->leave(static_cast<ClientLink::ClientExit>(exit_random_() % ClientLink::client_exit_count));
   }
 }
 
-/// Sends SIGTERM, and SIGKILL if the process has not exited within the time allowed for draining.
 void Rig::terminate_gateway(int gateway) {
   auto& process = gateways_[static_cast<std::size_t>(gateway)];
-  Duration longest{};
-  for (const auto& class_spec : scenario_.classes)
-    longest = std::max(longest, class_spec.request_class.deadline);
   const auto pid = process.pid;
   process.should_run = false;
   process.terminating = true;
@@ -608,7 +647,7 @@
     auto& terminating = gateways_[static_cast<std::size_t>(gateway)];
     if (terminating.pid == pid || terminating.pid < 0) terminating.in_rotation = false;
   });
-  timeline_.after(std::min(longest, max_drain_time) + drain_margin, [this, gateway, pid] {
+  timeline_.after(std::min(longest_deadline(scenario_), max_drain_time) + drain_margin, [this, gateway, pid] {
     auto& overdue = gateways_[static_cast<std::size_t>(gateway)];
     if (overdue.pid != pid && overdue.previous_pid != pid) return;
     add_event('g' + std::to_string(gateway) + " had not ended, killed");
@@ -616,8 +655,7 @@
   });
 }
 
-/// The gateway never read the request, so the client sends it again through another connection. Clients learn
-/// late that a gateway is dead.
+/// Clients learn late that a gateway is dead, and go on to send requests to it until then.
 void Rig::on_not_accepted(const ClientAttempt& attempt) {
   if (rules_->reached_host(attempt.id) || attempt.request->redirects >= max_redirects)
     return on_answer(attempt, Answer::lost, {});
@@ -639,27 +677,27 @@
   }
   const auto& request = *attempt.request;
   const auto& request_class = scenario_.classes[request.class_index].request_class;
-  if (answer == Answer::refused && request.attempts < 2) {
-    const auto wait = retry_after > Duration::zero() ? retry_after : default_retry_delay;
-    if (now + wait < request.deadline) {
-      timeline_.after(wait, [this, request = attempt.request] { send_request(request); });
+  if (answer == Answer::refused && request.attempts < max_client_attempts) {
+    const auto pause = retry_after > Duration::zero() ? retry_after : default_retry_delay;
+    if (now + pause < request.deadline) {
+      timeline_.after(pause, [this, request = attempt.request] { send_request(request); });
       return;
     }
   }
-  const double ms = static_cast<double>((now - request.arrived_at).count()) / 1000;
+  const double latency_ms = static_cast<double>((now - request.arrived_at).count()) / 1000;
   auto& second = current_second();
   const bool in_time = answer == Answer::served && now - request.arrived_at <= request_class.latency_target;
   second.served += answer == Answer::served;
   second.in_time += in_time;
   second.refused += answer == Answer::refused;
   second.failed += answer == Answer::failed || answer == Answer::lost;
-  if (answer == Answer::served) second.latencies_ms.push_back(static_cast<float>(ms));
+  if (answer == Answer::served) second.latencies_ms.push_back(static_cast<float>(latency_ms));
   if (request.arrived_at < load_started_at_ + scenario_.warm_up) return;
   auto& class_result = result_.classes[request.class_index];
   switch (answer) {
     case Answer::served:
       ++(in_time ? class_result.in_time : class_result.late);
-      class_result.latencies_ms.push_back(static_cast<float>(ms));
+      class_result.latencies_ms.push_back(static_cast<float>(latency_ms));
       break;
     case Answer::refused:
       ++class_result.refused;
@@ -676,11 +714,11 @@
 // ---- faults ----
 std::vector<int> Rig::select_targets(const Target& target, std::uint64_t stream) const {
   std::vector<int> all;
-  const auto includes = [&](int n) {
+  const auto includes = [&](int number) {
     return target.numbers.empty() ||
-           std::find(target.numbers.begin(), target.numbers.end(), n) != target.numbers.end();
+           std::find(target.numbers.begin(), target.numbers.end(), number) != target.numbers.end();
   };
-  if (target.kind == Target::Kind::discovery) return {-1};
+  if (target.kind == Target::Kind::discovery) return {discovery_index};
   if (target.kind == Target::Kind::gateways) {
     for (int g = 0; g < scenario_.gateways; ++g)
       if (includes(g) &&
@@ -697,11 +735,12 @@
         all.push_back(static_cast<int>(h));
     }
   }
-  const auto count =
-      static_cast<std::size_t>(std::ceil(target.share * static_cast<double>(all.size()) - 1e-9));
-  lab::Random order(scenario_.seed, 100 + stream);
+  const auto count = static_cast<std::size_t>(
+      std::ceil(target.share * static_cast<double>(all.size()) - rounding_tolerance));
+  // Moves a random choice to the front.
+  lab::Random random(scenario_.seed, first_target_stream + stream);
   for (std::size_t i = 0; i < count && i < all.size(); ++i)
-    std::swap(all[i], all[i + static_cast<std::size_t>(draw(order) * static_cast<double>(all.size() - i))]);
+    std::swap(all[i], all[i + static_cast<std::size_t>(draw(random) * static_cast<double>(all.size() - i))]);
   all.resize(std::min(count, all.size()));
   std::sort(all.begin(), all.end());
   return all;
@@ -713,6 +752,7 @@
   const auto at_fault_end = [&](auto action) {
     if (fault.duration > Duration::zero()) timeline_.after(fault.duration, action);
   };
+  // In the order of FaultKind.
   static constexpr const char* fault_texts[] = {"killed",
                                                 "told to end",
                                                 "stopped",
@@ -738,11 +778,13 @@
   const auto targets = select_targets(fault.target, index * 2);
   std::string text;
   const char letter = fault.target.kind == Target::Kind::gateways ? 'g' : 'h';
-  for (std::size_t i = 0; i < targets.size() && i < 4; ++i)
-    text +=
-        (i ? ", " : "") + (targets[i] < 0 ? std::string("discovery") : letter + std::to_string(targets[i]));
-  if (targets.size() > 4) text += " and " + std::to_string(targets.size() - 4) + " more";
+  for (std::size_t i = 0; i < targets.size() && i < max_named_targets; ++i)
+    text += (i ? ", " : "") +
+            (targets[i] == discovery_index ? std::string("discovery") : letter + std::to_string(targets[i]));
+  if (targets.size() > max_named_targets)
+    text += " and " + std::to_string(targets.size() - max_named_targets) + " more";
   add_event(text + ' ' + fault_texts[static_cast<int>(fault.kind)]);
+  // Calls `set` for each target now and `unset` at the end of the fault.
   const auto for_hosts = [&](auto set, auto unset) {
     for (const int h : targets) {
       set(h);
@@ -764,8 +806,7 @@
         auto& process = gateways_[static_cast<std::size_t>(target)];
         process.should_run = false;
         signal_gateway(target, SIGKILL);
-        rules_->excuse_gateway(target, now - std::chrono::milliseconds(1),
-                               now + std::chrono::milliseconds(200));
+        rules_->excuse_gateway(target, now - kill_excuse_before, now + kill_excuse_after);
         timeline_.after(scenario_.balancer_delay, [this, target] {
           auto& killed = gateways_[static_cast<std::size_t>(target)];
           if (!killed.should_run) killed.in_rotation = false;
@@ -788,9 +829,9 @@
     case FaultKind::pause:
       for (const int target : targets) {
         signal_gateway(target, SIGSTOP);
-        rules_->excuse_gateway(target, now,
-                               now + (fault.duration > Duration::zero() ? fault.duration + resume_grace
-                                                                        : Duration(std::chrono::hours(1))));
+        rules_->excuse_gateway(
+            target, now,
+            now + (fault.duration > Duration::zero() ? fault.duration + resume_grace : rest_of_run));
         at_fault_end([this, target] { signal_gateway(target, SIGCONT); });
       }
       at_fault_end([this] { add_event("those that were stopped go on"); });
@@ -824,21 +865,19 @@
                 [this](int h) { hosts_[static_cast<std::size_t>(h)].bad_answer_share = 0; });
       break;
     case FaultKind::slow_handshake:
-      for_hosts(
-          [&](int h) { host(h).handshake_delay = Duration(static_cast<std::int64_t>(fault.factor * 1000)); },
-          [this](int h) { hosts_[static_cast<std::size_t>(h)].handshake_delay = {}; });
+      for_hosts([&](int h) { host(h).handshake_delay = from_ms(fault.factor); },
+                [this](int h) { hosts_[static_cast<std::size_t>(h)].handshake_delay = {}; });
       break;
     case FaultKind::early_close:
-      for_hosts(
-          [&](int h) { host(h).idle_timeout = Duration(static_cast<std::int64_t>(fault.factor * 1000)); },
-          [this](int h) { hosts_[static_cast<std::size_t>(h)].idle_timeout = {}; });
+      for_hosts([&](int h) { host(h).idle_timeout = from_ms(fault.factor); },
+                [this](int h) { hosts_[static_cast<std::size_t>(h)].idle_timeout = {}; });
       break;
     case FaultKind::stall_discovery:
       for (auto* watch : discovery_links_) watch->stall();
       break;
     case FaultKind::truncate_list: {
-      const auto all = discovery_links_;
-      for (auto* watch : all) watch->truncate_list();
+      const auto watches = discovery_links_;  // a copy: closing a watch removes it
+      for (auto* watch : watches) watch->truncate_list();
       break;
     }
     case FaultKind::lag:
@@ -851,10 +890,11 @@
         for (const int h : targets) pairs.emplace(g, h);
       const auto set = [this, pairs, targets](bool silent) {
         for (const int h : targets)
-          if (h >= 0)
+          if (h != discovery_index)
             hosts_[static_cast<std::size_t>(h)].model->set_unresponsive(silent);
           else
-            for (int g = 0; g < scenario_.gateways; ++g) link_fault(g, -1) = {silent, silent, {}};
+            for (int g = 0; g < scenario_.gateways; ++g)
+              link_fault(g, discovery_index) = {silent, silent, {}};
         update_links(pairs, false);
       };
       set(true);
@@ -892,13 +932,14 @@
       std::set<std::pair<int, int>> pairs;
       for (const int g : targets)
         for (const int h : select_targets(fault.link_end, index * 2 + 1)) {
-          LinkFault fault_state;
+          LinkFault link;
           if (fault.kind == FaultKind::cut) {
-            fault_state.requests_cut = fault.forward;
-            fault_state.answers_cut = fault.reverse;
-          } else
-            fault_state.delay = Duration(static_cast<std::int64_t>(fault.factor * 1000));
-          link_fault(g, h) = fault_state;
+            link.requests_cut = fault.forward;
+            link.answers_cut = fault.reverse;
+          } else {
+            link.delay = from_ms(fault.factor);
+          }
+          link_fault(g, h) = link;
           pairs.emplace(g, h);
         }
       update_links(pairs, fault.reset);
@@ -911,8 +952,8 @@
     }
     case FaultKind::refuse: {
       discovery_refuses_ = true;
-      const auto all = discovery_links_;
-      for (auto* watch : all) watch->shut_down(true);
+      const auto watches = discovery_links_;  // a copy: closing a watch removes it
+      for (auto* watch : watches) watch->shut_down(true);
       at_fault_end([this] { discovery_refuses_ = false; });
       break;
     }
@@ -924,23 +965,27 @@
   ::mkdir(options_.out.c_str(), 0755);
   std::ofstream(options_.out + "/result.json") << "{\"complete\":false}\n";
   std::signal(SIGPIPE, SIG_IGN);
-  const int count = scenario_.groups * scenario_.members;
+  const int host_count = scenario_.groups * scenario_.members;
   // For each gateway: some connections to every host it uses, its clients and discovery; plus the listeners.
-  const double need =
+  constexpr int spare_descriptors = 200;
+  const double needed_descriptors =
       static_cast<double>(scenario_.gateways) *
-          std::min<double>(count, std::max(64, scenario_.sockets - 48) / 4) +
+          std::min<double>(host_count, std::max(64, scenario_.sockets - 48) / 4) +
       full_load_rate(scenario_) * scenario_.load * std::max(1.0, scenario_.ramp) + scenario_.gateways * 2 +
-      (count * scenario_.gateways > wildcard_listener_links ? count : count * scenario_.gateways) + 200;
+      (host_count * scenario_.gateways > wildcard_listener_links ? host_count
+                                                                 : host_count * scenario_.gateways) +
+      spare_descriptors;
   rlimit files{};
   ::getrlimit(RLIMIT_NOFILE, &files);
   files.rlim_cur = files.rlim_max;
   ::setrlimit(RLIMIT_NOFILE, &files);
-  if (need > static_cast<double>(files.rlim_max)) {
-    result_.error = "needs " + std::to_string(static_cast<long>(need)) + " descriptors, may have " +
-                    std::to_string(files.rlim_max);
+  if (needed_descriptors > static_cast<double>(files.rlim_max)) {
+    result_.error = "needs " + std::to_string(static_cast<long>(needed_descriptors)) +
+                    " descriptors, may have " + std::to_string(files.rlim_max);
     return std::move(result_);
   }
-  wire::RingBuffer::set_total_limit(std::size_t{1} << 30U);
+  constexpr std::size_t max_buffer_bytes = std::size_t{1} << 30U;  // of all connections of the rig
+  wire::RingBuffer::set_total_limit(max_buffer_bytes);
   rules_.emplace(
       [&] {
         Limits limits;
@@ -950,32 +995,35 @@
       }(),
       class_rules(scenario_), timeline_.now());
   result_.classes.resize(scenario_.classes.size());
-  const auto net = "127." + std::to_string(20 + ::getpid() % 200);
+  // The network of this run, from the process id.
+  const auto network = "127." + std::to_string(20 + ::getpid() % 200);
   char path[PATH_MAX] = "";
   const std::string out = ::realpath(options_.out.c_str(), path) ? path : options_.out;
   options_.out = out;
-  lab::Random weights(scenario_.seed, 3);
+  lab::Random weights(scenario_.seed, weight_stream);
   for (int g = 0; g < scenario_.gateways; ++g) {
     Gateway gateway;
-    const auto low = std::to_string((g + 1) % addresses_per_block);
-    gateway.link_address = net + "." + std::to_string((g + 1) / addresses_per_block) + "." + low;
+    const auto number_in_block = std::to_string((g + 1) % addresses_per_block);
+    const int block = (g + 1) / addresses_per_block;
+    gateway.link_address = network + "." + std::to_string(block) + "." + number_in_block;
     gateway.listen_address =
-        net + "." + std::to_string(100 + (g + 1) / addresses_per_block) + "." + low + ":7000";
+        network + "." + std::to_string(client_block + block) + "." + number_in_block + ":7000";
     gateway.folder = out + "/g" + std::to_string(g);
-    gateway.weight = 0.5 + draw(weights);
+    gateway.weight = 0.5 + draw(weights);  // from 0.5 to 1.5
     ::mkdir(gateway.folder.c_str(), 0755);
     gateways_.push_back(std::move(gateway));
   }
-  hosts_.resize(static_cast<std::size_t>(count));
+  hosts_.resize(static_cast<std::size_t>(host_count));
   for (int g = 0; g < scenario_.groups; ++g) {
     groups_.push_back(std::make_unique<lab::ReplicaGroup>(timeline_, GroupId{g + 1}));
     for (int m = 0; m < scenario_.members; ++m) {
-      auto& emulated_host = hosts_[static_cast<std::size_t>(g * scenario_.members + m)];
-      emulated_host.id = "h" + std::to_string(g * scenario_.members + m);
+      const int index = g * scenario_.members + m;
+      auto& emulated_host = hosts_[static_cast<std::size_t>(index)];
+      emulated_host.id = "h" + std::to_string(index);
       emulated_host.group = groups_.back().get();
       emulated_host.group_index = g;
       emulated_host.model = &emulated_host.group->add(
-          HostId{static_cast<std::uint32_t>(g * scenario_.members + m + 1)}, scenario_.host,
+          HostId{static_cast<std::uint32_t>(index + 1)}, scenario_.host,
           scenario_.zones[static_cast<std::size_t>(g + m) % scenario_.zones.size()]);
     }
   }
@@ -995,8 +1043,8 @@
   if (!result_.error.empty()) return std::move(result_);
   prepare_.start();
   check_.start();
-  const auto from = clock_.now();
-  timeline_.run_until(from);
+  const auto startup_began_at = clock_.now();
+  timeline_.run_until(startup_began_at);
   for (int g = 0; g < scenario_.gateways; ++g) start_gateway(g, false);
   timeline_.after(
       process_poll_interval, [this] { reap_processes(); });
@@ -1004,10 +1052,10 @@
     return std::all_of(gateways_.begin(), gateways_.end(),
                        [](const Gateway& process) { return process.in_rotation; });
   };
-  while (!all_in_rotation() && clock_.now() - from < startup_timeout && result_.error.empty() &&
+  while (!all_in_rotation() && clock_.now() - startup_began_at < startup_timeout && result_.error.empty() &&
          result_.crashes == 0)
     loop_.run(ev::ONCE);
-  result_.startup_seconds = static_cast<double>((clock_.now() - from).count()) / 1e6;
+  result_.startup_seconds = seconds(clock_.now() - startup_began_at);
   if (!all_in_rotation()) {
     if (result_.error.empty())
       result_.error = result_.crashes > 0 ? "a gateway exited at its start, see its log"
@@ -1038,27 +1086,24 @@
   for (std::size_t f = 0; f < scenario_.faults.size(); ++f)
     timeline_.after(scenario_.faults[f].at, [this, f] { apply_fault(f); });
   next_arrival();
-  Duration longest{};
-  for (const auto& class_spec : scenario_.classes)
-    longest = std::max(longest, class_spec.request_class.deadline);
   const auto end = load_started_at_ + scenario_.run_time;
   while (clock_.now() < end && !gave_up_) loop_.run(ev::ONCE);
   // Waits for open requests until their deadlines, plus a margin for a delayed event loop.
-  while (!open_attempts_.empty() && !gave_up_ && clock_.now() < end + longest + std::chrono::seconds(2))
-    loop_.run(ev::ONCE);
+  const auto last_answer_by = end + longest_deadline(scenario_) + std::chrono::seconds(2);
+  while (!open_attempts_.empty() && !gave_up_ && clock_.now() < last_answer_by) loop_.run(ev::ONCE);
   running_ = false;
-  if (!gave_up_) rules_->check_timeouts(timeline_.now() + std::chrono::hours(1));
+  if (!gave_up_) rules_->check_timeouts(timeline_.now() + rest_of_run);
   stopping_ = true;
   for (int g = 0; g < scenario_.gateways; ++g) {
     signal_gateway(g, SIGCONT);
     signal_gateway(g, SIGTERM);
   }
-  const auto running = [this] {
+  const auto any_process_left = [this] {
     return std::any_of(gateways_.begin(), gateways_.end(),
                        [](const Gateway& process) { return process.pid > 0 || process.previous_pid > 0; });
   };
-  for (const auto until = clock_.now() + std::chrono::seconds(4); running() && clock_.now() < until;) {
-    timeline_.after(process_poll_interval, [] {});
+  for (const auto until = clock_.now() + stop_timeout; any_process_left() && clock_.now() < until;) {
+    timeline_.after(process_poll_interval, [] {});  // ends the wait of the loop
     loop_.run(ev::ONCE);
     reap_processes();
   }
@@ -1072,7 +1117,8 @@
 void Rig::summarize() {
   result_.violation_count = rules_->violation_count();
   result_.violations = rules_->violations();
-  double possible_value = 0, earned_value = 0;
+  double possible_value = 0;
+  double earned_value = 0;
   for (std::size_t i = 0; i < scenario_.classes.size(); ++i) {
     const auto& request_class = scenario_.classes[i].request_class;
     const auto& class_result = result_.classes[i];
@@ -1083,10 +1129,10 @@
   result_.value_served = possible_value > 0 ? earned_value / possible_value : 0;
   for (auto& second : result_.seconds) second.p99_ms = quantile(second.latencies_ms, 0.99);
   result_.send_delay_p99_ms = quantile(send_delays_, 0.99);
-  const auto late = std::count_if(send_delays_.begin(), send_delays_.end(),
-                                  [](float ms) { return ms > max_send_delay_ms; });
-  result_.too_slow = result_.too_slow ||
-                     static_cast<double>(late) > max_delayed_share * static_cast<double>(send_delays_.size());
+  const auto delayed = std::count_if(send_delays_.begin(), send_delays_.end(),
+                                     [](float delay_ms) { return delay_ms > max_send_delay_ms; });
+  result_.too_slow = result_.too_slow || static_cast<double>(delayed) >
+                                             max_delayed_share * static_cast<double>(send_delays_.size());
 }
 
 }  // namespace cedarring::rig
