--- a/src/tools/rig/main.cpp
+++ b/src/tools/rig/main.cpp
@@ -1,5 +1,5 @@
-// Entry point of cedarring rig: runs many gateway processes against emulated hosts and injects faults. See
-// docs/rig.md.
+// cedarring rig: runs a scenario with many gateway processes against emulated hosts, and injects faults. Can
+// compare two gateway programs, or run the scenario in simulated time. See docs/rig.md.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -22,6 +22,15 @@
 
 using namespace cedarring;
 
+constexpr int exit_passed = 0;
+constexpr int exit_failed = 1;  // a rule broken, a gateway crashed, or less value served than required
+constexpr int exit_error = 2;   // the scenario cannot be run
+constexpr int exit_too_slow = 3;
+
+// 0.975 quantiles of Student's t by degrees of freedom, from 1; more than 10 count as 10.
+constexpr double t_quantiles[] = {0, 12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23};
+constexpr int max_degrees_of_freedom = 10;
+
 /// A metric that compare() reports.
 struct ComparedMetric {
   const char* name;
@@ -41,26 +50,25 @@
   return count;
 }
 double worst_p99(rig::RunResult& result) {
-  double most = 0;
-  for (const auto& second : result.seconds) most = std::max(most, second.p99_ms);
-  return most;
+  double worst = 0;
+  for (const auto& second : result.seconds) worst = std::max(worst, second.p99_ms);
+  return worst;
 }
 constexpr ComparedMetric compared_metrics[] = {{"worth served", true, value_served},
                                                {"refused", false, refused},
                                                {"failed or lost", false, failed_or_lost},
                                                {"worst second's p99, ms", false, worst_p99}};
 
-/// Runs two gateways on equal seeds and prints the mean difference of each metric with its 95% confidence
-/// interval (Student's t). Returns 1 if a rule was broken.
+/// Runs two gateway programs on equal seeds and prints the mean difference of each metric with its 95%
+/// confidence interval (Student's t). Returns the exit code of the program.
 int compare(rig::Scenario scenario, const rig::Options& base_options, const std::string& other_gateway,
             int pairs) {
-  constexpr double t95[] = {0, 12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23};
   std::vector<std::vector<double>> differences(std::size(compared_metrics));
-  const auto first = scenario.seed;
+  const auto first_seed = scenario.seed;
   bool rules_broken = false;
   for (int i = 0; i < pairs; ++i) {
-    scenario.seed = first + static_cast<std::uint64_t>(i);
-    std::vector<double> values[2];
+    scenario.seed = first_seed + static_cast<std::uint64_t>(i);
+    std::vector<double> values[2];  // of the metrics, by variant: 0 is the base gateway, 1 the other
     // The order alternates, so that a drift over time favours neither.
     for (const int variant : {i % 2, 1 - i % 2}) {
       auto options = base_options;
@@ -76,27 +84,28 @@
       }
       if (result.too_slow)
         std::cout << "seed " << scenario.seed << ": too slow a machine for a verdict on figures\n";
-      for (const auto& f : compared_metrics) values[variant].push_back(f.value_of(result));
+      for (const auto& metric : compared_metrics) values[variant].push_back(metric.value_of(result));
     }
-    for (std::size_t f = 0; f < std::size(compared_metrics); ++f)
-      differences[f].push_back(values[0][f] - values[1][f]);
+    for (std::size_t m = 0; m < std::size(compared_metrics); ++m)
+      differences[m].push_back(values[0][m] - values[1][m]);
   }
-  for (std::size_t f = 0; f < std::size(compared_metrics); ++f) {
-    const auto& d = differences[f];
-    const auto n = static_cast<double>(d.size());
-    double mean = 0, squares = 0;
-    for (const double v : d) mean += v / n;
-    for (const double v : d) squares += (v - mean) * (v - mean);
-    const double half_width =
-        pairs > 1 ? t95[std::min(pairs - 1, 10)] * std::sqrt(squares / (n - 1) / n) : INFINITY;
+  for (std::size_t m = 0; m < std::size(compared_metrics); ++m) {
+    const auto n = static_cast<double>(differences[m].size());
+    double mean = 0;
+    double squares = 0;
+    for (const double difference : differences[m]) mean += difference / n;
+    for (const double difference : differences[m]) squares += (difference - mean) * (difference - mean);
+    const double half_width = pairs > 1 ? t_quantiles[std::min(pairs - 1, max_degrees_of_freedom)] *
+                                              std::sqrt(squares / (n - 1) / n)
+                                        : INFINITY;
     const bool significant = std::abs(mean) > half_width;
-    std::printf("%-24s %+10.4f  (%+.4f to %+.4f)  %s\n", compared_metrics[f].name, mean, mean - half_width,
+    std::printf("%-24s %+10.4f  (%+.4f to %+.4f)  %s\n", compared_metrics[m].name, mean, mean - half_width,
                 mean + half_width,
                 !significant                                       ? "no difference shown"
-                : (mean > 0) == compared_metrics[f].more_is_better ? "better"
+                : (mean > 0) == compared_metrics[m].more_is_better ? "better"
                                                                    : "worse");
   }
-  return rules_broken ? 1 : 0;
+  return rules_broken ? exit_failed : exit_passed;
 }
 
 /// Runs the scenario in simulated time, without processes. Of its faults only the loss of a single primary is
@@ -115,30 +124,31 @@
   config.warm_up = scenario.warm_up;
   config.probe_cost = scenario.probe_cost;
   std::size_t left_out = 0;
-  for (const auto& f : scenario.faults)
-    if (f.kind == rig::FaultKind::kill && f.target.kind == rig::Target::Kind::primary &&
-        f.target.numbers.size() == 1)
-      config.primary_failures.push_back({f.at, f.target.numbers[0], scenario.takeover});
+  for (const auto& fault : scenario.faults)
+    if (fault.kind == rig::FaultKind::kill && fault.target.kind == rig::Target::Kind::primary &&
+        fault.target.numbers.size() == 1)
+      config.primary_failures.push_back({fault.at, fault.target.numbers[0], scenario.takeover});
     else
       ++left_out;
   const auto result = lab::simulate(config);
   std::printf("%s in simulated time, %zu faults left out\n%-12s %8s %8s\n", scenario.name.c_str(), left_out,
               "class", "asked", "in time");
-  for (std::size_t k = 0; k < config.classes.size(); ++k) {
-    const auto &in = result.within[k], &beyond = result.beyond[k];
-    const auto asked = in.requests + beyond.requests;
-    std::printf(
-        "%-12s %8llu %8.4f\n", config.classes[k].request_class.name.c_str(),
-        static_cast<unsigned long long>(asked),
-        static_cast<double>(in.in_time + beyond.in_time) / std::max<double>(1, static_cast<double>(asked)));
+  for (std::size_t i = 0; i < config.classes.size(); ++i) {
+    const auto& within = result.within[i];
+    const auto& beyond = result.beyond[i];
+    const auto asked = within.requests + beyond.requests;
+    std::printf("%-12s %8llu %8.4f\n", config.classes[i].request_class.name.c_str(),
+                static_cast<unsigned long long>(asked),
+                static_cast<double>(within.in_time + beyond.in_time) /
+                    std::max<double>(1, static_cast<double>(asked)));
   }
 }
 
 /// Path of the gateway next to this program, where the build puts it.
 std::string default_gateway_path() {
   char self[4096] = "";
-  const auto n = ::readlink("/proc/self/exe", self, sizeof self - 1);
-  const std::string path(self, n > 0 ? static_cast<std::size_t>(n) : 0);
+  const auto length = ::readlink("/proc/self/exe", self, sizeof self - 1);
+  const std::string path(self, length > 0 ? static_cast<std::size_t>(length) : 0);
   return path.substr(0, path.rfind('/') + 1) + "cedarring";
 }
 
@@ -151,7 +161,8 @@
   auto* run = app.add_subcommand("run",
                                  "Run a scenario. Exit codes: 0 rules kept, 1 a rule broken, 2 the scenario "
                                  "cannot be run, 3 the machine is too slow");
-  std::string file, out;
+  std::string file;
+  std::string out;
   std::uint64_t seed = 0;
   rig::Options options;
   options.gateway = default_gateway_path();
@@ -177,13 +188,13 @@
     if (seeded->count() > 0) scenario.seed = seed;
     if (simulate_only) {
       simulate(scenario);
-      return 0;
+      return exit_passed;
     }
     if (out.empty()) {
       const char* tmp = std::getenv("TMPDIR");
-      std::string at = std::string(tmp && *tmp ? tmp : "/tmp") + "/cedarring-rig-XXXXXX";
-      if (!::mkdtemp(at.data())) throw app::ConfigError(at + ": cannot create the folder");
-      out = at;
+      std::string folder = std::string(tmp && *tmp ? tmp : "/tmp") + "/cedarring-rig-XXXXXX";
+      if (!::mkdtemp(folder.data())) throw app::ConfigError(folder + ": cannot create the folder");
+      out = folder;
     }
     options.out = out;
     if (!against.empty()) return compare(scenario, options, against, pairs);
@@ -191,22 +202,22 @@
     std::ofstream(out + "/result.json") << rig::result_json(scenario, result);
     if (!result.error.empty()) {
       std::cerr << "cedarring rig: " << result.error << '\n';
-      return 2;
+      return exit_error;
     }
     rig::write_plots(scenario, result, out);
     std::cout << rig::table(scenario, result);
     if (result.violation_count > 0 || result.crashes > 0)
       std::cout << "to reproduce: cedarring rig run " << file << " --seed " << scenario.seed << '\n';
     std::cout << "logs, result.json and plots in " << out << '\n';
-    if (result.violation_count > 0 || result.crashes > 0) return 1;
-    if (result.too_slow) return 3;
+    if (result.violation_count > 0 || result.crashes > 0) return exit_failed;
+    if (result.too_slow) return exit_too_slow;
     if (result.value_served < scenario.min_value_served) {
       std::cout << "served less than the " << scenario.min_value_served << " that the scenario requires\n";
-      return 1;
+      return exit_failed;
     }
-    return 0;
-  } catch (const std::exception& e) {
-    std::cerr << "cedarring rig: " << e.what() << '\n';
-    return 2;
+    return exit_passed;
+  } catch (const std::exception& error) {
+    std::cerr << "cedarring rig: " << error.what() << '\n';
+    return exit_error;
   }
 }
