--- a/bench/contracts_bench.cpp
+++ b/bench/contracts_bench.cpp
@@ -1,4 +1,4 @@
-// The cost of a contracts verdict and of a step, by number of teams.
+// Benchmarks of the contracts gate, by number of teams: the cost of a request and of a periodic evaluation.
 #include <benchmark/benchmark.h>
 
 #include "contracts/contracts.h"
@@ -7,11 +7,15 @@
 
 using namespace cedarring;
 
+// In microseconds.
 constexpr Duration answer_time{50'000};
 constexpr Duration request_interval{1};
 constexpr Duration step_interval{100'000};
 constexpr Time start_time{1'700'000'000'000'000};
+// Prime to the numbers of teams, so that requests go to all of them.
+constexpr std::uint64_t tenant_stride = 7;
 
+/// Contracts in force, with one tenant for each team and rates that the benchmarks do not reach.
 contracts::Contracts make_contracts(std::size_t teams) {
   contracts::ServiceInfo service;
   for (const auto& [name, freshness] : {std::pair{"desk-view", Freshness::bounded},
@@ -52,8 +56,8 @@
   std::uint64_t count = 0;
   for (auto _ : state) {
     request.request = RequestId{++count};
-    request.tenant = static_cast<std::int32_t>(count * 7 % teams);
-    request.class_id = ClassId{static_cast<std::int32_t>(count & 3U)};
+    request.tenant = static_cast<std::int32_t>(count * tenant_stride % teams);
+    request.class_id = ClassId{static_cast<std::int32_t>(count & 3U)};  // the four classes in turn
     now += request_interval;
     benchmark::DoNotOptimize(contracts.admit(request, now));
     contracts.on_request_end(request, {gates::RequestEnd::served, {}, {}, true, answer_time}, now);
@@ -61,6 +65,7 @@
 }
 BENCHMARK(admit_and_end)->Arg(3)->Arg(250)->Arg(10000);
 
+/// A periodic evaluation of all teams.
 void step(benchmark::State& state) {
   auto contracts = make_contracts(static_cast<std::size_t>(state.range(0)));
   Time now = start_time;
--- a/bench/levels_bench.cpp
+++ b/bench/levels_bench.cpp
@@ -1,5 +1,5 @@
 // Benchmarks of the levels gate: the cost of a verdict, of counting a request's end and of an evaluation,
-// with eight pressure levels and the default faults. Counts heap allocations per verdict run.
+// with eight pressure levels and the default faults. Counts the heap allocations of all verdicts of a run.
 #include <benchmark/benchmark.h>
 
 #include <atomic>
@@ -23,8 +23,12 @@
 
 using namespace cedarring;
 
+// In microseconds.
+constexpr Duration step_interval{100'000};
+constexpr Duration request_interval{37};
 constexpr Time start_time{1'000'000'000};
 constexpr Time warm_time{1'010'000'000};  // after 10 s of evaluations
+constexpr Time pin_end{2'000'000'000};
 constexpr std::size_t pressure_level_count = 8;
 
 levels::ServiceInfo service() {
@@ -45,7 +49,8 @@
   return info;
 }
 
-/// Levels pinned to `trim`, with that many groups, all with or all without a primary.
+/// Levels with the pressure level pinned to `trim`, and with `groups` groups, all with or all without a
+/// primary.
 levels::Levels make_levels(std::size_t groups, bool without_primary) {
   auto config = levels::default_config(service());
   config.mode = levels::Mode::on;
@@ -59,15 +64,16 @@
   for (std::size_t group = 1; group <= groups; ++group)
     state.groups.push_back({GroupId{static_cast<std::int64_t>(group)}, !without_primary, 0, 0});
   std::vector<levels::AxisChange> changes;
-  for (Time now = start_time; now < warm_time; now += std::chrono::milliseconds(100)) {
+  for (Time now = start_time; now < warm_time; now += step_interval) {
     state.groups_at = now;
     levels.step(now, state, changes);
   }
-  levels.pin(std::nullopt, "trim", Time{2'000'000'000}, warm_time);
+  levels.pin(std::nullopt, "trim", pin_end, warm_time);
   levels.step(warm_time, state, changes);
   return levels;
 }
 
+/// Verdicts on requests of changing callers, classes and groups.
 void run_verdicts(benchmark::State& state, bool without_primary) {
   auto levels = make_levels(static_cast<std::size_t>(state.range(0)), without_primary);
   gates::GateRequest request;
@@ -77,7 +83,7 @@
   std::uint64_t number = 0;
   for (auto _ : state) {
     request.request = RequestId{++number};
-    request.caller = number * 0x9e3779b97f4a7c15ULL;
+    request.caller = number * 0x9e3779b97f4a7c15ULL;  // spreads the numbers over all 64 bits
     request.class_id = ClassId{static_cast<std::int32_t>(number & 3U)};
     request.group =
         GroupId{static_cast<std::int64_t>(number % static_cast<std::uint64_t>(state.range(0))) + 1};
@@ -90,6 +96,7 @@
 BENCHMARK(admit)->Arg(2)->Arg(1000);
 BENCHMARK(refuse_without_primary)->Arg(2)->Arg(1000);
 
+/// Counting the end of a request.
 void ending(benchmark::State& state) {
   auto levels = make_levels(2, false);
   gates::GateRequest request;
@@ -99,11 +106,13 @@
   Time now = warm_time;
   for (auto _ : state) {
     request.class_id = ClassId{static_cast<std::int32_t>(now.count() & 3)};
-    levels.on_request_end(request, result, now += std::chrono::microseconds(37));
+    now += request_interval;
+    levels.on_request_end(request, result, now);
   }
 }
 BENCHMARK(ending);
 
+/// A periodic evaluation.
 void step(benchmark::State& state) {
   auto levels = make_levels(static_cast<std::size_t>(state.range(0)), false);
   levels::GatewayState gateway_state;
@@ -112,7 +121,8 @@
   std::vector<levels::AxisChange> changes;
   Time now = warm_time;
   for (auto _ : state) {
-    gateway_state.groups_at = now += std::chrono::milliseconds(100);
+    now += step_interval;
+    gateway_state.groups_at = now;
     levels.step(now, gateway_state, changes);
   }
 }
--- a/tests/plan_test.cpp
+++ b/tests/plan_test.cpp
@@ -12,16 +12,19 @@
 
 using namespace plan;
 
+/// The rate of one team for the only class and period; `value` is its penalty for a reduction.
 ContractedRate contracted_rate(const std::string& team, double rate, double cost_ms, bool primary,
                                double value = 1) {
   return {team, "class", "usual", rate, cost_ms, primary, value};
 }
 
-/// The cost of the cheapest reductions, found by trying every vertex: with n variables, each choice of n
-/// constraints that hold with equality.
+/// The penalty of the cheapest reductions, found by trying every vertex of the feasible region: with n
+/// variables, each choice of n constraints that hold with equality.
 double brute_force(const std::vector<ContractedRate>& rates, const std::vector<CapacityLimit>& limits) {
+  constexpr double rounding_tolerance = 1e-7;
+  constexpr double min_pivot = 1e-12;  // smaller: the equations have no single solution
   const std::size_t n = rates.size();
-  std::vector<std::pair<std::vector<double>, double>> equations;  // a.x = b
+  std::vector<std::pair<std::vector<double>, double>> equations;  // coefficients and right side
   for (const auto& limit : limits) {
     double usage = 0;
     for (std::size_t i = 0; i < n; ++i) usage += limit.coefficients[i] * rates[i].rate;
@@ -33,20 +36,20 @@
       unit[i] = 1;
       equations.emplace_back(unit, bound);
     }
-  double best = INFINITY;
-  std::vector<std::size_t> chosen;
+  double cheapest = INFINITY;
+  std::vector<std::size_t> chosen;  // indexes in `equations`
   const std::function<void(std::size_t)> choose = [&](std::size_t from) {
     if (chosen.size() == n) {
       std::vector<std::vector<double>> matrix;
-      for (const auto k : chosen) {
-        matrix.push_back(equations[k].first);
-        matrix.back().push_back(equations[k].second);
+      for (const auto equation : chosen) {
+        matrix.push_back(equations[equation].first);
+        matrix.back().push_back(equations[equation].second);
       }
       for (std::size_t c = 0; c < n; ++c) {  // Gauss-Jordan elimination
         std::size_t pivot = c;
         for (std::size_t r = c; r < n; ++r)
           if (std::abs(matrix[r][c]) > std::abs(matrix[pivot][c])) pivot = r;
-        if (std::abs(matrix[pivot][c]) < 1e-12) return;
+        if (std::abs(matrix[pivot][c]) < min_pivot) return;
         std::swap(matrix[pivot], matrix[c]);
         for (std::size_t r = 0; r < n; ++r) {
           if (r == c) continue;
@@ -54,19 +57,19 @@
           for (std::size_t k = c; k <= n; ++k) matrix[r][k] -= factor * matrix[c][k];
         }
       }
-      double cost = 0;
+      double penalty = 0;
       for (std::size_t i = 0; i < n; ++i) {
         const double reduction = matrix[i][n] / matrix[i][i];
-        if (reduction < -1e-7 || reduction > rates[i].rate + 1e-7) return;
+        if (reduction < -rounding_tolerance || reduction > rates[i].rate + rounding_tolerance) return;
         matrix[i][n] = reduction;
-        cost += reduction * rates[i].reduction_penalty;
+        penalty += reduction * rates[i].reduction_penalty;
       }
       for (const auto& limit : limits) {
         double usage = 0;
         for (std::size_t i = 0; i < n; ++i) usage += limit.coefficients[i] * (rates[i].rate - matrix[i][n]);
-        if (usage > limit.cores + 1e-7) return;
+        if (usage > limit.cores + rounding_tolerance) return;
       }
-      best = std::min(best, cost);
+      cheapest = std::min(cheapest, penalty);
       return;
     }
     for (std::size_t k = from; k < equations.size(); ++k) {
@@ -76,7 +79,7 @@
     }
   };
   choose(0);
-  return best;
+  return cheapest;
 }
 
 TEST(Plan, SmallCasesAgreeWithBruteForceAndHaveValidCertificates) {
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -12,7 +12,11 @@
 
 constexpr Time start_time{1'000'000'000};
 
-/// A short run with one group.
+// Indexes of classes of the reference deployment.
+constexpr std::size_t gate_check = 2;
+constexpr std::size_t bid_submit = 3;
+
+/// A short run with one group; `load` as a share of what its hosts can serve.
 SimulationConfig short_run(double load, bool with_levels) {
   auto config = reference_deployment();
   config.load = load;
@@ -28,6 +32,7 @@
   return config;
 }
 
+/// The number of violations of the broker's and the router's rules.
 std::uint64_t violations(const SimulationResult& result) {
   return result.overlapping_attempts + result.excess_attempts + result.unanswered + result.late_answers;
 }
@@ -63,12 +68,10 @@
 }
 
 TEST(Simulation, LevelsPreserveTheMostImportantClassesAtThreeTimesTheLoad) {
-  const std::size_t gate = 2;
-  const std::size_t bid = 3;
   const auto usual = simulate(short_run(0.8, true));
   const auto off = simulate(short_run(3, false));
   const auto on = simulate(short_run(3, true));
-  for (const auto class_index : {gate, bid}) {
+  for (const auto class_index : {gate_check, bid_submit}) {
     EXPECT_GE(on.in_time_share(class_index), 0.93 * usual.in_time_share(class_index)) << class_index;
     EXPECT_LT(off.in_time_share(class_index), 0.5 * usual.in_time_share(class_index)) << class_index;
   }
@@ -76,9 +79,10 @@
   EXPECT_EQ(violations(on), 0U);
 }
 
-// One host alone with constant work of 60 ms. At a low rate no request waits; at twice the rate that the
-// cores can serve, the queue fills and the rest is refused.
+// One host alone with constant work of 60 ms, and a request every `gap`. At a low rate no request is refused;
+// at twice the rate that the cores can serve, the queue fills and the remaining requests are refused as full.
 TEST(HostModel, ConstantWorkOnSeveralCoresIsServedUpToTheirCapacity) {
+  // min_full and max_full: bounds on the number of refused requests.
   for (const auto& [gap, min_full, max_full] : {std::tuple{100ms, 0, 0}, {10ms, 900, 1100}}) {
     Timeline timeline(start_time);
     ReplicaGroup group(timeline, GroupId{1});
