--- a/tests/support/bad_gateway.cpp
+++ b/tests/support/bad_gateway.cpp
@@ -1,6 +1,15 @@
 // A minimal gateway that breaks one rule on purpose, chosen by the environment variable DEFECT. Shows that
 // the rig reports violations of real processes. One thread for each client; no limits, no retries, no
-// pooling.
+// pooling. Values of DEFECT:
+//   none     no defect, but no slow start of cold hosts either
+//   mute     never answers a statement
+//   deaf     uses the first member list for good
+//   stale    sends bounded reads to replicas, whatever their lag
+//   unseen   sends a request late, even if its client has left
+//   repeat   sends a write again after its deduplication window
+//   seven    sends each request seven times
+//   twice    sends a read to two hosts at once
+//   invents  returns another value than the host
 #include <rapidjson/document.h>
 
 #include <cstdlib>
@@ -23,10 +32,12 @@
 using namespace std::chrono_literals;
 using test::Socket;
 
-std::string defect, discovery;
-std::mutex mutex;
+std::string defect;
+std::string discovery;  // address
+std::mutex mutex;       // of cached_members
 broker::MemberList cached_members;
 
+/// The member list that discovery answers with now; the last one if there is no answer.
 broker::MemberList fetch_members() {
   const std::lock_guard lock(mutex);
   if (!cached_members.members.empty() && defect == "deaf") return cached_members;
@@ -44,9 +55,13 @@
   return cached_members;
 }
 
+/// Reads a message and returns its body; `type` becomes 0 at the end of the connection.
 std::string read_message(Socket& socket, char& type) {
   const auto head = socket.read(5);
-  if (!head) return type = 0, "";
+  if (!head) {
+    type = 0;
+    return "";
+  }
   type = (*head)[0];
   std::uint32_t size = 0;
   for (int i = 1; i < 5; ++i)
@@ -54,6 +69,7 @@
   return socket.read(size - 4).value_or("");
 }
 
+/// Opens a connection to a host and sends the statement.
 Socket send_statement(const std::string& address, const std::string& sql) {
   auto socket = Socket::to(address);
   std::string out;
@@ -66,6 +82,7 @@
 /// Reads past the greeting of a host and returns the messages of the answer that follows; empty on failure.
 std::string read_answer(Socket& socket) {
   std::string response;
+  // The greeting and the answer each end with ReadyForQuery.
   for (int ready = 0; ready < 2;) {
     char type = 0;
     const auto body = read_message(socket, type);
@@ -81,6 +98,8 @@
   return response;
 }
 
+/// Serves one client until it leaves. History, and for `stale` the bounded class, goes to replicas, all else
+/// to the primary.
 void serve(Socket client) {
   wire::pg::Startup startup;
   std::string first;
@@ -92,7 +111,7 @@
   std::string out;
   wire::pg::put_startup_response(out);
   client.send(out);
-  for (std::size_t turn = 0;; ++turn) {
+  for (std::size_t turn = 0;; ++turn) {  // replicas take turns
     char type = 0;
     auto sql = read_message(client, type);
     if (type != 'Q') return;
@@ -107,25 +126,27 @@
     wire::StatementInfo info;
     std::string missing;
     wire::parse_statement(sql, info, missing);
-    const bool read = info.contract == "history" || (defect == "stale" && info.contract == "desk-view");
+    const bool for_replica =
+        info.contract == "history" || (defect == "stale" && info.contract == "desk-view");
     const auto members = fetch_members();
     std::vector<std::string> hosts;
     for (const auto& member : members.members)
-      if (member.group.value == *info.cluster && member.state == HostState::ready && member.primary != read)
+      if (member.group.value == *info.cluster && member.state == HostState::ready &&
+          member.primary != for_replica)
         hosts.push_back(member.address);
     if (hosts.empty()) return;
-    const auto& to = hosts[turn % hosts.size()];
+    const auto& host_address = hosts[turn % hosts.size()];
     if (defect == "mute") continue;
     if (defect == "unseen") std::this_thread::sleep_for(450ms);  // ignores that its client may have left
     if (defect == "repeat" && info.contract == "bid-submit") {
-      send_statement(to, sql);
+      send_statement(host_address, sql);
       std::this_thread::sleep_for(1400ms);  // after the deduplication window, before the deadline
     }
     if (defect == "seven")
-      for (int i = 0; i < 6; ++i) send_statement(to, sql);
-    std::optional<Socket> second_host;
-    if (defect == "twice" && read) second_host = send_statement(hosts[(turn + 1) % hosts.size()], sql);
-    auto host = send_statement(to, sql);
+      for (int i = 0; i < 6; ++i) send_statement(host_address, sql);
+    std::optional<Socket> second_host;  // stays open while the first host is asked
+    if (defect == "twice" && for_replica) second_host = send_statement(hosts[(turn + 1) % hosts.size()], sql);
+    auto host = send_statement(host_address, sql);
     auto host_answer = read_answer(host);
     if (host_answer.empty()) return;
     if (const auto at = host_answer.find(info.id); defect == "invents" && at != std::string::npos)
@@ -160,6 +181,8 @@
       std::this_thread::sleep_for(1ms);
       continue;
     }
-    std::thread([s = std::make_shared<Socket>(std::move(fd))]() mutable { serve(std::move(*s)); }).detach();
+    std::thread([client = std::make_shared<Socket>(std::move(fd))]() mutable {
+      serve(std::move(*client));
+    }).detach();
   }
 }
--- a/tests/support/stand_in.cpp
+++ b/tests/support/stand_in.cpp
@@ -177,16 +177,20 @@
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(now).count() - lag_ms);
 }
 
+/// One message: its type, its length, which includes itself, and its body.
 std::string pg_message(char type, const std::string& body) {
   std::string out(1, type);
-  const auto n = static_cast<std::uint32_t>(body.size() + 4);
-  for (int shift = 24; shift >= 0; shift -= 8) out += static_cast<char>(n >> static_cast<unsigned>(shift));
+  const auto length = static_cast<std::uint32_t>(body.size() + 4);
+  for (int shift = 24; shift >= 0; shift -= 8)
+    out += static_cast<char>(length >> static_cast<unsigned>(shift));
   return out + body;
 }
 
+/// A row description, a row of one column and the command completion.
 std::string pg_row(const std::string& value) {
   std::string row("\0\1", 2);
-  // A length as of a message, but in a row it counts the text alone: the last byte is corrected below.
+  // pg_message() writes the length with its own four bytes, but the length of a column is that of the value
+  // alone: its last byte is replaced.
   row += pg_message('x', value).substr(1);
   row[5] = static_cast<char>(value.size());
   return pg_message('T', std::string("\0\1v\0", 4) + std::string(18, '\0')) + pg_message('D', row) +
@@ -197,9 +201,10 @@
 std::optional<std::pair<char, std::string>> pg_read(Socket& socket) {
   const auto head = socket.read(5);
   if (!head) return std::nullopt;
-  std::uint32_t n = 0;
-  for (int i = 1; i < 5; ++i) n = n << 8U | static_cast<unsigned char>((*head)[static_cast<std::size_t>(i)]);
-  const auto body = socket.read(n - 4);
+  std::uint32_t length = 0;
+  for (int i = 1; i < 5; ++i)
+    length = length << 8U | static_cast<unsigned char>((*head)[static_cast<std::size_t>(i)]);
+  const auto body = socket.read(length - 4);
   if (!body) return std::nullopt;
   return std::pair((*head)[0], *body);
 }
@@ -309,14 +314,16 @@
   if (!my_read(socket, sequence)) return;
   send_packet(my::ok_packet({}, 0, false));
   std::map<std::uint32_t, std::string> statements;
-  const auto rows = [&](const std::string& row) {
-    const std::string at = replayed_until_ms();
-    my::Ok ok;
-    ok.variables = {{"recovery", primary ? "off" : "on"}, {"lsn_ms", at}};
+  // Sends a result with one column and this row.
+  const auto send_result = [&](const std::string& row) {
+    const std::string replayed_until = replayed_until_ms();
+    my::Ok ok;  // refers to the text of its variables
+    ok.variables = {{"recovery", primary ? "off" : "on"}, {"lsn_ms", replayed_until}};
     std::string column;
     for (const auto text : {"def", "main", "records", "records", "v", "v"}) my::put_lenenc_text(column, text);
+    // The fixed-length fields: character set 45 (utf8mb4), length 256, type 0xfd (VAR_STRING).
     column += std::string("\x0c\x2d\0\0\1\0\0\xfd\0\0\0\0\0", 13);
-    send_packet("\1");
+    send_packet("\1");  // number of columns
     send_packet(column);
     send_packet(row);
     send_packet(my::ok_packet(ok, 0xfe, true));
@@ -326,14 +333,14 @@
     std::string row;
     my::put_lenenc_text(row, "from " + address());
     my::PacketReader reader(std::string_view(*packet).substr(1));
-    std::string attribute_id;
+    std::string attribute_id;  // request id in the query attributes, if there is one
     if ((*packet)[0] == my::com_stmt_prepare) {
       count_prepare();
       const auto id = static_cast<std::uint32_t>(statements.size() + 1);
       statements[id] = packet->substr(1);
       std::string head(1, '\0');
       my::put_little_endian(head, id, 4);
-      my::put_little_endian(head, 0, 2);
+      my::put_little_endian(head, 0, 2);  // number of columns
       const auto placeholders = my::scan_statement(statements[id]).placeholders;
       my::put_little_endian(head, placeholders, 2);
       my::put_little_endian(head, 0, 3);
@@ -363,7 +370,7 @@
     if (sql == "SHOW health") {
       row.clear();
       my::put_lenenc_text(row, health());
-      rows(row);
+      send_result(row);
       continue;
     }
     switch (arrived(attribute_id.empty() ? id_of(sql) : attribute_id)) {
@@ -373,7 +380,7 @@
       case Behavior::hold:
       case Behavior::serve_and_close:
       case Behavior::serve:
-        rows(row);
+        send_result(row);
         break;
       case Behavior::withhold_greeting:
       case Behavior::hang:
@@ -408,8 +415,8 @@
          R"(,"servers":[)" + all + "]}";
 }
 
-Discovery::Discovery(std::string first, int busy)
-    : first_(std::move(first)),
+Discovery::Discovery(std::string first_list, int busy)
+    : first_list_(std::move(first_list)),
       busy_(busy),
       listener_(wire::listen_on("127.0.0.1:0")),
       address_(wire::bound_address(listener_)) {
@@ -445,11 +452,12 @@
       continue;
     }
     socket->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    // Under one lock: a list that a test sends once it has seen the watch follows the first list.
+    // Under one lock: the test sees the watch only when the first list has been sent, and sends its own lists
+    // after it.
     const std::lock_guard lock(mutex_);
     if (stopping_) return;
     watches_.push_back(socket);
-    send_on_last_watch(first_);
+    send_on_last_watch(first_list_);
     changed_.notify_all();
   }
 }
@@ -472,7 +480,7 @@
 
 void Discovery::send_partial_chunk(const std::string& bytes, bool end) {
   const std::lock_guard lock(mutex_);
-  constexpr std::size_t missing_bytes = 1000;
+  constexpr std::size_t missing_bytes = 1000;  // of the chunk
   char chunk_header[32];
   std::snprintf(chunk_header, sizeof chunk_header, "%zx\r\n", bytes.size() + missing_bytes);
   if (watches_.empty()) return;
@@ -490,9 +498,9 @@
   if (!watches_.empty()) watches_.back()->reset();
 }
 
-void Discovery::set_first_list(const std::string& first) {
+void Discovery::set_first_list(const std::string& list) {
   const std::lock_guard lock(mutex_);
-  first_ = first;
+  first_list_ = list;
 }
 
 std::size_t Discovery::watches() {
@@ -500,8 +508,9 @@
   return watches_.size();
 }
 
-std::string GatewayProcess::ctl(const std::string& words) const {
-  const auto command = std::string(CEDARRING_GATEWAY) + " ctl -s " + dir_ + "/admin.sock " + words + " 2>&1";
+std::string GatewayProcess::ctl(const std::string& arguments) const {
+  const auto command =
+      std::string(CEDARRING_GATEWAY) + " ctl -s " + dir_ + "/admin.sock " + arguments + " 2>&1";
   FILE* pipe = ::popen(command.c_str(), "r");
   if (!pipe) throw std::runtime_error("popen failed");
   std::string text;
@@ -531,12 +540,12 @@
 
 GatewayProcess::GatewayProcess(const GatewayProcess& before, const std::string& listen)
     : second_(true), dir_(before.dir_) {
-  start(false, before.gateway_);
+  start(false, before.has_gateway_file_);
   if (pg_.empty()) pg_ = listen;
 }
 
 void GatewayProcess::start(bool mysql, bool gateway) {
-  gateway_ = gateway;
+  has_gateway_file_ = gateway;
   int ends[2];
   if (pipe(ends) != 0) throw std::runtime_error("pipe failed");
   out_ = wire::Fd(ends[0]);
@@ -581,11 +590,11 @@
 
 bool GatewayProcess::read_line(std::string& line) {
   line.clear();
-  char c = 0;
-  while (::read(out_.get(), &c, 1) == 1) {
-    output_ += c;
-    if (c == '\n') return true;
-    line += c;
+  char byte = 0;
+  while (::read(out_.get(), &byte, 1) == 1) {
+    output_ += byte;
+    if (byte == '\n') return true;
+    line += byte;
   }
   return false;
 }
@@ -613,9 +622,9 @@
 
 bool GatewayProcess::wait_output(const std::string& text, int times) {
   const auto count = [&] {
-    int n = 0;
-    for (auto at = output_.find(text); at != std::string::npos; at = output_.find(text, at + 1)) ++n;
-    return n;
+    int found = 0;
+    for (auto at = output_.find(text); at != std::string::npos; at = output_.find(text, at + 1)) ++found;
+    return found;
   };
   std::string line;
   while (count() < times && read_line(line)) {
@@ -640,7 +649,7 @@
     signal(SIGKILL);
     wait_exit();
   }
-  if (second_) return;
+  if (second_) return;                        // the first process removes the directory
   if (auto* dir = ::opendir(dir_.c_str())) {  // remove sockets left for a successor process
     while (const auto* entry = ::readdir(dir))
       if (std::string(entry->d_name).rfind("cedarring-", 0) == 0)
--- a/tests/support/stand_in.h
+++ b/tests/support/stand_in.h
@@ -39,7 +39,7 @@
   bool send(std::string_view bytes, bool last = false);
   /// Reads exactly `n` bytes; nullopt if the stream ended or timed out before.
   std::optional<std::string> read(std::size_t n);
-  /// Waits for the peer; true if it has closed or reset the connection.
+  /// Waits for the peer; true if it has closed or reset the connection, false if it sends or nothing happens.
   bool ended();
   /// Like ended(), but true only for an orderly close, not for a reset.
   bool ended_in_order();
@@ -85,8 +85,8 @@
   std::atomic<int> padding_bytes{0};
   /// Replication lag that the host reports, in milliseconds.
   std::atomic<int> replica_lag_ms{20};
-  /// Number of further connections it accepts; beyond that it answers that it is full and closes (PostgreSQL
-  /// only).
+  /// Number of further connections that it accepts. Each open connection takes one away; without one left it
+  /// answers that it is full and closes (PostgreSQL only).
   std::atomic<int> connection_limit{1 << 20};
   /// Number of connections that were rejected for `connection_limit`.
   std::atomic<int> rejected_connections{0};
@@ -110,10 +110,11 @@
   virtual void serve(Socket& socket) = 0;
   /// Records a request and returns how to treat it.
   Behavior arrived(const std::string& id);
-  /// Waits for the end of the connection and counts it.
+  /// Waits for the end of the connection and counts it for wait_ended().
   void hang(Socket& socket);
   /// The value of `SHOW health`.
   std::string health() const;
+  /// Counts a prepared statement.
   void count_prepare();
   /// The bytes given to answer_once_with().
   std::string raw();
@@ -125,7 +126,7 @@
   std::mutex mutex_;
   std::condition_variable changed_;
   std::vector<std::string> seen_;
-  std::size_t ended_ = 0;
+  std::size_t ended_ = 0;  // connections, while their request hung
   std::size_t prepared_ = 0;
   bool stopping_ = false;
   std::string raw_;
@@ -137,7 +138,8 @@
 /// A stand-in for a PostgreSQL server.
 class PgStandIn : public Host {
  public:
-  /// The messages of an answer with this value, without ReadyForQuery.
+  /// The messages of an answer with this value: row description, row and command completion, without
+  /// ReadyForQuery.
   static std::string row(const std::string& value);
   /// One message of the wire protocol.
   static std::string message(char type, const std::string& body);
@@ -158,7 +160,8 @@
   void serve(Socket& socket) override;
 };
 
-/// One entry of a member list, as the discovery service sends it.
+/// One entry of a member list, as the discovery service sends it. `started_ms`: start of the host as Unix
+/// time in milliseconds, 0: unknown.
 std::string member(const std::string& id, const std::string& address, bool primary,
                    const std::string& state = "SERVING", std::int64_t started_ms = 0);
 /// A member list; with `full` false only the changes since the last one.
@@ -169,7 +172,7 @@
 class Discovery {
  public:
   /// The first `busy` calls are answered with 503, as the service does for a call that waited too long.
-  explicit Discovery(std::string first, int busy = 0);
+  explicit Discovery(std::string first_list, int busy = 0);
   ~Discovery();
   [[nodiscard]] const std::string& address() const { return address_; }
   /// Waits until `n` watches have been opened; false on timeout.
@@ -184,7 +187,7 @@
   /// Resets the connection of the last watch.
   void reset_last_watch();
   /// Replaces the first list of all watches opened from now on.
-  void set_first_list(const std::string& first);
+  void set_first_list(const std::string& list);
   /// Number of watches opened so far.
   std::size_t watches();
   /// While false, calls are read but not answered.
@@ -194,9 +197,10 @@
 
  private:
   void run();
+  /// Sends a list as a whole chunk. The caller holds the lock.
   void send_on_last_watch(const std::string& list);
-  std::string first_;
-  int busy_;
+  std::string first_list_;
+  int busy_;  // calls that are still to be answered with 503
   wire::Fd listener_;
   std::string address_;
   std::mutex mutex_;
@@ -224,6 +228,7 @@
   [[nodiscard]] const std::string& control() const { return control_; }
   /// Everything read from standard output and standard error so far.
   [[nodiscard]] const std::string& output() const { return output_; }
+  /// Sends a signal to the process.
   void signal(int number) const;
   /// Stops the process until it gets SIGCONT; returns once it is stopped.
   void suspend() const;
@@ -231,21 +236,24 @@
   [[nodiscard]] long resident_kb() const;
   /// Replaces the configuration file.
   void configure(const std::string& config) const;
-  /// Replaces the gateway file.
+  /// Replaces the gateway file; @DIR@ as in the constructor.
   void configure_gateway(const std::string& gateway) const;
+  /// The directory with the files and sockets of the process.
   [[nodiscard]] const std::string& dir() const { return dir_; }
   /// Runs `cedarring ctl` with these arguments; returns its output, followed by "exit " and the exit code.
-  std::string ctl(const std::string& words) const;
-  /// Reads output until the text has occurred this often; false if the output ends before.
+  std::string ctl(const std::string& arguments) const;
+  /// Reads output until the text has occurred this often since the start; false if the output ends before.
   bool wait_output(const std::string& text, int times);
   /// Waits for the end of the process; returns its exit code, or 128 plus the number of the signal.
   int wait_exit();
 
  private:
   bool read_line(std::string& line);
+  /// Starts the program and reads its output until it has announced its listeners. `mysql` and `gateway`:
+  /// whether it has these files.
   void start(bool mysql, bool gateway);
-  bool second_ = false;
-  bool gateway_ = false;
+  bool second_ = false;  // the directory belongs to another process
+  bool has_gateway_file_ = false;
   std::string dir_;
   std::string pg_;
   std::string mysql_;
@@ -254,14 +262,16 @@
   std::string output_;
   wire::Fd out_;
   int pid_ = -1;
-  std::optional<int> status_;
+  std::optional<int> status_;  // as wait_exit() returns it
 };
 
-/// A configuration of the gateway with five request classes; `more` is appended to its settings.
+/// A configuration of the gateway with five request classes: reads `view` (bounded), `history` (any) and
+/// `gate` (fresh), writes `bid` (keyed) and `pay` (unsafe). `discovery`: its address. `known`: the member
+/// list to start with. `more` is appended to the settings.
 std::string config_json(const std::string& discovery, const std::string& known, const std::string& more = "");
-/// A configuration of the MySQL listener.
+/// A configuration of the MySQL listener; `known`: the member list to start with.
 std::string mysql_json(const std::string& known);
-/// The configuration with another key in front.
+/// The configuration with another key in front, given as JSON ("key":value).
 std::string with_key(const std::string& config, const std::string& key_and_value);
 
 /// The answer to a call to the control endpoint.
@@ -301,7 +311,7 @@
 /// The bytes of a simple query.
 std::string pg_query(const std::string& sql);
 /// A statement with the routing comment that the gateway reads: request id, contract (request class), tenant,
-/// deadline in milliseconds.
+/// deadline in milliseconds. `more` is appended to the comment.
 std::string statement(const std::string& id, const std::string& contract, int deadline_ms = 5000,
                       const std::string& more = "");
 
@@ -317,6 +327,7 @@
   void command(std::string_view payload);
   /// Prepares a statement without parameters; returns its id.
   std::uint32_t prepare(const std::string& sql);
+  /// Reads an error packet; an empty error at the end of the connection.
   wire::mysql::Error read_error();
 };
 
