--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -33,9 +33,10 @@
 using namespace rig;
 using namespace std::chrono_literals;
 
-// ---- rules: class 0 is a bounded read, 1 a keyed write, 2 a write that must not be repeated ----
+// ---- rules ----
 constexpr Time start{1'000'000'000};
-/// A rule checker with a clock that advances 1 ms with each event.
+/// A rule checker with a clock that advances 1 ms with each event. Class 0 is a bounded read, 1 a keyed
+/// write, 2 a write that must not be repeated. Requests have a deadline of 1 s, attempts work of 50 ms.
 struct RuleFixture {
   RuleChecker rules{{},
                     {{Idempotency::safe, DedupScope::group, {}, Freshness::bounded, 200ms},
@@ -46,13 +47,17 @@
   void request(const std::string& id, std::size_t class_index, int gateway = 0) {
     rules.on_request(id, gateway, class_index, now, now + 1s);
   }
+  /// A host receives the request; returns the index of the attempt.
   std::size_t send(const std::string& id, int host = 1, int gateway = 0, int group = 0) {
     return rules.on_attempt(id, gateway, host, group, 50ms, now += 1ms);
   }
-  void end_attempt(const std::string& id, std::size_t n, AttemptEnd end, std::optional<Time> position = {}) {
-    rules.on_attempt_end(id, n, end, position, now += 1ms);
+  void end_attempt(const std::string& id, std::size_t attempt_index, AttemptEnd end,
+                   std::optional<Time> position = {}) {
+    rules.on_attempt_end(id, attempt_index, end, position, now += 1ms);
+  }
+  void answer(const std::string& id, Answer received = Answer::served) {
+    rules.on_answer(id, received, now += 1ms);
   }
-  void answer(const std::string& id, Answer a = Answer::served) { rules.on_answer(id, a, now += 1ms); }
   /// The only rule violated, after checking that the violation names the request; empty: none.
   std::string violated_rule(const std::string& id) {
     if (rules.violations().empty()) return "";
@@ -266,8 +271,8 @@
   const auto error_of = [](const std::string& text) -> std::string {
     try {
       parse_scenario(text, "s.json");
-    } catch (const app::ConfigError& e) {
-      return e.what();
+    } catch (const app::ConfigError& error) {
+      return error.what();
     }
     return "";
   };
@@ -310,39 +315,42 @@
   RelayFixture() {
     for (int i = 1; i <= 3; ++i) {
       sockets.push_back(wire::bind_datagram("127.9.1." + std::to_string(i) + ":0"));
-      const auto real = wire::bound_address(sockets.back());
-      // The port is free for both protocols: the bound one, at another address.
-      peers.push_back({real, "127.9.2." + std::to_string(i) + real.substr(real.rfind(':'))});
+      const auto bound = wire::bound_address(sockets.back());
+      // The relay takes the bound port at another address, where it is free for datagrams and connections.
+      peers.push_back({bound, "127.9.2." + std::to_string(i) + bound.substr(bound.rfind(':'))});
     }
-    relay = std::make_unique<Relay>(loop, timeline, 1, peers, [this](int a, int b) { return links[{a, b}]; });
+    relay = std::make_unique<Relay>(loop, timeline, 1, peers, [this](int from, int to) {
+      return links[{from, to}];
+    });
   }
   static sockaddr_in socket_address(const std::string& address) {
-    sockaddr_in a{};
-    a.sin_family = AF_INET;
-    a.sin_port = htons(static_cast<std::uint16_t>(std::atoi(address.c_str() + address.rfind(':') + 1)));
-    inet_pton(AF_INET, address.substr(0, address.rfind(':')).c_str(), &a.sin_addr);
-    return a;
+    sockaddr_in parsed{};
+    parsed.sin_family = AF_INET;
+    parsed.sin_port = htons(static_cast<std::uint16_t>(std::atoi(address.c_str() + address.rfind(':') + 1)));
+    inet_pton(AF_INET, address.substr(0, address.rfind(':')).c_str(), &parsed.sin_addr);
+    return parsed;
   }
   void send_datagram(int from, int to, const std::string& text) {
-    const auto a = socket_address(peers[static_cast<std::size_t>(to)].advertised_address);
+    const auto destination = socket_address(peers[static_cast<std::size_t>(to)].advertised_address);
     ::sendto(sockets[static_cast<std::size_t>(from)].get(), text.data(), text.size(), 0,
-             reinterpret_cast<const sockaddr*>(&a), sizeof a);
+             reinterpret_cast<const sockaddr*>(&destination), sizeof destination);
     run_loop();
   }
-  void run_loop(Duration d = {}) {
-    timeline.run_until(timeline.now() + d);
+  /// Lets simulated time pass, and the relay handle what has arrived.
+  void run_loop(Duration elapsed = {}) {
+    timeline.run_until(timeline.now() + elapsed);
     for (int i = 0; i < 4; ++i) loop.run(ev::NOWAIT);
   }
   /// The datagrams received by a peer, each after the index of its apparent sender.
   std::vector<std::string> received_by(int peer) {
     std::vector<std::string> all;
     char text[256];
-    sockaddr_in a{};
-    socklen_t size = sizeof a;
+    sockaddr_in from{};
+    socklen_t size = sizeof from;
     for (ssize_t n; (n = ::recvfrom(sockets[static_cast<std::size_t>(peer)].get(), text, sizeof text,
-                                    MSG_DONTWAIT, reinterpret_cast<sockaddr*>(&a), &size)) >= 0;) {
-      const int sender = static_cast<int>(ntohl(a.sin_addr.s_addr) & 0xffU) - 1;
-      EXPECT_EQ(ntohl(a.sin_addr.s_addr) >> 8U & 0xffU, 2U)
+                                    MSG_DONTWAIT, reinterpret_cast<sockaddr*>(&from), &size)) >= 0;) {
+      const int sender = static_cast<int>(ntohl(from.sin_addr.s_addr) & 0xffU) - 1;
+      EXPECT_EQ(ntohl(from.sin_addr.s_addr) >> 8U & 0xffU, 2U)
           << "must come from the advertised address of the sender";
       all.push_back(std::to_string(sender) + std::string(text, static_cast<std::size_t>(n)));
     }
@@ -374,18 +382,20 @@
   fixture.links[{0, 1}].duplicate = 0.2;
   fixture.links[{0, 1}].reorder = 0.2;
   std::map<std::string, int> receive_counts;
-  std::size_t total = 0, out_of_order = 0;
-  std::string last;
+  std::size_t total = 0;
+  std::size_t out_of_order = 0;
+  std::string last;  // the largest number received so far
   for (int i = 100; i < 600; ++i) {
     fixture.send_datagram(0, 1, std::to_string(i));
     fixture.run_loop(10ms);
-    for (const auto& h : fixture.received_by(1)) {
-      ++receive_counts[h];
+    for (const auto& datagram : fixture.received_by(1)) {
+      ++receive_counts[datagram];
       ++total;
-      out_of_order += h < last;
-      last = std::max(last, h);
+      out_of_order += datagram < last;
+      last = std::max(last, datagram);
     }
   }
+  // Of 500 datagrams 70% arrive, and of these 20% twice.
   EXPECT_NEAR(static_cast<double>(receive_counts.size()), 350, 40);
   EXPECT_NEAR(static_cast<double>(total - receive_counts.size()), 70, 30);
   EXPECT_GT(out_of_order, 20U);
@@ -402,8 +412,8 @@
   auto listener = wire::listen_on(fixture.peers[1].bound_address);
   // From the address of the first peer, as its gateway would connect.
   wire::Fd client_side(::socket(AF_INET, SOCK_STREAM, 0));
-  auto from = RelayFixture::socket_address("127.9.1.1:0"),
-       to = RelayFixture::socket_address(fixture.peers[1].advertised_address);
+  auto from = RelayFixture::socket_address("127.9.1.1:0");
+  auto to = RelayFixture::socket_address(fixture.peers[1].advertised_address);
   ASSERT_EQ(::bind(client_side.get(), reinterpret_cast<sockaddr*>(&from), sizeof from), 0);
   ASSERT_EQ(::connect(client_side.get(), reinterpret_cast<sockaddr*>(&to), sizeof to), 0);
   fixture.run_loop();
@@ -413,12 +423,13 @@
     server_side = wire::accept_from(listener.get());
   }
   ASSERT_GE(server_side.get(), 0);
-  const auto receive = [&](const wire::Fd& at) {
-    std::string all(64, '\0');
+  // What arrives next, `end` or `reset` if the connection ended; empty if nothing arrives.
+  const auto receive = [&](const wire::Fd& side) {
+    std::string bytes(64, '\0');
     for (int i = 0; i < 50; ++i) {
       fixture.run_loop();
-      const auto n = ::recv(at.get(), all.data(), all.size(), MSG_DONTWAIT);
-      if (n >= 0) return n == 0 ? std::string("end") : all.substr(0, static_cast<std::size_t>(n));
+      const auto n = ::recv(side.get(), bytes.data(), bytes.size(), MSG_DONTWAIT);
+      if (n >= 0) return n == 0 ? std::string("end") : bytes.substr(0, static_cast<std::size_t>(n));
       if (errno == ECONNRESET) return std::string("reset");
     }
     return std::string();
@@ -441,28 +452,31 @@
 
 // ---- processes ----
 std::string make_temp_folder() {
-  char at[] = "/tmp/cedarring-rig-test-XXXXXX";
-  return ::mkdtemp(at) ? at : "";
+  char path[] = "/tmp/cedarring-rig-test-XXXXXX";
+  return ::mkdtemp(path) ? path : "";
 }
 
+/// What a run of the rig left.
 struct RunOutcome {
-  int exit_code = -1;
-  rapidjson::Document result;
-  std::string output;
+  int exit_code = -1;          // -1: ended by a signal
+  rapidjson::Document result;  // result.json
+  std::string output;          // standard output and standard error
 };
+/// Starts the rig with a scenario file; its output goes to the file `said` in the folder `out`. `more`:
+/// further arguments.
 pid_t start_rig(const std::string& scenario, const std::string& out,
                 const std::vector<std::string>& more = {}) {
-  std::vector<std::string> words = {CEDARRING_RIG, "run", scenario, "--out", out};
-  words.insert(words.end(), more.begin(), more.end());
-  std::vector<char*> args;
-  for (auto& w : words) args.push_back(w.data());
-  args.push_back(nullptr);
+  std::vector<std::string> arguments = {CEDARRING_RIG, "run", scenario, "--out", out};
+  arguments.insert(arguments.end(), more.begin(), more.end());
+  std::vector<char*> argv;
+  for (auto& argument : arguments) argv.push_back(argument.data());
+  argv.push_back(nullptr);
   posix_spawn_file_actions_t files;
   posix_spawn_file_actions_init(&files);
   posix_spawn_file_actions_addopen(&files, 1, (out + "/said").c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0644);
   posix_spawn_file_actions_adddup2(&files, 1, 2);
   pid_t pid = -1;
-  EXPECT_EQ(::posix_spawn(&pid, CEDARRING_RIG, &files, nullptr, args.data(), environ), 0);
+  EXPECT_EQ(::posix_spawn(&pid, CEDARRING_RIG, &files, nullptr, argv.data(), environ), 0);
   posix_spawn_file_actions_destroy(&files);
   return pid;
 }
@@ -472,6 +486,7 @@
   text << in.rdbuf();
   return text.str();
 }
+/// Runs the rig with a scenario, given as JSON, to its end.
 RunOutcome run_scenario(const std::string& text, const std::vector<std::string>& more = {}) {
   const auto out = make_temp_folder();
   std::ofstream(out + "/scenario.json") << text;
@@ -484,10 +499,12 @@
   std::system(("rm -rf " + out).c_str());
   return outcome;
 }
-/// Exit code 3 means that the machine was too slow for metrics; the rules were checked all the same.
+/// Expects a complete run without violations and crashes. A machine that was too slow for figures is
+/// accepted, as the rules were checked all the same.
 void expect_rules_kept(const RunOutcome& outcome) {
-  EXPECT_TRUE(outcome.exit_code == 0 || outcome.exit_code == 3) << outcome.exit_code << '\n'
-                                                                << outcome.output;
+  constexpr int too_slow = 3;
+  EXPECT_TRUE(outcome.exit_code == 0 || outcome.exit_code == too_slow) << outcome.exit_code << '\n'
+                                                                       << outcome.output;
   ASSERT_TRUE(outcome.result.IsObject()) << outcome.output;
   EXPECT_TRUE(outcome.result["complete"].GetBool());
   EXPECT_EQ(outcome.result["broken"].GetUint64(), 0U) << outcome.output;
@@ -498,6 +515,7 @@
 TEST(Rig, ReportsEachDefectOfAFaultyGateway) {
   const std::string head =
       R"({"name":"bad","gateways":2,"groups":1,"members":3,"seconds":2.5,"warm_up_s":0.5,"load":0.3,"list_late_s":0)";
+  // The parts of a scenario behind `head`.
   const std::string drained = R"(,"faults":[{"at_s":0.5,"do":"drain","on":{"of":"hosts","numbers":[1]}}])";
   const std::string leaving = R"(,"leaving":0.6})";
   // Replicas do not check their own staleness, so the gateway has to.
@@ -508,7 +526,9 @@
       R"({"name":"flood","gateways":20,"groups":1,"members":2,"seconds":4,"warm_up_s":0.5,"load":0.9,"list_late_s":0,
     "faults":[{"at_s":0.5,"do":"kill","on":{"of":"hosts","numbers":[1]},"for_s":0.2}]})";
   struct Case {
-    std::string defect, scenario, rule;
+    std::string defect;  // of bad_gateway.cpp
+    std::string scenario;
+    std::string rule;  // expected to be broken; empty: none
   };
   for (const auto& test_case : std::vector<Case>{{"none", head + "}", ""},
                                                  {"mute", head + "}", "one final answer"},
@@ -526,9 +546,9 @@
     ::unsetenv("DEFECT");
     ASSERT_TRUE(outcome.result.IsObject()) << outcome.output;
     std::set<std::string> rules;
-    for (const auto& v : outcome.result["violations"].GetArray()) {
-      rules.insert(v["rule"].GetString());
-      EXPECT_NE(std::string(v["course"].GetString()).find("g"), std::string::npos);
+    for (const auto& violation : outcome.result["violations"].GetArray()) {
+      rules.insert(violation["rule"].GetString());
+      EXPECT_NE(std::string(violation["course"].GetString()).find("g"), std::string::npos);
     }
     EXPECT_EQ(test_case.rule.empty() ? rules.empty() : rules.count(test_case.rule) == 1, true)
         << test_case.defect << '\n'
@@ -606,19 +626,22 @@
   EXPECT_GT(outcome.result["worth_served"].GetDouble(), 0.6);
 }
 
-TEST(Rig, EqualSeedsGiveEqualRequests) {
-  const std::string s =
+TEST(Rig, EqualSeedsGiveEqualRequestsAndOtherSeedsOtherRequests) {
+  const std::string scenario =
       R"({"name":"equal","gateways":2,"groups":1,"members":3,"seconds":3,"warm_up_s":0.5,"load":0.5})";
   const auto asked = [](const RunOutcome& outcome) {
-    std::vector<std::uint64_t> all = {outcome.result["requests"].GetUint64()};
-    for (const auto& c : outcome.result["classes"].GetArray()) all.push_back(c["asked"].GetUint64());
-    return all;
+    std::vector<std::uint64_t> counts = {outcome.result["requests"].GetUint64()};
+    for (const auto& class_result : outcome.result["classes"].GetArray())
+      counts.push_back(class_result["asked"].GetUint64());
+    return counts;
   };
-  const auto one = run_scenario(s), two = run_scenario(s), other = run_scenario(s, {"--seed", "2"});
-  expect_rules_kept(one);
-  expect_rules_kept(two);
-  EXPECT_EQ(asked(one), asked(two));
-  EXPECT_NE(asked(one), asked(other));
+  const auto first = run_scenario(scenario);
+  const auto second = run_scenario(scenario);
+  const auto other = run_scenario(scenario, {"--seed", "2"});
+  expect_rules_kept(first);
+  expect_rules_kept(second);
+  EXPECT_EQ(asked(first), asked(second));
+  EXPECT_NE(asked(first), asked(other));
 }
 
 TEST(Rig, ScenarioNeedingTooManyDescriptorsIsRejected) {
@@ -628,18 +651,18 @@
   EXPECT_NE(outcome.output.find("descriptors, may have"), std::string::npos) << outcome.output;
 }
 
-/// Processes with the folder in their environment, as TMPDIR or in another variable.
-std::set<int> processes_using(const std::string& out) {
-  std::set<int> all;
-  auto* d = ::opendir("/proc");
-  while (const auto* e = ::readdir(d)) {
-    const int pid = std::atoi(e->d_name);
+/// Ids of the processes with the folder in their environment, as TMPDIR or in another variable.
+std::set<int> processes_using(const std::string& folder) {
+  std::set<int> found;
+  auto* processes = ::opendir("/proc");
+  while (const auto* entry = ::readdir(processes)) {
+    const int pid = std::atoi(entry->d_name);
     if (pid > 0 && pid != ::getpid() &&
-        read_file("/proc/" + std::string(e->d_name) + "/environ").find(out) != std::string::npos)
-      all.insert(pid);
+        read_file("/proc/" + std::string(entry->d_name) + "/environ").find(folder) != std::string::npos)
+      found.insert(pid);
   }
-  ::closedir(d);
-  return all;
+  ::closedir(processes);
+  return found;
 }
 
 TEST(Rig, KilledRigLeavesNoProcessesAndAnIncompleteResult) {
@@ -656,10 +679,10 @@
   while (!processes_using(out).empty() && std::chrono::steady_clock::now() < until)
     std::this_thread::sleep_for(20ms);
   EXPECT_TRUE(processes_using(out).empty());
-  rapidjson::Document d;
-  d.Parse(read_file(out + "/result.json").c_str());
-  ASSERT_TRUE(d.IsObject());
-  EXPECT_FALSE(d["complete"].GetBool());
+  rapidjson::Document result;
+  result.Parse(read_file(out + "/result.json").c_str());
+  ASSERT_TRUE(result.IsObject());
+  EXPECT_FALSE(result["complete"].GetBool());
   std::system(("rm -rf " + out).c_str());
 }
 
@@ -673,7 +696,7 @@
          std::chrono::steady_clock::now() < until)
     std::this_thread::sleep_for(20ms);
   ::kill(pid, SIGSTOP);
-  std::this_thread::sleep_for(2500ms);  // a machine that gives the rig no processor time
+  std::this_thread::sleep_for(2500ms);  // stands for a machine that gives the rig no processor time
   ::kill(pid, SIGCONT);
   int status = 0;
   ::waitpid(pid, &status, 0);
@@ -688,8 +711,9 @@
   const auto outcome = run_scenario(R"({"name":"x","gateways":1000})");
   EXPECT_EQ(outcome.exit_code, 2);
   EXPECT_EQ(std::count(outcome.output.begin(), outcome.output.end(), '\n'), 1) << outcome.output;
-  const auto none = run_scenario(R"({"name":"x","seconds":3})", {"--gateway", "/nowhere/cedarring"});
-  EXPECT_EQ(none.exit_code, 2) << none.output;
+  const auto without_program =
+      run_scenario(R"({"name":"x","seconds":3})", {"--gateway", "/nowhere/cedarring"});
+  EXPECT_EQ(without_program.exit_code, 2) << without_program.output;
 }
 
 }  // namespace
