--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -3,8 +3,8 @@
 //
 // Answers are compared by the types of their PostgreSQL messages: TDCZ is a row description, a row, the
 // command completion and ReadyForQuery, so the request was served; EZ is an error and ReadyForQuery. Of the
-// SQLSTATEs, 53300 is a refusal, 58000 a failure after which the request may have been executed, and 08P01 a
-// rejected statement. The request classes are those of config_json().
+// SQLSTATEs, 53300 is a refusal, 58000 a failed request, and 08P01 an invalid statement. The request classes
+// are those of config_json().
 #include <dirent.h>
 #include <gtest/gtest.h>
 #include <signal.h>
