--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -149,15 +149,15 @@
   handle_event(MembersListed{ListKind::cached, hosts_.apply(known_members)});
 }
 
-Rejection Broker::accept(const ClientRequest& request, FrontEnd& front_end, RequestId& id) {
+Rejection Broker::accept(const ClientRequest& request, AnswerSink& sink, RequestId& id) {
   const Time now = clock_();
   const auto entry = std::find_if(classes_.begin(), classes_.end(), [&](const ClassEntry& candidate) {
     return candidate.request_class.name == request.class_name && now < candidate.expires_at;
   });
   if (entry == classes_.end()) return Rejection::unknown_class;
   const auto rejection =
-      admit(request, ClassId{static_cast<std::int32_t>(entry - classes_.begin())}, front_end, id);
-  // The front end words these two rejections as refusals, so they count as refused.
+      admit(request, ClassId{static_cast<std::int32_t>(entry - classes_.begin())}, sink, id);
+  // Clients are told of these two rejections as refusals, so they count as refused.
   if (rejection == Rejection::too_many_requests || rejection == Rejection::late)
     ++entry->counts->shed;
   else if (rejection != Rejection::none)
@@ -166,7 +166,7 @@
 }
 
 /// Accepts a request of a known class, unless it is rejected, and passes it to the gates and the router.
-Rejection Broker::admit(const ClientRequest& client_request, ClassId class_id, FrontEnd& front_end,
+Rejection Broker::admit(const ClientRequest& client_request, ClassId class_id, AnswerSink& sink,
                         RequestId& id) {
   const auto budget = std::find_if(budgets_.begin(), budgets_.end(), [&](const TenantBudget& candidate) {
     return candidate.configured && candidate.tenant == client_request.tenant;
@@ -181,7 +181,7 @@
   if (!open_request_names_.insert(client_request.name).second) return Rejection::name_in_use;
   id = RequestId{next_request_id_++};
   auto& request = requests_[id.value];
-  request.front_end = &front_end;
+  request.sink = &sink;
   request.name = client_request.name;
   request.payload = client_request.payload;
   request.session = client_request.session;
@@ -244,7 +244,7 @@
   if (it == requests_.end() || it->second.ended) return;
   mark_ended(it->second);
   record_end(it->second, gates::RequestEnd::abandoned);
-  it->second.front_end = nullptr;
+  it->second.sink = nullptr;
   handle_event(ClientLeft{id});
   cancel_attempts(id);
 }
@@ -289,8 +289,8 @@
     handle_event(AnswerStarted{key.request, key.number});
     request.may_have_run = true;
   }
-  auto* front_end = request.front_end;
-  return !front_end || front_end->on_answer_part(key.request, bytes);
+  auto* sink = request.sink;
+  return !sink || sink->on_answer_part(key.request, bytes);
 }
 
 void Broker::resume_answer(RequestId id) {
@@ -345,9 +345,9 @@
                position_is_commit ? std::nullopt : result.metadata.position);
   // A served attempt ends the request: the router is notified of both in one event, then the client is
   // answered.
-  FrontEnd* front_end = nullptr;
+  AnswerSink* sink = nullptr;
   if (result.outcome == Outcome::ok && !request.ended) {
-    front_end = std::exchange(request.front_end, nullptr);
+    sink = std::exchange(request.sink, nullptr);
     mark_ended(request);
     record_end(request, gates::RequestEnd::served);
     if (position_is_commit && on_commit_ && request.session)
@@ -356,7 +356,7 @@
   event.request_ended = request.ended;
   handle_event(event);
   erase_if_complete(key.request);
-  if (front_end) front_end->finish(key.request, served_answer(std::move(result.value)));
+  if (sink) sink->finish(key.request, served_answer(std::move(result.value)));
 }
 
 /// Records a host's role and position, and reports a change of role.
@@ -526,7 +526,7 @@
                               return !gate->may_retry(request.gate_request, now);
                             });
   const bool check_client = number > 0 || now - request.accepted_at > client_check_after;
-  if (!request.ended && check_client && request.front_end && request.front_end->client_gone())
+  if (!request.ended && check_client && request.sink && request.sink->client_gone())
     return client_left(send.request);
   // A request that ended while this action was queued is not sent: its answer is no longer awaited.
   if (request.ended || retry_barred || clock_() >= give_up_at)
@@ -552,8 +552,8 @@
     answer.message = std::move(it->second.message);
     answer.last_outcome = it->second.last_outcome;
   }
-  if (auto* front_end = std::exchange(it->second.front_end, nullptr))
-    front_end->finish(id, std::move(answer));
+  if (auto* sink = std::exchange(it->second.sink, nullptr))
+    sink->finish(id, std::move(answer));
 }
 
 /// Notifies the gates of a request's end, and counts it for its class and tenant.
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -1,5 +1,5 @@
 // The broker keeps the open requests, their attempts and the tenants' budgets, and drives the Router. It
-// knows no protocol: a FrontEnd receives the final answers, an Upstream carries the attempts out. Gates and
+// knows no protocol: an AnswerSink receives the answers, an Upstream carries the attempts out. Gates and
 // the router make the decisions; the broker carries them out.
 #pragma once
 
@@ -59,9 +59,9 @@
 };
 
 /// Receives the answers of the requests that it has handed to the broker.
-class FrontEnd {
+class AnswerSink {
  public:
-  virtual ~FrontEnd() = default;
+  virtual ~AnswerSink() = default;
   /// Receives a part of a long answer, before the final answer. Returns false if no more parts may come until
   /// Broker::resume_answer.
   virtual bool on_answer_part(RequestId /*request*/, std::string_view /*bytes*/) { return true; }
@@ -193,7 +193,7 @@
   void start(const MemberList& known_members);
   /// Accepts a request, or returns why it is rejected. `id` is set to the id of an accepted request, before
   /// the front end can be called.
-  Rejection accept(const ClientRequest& request, FrontEnd& front_end, RequestId& id);
+  Rejection accept(const ClientRequest& request, AnswerSink& sink, RequestId& id);
   /// The client has disconnected: cancels the request's attempts.
   void client_left(RequestId id);
   /// The process is about to end: answers all open requests immediately, refused where nothing may have run,
@@ -294,7 +294,7 @@
   };
   /// An accepted request, until it has ended and none of its attempts is in flight.
   struct Request {
-    FrontEnd* front_end = nullptr;  // null once the final answer is given or the client has disconnected
+    AnswerSink* sink = nullptr;  // null once the final answer is given or the client has disconnected
     std::string name;
     std::shared_ptr<const RequestPayload> payload;
     std::optional<SessionId> session;
@@ -316,7 +316,7 @@
   };
 
   void assign_class(std::size_t index, const RequestClass& request_class);
-  Rejection admit(const ClientRequest& client_request, ClassId class_id, FrontEnd& front_end, RequestId& id);
+  Rejection admit(const ClientRequest& client_request, ClassId class_id, AnswerSink& sink, RequestId& id);
   void handle_event(Event event);
   void perform(const Action& action, Time now);
   void start_attempt(const Send& send, Time now);
--- a/src/tools/lab/simulation.cpp
+++ b/src/tools/lab/simulation.cpp
@@ -84,7 +84,7 @@
 };
 
 /// A gateway: the real broker and gates over a simulated upstream. Passes final answers to the simulation.
-struct SimulatedGateway : broker::FrontEnd {
+struct SimulatedGateway : broker::AnswerSink {
   SimulatedGateway(Simulation& owner, std::size_t number);
   void finish(RequestId request, broker::FinalAnswer answer) override;
   Simulation& simulation;
--- a/src/wire/client.h
+++ b/src/wire/client.h
@@ -24,7 +24,7 @@
 
 /// The gateway's end of one connection from a database client. Subclasses parse the commands of a protocol
 /// and encode its answers.
-class Client : public Connection, public broker::FrontEnd {
+class Client : public Connection, public broker::AnswerSink {
  public:
   /// `max_message`: bytes of the longest command that is read into the input buffer. A subclass reads a
   /// longer command into memory from reserve_memory(), or rejects it.
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -1,5 +1,5 @@
 // Tests of Broker (admission, budgets, attempts, time-outs, host list), IdlePool and the connection limits,
-// with a fake front end, a fake upstream and a manual clock; no sockets.
+// with a fake answer sink, a fake upstream and a manual clock; no sockets.
 #include "broker/broker.h"
 
 #include <gtest/gtest.h>
@@ -15,8 +15,8 @@
 using namespace broker;
 using namespace std::chrono_literals;
 
-/// A front end that records the final answers.
-struct FakeFrontEnd : FrontEnd {
+/// Records the final answers.
+struct FakeAnswerSink : AnswerSink {
   std::map<std::uint64_t, FinalAnswer> answers;  // by RequestId
   int answer_count = 0;
   bool disconnected = false;  // the client has left, and the broker has not been notified
@@ -76,7 +76,7 @@
 struct BrokerFixture {
   Time now{1'000'000'000};
   FakeUpstream upstream;
-  FakeFrontEnd front_end;
+  FakeAnswerSink sink;
   Broker broker;
   BrokerFixture()
       : broker(
@@ -134,7 +134,7 @@
     request.group = GroupId{group};
     request.time_left = 1s;
     RequestId id;
-    EXPECT_EQ(broker.accept(request, front_end, id), expected);
+    EXPECT_EQ(broker.accept(request, sink, id), expected);
     return id;
   }
   int request_count = 0;
@@ -153,12 +153,12 @@
     BrokerFixture fixture;
     fixture.submit("history");
     ASSERT_EQ(fixture.upstream.started.size(), 1U);
-    fixture.front_end.disconnected = disconnected;
+    fixture.sink.disconnected = disconnected;
     // The attempt has not run, so the router would retry it at another host.
     fixture.upstream.end(fixture.upstream.started[0].key, Outcome::connect_failed);
     EXPECT_EQ(fixture.upstream.started.size(), disconnected ? 1U : 2U);
     EXPECT_EQ(fixture.broker.open_requests(), disconnected ? 0U : 1U);
-    EXPECT_EQ(fixture.front_end.answer_count, 0);
+    EXPECT_EQ(fixture.sink.answer_count, 0);
   }
 }
 
@@ -167,7 +167,7 @@
   const auto id = fixture.submit("pay");
   ASSERT_EQ(fixture.upstream.started.size(), 1U);
   fixture.broker.begin_shutdown();
-  EXPECT_EQ(fixture.front_end.answers.at(id.value).status, AnswerStatus::failed);
+  EXPECT_EQ(fixture.sink.answers.at(id.value).status, AnswerStatus::failed);
   EXPECT_EQ(fixture.upstream.cancelled.size(), 1U);
   EXPECT_EQ(fixture.broker.open_requests(), 0U);
   fixture.submit("pay", Rejection::late);
@@ -231,14 +231,14 @@
   RequestId id;
   request.name = "x";
   request.arrived = fixture.now - 400ms;
-  EXPECT_EQ(fixture.broker.accept(request, fixture.front_end, id), Rejection::none);
+  EXPECT_EQ(fixture.broker.accept(request, fixture.sink, id), Rejection::none);
   EXPECT_EQ(fixture.upstream.started.at(0).give_up_at, fixture.now + 600ms);
   request.name = "y";
   request.arrived = fixture.now - 1s;
-  EXPECT_EQ(fixture.broker.accept(request, fixture.front_end, id), Rejection::late);
+  EXPECT_EQ(fixture.broker.accept(request, fixture.sink, id), Rejection::late);
   request.name = "z";
   request.arrived = fixture.now + 1h;  // in the future: counts as now
-  EXPECT_EQ(fixture.broker.accept(request, fixture.front_end, id), Rejection::none);
+  EXPECT_EQ(fixture.broker.accept(request, fixture.sink, id), Rejection::none);
   EXPECT_LE(fixture.upstream.started.at(1).give_up_at, fixture.now + 1s);
 }
 
@@ -246,10 +246,10 @@
   BrokerFixture fixture;
   for (const auto outcome : {Outcome::ok, Outcome::error, Outcome::reset, Outcome::timeout, Outcome::full}) {
     fixture.upstream.immediate_outcome = outcome;
-    const auto answers_before = fixture.front_end.answer_count;
+    const auto answers_before = fixture.sink.answer_count;
     for (int i = 0; i < 3; ++i) fixture.submit("pay");
     fixture.run_until(fixture.now + 2s);
-    EXPECT_EQ(fixture.front_end.answer_count, answers_before + 3);
+    EXPECT_EQ(fixture.sink.answer_count, answers_before + 3);
     EXPECT_EQ(fixture.broker.open_requests(), 0U);
   }
   EXPECT_EQ(fixture.upstream.max_in_flight, 1);
@@ -276,8 +276,8 @@
     const auto id = fixture.submit("pay");
     fixture.run_until(fixture.now + 1s);
     EXPECT_EQ(fixture.upstream.started.size(), 1U);
-    EXPECT_EQ(fixture.front_end.answers.at(id.value).status, test_case.status);
-    EXPECT_EQ(fixture.front_end.answers.at(id.value).last_outcome, test_case.outcome);
+    EXPECT_EQ(fixture.sink.answers.at(id.value).status, test_case.status);
+    EXPECT_EQ(fixture.sink.answers.at(id.value).last_outcome, test_case.outcome);
   }
 }
 
@@ -287,15 +287,15 @@
     fixture.upstream.started.clear();
     const auto id = fixture.submit("history");
     // An attempt that did not run is retried, up to the limit of the settings.
-    for (int step = 0; step < 400 && fixture.front_end.answers.count(id.value) == 0; ++step) {
+    for (int step = 0; step < 400 && fixture.sink.answers.count(id.value) == 0; ++step) {
       ASSERT_LE(fixture.upstream.in_flight, 1);
       if (fixture.upstream.in_flight > 0)
         fixture.upstream.end(fixture.upstream.started.back().key, Outcome::connect_failed);
       fixture.run_until(fixture.now + 5ms);
     }
-    ASSERT_EQ(fixture.front_end.answers.count(id.value), 1U);
+    ASSERT_EQ(fixture.sink.answers.count(id.value), 1U);
     EXPECT_LE(fixture.upstream.started.size(), 6U);
-    EXPECT_EQ(fixture.front_end.answers.at(id.value).status, AnswerStatus::refused);
+    EXPECT_EQ(fixture.sink.answers.at(id.value).status, AnswerStatus::refused);
   }
   EXPECT_EQ(fixture.upstream.max_in_flight, 1);
 }
@@ -306,9 +306,9 @@
   fixture.broker.client_left(id);
   ASSERT_EQ(fixture.upstream.cancelled.size(), 1U);
   EXPECT_EQ(fixture.broker.open_requests(), 0U);
-  EXPECT_EQ(fixture.front_end.answer_count, 0);
+  EXPECT_EQ(fixture.sink.answer_count, 0);
   fixture.broker.attempt_ended({id, 0}, {});  // a late answer is ignored
-  EXPECT_EQ(fixture.front_end.answer_count, 0);
+  EXPECT_EQ(fixture.sink.answer_count, 0);
 }
 
 TEST(Broker, WriteWithoutAPrimaryIsHeldAndThenRefusedBeforeHalfItsTimeHasPassed) {
@@ -321,11 +321,11 @@
   const auto start = fixture.now;
   const auto id = fixture.submit("pay");
   fixture.run_until(start + 300ms);
-  EXPECT_EQ(fixture.front_end.answer_count, 0);  // a primary may still appear
+  EXPECT_EQ(fixture.sink.answer_count, 0);  // a primary may still appear
   fixture.run_until(start + 500ms);
-  ASSERT_EQ(fixture.front_end.answer_count, 1);
-  EXPECT_EQ(fixture.front_end.answers.at(id.value).status, AnswerStatus::refused);
-  EXPECT_GT(fixture.front_end.answers.at(id.value).retry_after, Duration::zero());
+  ASSERT_EQ(fixture.sink.answer_count, 1);
+  EXPECT_EQ(fixture.sink.answers.at(id.value).status, AnswerStatus::refused);
+  EXPECT_GT(fixture.sink.answers.at(id.value).retry_after, Duration::zero());
 }
 
 TEST(Broker, RequestWithAnUnknownNameOrAboveTheLimitIsRejectedWithTheReason) {
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -305,8 +305,8 @@
   void set_timer(Time) override {}
   void close_idle(HostId) override {}
 };
-/// A front end that drops final answers.
-struct DiscardingFrontEnd : broker::FrontEnd {
+/// Drops final answers.
+struct DiscardingSink : broker::AnswerSink {
   void finish(RequestId, broker::FinalAnswer) override {}
 };
 // Requests per second of the tenant in the running test case, for new processes.
@@ -315,7 +315,7 @@
 struct TenantProcess {
   Time now;
   UnresponsiveUpstream upstream;
-  DiscardingFrontEnd front_end;
+  DiscardingSink sink;
   broker::Broker broker;
   int last_request = 0;
   static Settings settings() {
@@ -360,7 +360,7 @@
     request.time_left = 1s;
     RequestId id;
     const auto over_budget_before = broker.budgets()[0].over_budget;
-    broker.accept(request, front_end, id);
+    broker.accept(request, sink, id);
     return broker.budgets()[0].over_budget == over_budget_before;
   }
 };
