--- a/include/cedarring/router.h
+++ b/include/cedarring/router.h
@@ -14,7 +14,8 @@
 
 /// A length of time in microseconds.
 using Duration = std::chrono::microseconds;
-/// A point in time in microseconds on the caller's monotonic clock, counted from any fixed instant.
+/// A point in time in microseconds on the caller's monotonic clock. The router compares it with the hosts'
+/// replication positions and HostEntry::started_at, so all of them must count from the same instant.
 /// Replication positions have this type too: a position is the commit time up to which a host has applied its
 /// replication log.
 using Time = std::chrono::microseconds;
@@ -56,8 +57,12 @@
 /// evidence: it applies only while no role of the host is known.
 enum class ListedRole { none, late, start };
 /// Where the position of a session's last write is kept: in the router, or in a token that the client sends.
+/// Validated as a setting, but not read by the router, which uses both its own record and
+/// RequestArrived::token_age.
 enum class TokenMode { remembered, carried };
-/// Whether member lists arrive unasked, or the router requests them with OpenWatch.
+/// Whether the first member list arrives unasked, or the router requests it with OpenWatch after its start.
+/// In both modes later requests follow only a failed one: after a list has arrived, further lists come
+/// unasked.
 enum class DiscoveryMode { push, poll };
 /// Replication role of a host.
 enum class Role { unknown, primary, replica };
@@ -121,13 +126,15 @@
   bool hedging_allowed = false;            // a request may have several attempts in flight
   bool retry_after_allowed = false;        // refusals may carry a delay after which the client retries
   bool removed_hosts_stay_usable = false;  // a ready host that leaves the list stays in use
-  // Whether a late refusal of a request that was never sent costs more than an early one.
+  // Whether a late refusal of a request that was never sent costs more than an early one. If so, a request
+  // that has not reached a host is refused after a part of its time (max_wait_share in router.cpp).
   bool late_refusal_costs = false;
   std::uint32_t max_attempts = 8;          // attempts per request, 1 or more; see RequestClass::max_attempts
   Duration max_retry_after{1'000'000};     // upper limit of Refuse::retry_after
-  Duration max_poll_interval{10'000'000};  // longest time between two requests for the member list; above 0
+  Duration max_poll_interval{10'000'000};  // scales the delays of requests for the member list; above 0
   // Time after a host was set to draining or gone in which new attempts at it are tolerated. The router sends
-  // none once it has the member list, so this is the time that the list may take to arrive.
+  // none once it has the member list, so this is the time that the list may take to arrive. Only
+  // fleet::WatchTiming uses it, to limit the delay before an ended watch is opened again.
   Duration drain_grace{1'000'000};
   Duration warm_up_duration{};     // a started host reaches its full capacity after this time; 0 or more
   double cold_capacity_share = 1;  // share of its capacity that a host has at its start, above 0 to 1
@@ -238,7 +245,8 @@
   RequestId request;
   std::uint32_t attempt = 0;
 };
-/// Reject the request. The client may safely send it again.
+/// Reject the request. The client may safely send it again; a keyed request that may have run, only with the
+/// same key and within its deduplication window, which the router does not check.
 struct Refuse {
   RequestId request;
   Duration retry_after{};  // delay to suggest to the client; zero: none
@@ -257,8 +265,8 @@
   std::uint64_t timer = 0;
   Time due{};
 };
-/// Request the member list: in poll mode the next list, and in either mode again after a failed request. A
-/// source of member lists that supports updates sends them from then on.
+/// Request the member list: in poll mode once after the start, and in either mode again after a failed
+/// request. After a list has arrived the router does not ask again; the source sends updates from then on.
 struct OpenWatch {};
 /// Any output of the router, to be carried out by the caller.
 using Action = std::variant<Send, Cancel, Refuse, Fail, Probe, SetTimer, OpenWatch>;
@@ -285,8 +293,8 @@
 struct Tuning {
   double probe_rate = 1;    // 0.1 to 10: on the rate of regular probes
   double retry_budget = 1;  // 0 to 1: on the retries that each request pays for
-  // 0 to 1: on the share of the primary's concurrency limit that is open to reads while the replicas are
-  // merely busy.
+  // 0 to 1: factor on the share of the primary's concurrency limit that is open to reads while the replicas
+  // are merely busy; 0: none.
   double read_spillover = 1;
 };
 
@@ -325,9 +333,11 @@
   /// change. Throws std::invalid_argument as check() does, without changing anything.
   void update_settings(Settings settings);
 
-  /// Returns state for a successor router; with SnapshotScope::split also halves this router's budgets.
+  /// Returns state for another process's router; with SnapshotScope::split also halves this router's budgets.
   [[nodiscard]] RouterSnapshot snapshot(Time now, SnapshotScope scope);
-  /// Merges newer state from a predecessor, for the hosts and classes that this router knows.
+  /// Merges newer state from the router of the other process, predecessor or successor, for the hosts, groups
+  /// and classes that this router knows. Budgets are replaced only if RouterSnapshot::slow_start_share is
+  /// above 0.
   void merge_snapshot(Time now, const RouterSnapshot& snapshot);
   /// Sets the retry, probe and slow-start budgets to zero, because a predecessor that still runs has not yet
   /// reported its share. The retry and probe budgets are earned anew by requests that arrive; the slow-start
--- a/src/fleet/slow_start_usage.h
+++ b/src/fleet/slow_start_usage.h
@@ -1,5 +1,5 @@
 // Work sent to a host during its slow start, in a sliding window. The router compares it with the slow-start
-// limit, which keeps a cold host from being overloaded. No I/O, no clock.
+// budget, which keeps a cold host from being overloaded. No I/O, no clock.
 #pragma once
 
 #include <deque>
@@ -12,7 +12,8 @@
 /// Sends to one host, by this process and by another process of the same gateway during an upgrade.
 class SlowStartUsage {
  public:
-  /// Time of a send, and its work in units of a typical request.
+  /// Time of a send, and its work in typical requests: the mean latency of the request's class over the mean
+  /// latency of all classes.
   using SentWork = std::pair<Time, double>;
   /// Records a send of this process; times must not decrease.
   void add(Time at, double work) { own_.emplace_back(at, work); }
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -33,7 +33,8 @@
 constexpr int probe_time_samples = 8;           // memory of the probes' mean round trip
 constexpr int report_age_samples = 16;          // memory of the usual age of primaries' reports
 constexpr double saturation_utilization = 1.2;  // at which the latency estimate from utilization diverges
-constexpr int role_evidence_elapsed_divisor = 4;  // an answer's elapsed time over the age of its role
+// Elapsed time of an answer over the assumed age of the role that it reports.
+constexpr int role_evidence_elapsed_divisor = 4;
 
 // Health.
 constexpr double failure_gain = 0.2;              // EWMA gain of a host's failures
@@ -79,7 +80,7 @@
 constexpr double queue_report_periods = 1.3;      // normal probe periods for which a reported queue is used
 constexpr double busy_utilization = 0.9;          // reported use of cores from which a host is fully loaded
 constexpr double group_load_memory_seconds = 12;  // long, because a group yields few samples
-constexpr double rate_memory_seconds = 3;         // of arrival rates and of the load by role
+constexpr double rate_memory_seconds = 3;         // of arrival rates, load by role, failure scores
 constexpr double max_load_samples = 12;           // samples remembered
 constexpr int few_routers_divisor = 4;       // initial_fleet_concurrency over the routers that count as few
 constexpr double load_prior_samples = 3;     // weight of all groups' load beside a group's own samples
@@ -105,7 +106,8 @@
 constexpr double urgent_probe_load = 0.01;       // urgent probes of all routers in one typical latency
 constexpr double probe_cost_share = 0.01;        // part of the requests' value that probes may cost
 constexpr double max_saved_probes = 10;
-constexpr double urgent_probe_reserve = 0.5;   // share of the saved probes reserved for urgent ones
+// Share of the saved probes that only groups with waiting requests and no usable primary may use.
+constexpr double urgent_probe_reserve = 0.5;
 constexpr double min_capacity_divisor = 0.01;  // least capacity share that a cold host's probe interval uses
 constexpr double min_probe_jitter = 0.8;       // least random factor on a probe period
 constexpr double probe_jitter_range = 0.4;     // greatest random factor less the least
@@ -113,7 +115,8 @@
 // Slow start.
 constexpr double slow_start_budget_share = 0.67;  // of the overload budget, see slow_start_allows
 
-// Polling of the member list, as shares of Settings::max_poll_interval.
+// Requests for the member list, after the start and after failed requests, as shares of
+// Settings::max_poll_interval.
 constexpr double first_poll_spread = 0.1;  // the first polls of routers that start together spread over this
 constexpr double initial_poll_backoff = 0.05;
 constexpr double max_poll_backoff = 0.4;  // so that a retry still comes well inside the interval
@@ -776,7 +779,8 @@
 
   // ---- admission ----
   /// Whether the request may be sent to `target`, or be refused if `target` is null, without the risk that it
-  /// takes effect twice.
+  /// takes effect twice. With DedupScope::all a request that may have run is refused without a check of its
+  /// window: this relies on the client to repeat it with the same key within the window.
   bool permitted(const Request& request, const Host* target) const {
     const auto& request_class = settings_.classes[request.class_id.value];
     if (target && request.attempts_in_flight > 0 && !settings_.hedging_allowed) return false;
@@ -1128,8 +1132,8 @@
             false);
         break;
       case Outcome::cancelled:
-        // A failure only if the router cancelled the attempt for lack of an answer, and only as for a
-        // time-out.
+        // A failure only if the router cancelled the attempt for lack of an answer while its request was
+        // open, and, as for a time-out, the host has answered no other request since the send.
         if (attempt.cancelled && !request.ended && host.last_response_at <= attempt.sent_at)
           record_failure(host, 1);
         break;
@@ -1186,15 +1190,16 @@
   }
 
   /// Queues a request for a further attempt, or ends it. A retry spends retry tokens for the work of the
-  /// failed attempt: this prevents retry storms, while fast failures may be retried elsewhere. `outcome`,
+  /// failed attempt: this prevents retry storms, while fast failures may be retried elsewhere. After `full`
+  /// the request has not run, but the retry costs a whole token, because the host is overloaded. `outcome`,
   /// `elapsed`: of that attempt.
   void retry_or_give_up(Request& request, Outcome outcome, Duration elapsed) {
-    const bool not_executed =
+    const bool free_of_charge =
         outcome == Outcome::too_stale || outcome == Outcome::not_sent || outcome == Outcome::connect_failed;
     const double work = std::min(
         1.0, to_ms(elapsed) / std::max(min_latency_ms, to_ms(class_latency_[request.class_id.value])));
-    const double executed_cost = outcome == Outcome::error ? work : 1;
-    const double cost = not_executed ? 0 : executed_cost;
+    const double charge = outcome == Outcome::error ? work : 1;
+    const double cost = free_of_charge ? 0 : charge;
     const bool budget_spent = retry_tokens_ < cost || request.attempts.size() >= max_attempts(request);
     if (request.answer_started || budget_spent || now_ >= request.deadline) return refuse_or_fail(request);
     if (settings_.classes[request.class_id.value].idempotency == Idempotency::unsafe &&
--- a/src/router/state.h
+++ b/src/router/state.h
@@ -265,10 +265,10 @@
   double retry_tokens_ = 0;
   // Requests pay for probes, because one of hundreds of routers sees few requests: with a probe for each of
   // its reads, the routers together would send more probes than requests. Half of the saved probes is
-  // reserved for groups whose primary is not known. Where no probe can be paid for, queue lengths are unknown
-  // and positions are old.
+  // reserved for groups with waiting requests and no usable primary. Where no probe can be paid for, queue
+  // lengths are unknown and positions are old.
   fleet::ProbeBudget probe_budget_;
-  handover::WindowShare slow_start_share_;  // this process's share of the limits on work sent to cold hosts
+  handover::WindowShare slow_start_share_;  // this process's share of the slow-start budgets
 };
 
 }  // namespace cedarring::state
