--- a/include/cedarring/snapshot.h
+++ b/include/cedarring/snapshot.h
@@ -1,6 +1,6 @@
-// State that a router hands to its successor: estimates of hosts and classes, session positions, and the
-// remaining budgets. Plain data. Times are given as ages, so that the two routers need no common clock.
-// `commit` and `floors` are replication positions and thus on the hosts' clock.
+// State that a router hands to its successor, or during a handover to its predecessor: estimates of hosts and
+// classes, session positions, and the remaining budgets. Plain data. Times are given as ages, so that the two
+// routers need no common clock. `commit` and `floors` are replication positions and thus on the hosts' clock.
 #pragma once
 
 #include <cstdint>
@@ -27,12 +27,12 @@
   std::int32_t lost_probes = 0;                // consecutive probes without an answer
   std::int32_t refusals = 0;                   // consecutive refused connections
   // slow start
-  std::optional<Duration> start_age;  // time since the host's process started; absent if it is warmed up
+  std::optional<Duration> start_age;  // time since the host's process started; absent: warmed up or unknown
   // Requests sent during slow start: age, and work in units of a typical request.
   std::vector<std::pair<Duration, double>> slow_start_sends;
   // estimates
-  double relative_latency = 1;   // latency relative to the mean of the request's class
-  double load = 0;               // latency relative to the latency target
+  double relative_latency = 1;   // latency relative to the mean of the request's class; 0: unknown
+  double load = 0;               // latency relative to the latency target; -1: unknown
   double concurrency_limit = 0;  // attempts in flight; 0: unknown
 };
 /// Position of a session's last write.
@@ -56,7 +56,7 @@
   std::vector<std::pair<GroupId, Time>> floors;  // newest commit among the sessions that were dropped
   std::vector<ClassSnapshot> classes;
   std::optional<Duration> age;  // time since the first event of the sending router or of its predecessors
-  // budgets, in a snapshot of SnapshotScope::split only
+  // budgets, in a snapshot of SnapshotScope::split only; if slow_start_share is 0, the snapshot has none
   double retry_tokens = 0;            // given to the receiving router
   double probe_tokens = 0;            // given to the receiving router
   double slow_start_share_total = 0;  // share (0 to 1) of the slow-start budgets for both routers together
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -15,7 +15,7 @@
 std::size_t client_share(std::size_t max_descriptors) { return max_descriptors * 3 / 4; }
 std::size_t host_share(std::size_t max_descriptors) { return max_descriptors / 4; }
 
-/// Share of the slow-start limits that this process spends while the other process may be spending the rest.
+/// Share of the slow-start budgets that this process spends while the other process may be spending the rest.
 constexpr double own_slow_start_share = 0.5;
 
 }  // namespace
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -30,7 +30,7 @@
   virtual ~RequestPayload() = default;
 };
 
-/// A request as a front end hands it to the broker.
+/// A request as a client connection hands it to the broker.
 struct ClientRequest {
   std::string name;        // the client's id for the request; must differ from those of all open requests
   std::string class_name;  // of the request class
@@ -58,7 +58,7 @@
   bool truncated = false;  // failed: parts of the value have been passed on, and the rest will not follow
 };
 
-/// Receives the answers of the requests that it has handed to the broker.
+/// Receives the answers of the requests that it has handed to the broker; a client connection, for example.
 class AnswerSink {
  public:
   virtual ~AnswerSink() = default;
@@ -94,7 +94,8 @@
  public:
   virtual ~Upstream() = default;
   /// Starts an attempt, which sends `payload` to the host at `address` and ends by `give_up_at` at the
-  /// latest. `sole_candidate`: a slow connection is waited for during the full connect timeout, see
+  /// latest. That limit ends with the first part of a long answer: from then on only a stall ends the attempt
+  /// early. `sole_candidate`: a slow connection is waited for during the full connect timeout, see
   /// cedarring::Send.
   virtual void start(AttemptKey key, HostId host, const std::string& address,
                      const std::shared_ptr<const RequestPayload>& payload, Time give_up_at,
@@ -109,7 +110,9 @@
   virtual void set_timer(Time due) = 0;
   /// Continues an answer that was paused because Broker::attempt_part returned false.
   virtual void resume(AttemptKey /*key*/) {}
-  /// Closes the idle connections to a host that is no longer listed as ready.
+  /// Called when a host is listed as draining or gone, is missing in a full list, has moved to a new address,
+  /// or is disabled by an operator. Closes its idle connections; one in use is not reused, and an attempt
+  /// that is not submitted yet ends as not sent.
   virtual void close_idle(HostId host) = 0;
 };
 
@@ -174,8 +177,8 @@
   std::vector<AttemptTrace> attempts;
 };
 
-/// Accepts requests from front ends and sees each through to one final answer. Single-threaded; gates,
-/// upstream and front ends are not owned and outlive the broker.
+/// Accepts requests and sees each through to one final answer. Single-threaded. Gates and upstream are not
+/// owned and outlive the broker; a sink lives until the final answer or client_left of each of its requests.
 class Broker {
   /// Expiry time of a request class that the current settings contain; never reached.
   static constexpr Time no_expiry{INT64_MAX / 2};
@@ -192,7 +195,8 @@
   /// Starts the router with the hosts that are already known.
   void start(const MemberList& known_members);
   /// Accepts a request, or returns why it is rejected. `id` is set to the id of an accepted request, before
-  /// the front end can be called.
+  /// `sink` can be called. A request refused by a gate counts as accepted: the sink has its answer before
+  /// accept returns Rejection::none. The router may refuse a request at once, too.
   Rejection accept(const ClientRequest& request, AnswerSink& sink, RequestId& id);
   /// The client has disconnected: cancels the request's attempts.
   void client_left(RequestId id);
@@ -204,7 +208,7 @@
   /// A part of a long answer has arrived. After the first part no other attempt follows. Returns false if the
   /// upstream has to wait for Upstream::resume.
   bool attempt_part(AttemptKey key, std::string_view bytes);
-  /// The front end accepts further parts of a request's answer.
+  /// The sink accepts further parts of a request's answer.
   void resume_answer(RequestId id);
   /// An attempt has ended; ignored if it was cancelled before.
   void attempt_ended(AttemptKey key, AttemptResult result);
@@ -221,29 +225,38 @@
   [[nodiscard]] const HostTable& hosts() const { return hosts_; }
   /// Applies a host's role and replication position as the other process of this gateway has observed them.
   void observe(const std::string& host, Role role, std::optional<Time> position);
-  // Handover between two processes of one gateway, see docs/service.md: while an upgrade runs, the outgoing
-  // and the incoming process divide the budgets between them.
+  // Handover between two processes of one gateway, which divide the budgets while an upgrade runs:
+  // 1. The incoming process calls suspend_spending at its start; when it is ready to serve, the outgoing one
+  //    calls snapshot(SnapshotScope::split) and split_budgets.
+  // 2. With their results the incoming process calls merge_snapshot and restore_budgets; without, it calls
+  //    assume_own_share. Then it serves.
+  // 3. When one process has ended, the other calls resume_full_spending.
   /// The router's state, with host names in place of ids, which differ between the processes.
   RouterSnapshot snapshot(SnapshotScope scope);
   /// Merges the state of the other process's router.
   void merge_snapshot(RouterSnapshot snapshot);
   /// Divides the tenants' budgets between this process, the outgoing one, and the incoming one, whose part is
-  /// returned.
+  /// returned. The router's budgets are divided by snapshot.
   BudgetSnapshots split_budgets();
-  /// Takes over this process's part of the budgets from the outgoing process. A tenant that is missing in
-  /// `received` gets its share without saved tokens.
+  /// Takes over this process's part of the tenants' budgets from the outgoing process; the router's budgets
+  /// come with merge_snapshot. A tenant that is missing in `received` gets its share without saved tokens.
   void restore_budgets(const BudgetSnapshots& received);
-  /// Another process may be spending the budgets and has not reported yet: spends nothing until
-  /// restore_budgets, assume_own_share or resume_full_spending.
+  /// Another process may be spending the budgets and has not reported yet: sets the router's budgets to zero,
+  /// see Router::suspend_spending, and the tenants' until restore_budgets, assume_own_share or
+  /// resume_full_spending.
   void suspend_spending();
-  /// The other process does not report: uses this process's share from now on, without saved tokens.
+  /// The other process does not report: uses this process's share of the tenants' budgets from now on,
+  /// without saved tokens, and half of the slow-start budgets after one overload window. Retry and probe
+  /// budgets stay.
   void assume_own_share();
-  /// Sets the share (0 to 1) of the hosts' slow-start limits that this process may spend, from one overload
+  /// Sets the share (0 to 1) of the hosts' slow-start budgets that this process may spend, from one overload
   /// window after now on.
   void set_slow_start_share(double share) { router_.set_slow_start_share(clock_(), share); }
-  /// The other process has stopped spending: uses the whole budgets.
+  /// The other process has stopped spending: uses the tenants' whole budgets from now on, and the whole
+  /// slow-start budgets after one overload window. Retry and probe budgets stay.
   void resume_full_spending();
-  /// Sets the callback for each successful write, called before the client is answered.
+  /// Sets the callback for each successful write of a request with a session, called before the client is
+  /// answered.
   void set_commit_callback(std::function<void(const SessionSnapshot&)> callback) {
     on_commit_ = std::move(callback);
   }
@@ -308,7 +321,9 @@
     std::string message;  // the host's last error message
     std::optional<Outcome> last_outcome;
     int attempts_in_flight = 0;
-    bool may_have_run = false;  // an attempt was written, or may have been
+    // A part of an answer has arrived, or an attempt has ended with an outcome after which it may have run.
+    // Attempts in flight do not count.
+    bool may_have_run = false;
     bool ended = false;
     Time ended_at{};
     gates::RequestEnd end = gates::RequestEnd::failed;
--- a/src/handover/budget_share.h
+++ b/src/handover/budget_share.h
@@ -26,8 +26,9 @@
 }
 
 /// This process's share of a limit on the spending in any window of a fixed length. The share shrinks at
-/// once; it grows only after the windows in which another process may have spent the rest. All shares are 0
-/// to 1, of the whole limit.
+/// once. It grows at once if the other process has reported its spending (set_shares), else only after the
+/// windows in which that process may have spent the rest (schedule_share). All shares are 0 to 1, of the
+/// whole limit.
 class WindowShare {
  public:
   /// Another process starts: leaves it half of this process's share. Returns the share before the split,
@@ -38,7 +39,7 @@
     return total;
   }
   /// Sets the share of both processes together, `total`, and of this process, `share`, and drops a scheduled
-  /// change. The other process has reported its spending so far.
+  /// change. Unless both are zero, the other process has reported its spending so far.
   void set_shares(double total, double share) {
     total_ = total;
     share_ = share;
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -127,12 +127,12 @@
 
 constexpr double slow_start_limit = 10;  // typical requests in each overload window
 constexpr Duration overload_window = 2s;
-/// The slow-start limit of a host, as a process applies it.
+/// The slow-start budget of a host, as a process applies it.
 struct SlowStartProcess {
   handover::WindowShare share;
   fleet::SlowStartUsage usage;
   explicit SlowStartProcess(Time) {}
-  /// The part of the limit and the sends that a process hands over.
+  /// The part of the budget and the sends that a process hands over.
   struct State {
     double total_share = 0;
     std::deque<fleet::SlowStartUsage::SentWork> sends;
@@ -145,7 +145,7 @@
     usage.set_others(state.sends);
   }
   void resume_full_spending(Time now) { share.schedule_share(now + overload_window, 1); }
-  /// Sends `work` to the host if the limit allows; returns whether it was sent.
+  /// Sends `work` to the host if the budget allows; returns whether it was sent.
   bool send(double work, Time now) {
     const auto from = now - overload_window;
     if (share.remaining(now, slow_start_limit, usage.own(from), usage.others(from)) < work) return false;
