--- a/src/contracts/contracts.cpp
+++ b/src/contracts/contracts.cpp
@@ -133,7 +133,8 @@
       cells[team_index * classes + class_index] = std::move(cell_at(from, class_index));
   }
   // Resource uses are keyed by the old team indices, which may now belong to other teams. Open requests are
-  // charged to no team.
+  // forgotten: what they were charged on admission is not given back, and their ends do not count as ends
+  // within the contract.
   resource_uses_.clear();
   resources_.clear();
   open_requests_.clear();
@@ -468,7 +469,7 @@
         (std::min(answer_ms, costs_[class_index] * max_cost_ratio) - costs_[class_index]);
     resource.served += charged;
   } else if (!result.ran) {
-    // A team does not pay for a request that never ran.
+    // A team does not pay for a request that did not run, see RequestResult::ran.
     if (!beyond && terms) cell.limiter.refund(cell.rate, 1);
     records.open_window.cost -= charged;
     if (beyond) records.open_window.borrowed -= charged;
--- a/src/contracts/terms.h
+++ b/src/contracts/terms.h
@@ -45,7 +45,8 @@
   Time to{};
 };
 
-/// Whether contracts are ignored, only counted, or counted and enforced.
+/// Whether contracts are ignored, only counted, or counted and enforced. With `count`, too, a request beyond
+/// its contract is marked in the verdict, and later gates treat it as beyond its tenant's budget.
 enum class Mode : std::uint8_t { off, count, enforce };
 
 /// The contracts of one front end.
--- a/src/gates/gate.h
+++ b/src/gates/gate.h
@@ -109,8 +109,10 @@
   RequestEnd end = RequestEnd::failed;
   Decider decided_by = Decider::nobody;  // component that refused the request, if any did
   Reason reason = Reason::none;          // why a gate refused the request, if one did
-  bool ran = false;                      // an attempt was, or may have been, written to a host
-  Duration elapsed{};                    // time since the request was accepted
+  // An attempt that has ended may have run, or a part of an answer has arrived. An attempt still in flight
+  // when the request ends, because its client has left or the process shuts down, does not count.
+  bool ran = false;
+  Duration elapsed{};  // time since the request was accepted
 };
 
 /// A stage of admission control.
--- a/src/levels/ladder.h
+++ b/src/levels/ladder.h
@@ -50,7 +50,8 @@
   double probe_rate = 1;    // 0.1 to 10
   double retry_budget = 1;  // 0 to 1: factor on retries, which are attempts after the first
   double pool_size = 1;     // 0.1 to 1: connections to hosts
-  // 0 to 1: share of the primary's concurrency limit that reads may use while all replicas are merely busy.
+  // 0 to 1: factor on the share of the primary's concurrency limit that is open to reads while the replicas
+  // are merely busy; 0: none.
   double read_spillover = 1;
 };
 
--- a/src/levels/levels.h
+++ b/src/levels/levels.h
@@ -16,7 +16,8 @@
 namespace cedarring::levels {
 
 /// `watch`: ladders are evaluated and changes recorded, but nothing is shed or adjusted. `on`: levels also
-/// take effect. `off`: as `watch`; the configuration has no levels (any more).
+/// take effect. `off`: a reload has removed the levels; the ladders of the earlier configuration are still
+/// evaluated and recorded, as with `watch`.
 enum class Mode : std::uint8_t { off, watch, on };
 
 /// The levels of one front end.
@@ -119,7 +120,8 @@
   [[nodiscard]] const std::map<GroupId, Group>& groups() const { return groups_; }
   /// By class index.
   [[nodiscard]] const std::vector<Counters>& counters() const { return counters_; }
-  /// The adjustments of the current levels: the strictest of all axes. Neutral unless the mode is `on`.
+  /// The adjustments of the current levels of all axes: the lowest of each factor, except that the highest
+  /// probe rate applies where no level lowers it. Neutral unless the mode is `on`.
   [[nodiscard]] Adjustments adjustments() const;
   /// The sample that is compared with the condition's bound. `group` must be set for readings of a group and
   /// is null for all others.
--- a/src/telemetry/metrics.h
+++ b/src/telemetry/metrics.h
@@ -9,7 +9,9 @@
 namespace cedarring::telemetry {
 
 /// Counters of one request class. Each accepted request is counted at its end in one of `ok`, `shed` and
-/// `errors`, or in none of them if its client disconnected before.
+/// `errors`, or in none of them if its client disconnected before. A rejected request (broker::Rejection) is
+/// counted at once: in `shed` if it is late or too many are open, in none if its class is unknown, else in
+/// `errors`.
 struct ClassCounts {
   std::uint64_t ok = 0;      // requests served
   std::uint64_t shed = 0;    // requests refused
