--- a/src/sim/adapter.cpp
+++ b/src/sim/adapter.cpp
@@ -72,6 +72,7 @@
   std::vector<Field> fields_;
 };
 
+// Words of the simulator's protocol, see Outcome for their meaning.
 constexpr Keyword<Outcome> outcome_keywords[] = {{"served", Outcome::ok},
                                                  {"server_error", Outcome::error},
                                                  {"turned_away", Outcome::full},
@@ -234,7 +235,7 @@
       append_ms(out, timer->due);
       out += " name=" + std::to_string(timer->timer);
     } else if (std::holds_alternative<OpenWatch>(action)) {
-      out += "watch" + router_field + " want=1";
+      out += "watch" + router_field + " want=1";  // fixed by the simulator's protocol
     }
     out += '\n';
   }
@@ -321,7 +322,8 @@
     deliver(router_number, *slot, Started{}, out);
     return;
   }
-  // The remaining messages go to one instance. Those with an unknown verb are skipped without being parsed.
+  // The remaining messages go to one instance. Those with an unknown verb are skipped without being parsed;
+  // "note_from" is parsed, but has no effect.
   const bool known = verb == "power_off" || verb == "fleet" || verb == "query" || verb == "streaming" ||
                      verb == "resolved" || verb == "left" || verb == "ring" || verb == "probe_done" ||
                      verb == "note_from";
