--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -514,11 +514,12 @@
       harness.end_attempt(harness.submit(write, 1), Outcome::ok);  // so that the primary is not overloaded
     const auto write_request = harness.submit(write, 1);
     harness.end_attempt(write_request, outcome);
-    harness.advance(330ms);  // after a refused connection the host gets a trial request first
+    harness.advance(330ms);  // after a refused connection the retry is the host's trial request
     EXPECT_EQ(harness.attempts[write_request], 2U);
   }
 }
 
+// The class has DedupScope::group; with DedupScope::all the request would be refused.
 TEST(DuplicateExecution, KeyedRequestIsRetriedOnlyWithinItsDedupWindowAndNeverRefused) {
   Harness harness;
   harness.answer_probe(1, harness.now, true);
@@ -599,6 +600,7 @@
     harness.end_attempt(request, Outcome::ok, AnswerMetadata{Role::replica, {}});
   }
   EXPECT_GE(cold_sends, 1);
+  // One half of the requests: the budget follows from the work per warm host, and hosts 1 and 3 are warm.
   EXPECT_LE(cold_sends, 60)
       << "capacity share 0.2 x overload multiple 3 x one half, of the warm hosts' requests";
   harness.advance(11s);
@@ -815,7 +817,7 @@
   fleet.begin_cold_start();
   fleet.run(10s, 1, 2.0 / RouterFleet::groups);
   EXPECT_LE(fleet.max_budget_use(), 1) << "although its group's traffic doubles";
-  EXPECT_GE(fleet.cold_sends(), 70) << "the budget is used";  // 61 with half of the budget
+  EXPECT_GE(fleet.cold_sends(), 70) << "the budget is used";  // 46 with half of slow_start_budget_share
 }
 
 TEST(SlowStart, RequestsWaitingAtAllRoutersStayWithinTheBudgetOnceThePrimaryIsKnown) {
@@ -949,8 +951,9 @@
   EXPECT_GT(writes, reads);
 }
 
-/// A single primary is loaded so that some requests are shed: writes and fresh reads have no other host, so
-/// fallback reads have to be shed first.
+/// Two routers, each with a primary as its only host, get the same load: one of fresh reads, the other of
+/// bounded reads, which fall back to the primary. The router of the fallback reads has to shed more, because
+/// writes and fresh reads have no other host.
 TEST(Admission, LoadedPrimaryShedsFallbackReadsFirst) {
   std::map<int, int> served;
   for (const auto class_id : {fresh, bounded}) {
