--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -552,8 +552,7 @@
     answer.message = std::move(it->second.message);
     answer.last_outcome = it->second.last_outcome;
   }
-  if (auto* sink = std::exchange(it->second.sink, nullptr))
-    sink->finish(id, std::move(answer));
+  if (auto* sink = std::exchange(it->second.sink, nullptr)) sink->finish(id, std::move(answer));
 }
 
 /// Notifies the gates of a request's end, and counts it for its class and tenant.
