--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -671,9 +671,12 @@
       << R"({"name":"killed","gateways":5,"groups":1,"members":3,"seconds":30,"load":0.2})";
   const auto pid = start_rig(out + "/scenario.json", out);
   const auto until = std::chrono::steady_clock::now() + 20s;
-  while (processes_using(out).size() < 5 && std::chrono::steady_clock::now() < until)
+  // A process that starts executes the rig first and then the gateway. In between its environment is empty,
+  // so the result of the same look is checked that ended the loop: a further look could miss a process.
+  auto processes = processes_using(out);
+  for (; processes.size() < 5 && std::chrono::steady_clock::now() < until; processes = processes_using(out))
     std::this_thread::sleep_for(20ms);
-  EXPECT_EQ(processes_using(out).size(), 5U);
+  EXPECT_EQ(processes.size(), 5U);
   ::kill(pid, SIGKILL);
   ::waitpid(pid, nullptr, 0);
   while (!processes_using(out).empty() && std::chrono::steady_clock::now() < until)
