--- a/include/cedarring/router.h
+++ b/include/cedarring/router.h
@@ -229,9 +229,9 @@
   RequestId request;
   HostId host;
   Time give_up_at{};  // end the attempt at this time; zero: no limit of its own
-  // Whether connecting may take the full connect timeout instead of the adaptive one, because only the
-  // primary can take the request or because this is a retry.
-  bool sole_candidate = false;
+  // Wait for a slow connection up to the full connect timeout instead of the adaptive one: no other host can
+  // take the request, or it is a retry already.
+  bool use_full_connect_timeout = false;
 };
 /// Cancel an attempt in flight.
 struct Cancel {
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -532,7 +532,8 @@
   if (request.ended || retry_barred || clock_() >= give_up_at)
     return attempt_ended(key, result_without_answer(Outcome::not_sent));
   const auto payload = request.payload;
-  upstream_.start(key, send.host, hosts_.address(send.host), payload, give_up_at, send.sole_candidate);
+  upstream_.start(key, send.host, hosts_.address(send.host), payload, give_up_at,
+                  send.use_full_connect_timeout);
 }
 
 /// Ends a request that was not served, and gives the client its final answer.
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -94,11 +94,11 @@
  public:
   virtual ~Upstream() = default;
   /// Starts an attempt, which sends `payload` to the host at `address` and ends by `give_up_at` at the
-  /// latest. `sole_candidate`: a slow connection is waited for during the full connect timeout, see
+  /// latest. `use_full_connect_timeout`: wait for a slow connection up to the full connect timeout, see
   /// cedarring::Send.
   virtual void start(AttemptKey key, HostId host, const std::string& address,
                      const std::shared_ptr<const RequestPayload>& payload, Time give_up_at,
-                     bool sole_candidate) = 0;
+                     bool use_full_connect_timeout) = 0;
   /// Cancels an attempt. The broker ignores a result of the attempt that is reported afterwards.
   virtual void cancel(AttemptKey key) = 0;
   /// Sends a probe, answered by Broker::probe_ended.
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -1027,8 +1027,9 @@
     host.in_flight_sends.insert(now_);
     if (capacity_share(host) < 1) host.slow_start_usage.add(now_, relative_work(request.class_id.value));
     host.last_send_at = now_;
-    const bool sole_candidate = requires_primary(request.class_id.value) || request.attempts.size() > 1;
-    actions_->push_back(Send{request.id, host.id, Time::zero(), sole_candidate});
+    const bool use_full_connect_timeout =
+        requires_primary(request.class_id.value) || request.attempts.size() > 1;
+    actions_->push_back(Send{request.id, host.id, Time::zero(), use_full_connect_timeout});
   }
 
   void on(const AttemptEnded& event) {
--- a/src/tools/lab/simulation.cpp
+++ b/src/tools/lab/simulation.cpp
@@ -48,7 +48,7 @@
       : simulation_(simulation), gateway_(gateway) {}
   void start(broker::AttemptKey key, HostId host, const std::string& address,
              const std::shared_ptr<const broker::RequestPayload>& payload, Time give_up_at,
-             bool sole_candidate) override;
+             bool use_full_connect_timeout) override;
   void cancel(broker::AttemptKey key) override;
   void probe(HostId host, const std::string& address) override;
   void open_watch() override;
@@ -576,7 +576,7 @@
 
 void SimulatedUpstream::start(broker::AttemptKey key, HostId, const std::string& address,
                               const std::shared_ptr<const broker::RequestPayload>& payload, Time give_up_at,
-                              bool /*sole_candidate*/) {
+                              bool /*use_full_connect_timeout*/) {
   auto& timeline = simulation_.timeline;
   ++simulation_.result.attempts;
   if (key.number >= max_attempts) ++simulation_.result.excess_attempts;
--- a/src/wire/upstream.cpp
+++ b/src/wire/upstream.cpp
@@ -52,8 +52,9 @@
   auto due = job_->give_up_at;
   const auto connect_timeout = owner_.options().connect_timeout;
   if (!handshake_done_) {
-    const auto allowed =
-        job_->sole_candidate ? connect_timeout : owner_.adaptive_connect_timeout().timeout(connect_timeout);
+    const auto allowed = job_->use_full_connect_timeout
+                             ? connect_timeout
+                             : owner_.adaptive_connect_timeout().timeout(connect_timeout);
     due = std::min(due, job_->started_at + allowed);
   }
   timer_.start(seconds(due - owner_.now()));
@@ -191,8 +192,8 @@
 
 void SocketUpstream::start(broker::AttemptKey key, HostId host, const std::string& address,
                            const std::shared_ptr<const broker::RequestPayload>& payload, Time give_up_at,
-                           bool sole_candidate) {
-  run(host, address, {key, payload, clock_(), give_up_at, sole_candidate});
+                           bool use_full_connect_timeout) {
+  run(host, address, {key, payload, clock_(), give_up_at, use_full_connect_timeout});
 }
 
 void SocketUpstream::probe(HostId host, const std::string& address) {
--- a/src/wire/upstream.h
+++ b/src/wire/upstream.h
@@ -25,7 +25,8 @@
   std::shared_ptr<const broker::RequestPayload> payload;  // null for a probe
   Time started_at{};
   Time give_up_at{};  // applies until the first part of a streamed answer; then only a stall ends the attempt
-  bool sole_candidate = true;  // the full connect timeout applies, see cedarring::Send; set for probes, too
+  bool use_full_connect_timeout =
+      true;  // instead of the adaptive one, see cedarring::Send; set for probes, too
 };
 
 /// One connection to a host. It executes one job at a time, up to the complete answer, and never resends a
@@ -151,7 +152,7 @@
 
   void start(broker::AttemptKey key, HostId host, const std::string& address,
              const std::shared_ptr<const broker::RequestPayload>& payload, Time give_up_at,
-             bool sole_candidate) override;
+             bool use_full_connect_timeout) override;
   void cancel(broker::AttemptKey key) override;
   void resume(broker::AttemptKey key) override;
   void probe(HostId host, const std::string& address) override;
