--- a/src/wire/mysql_client.h
+++ b/src/wire/mysql_client.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "wire/client.h"
-#include "wire/mysql_work.h"
+#include "wire/mysql_request.h"
 
 namespace cedarring::wire {
 
--- a/src/wire/mysql_host.h
+++ b/src/wire/mysql_host.h
@@ -4,7 +4,7 @@
 #include <list>
 #include <string>
 
-#include "wire/mysql_work.h"
+#include "wire/mysql_request.h"
 #include "wire/upstream.h"
 
 namespace cedarring::wire {
--- a/src/wire/pg_client.cpp
+++ b/src/wire/pg_client.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "wire/pg.h"
-#include "wire/pg_work.h"
+#include "wire/pg_request.h"
 
 namespace cedarring::wire {
 namespace {
--- a/src/wire/pg_client.h
+++ b/src/wire/pg_client.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "wire/client.h"
-#include "wire/pg_work.h"
+#include "wire/pg_request.h"
 
 namespace cedarring::wire {
 
--- a/src/wire/pg_host.h
+++ b/src/wire/pg_host.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "wire/pg_work.h"
+#include "wire/pg_request.h"
 #include "wire/upstream.h"
 
 namespace cedarring::wire {
