--- a/src/broker/connection_limits.h
+++ b/src/broker/connection_limits.h
@@ -9,10 +9,10 @@
 
 namespace cedarring::broker {
 
-/// The idle timeout of client connections, which shrinks as the connection limit fills up. The
-/// number of connections that all clients together may hold is reached long before this gateway's connection
-/// limit: with a fixed timeout, a crowd of clients that send one request and then keep their connection open
-/// keeps all other clients out.
+/// The idle timeout of client connections, which shrinks as the connection limit fills up. With a fixed
+/// timeout, a crowd of clients that each sent one request and then kept the connection idle used up all the
+/// connections that clients may hold (a third of the descriptors, in the deployment where it was seen), and
+/// nobody else could connect.
 struct IdleConnectionLimits {
   Duration max_idle = std::chrono::seconds(2);  // allowed while few connections are open
   // Allowed from `strict_share` on: long enough that a client that sends its next request at once keeps its
