--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -337,7 +337,9 @@
   request.may_have_run |= result.outcome != Outcome::connect_failed && result.outcome != Outcome::not_sent &&
                           result.outcome != Outcome::full && result.outcome != Outcome::too_stale;
   request.message = std::move(result.message);
-  // The position in the answer to a write is the write's commit, which only its primary is known to have.
+  // The answer to a write carries the write's commit position, which says nothing about which replicas have
+  // applied it: only the host's role is recorded, not the position. Replicas refuse writes, so the position
+  // in a replica's answer is its own and is recorded, as for reads.
   const auto& request_class = classes_[index_of(request.gate_request.class_id)].request_class;
   const bool position_is_commit =
       request_class.freshness == Freshness::write && result.metadata.role != Role::replica;
