--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -85,7 +85,9 @@
   LoadReport report;
   std::string value;
   std::string message;
-  bool connect_timed_out = false;  // connect_failed: the connection attempt timed out
+  // Whether the attempt ended by a timeout. Only read with the outcome connect_failed, where it tells a slow
+  // connection from a refused one.
+  bool connect_timed_out = false;
 };
 
 /// Carries out attempts, probes and the discovery watch. Their results may be reported to the broker before
