--- a/include/cedarring/router.h
+++ b/include/cedarring/router.h
@@ -136,7 +136,9 @@
   Duration quantum{5'000};              // resolution of the caller's clock and timers; 0 or more
   double probe_cost = 0;                // cost of one probe over the value of one request; 0: probes are free
   Duration connect_timeout{250'000};    // a connection that is not established by then has failed
-  Duration idle_timeout{15'000'000};    // idle connections to hosts are closed after this time
+  // Hosts close a connection that has been idle for this time. The gateway closes it after half of that, so
+  // that no request is written to a connection that the host is closing.
+  Duration idle_timeout{15'000'000};
 };
 
 /// Validates the settings. Throws std::invalid_argument, whose text is the configuration key of the first
--- a/src/wire/upstream.cpp
+++ b/src/wire/upstream.cpp
@@ -335,8 +335,8 @@
   broker_->timer_fired();
 }
 
-/// Idle connections are closed after half the idle timeout, well before the host would close them: a request
-/// written at that moment would be lost.
+/// Hosts close a connection that has been idle for the idle timeout. The gateway closes it after half of
+/// that, so that no request is written to a connection that the host is closing.
 void SocketUpstream::sweep(ev::timer&, int) {
   for (auto* idle : pool_.take_expired(clock_() - options_.idle_timeout / 2)) close(idle);
 }
--- a/src/wire/upstream.h
+++ b/src/wire/upstream.h
@@ -25,8 +25,8 @@
   std::shared_ptr<const broker::RequestPayload> payload;  // null for a probe
   Time started_at{};
   Time give_up_at{};  // applies until the first part of a streamed answer; then only a stall ends the attempt
-  bool use_full_connect_timeout =
-      true;  // instead of the adaptive one, see cedarring::Send; set for probes, too
+  // Instead of the adaptive connect timeout, see cedarring::Send; set for probes, too.
+  bool use_full_connect_timeout = true;
 };
 
 /// One connection to a host. It executes one job at a time, up to the complete answer, and never resends a
@@ -109,7 +109,8 @@
   /// Limits on the connections to all hosts; Duration counts microseconds.
   struct Options {
     Duration connect_timeout{250'000};  // from the start of a connect to the end of the handshake
-    Duration idle_timeout{30'000'000};  // idle connections are closed after half of it
+    // Hosts close a connection that has been idle for this time; the gateway closes it after half of that.
+    Duration idle_timeout{30'000'000};
     std::size_t max_connections = 300;
   };
   using Clock = broker::Broker::Clock;
@@ -182,6 +183,7 @@
   /// Abandons the connection's job, if any, and removes the connection.
   void close(HostConnection* connection);
   void on_timer(ev::timer&, int);
+  /// Closes connections that have been idle for half the idle timeout.
   void sweep(ev::timer&, int);
   void start_timer();
   /// Computes the connection limit and tells the broker how many attempts may be in flight within it.
