--- a/src/sim/adapter.cpp
+++ b/src/sim/adapter.cpp
@@ -269,6 +269,7 @@
     item.host = line.require("host");
     item.zone = line.text("region_part").value_or("");
     item.entry.group = GroupId{line.text("group") ? line.require_int("group") : 0};
+    // The simulator writes flags as decimal numbers, 0 or 1.
     item.entry.listed_primary = line.number("primary").value_or(0) >= 0.5;
     constexpr std::uint64_t gone_mode = 0;
     constexpr std::uint64_t draining_mode = 1;
