--- a/src/handover/router_snapshot.cpp
+++ b/src/handover/router_snapshot.cpp
@@ -67,7 +67,9 @@
   outlier.failure_score = in_range_or_least(snapshot.failure_score, 0, 1);
   if (const auto last_outcome = time_from_age(snapshot.last_outcome_age, now))
     outlier.last_outcome_at = std::min(*last_outcome, now);
-  // Ignores an ejection that ends, or has ended, more than max_age from now: a router sets none that long.
+  // Ejections last at most 16 times the longest latency target, times a random factor of up to 1.25: in
+  // practice minutes. One that ends, or has ended, more than max_age (a day) from now is taken for corrupt
+  // and ignored.
   if (snapshot.ejection_remaining && *snapshot.ejection_remaining <= max_age &&
       *snapshot.ejection_remaining >= -max_age)
     outlier.ejected_until = now + *snapshot.ejection_remaining;
