--- a/src/wire/discovery.cpp
+++ b/src/wire/discovery.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr std::size_t max_object_size = std::size_t{1} << 20U;  // bytes
-/// Start times from this on (milliseconds since 1970) are ignored as invalid.
+/// Start times from late 2286 on (milliseconds since 1970) are taken for invalid; the bound keeps sums
+/// with durations, in microseconds, within 64 bits.
 constexpr double max_started_ms = 1e13;
 constexpr std::size_t input_buffer_size = 65536;  // bytes
 constexpr std::size_t output_buffer_size = 4096;  // bytes
--- a/src/wire/dns.cpp
+++ b/src/wire/dns.cpp
@@ -41,7 +41,9 @@
 constexpr std::int64_t max_u32 = 0xffffffff;
 constexpr std::uint16_t first_meta_type = 249;
 constexpr std::uint16_t last_meta_type = 254;
-constexpr std::int64_t started_limit_ms = 10'000'000'000'000;  // larger times do not fit the router's clock
+// Start times from late 2286 on are taken for invalid; the bound keeps sums with durations, in
+// microseconds, within 64 bits.
+constexpr std::int64_t started_limit_ms = 10'000'000'000'000;
 
 // Numbers of 16 and 32 bits in network byte order.
 
--- a/src/wire/statement.cpp
+++ b/src/wire/statement.cpp
@@ -6,7 +6,9 @@
 constexpr std::size_t max_number_digits = 18;         // always fits a signed 64-bit number
 constexpr std::size_t max_id_size = 128;              // bytes; ids are kept while their requests are open
 constexpr std::int64_t max_deadline_ms = 86'400'000;  // one day
-constexpr std::int64_t position_limit_ms = 10'000'000'000'000;  // larger ones do not fit the router's clock
+// Positions from late 2286 on are taken for invalid; the bound keeps sums with durations, in
+// microseconds, within 64 bits.
+constexpr std::int64_t position_limit_ms = 10'000'000'000'000;
 
 }  // namespace
 
