--- a/src/wire/pg_request.h
+++ b/src/wire/pg_request.h
@@ -13,10 +13,12 @@
 /// The largest message that is buffered whole: a statement with a value of 64 KiB in hexadecimal.
 inline constexpr std::size_t pg_max_message_size = 200 * 1024;
 
+/// Allowance for a row's header and a little more, beside its value.
+inline constexpr std::size_t pg_row_overhead = 64;
 /// Rows longer than this are streamed to the client; a row with a value of 64 KiB is still buffered whole.
-inline constexpr std::size_t pg_stream_threshold = 64 * 1024 + 64;
+inline constexpr std::size_t pg_stream_threshold = 64 * 1024 + pg_row_overhead;
 /// The longest row accepted from a host: a value of 4 MiB in hexadecimal.
-inline constexpr std::size_t pg_max_row_size = (std::size_t{8} << 20U) + 64;
+inline constexpr std::size_t pg_max_row_size = (std::size_t{8} << 20U) + pg_row_overhead;
 
 /// Long statements are written to a host in chunks of this size.
 inline constexpr std::size_t pg_write_chunk_size = 64 * 1024;
