--- a/src/levels/levels.cpp
+++ b/src/levels/levels.cpp
@@ -467,7 +467,8 @@
   config.pressure.levels.push_back(normal_level());
   if (!primary_requests.empty()) {
     auto relief = make_level("relief", 0.08, 0.10, milliseconds(2500));
-    relief.adjustments.read_spillover = 0.2;  // see docs/levels.md
+    // Leaves at least four fifths of the primary's limit to writes while replicas are only busy.
+    relief.adjustments.read_spillover = 0.2;
     config.pressure.levels.push_back(std::move(relief));
     auto trim = make_level("trim", 0.15, 0.25, milliseconds(1500));
     auto shed_history = make_level("shed-history", 0.25, 0.35, milliseconds(1500));
