--- a/src/tools/rig/rig.cpp
+++ b/src/tools/rig/rig.cpp
@@ -966,11 +966,18 @@
   std::ofstream(options_.out + "/result.json") << "{\"complete\":false}\n";
   std::signal(SIGPIPE, SIG_IGN);
   const int host_count = scenario_.groups * scenario_.members;
-  // For each gateway: some connections to every host it uses, its clients and discovery; plus the listeners.
+  // For each gateway: its connections to hosts, its clients and discovery; plus the listeners. A gateway's
+  // connections to hosts are estimated: one to each host, but at most the quarter of its descriptors that
+  // broker::split_connections always leaves to hosts, after those that it keeps for itself.
+  constexpr int gateway_reserved_descriptors = 48;
+  constexpr int min_gateway_connections = 64;
+  constexpr int guaranteed_host_divisor = 4;  // a gateway's connections over those always left to hosts
   constexpr int spare_descriptors = 200;
   const double needed_descriptors =
       static_cast<double>(scenario_.gateways) *
-          std::min<double>(host_count, std::max(64, scenario_.sockets - 48) / 4) +
+          std::min<double>(host_count, std::max(min_gateway_connections,
+                                                scenario_.sockets - gateway_reserved_descriptors) /
+                                           guaranteed_host_divisor) +
       full_load_rate(scenario_) * scenario_.load * std::max(1.0, scenario_.ramp) + scenario_.gateways * 2 +
       (host_count * scenario_.gateways > wildcard_listener_links ? host_count
                                                                  : host_count * scenario_.gateways) +
@@ -995,7 +1002,8 @@
       }(),
       class_rules(scenario_), timeline_.now());
   result_.classes.resize(scenario_.classes.size());
-  // The network of this run, from the process id.
+  // The network of this run, from the process id. Two runs at once may take the same network; the gateways of
+  // the second then fail to listen on their control ports, and the run ends with an error.
   const auto network = "127." + std::to_string(20 + ::getpid() % 200);
   char path[PATH_MAX] = "";
   const std::string out = ::realpath(options_.out.c_str(), path) ? path : options_.out;
