--- a/src/wire/control_endpoint.h
+++ b/src/wire/control_endpoint.h
@@ -35,8 +35,8 @@
 /// The listener of the control endpoint and its connections.
 class ControlServer {
  public:
-  /// Returns the response to a request. Must not block: it runs in the event loop, and clients wait for 1 s
-  /// only.
+  /// Returns the response to a request. Must not block: it runs in the event loop, and checks of liveness and
+  /// readiness commonly time out after 1 s.
   using Handler = std::function<ControlResponse(const ControlRequest&)>;
   /// Listens on exactly `address`. Throws std::system_error.
   ControlServer(ev::loop_ref loop, Reaper& reaper, const std::string& address, Handler handler);
