--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -493,7 +493,8 @@
   EXPECT_EQ(fleet.request_count(), 1U);
 }
 
-/// A gateway with connection limits of twelve clients and four connections to its host.
+/// A gateway with 64 descriptors. It reserves 48 of them for itself (src/app/gateway.cpp); three quarters of
+/// the other 16 are for twelve clients, one quarter for four connections to its host (src/app/service.cpp).
 struct SmallGateway {
   PgStandIn host;
   std::unique_ptr<Discovery> discovery;
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -550,7 +550,7 @@
       rules.insert(violation["rule"].GetString());
       EXPECT_NE(std::string(violation["course"].GetString()).find("g"), std::string::npos);
     }
-    EXPECT_EQ(test_case.rule.empty() ? rules.empty() : rules.count(test_case.rule) == 1, true)
+    EXPECT_TRUE(test_case.rule.empty() ? rules.empty() : rules.count(test_case.rule) == 1)
         << test_case.defect << '\n'
         << outcome.output;
     EXPECT_EQ(outcome.exit_code, test_case.rule.empty() ? outcome.exit_code : 1) << outcome.output;
