--- a/include/cedarring/router.h
+++ b/include/cedarring/router.h
@@ -143,7 +143,9 @@
   Duration quantum{5'000};              // resolution of the caller's clock and timers; 0 or more
   double probe_cost = 0;                // cost of one probe over the value of one request; 0: probes are free
   Duration connect_timeout{250'000};    // a connection that is not established by then has failed
-  Duration idle_timeout{15'000'000};    // idle connections to hosts are closed after this time
+  // Hosts close a connection that has been idle for this time. The gateway closes it after half of that, so
+  // that no request is written to a connection that the host is closing.
+  Duration idle_timeout{15'000'000};
 };
 
 /// Validates the settings. Throws std::invalid_argument, whose text is the configuration key of the first
@@ -236,9 +238,9 @@
   RequestId request;
   HostId host;
   Time give_up_at{};  // end the attempt at this time; zero: no limit of its own
-  // Whether connecting may take the full connect timeout instead of the adaptive one, because only the
-  // primary can take the request or because this is a retry.
-  bool sole_candidate = false;
+  // Wait for a slow connection up to the full connect timeout instead of the adaptive one: no other host can
+  // take the request, or it is a retry already.
+  bool use_full_connect_timeout = false;
 };
 /// Cancel an attempt in flight.
 struct Cancel {
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -85,7 +85,9 @@
   LoadReport report;
   std::string value;
   std::string message;
-  bool connect_timed_out = false;  // connect_failed: the connection attempt timed out
+  // Whether the attempt ended by a timeout. Only read with the outcome connect_failed, where it tells a slow
+  // connection from a refused one.
+  bool connect_timed_out = false;
 };
 
 /// Carries out attempts, probes and the discovery watch. Their results may be reported to the broker before
@@ -95,11 +97,11 @@
   virtual ~Upstream() = default;
   /// Starts an attempt, which sends `payload` to the host at `address` and ends by `give_up_at` at the
   /// latest. That limit ends with the first part of a long answer: from then on only a stall ends the attempt
-  /// early. `sole_candidate`: a slow connection is waited for during the full connect timeout, see
+  /// early. `use_full_connect_timeout`: wait for a slow connection up to the full connect timeout, see
   /// cedarring::Send.
   virtual void start(AttemptKey key, HostId host, const std::string& address,
                      const std::shared_ptr<const RequestPayload>& payload, Time give_up_at,
-                     bool sole_candidate) = 0;
+                     bool use_full_connect_timeout) = 0;
   /// Cancels an attempt. The broker ignores a result of the attempt that is reported afterwards.
   virtual void cancel(AttemptKey key) = 0;
   /// Sends a probe, answered by Broker::probe_ended.
