--- a/src/tools/rig/rig.cpp
+++ b/src/tools/rig/rig.cpp
@@ -175,8 +175,8 @@
 double Rig::elapsed_seconds() const { return seconds(timeline_.now() - load_started_at_); }
 
 SecondResult& Rig::current_second() {
-  constexpr double max_index = 3600;
-  const auto index = static_cast<std::size_t>(std::clamp(elapsed_seconds(), 0.0, max_index));
+  constexpr double last_index = 3600;  // all later seconds count in this one
+  const auto index = static_cast<std::size_t>(std::clamp(elapsed_seconds(), 0.0, last_index));
   while (result_.seconds.size() <= index) {
     result_.seconds.emplace_back();
     result_.seconds.back().attempts_by_host.resize(hosts_.size());
@@ -239,7 +239,7 @@
       return;
     }
     const int gateway = gateway_of(fd.get());
-    if (gateway < 0) continue;
+    if (gateway < 0) continue;  // not made to a gateway's link address
     if (it->second == discovery_index) {
       discovery_links_.push_back(new DiscoveryLink(*this, std::move(fd), gateway));
       continue;
@@ -592,6 +592,7 @@
   sql +=
       " /* id=" + attempt.id + ",c=" + request_class.name + ",t=" + scenario_.tenants[request->tenant].name +
       ",d=" + std::to_string(std::max<std::int64_t>(1, (request->deadline - attempt.sent_at).count() / 1000));
+  // Each attempt of a client has a deduplication key of its own.
   if (request_class.idempotency == Idempotency::keyed) sql += ",k=key-" + attempt.id;
   if (request->attempts > 0) sql += ",r=1";
   sql += ",cluster=" + std::to_string(request->group + 1) + " */";
@@ -1066,12 +1067,12 @@
   load_started_at_ = timeline_.now();
   running_ = true;
   result_.events.clear();
-  const std::function<void()> tick = [this, &tick] {
+  const std::function<void()> each_second = [this, &each_second] {
     for (auto* watch : discovery_links_) watch->send_heartbeat();
     rules_->check_timeouts(timeline_.now());
-    timeline_.after(std::chrono::seconds(1), tick);
+    timeline_.after(std::chrono::seconds(1), each_second);
   };
-  timeline_.after(std::chrono::seconds(1), tick);
+  timeline_.after(std::chrono::seconds(1), each_second);
   if (options_.live)
     for (int i = 1; i <= static_cast<int>(scenario_.run_time.count() / 1'000'000); ++i)
       timeline_.after(std::chrono::seconds(i), [this, i] {
@@ -1092,6 +1093,7 @@
   const auto last_answer_by = end + longest_deadline(scenario_) + std::chrono::seconds(2);
   while (!open_attempts_.empty() && !gave_up_ && clock_.now() < last_answer_by) loop_.run(ev::ONCE);
   running_ = false;
+  // From this far ahead every time limit has passed: each request without an answer is reported.
   if (!gave_up_) rules_->check_timeouts(timeline_.now() + rest_of_run);
   stopping_ = true;
   for (int g = 0; g < scenario_.gateways; ++g) {
--- a/src/tools/rig/rig.h
+++ b/src/tools/rig/rig.h
@@ -51,7 +51,7 @@
   std::uint64_t served = 0;
   std::uint64_t in_time = 0;  // of those served
   std::uint64_t refused = 0;
-  std::uint64_t failed = 0;                     // also those without an answer
+  std::uint64_t failed = 0;                     // ClassResult::failed and lost; not those whose client left
   double worst_send_delay_ms = 0;               // largest delay between the intended and the actual send
   double p99_ms = 0;                            // of latencies_ms
   std::vector<float> latencies_ms;              // of served requests
@@ -69,17 +69,18 @@
   std::vector<TimelineEvent> events;
   std::vector<Violation> violations;
   std::uint64_t violation_count = 0;  // also those that are not stored in `violations`
-  std::uint64_t requests = 0;         // sent by clients, with the warm-up
+  std::uint64_t requests = 0;         // of clients, with the warm-up, without retries
   std::uint64_t attempts = 0;         // received by hosts
-  std::uint64_t crashes = 0;          // exits of gateways that should run, and failed exits after an upgrade
+  std::uint64_t crashes = 0;  // exits of gateways that should run, and failed exits of replaced processes
   // Share of the value requested after the warm-up; late answers count with their late value.
   double value_served = 0;
   double send_delay_p99_ms = 0;     // delay of the rig's own sends
   double startup_seconds = 0;       // until all gateways answered
   double gateways_cpu_seconds = 0;  // of all processes together
   double gateways_mb = 0;           // sum of the peak resident memory of all processes, in MiB
-  bool too_slow = false;            // the machine delayed the rig too much for the figures to count
-  std::string error;                // why the scenario could not be run; empty on success
+  // The machine delayed the rig too much, or the rig ran out of descriptors: the figures do not count.
+  bool too_slow = false;
+  std::string error;  // why the scenario could not be run; empty on success
 };
 
 class HostLink;
@@ -106,7 +107,7 @@
     std::string listen_address;  // address:port at which it accepts clients
     std::string folder;          // for its configuration and temporary files
     pid_t pid = -1;
-    pid_t previous_pid = -1;                // process replaced by an upgrade, until it has exited
+    pid_t previous_pid = -1;                // process that `pid` has replaced, until it has exited
     int starts = 0;                         // of processes so far
     bool in_rotation = false;               // answered a probe: the load balancer sends clients to it
     bool terminating = false;               // got SIGTERM: clients keep using the connections that stay open
@@ -123,7 +124,7 @@
     std::vector<std::unique_ptr<ev::io>> accept_watchers;
     std::vector<int> ports;  // by gateway, or a single one for all
     double slowdown = 1;     // multiple of the normal time of a request
-    // Shares of the requests.
+    // Shares of the requests: answered with an error, reset, or answered wrongly (see FaultKind).
     double failure_share = 0;
     double abort_share = 0;
     double bad_answer_share = 0;
@@ -222,7 +223,8 @@
   [[nodiscard]] ClientLink* take_idle_client(Gateway& gateway);
   /// Sends SIGTERM, and SIGKILL if the process has not exited within the time allowed for draining.
   void terminate_gateway(int gateway);
-  /// The client leaves before its deadline, in one of the ways of ClientExit. `id`: of its attempt.
+  /// The client leaves before its deadline, in one of the ways of ClientLink::ClientExit. `id`: of its
+  /// attempt.
   void leave_early(const std::string& id);
   /// Retries a refused request once, or counts the outcome.
   void on_answer(const ClientAttempt& attempt, Answer answer, Duration retry_after);
@@ -268,16 +270,16 @@
   Host discovery_;                                           // only its listeners and ports are used
   std::map<const ev::io*, int> host_by_watcher_;             // host index, or discovery_index
   std::unordered_map<std::uint64_t, HostLink*> host_links_;  // by number of the link
-  // By id of the attempt that the host has received and not ended.
+  // By id of the client's attempt: the connections on which hosts have received it and not answered.
   std::unordered_map<std::string, std::vector<HostLink*>> links_by_request_;
   std::vector<DiscoveryLink*> discovery_links_;
   std::unordered_map<std::string, ClientAttempt> open_attempts_;  // by attempt id
   std::vector<std::unique_ptr<ClientLink>> clients_;
   std::uint64_t next_link_number_ = 1;
   std::uint64_t next_attempt_id_ = 1;
-  lab::Random arrival_random_;
-  lab::Random fault_random_;  // for faults drawn for each request
-  lab::Random exit_random_;   // for clients that leave early
+  lab::Random arrival_random_;  // for arrival times and what is requested
+  lab::Random fault_random_;    // for faults drawn for each request, and the gateway of each attempt
+  lab::Random exit_random_;     // for clients that leave early
   std::optional<RuleChecker> rules_;
   std::vector<float> send_delays_;  // in ms
   RunResult result_;
--- a/src/tools/rig/rules.h
+++ b/src/tools/rig/rules.h
@@ -1,6 +1,23 @@
 // Checks the rules that all gateways together must keep, from what hosts and clients observed. Takes events
 // with their times and reports violations; no I/O and no clock of its own. Finished requests are forgotten
 // after Limits::retention, so the load bounds the memory used.
+//
+// The rules, by the name in Violation::rule:
+// - "one final answer": a client gets exactly one answer, unless it leaves.
+// - "in time": the answer comes by the deadline, with Limits::grace.
+// - "a host's value": a value served is one that a host returned for the request.
+// - "refused what may have run": a request that may have been executed is refused only if a retry is safe.
+// - "sent by nobody": hosts receive only what a client has sent.
+// - "six at most": a request has at most Limits::max_attempts attempts.
+// - "never two at once": a request has one attempt in flight at a time.
+// - "never again what may have run": a request that is not safe to repeat is not sent again once it may have
+//   been executed; a keyed one may be, within its deduplication window and scope.
+// - "nothing for one that left": no attempts later than Limits::client_exit_deadline after the client left.
+// - "nothing new after a drain": no attempts later than Limits::drain_deadline after discovery has told the
+//   gateway that the host is draining or gone.
+// - "no cold host tipped": a host that has just started is sent a limited amount of work in each
+//   Limits::overload_window.
+// - "no read too old": a bounded read is not served from data older than its staleness bound.
 #pragma once
 
 #include <algorithm>
@@ -19,7 +36,7 @@
 
 /// Limits of the rules. Durations are in microseconds.
 struct Limits {
-  std::size_t max_attempts = 6;           // for each request
+  std::size_t max_attempts = 6;           // at hosts, for each request id
   Duration grace{50'000};                 // added to each time limit, for delays on sockets
   Duration drain_deadline{1'000'000};     // from a drain notice until attempts may no longer arrive
   Duration stale_grace{100'000};          // added to the staleness bound of a read
@@ -47,12 +64,14 @@
 
 /// A broken rule.
 struct Violation {
-  std::string rule;
+  std::string rule;     // its name, from the list above
   std::string request;  // its id
   std::string details;  // a description and the trace of the request, with times in ms since the start
 };
 
-/// Collects events and reports violations. Gateways and hosts are identified by their index.
+/// Collects events and reports violations. Gateways and hosts are identified by their index. A request is one
+/// send by a client to one gateway, under an id of its own: a client's retry is another request. An attempt
+/// is one send of a request by its gateway to a host.
 class RuleChecker {
  public:
   RuleChecker(const Limits& limits, std::vector<ClassRule> classes, Time start);
--- a/src/tools/rig/scenario.cpp
+++ b/src/tools/rig/scenario.cpp
@@ -310,7 +310,7 @@
     write_string("effect", request_class.idempotency == Idempotency::safe    ? "read_like"
                            : request_class.idempotency == Idempotency::keyed ? "idempotency_key"
                                                                              : "non_idempotent");
-    write_string("group", "cell");
+    write_string("group", "cell");  // the scope of deduplication: hosts of the same replica group
     write_integer("window", to_ms(request_class.dedup_window));
     writer.EndObject();
   }
