--- a/src/tools/lab/host_model.h
+++ b/src/tools/lab/host_model.h
@@ -40,6 +40,8 @@
   Freshness freshness = Freshness::any;
   Duration staleness_bound{};        // of a bounded read
   std::optional<Time> min_position;  // of a session read: the position that the host must have reached
+  /// Called once with the answer; never if the job is cancelled, running when the host crashes, or
+  /// dropped by an unresponsive host.
   std::function<void(Outcome, AnswerMetadata)> on_done;
 };
 
@@ -65,14 +67,14 @@
   void set_draining(bool draining) { draining_ = draining; }
   /// Multiplies the time that a replica takes to apply a write.
   void set_apply_slowdown(double factor) { apply_slowdown_ = factor; }
-  /// An unresponsive host accepts requests and sends no answers. The missing answers are sent when it
-  /// responds again.
+  /// An unresponsive host drops new requests unanswered, finishes running ones and starts no queued ones.
+  /// When it responds again, it sends the answers of the finished ones and runs the queued ones.
   void set_unresponsive(bool unresponsive);
   [[nodiscard]] bool alive() const { return alive_; }
   [[nodiscard]] bool unresponsive() const { return unresponsive_; }
   /// What the host reports with each answer: its role and position.
   [[nodiscard]] AnswerMetadata metadata() const;
-  /// The answer to a probe: role, position and queue length.
+  /// The answer to a probe: role, position and the number of queued requests.
   [[nodiscard]] LoadReport load_report() const;
   /// The replication position, as the commit time up to which the host has the log applied.
   [[nodiscard]] Time position() const;
@@ -111,7 +113,7 @@
   std::string zone_;
   std::deque<QueuedJob> queue_;
   std::vector<std::uint64_t> cancelled_;            // running jobs whose result is discarded
-  std::deque<std::function<void()>> held_answers_;  // sent when an unresponsive host responds again
+  std::deque<std::function<void()>> held_answers_;  // of jobs finished while unresponsive
   std::uint64_t next_number_ = 1;
   std::uint64_t process_number_ = 0;  // counts crashes: results of an earlier process are dropped
   int running_ = 0;
@@ -138,7 +140,7 @@
   [[nodiscard]] GroupId id() const { return id_; }
   /// Null while the group has no primary.
   [[nodiscard]] HostModel* primary() const { return primary_; }
-  /// The time at which the last primary failed.
+  /// The time at which the last primary failed; Time{} if none has.
   [[nodiscard]] Time primary_failed_at() const { return primary_failed_at_; }
   /// Crashes the primary. After `takeover` the replica with the most advanced position is promoted and passed
   /// to `on_promoted`.
--- a/src/tools/lab/simulation.cpp
+++ b/src/tools/lab/simulation.cpp
@@ -73,7 +73,8 @@
   std::uint64_t last_timer_ = 0;  // earlier timers are void
 };
 
-/// Notes whether the last request was beyond its tenant's budget.
+/// Notes whether the last request that reached it was beyond its tenant's budget. A request that the
+/// contracts refuse does not reach it, so the simulation then sees the value of an earlier request.
 class BudgetObserver : public gates::Gate {
  public:
   gates::Verdict admit(const gates::GateRequest& request, Time) override {
--- a/src/tools/lab/simulation.h
+++ b/src/tools/lab/simulation.h
@@ -78,19 +78,19 @@
   double traffic_skew = 1;
 };
 
-/// Counts of the requests of one class. Each request counts once as in_time, late, refused or failed, unless
-/// it is still open at the end.
+/// Counts of the requests of one class that arrived after the warm-up. Each request counts once as in_time,
+/// late, refused or failed, unless it is still open at the end.
 struct Tally {
-  std::uint64_t requests = 0;
-  std::uint64_t in_time = 0;  // served within the latency target of the class
-  std::uint64_t late = 0;     // served after the latency target
-  std::uint64_t refused = 0;  // last answer to the client: a refusal by a gate or the router
-  std::uint64_t failed = 0;   // neither served nor refused
-  // Refusals by a gate: the final ones, also counted in `refused`, and, in SimulationResult::within and
-  // beyond, those that the client retries.
+  std::uint64_t requests = 0;  // all that arrived, without the client's retries
+  std::uint64_t in_time = 0;   // served within the latency target of the class
+  std::uint64_t late = 0;      // served after the latency target
+  std::uint64_t refused = 0;   // the last answer to the client is a refusal
+  std::uint64_t failed = 0;    // neither served nor refused
+  // Refusals by a gate. Final ones are also counted in `refused`; SimulationResult::within and beyond count
+  // those that the client retries as well.
   std::uint64_t shed = 0;
-  double offered_value = 0;  // of all requests
-  double earned_value = 0;   // of those served
+  double offered_value = 0;  // what all requests would earn if served within the latency target
+  double earned_value = 0;   // of those served; less for late ones, by the class's late_value
 };
 
 /// How evenly reads are distributed over the replicas of their groups, after the warm-up.
@@ -113,16 +113,18 @@
 /// The counts of a run.
 struct SimulationResult {
   ReadDistribution read_distribution;
-  std::vector<Tally> within;                   // by class, within the tenant's budget
-  std::vector<Tally> beyond;                   // by class, beyond the tenant's budget
+  // By class: requests within, and beyond, the tenant's budget at the gateway of the first try. The broker
+  // decides that when it accepts this try; the contracts, if on, may count it as beyond as well.
+  std::vector<Tally> within;
+  std::vector<Tally> beyond;
   std::vector<Tally> by_tenant_class;          // at index tenant * number of classes + class
   std::vector<contracts::LedgerEntry> ledger;  // at index team * number of classes + class, sum over gateways
   std::vector<levels::AxisChange> level_changes;  // of the first gateway
   // Totals of the run, with the warm-up.
-  std::uint64_t requests = 0;
-  std::uint64_t events = 0;  // of the timeline
-  std::uint64_t attempts = 0;
-  std::uint64_t probes = 0;
+  std::uint64_t requests = 0;  // of the clients, without their retries
+  std::uint64_t events = 0;    // run on the timeline
+  std::uint64_t attempts = 0;  // sent to hosts
+  std::uint64_t probes = 0;    // sent to hosts
   // Attempts of reads that a replica may answer, by the role of their host.
   std::uint64_t replica_reads = 0;
   std::uint64_t primary_reads = 0;
