--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -35,8 +35,8 @@
 constexpr double ejections_interval_s = 0.05;
 /// How long clients are still accepted after SIGTERM: new connections keep arriving for 0.2 to 0.4 s.
 constexpr double serve_after_term_s = 0.5;
-/// SIGKILL follows SIGTERM after the longest deadline, counted as at most max_kill_deadline_s, plus this
-/// time.
+/// The platform that runs the gateway sends SIGTERM, and SIGKILL after the longest deadline, counted as at
+/// most max_kill_deadline_s, plus this time.
 constexpr double kill_after_s = 0.7;
 constexpr double max_kill_deadline_s = 3;
 /// How long before the SIGKILL pending requests are ended, so that their answers still reach the clients.
@@ -64,7 +64,7 @@
 /// The name of the handover socket: the same for all processes of a gateway, different for each gateway that
 /// shares the folder.
 std::string handover_name(const Config& config) {
-  const auto text = config.name + '\n' + config.platform.listen;
+  const auto text = config.name + '\n' + config.platform.listen;  // `platform`: the PostgreSQL front
   char hex[17];
   std::snprintf(hex, sizeof hex, "%016llx",
                 static_cast<unsigned long long>(XXH64(text.data(), text.size(), 0)));
@@ -116,6 +116,8 @@
                                     config.max_descriptors / 4) /
                            (config.mysql ? 2 : 1);
   // Another process of this gateway may be serving. An incomplete handover is ignored.
+  // Upgrades are on only with a control endpoint, whose /-/ready tells the operator when the new process
+  // serves.
   std::optional<wire::ReceivedHandover> predecessor;
   std::optional<std::vector<ServiceState>> state;
   if (const char* dir = std::getenv("TMPDIR"); dir && *dir && !config.control.empty()) {
@@ -137,6 +139,7 @@
         if (candidate.front == front) return &candidate;
     return nullptr;
   };
+  // `platform` configures the PostgreSQL front, so services_[0] is that front.
   services_.push_back(std::make_unique<Service>(
       loop, reaper_, clock, config.platform, connection_factories<wire::PgHost, wire::PgClient>(loop),
       descriptors, "postgresql", log_, listener("postgresql"), state_of_front("postgresql")));
@@ -324,6 +327,8 @@
       writer.Bool(view.has_primary);
       writer.Key("hosts");
       writer.Int(view.hosts);
+      // Hosts that are ejected or not responding. The packet "out" differs: it is for a host that an operator
+      // has disabled.
       writer.Key("out");
       writer.Int(view.unavailable);
       writer.Key("replicas");
@@ -415,6 +420,7 @@
       (segments[3] == "disable" || segments[3] == "enable")) {
     if (!has_method("POST")) return {405, "POST leaves a database host out, or takes it back\n", "POST"};
     const bool disabled = segments[3] == "disable";
+    // The text is the same if the host is known but too many hosts are disabled.
     if (!set_disabled(segments[2], disabled)) return {404, "nobody has this id\n", {}};
     return {200, segments[2] + (disabled ? " is left out\n" : " is used again\n"), {}};
   }
--- a/src/app/gateway.h
+++ b/src/app/gateway.h
@@ -55,6 +55,8 @@
   /// Answers a command on the admin socket. Never blocks.
   std::string answer_admin(const std::vector<std::string>& words);
   std::string answer_levels() const;
+  /// One object for each front and replica group, with counts of the group's hosts and their load. Keys that
+  /// differ from GroupView: "out" is `unavailable`, "window" is `concurrency_limit`; tools read these keys.
   std::string answer_hosts();
   /// The latest decision records, at most `max_records`.
   std::string answer_records(std::size_t max_records) const;
@@ -64,7 +66,8 @@
   wire::ControlResponse answer_control(const wire::ControlRequest& request);
   /// Whether this process accepts clients and can serve them on every front.
   [[nodiscard]] bool ready() const;
-  /// Disables or enables a host in all services and in the other process. False if no service has the host.
+  /// Disables or enables a host in all services and in the other process. False if no service accepts it:
+  /// none has the host, or too many hosts are disabled already.
   bool set_disabled(const std::string& host, bool disabled);
   /// Opens the admin socket, if one is configured and not open yet.
   void open_admin_socket();
