--- a/src/router/settings_parser.cpp
+++ b/src/router/settings_parser.cpp
@@ -16,6 +16,7 @@
 constexpr Keyword<Idempotency> idempotency_keywords[] = {{"read_like", Idempotency::safe},
                                                          {"idempotency_key", Idempotency::keyed},
                                                          {"non_idempotent", Idempotency::unsafe}};
+// In settings a cell is a replica group, as in discovery's lists.
 constexpr Keyword<DedupScope> dedup_scope_keywords[] = {
     {"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::group}};
 constexpr Keyword<Freshness> freshness_keywords[] = {{"mutate", Freshness::write},
--- a/src/sim/adapter.cpp
+++ b/src/sim/adapter.cpp
@@ -374,6 +374,7 @@
     const auto name = line.require("txn");
     RequestArrived event;
     event.time_left = from_ms(std::max(0.0, line.require_number("time_budget")));
+    // The simulator calls the replica group a cluster.
     event.group = GroupId{line.text("cluster_no") ? line.require_int("cluster_no") : 0};
     if (const auto age_ms = line.number("token_age_ms"); age_ms && *age_ms > 0)
       event.token_age = from_ms(*age_ms);
--- a/src/wire/client.cpp
+++ b/src/wire/client.cpp
@@ -252,7 +252,7 @@
   request.name = info.id;
   request.class_name = info.class_name;
   request.tenant = info.tenant;
-  request.group = GroupId{*info.cluster};
+  request.group = GroupId{*info.group};
   request.time_left = std::chrono::milliseconds(*info.deadline_ms);
   request.arrived = arrival_time();
   if (!info.session.empty()) request.session = session_id_of(info.session);
@@ -302,29 +302,29 @@
       idle_timeout_limit_(max_clients),
       factory_(std::move(factory)),
       listener_(listener.get() >= 0 ? std::move(listener) : listen_on(address, true)),
-      io_(loop),
-      accept_pause_(loop),
-      sweep_(loop),
+      accept_watcher_(loop),
+      accept_pause_timer_(loop),
+      sweep_timer_(loop),
       memory_budget_(std::make_shared<broker::MemoryBudget>(initial_memory_budget,
                                                             [this] {
-                                                              if (!memory_freed_.is_active())
-                                                                memory_freed_.start(0);
+                                                              if (!memory_freed_timer_.is_active())
+                                                                memory_freed_timer_.start(0);
                                                             })),
-      memory_freed_(loop) {
-  memory_freed_.set<ClientSet, &ClientSet::on_memory_freed>(this);
+      memory_freed_timer_(loop) {
+  memory_freed_timer_.set<ClientSet, &ClientSet::on_memory_freed>(this);
   if (listener_.get() < 0) throw std::system_error(errno, std::generic_category(), "listen: " + address);
-  io_.set<ClientSet, &ClientSet::on_connection>(this);
-  accept_pause_.set<ClientSet, &ClientSet::resume_accepting>(this);
-  sweep_.set<ClientSet, &ClientSet::sweep>(this);
-  sweep_.start(sweep_interval_s, sweep_interval_s);
+  accept_watcher_.set<ClientSet, &ClientSet::on_connection>(this);
+  accept_pause_timer_.set<ClientSet, &ClientSet::resume_accepting>(this);
+  sweep_timer_.set<ClientSet, &ClientSet::sweep>(this);
+  sweep_timer_.start(sweep_interval_s, sweep_interval_s);
 }
 
 void ClientSet::drain() {
-  io_.stop();
+  accept_watcher_.stop();
   // Clients in the listener's queue consider themselves connected: closing the listener would reset them.
   for (int i = 0; i < accept_rounds_at_drain && listening() && !transfer_ && accept_pending(); ++i) {
   }
-  accept_pause_.stop();
+  accept_pause_timer_.stop();
   listener_.reset();
   if (transfer_) return;  // the clients are transferred as they become idle
   // Copied, since closed clients are removed from clients_.
@@ -350,20 +350,20 @@
 }
 
 void ClientSet::start_handover(Transfer transfer) {
-  io_.stop();
-  accept_pause_.stop();
+  accept_watcher_.stop();
+  accept_pause_timer_.stop();
   transfer_ = std::move(transfer);
-  sweep_.stop();
-  sweep_.start(0, transfer_interval_s);
+  sweep_timer_.stop();
+  sweep_timer_.start(0, transfer_interval_s);
   transfer_idle();
 }
 
 void ClientSet::cancel_handover() {
   if (!transfer_) return;
   transfer_ = nullptr;
-  sweep_.stop();
-  sweep_.start(sweep_interval_s, sweep_interval_s);
-  io_.start(listener_.get(), ev::READ);
+  sweep_timer_.stop();
+  sweep_timer_.start(sweep_interval_s, sweep_interval_s);
+  accept_watcher_.start(listener_.get(), ev::READ);
 }
 
 /// Transfers the clients that are between two commands, and closes those that cannot be transferred.
@@ -391,13 +391,13 @@
 void ClientSet::remove(Client* client) {
   const auto it = clients_.find(client);
   if (it == clients_.end()) return;
-  if (client->lingering()) --lingering_;
+  if (client->lingering()) --lingering_count_;
   reaper_.add(std::move(it->second));
   clients_.erase(it);
 }
 
 void ClientSet::on_lingering(Client*) {
-  if (++lingering_ <= max_lingering) return;
+  if (++lingering_count_ <= max_lingering) return;
   Client* longest = nullptr;
   for (const auto& [key, client] : clients_)
     if (client->lingering() && (!longest || client->waiting_since() < longest->waiting_since()))
@@ -464,13 +464,13 @@
     if (fd.get() < 0) {
       // Out of descriptors or memory: pause, as the listener stays readable and the loop would spin.
       if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
-        io_.stop();
-        accept_pause_.start(accept_pause_s);
+        accept_watcher_.stop();
+        accept_pause_timer_.start(accept_pause_s);
       }
       if (errno != EINTR && errno != ECONNABORTED) return false;
       continue;
     }
-    if (new_client_) new_client_();
+    if (on_new_client_) on_new_client_();
     const bool full = !make_room();
     auto client = factory_(std::move(fd), *this);
     auto* raw = client.get();
--- a/src/wire/client.h
+++ b/src/wire/client.h
@@ -177,7 +177,7 @@
   [[nodiscard]] std::string address() const { return bound_address(listener_); }
   [[nodiscard]] const Fd& listener() const { return listener_; }
   void start_accepting() {
-    if (listening()) io_.start(listener_.get(), ev::READ);
+    if (listening()) accept_watcher_.start(listener_.get(), ev::READ);
   }
   /// Stops accepting, keeps the listener open, and transfers each client as it becomes idle. Clients that are
   /// not transferable are closed once idle.
@@ -194,9 +194,9 @@
   }
   /// Sets the callback that runs when a client has connected, before the client is counted; it may change the
   /// limit.
-  void set_new_client_callback(std::function<void()> callback) { new_client_ = std::move(callback); }
+  void set_new_client_callback(std::function<void()> callback) { on_new_client_ = std::move(callback); }
   /// Clients that count towards the limit: all but lingering ones.
-  [[nodiscard]] std::size_t active_count() const { return clients_.size() - lingering_; }
+  [[nodiscard]] std::size_t active_count() const { return clients_.size() - lingering_count_; }
   [[nodiscard]] std::size_t max_clients() const { return max_clients_; }
   /// All clients, with lingering ones.
   [[nodiscard]] std::size_t size() const { return clients_.size(); }
@@ -215,7 +215,7 @@
   bool accept_pending();
   void transfer_idle();
   void on_memory_freed(ev::timer&, int);
-  void resume_accepting(ev::timer&, int) { io_.start(); }
+  void resume_accepting(ev::timer&, int) { accept_watcher_.start(); }
   void sweep(ev::timer&, int);
   bool make_room();
   bool evict();
@@ -225,17 +225,17 @@
   Reaper& reaper_;
   broker::Broker& broker_;
   std::size_t max_clients_, idle_timeout_limit_;
-  std::function<void()> new_client_;
+  std::function<void()> on_new_client_;
   Factory factory_;
   Fd listener_;
-  ev::io io_;
-  ev::timer accept_pause_;  // runs while accepting is paused
-  ev::timer sweep_;
+  ev::io accept_watcher_;
+  ev::timer accept_pause_timer_;  // runs while accepting is paused
+  ev::timer sweep_timer_;
   broker::IdleConnectionLimits idle_limits_;
   std::shared_ptr<broker::MemoryBudget> memory_budget_;  // reservations may outlive this object
-  ev::timer memory_freed_;                               // runs on_memory_freed() from the event loop
-  std::size_t lingering_ = 0;                            // number of lingering clients
-  Transfer transfer_;                                    // set during a handover
+  ev::timer memory_freed_timer_;                         // runs on_memory_freed() from the event loop
+  std::size_t lingering_count_ = 0;
+  Transfer transfer_;  // set during a handover
   std::unordered_map<Client*, std::unique_ptr<Client>> clients_;
 };
 
--- a/src/wire/discovery.cpp
+++ b/src/wire/discovery.cpp
@@ -39,7 +39,7 @@
   member.id = string_member(entry, "id");
   member.address = string_member(entry, "addr");
   member.zone = string_member(entry, "zone");
-  const auto cell = entry.FindMember("cell");
+  const auto cell = entry.FindMember("cell");  // discovery's word for the replica group
   member.group = GroupId{cell != entry.MemberEnd() && cell->value.IsInt64() ? cell->value.GetInt64() : 0};
   const auto state = string_member(entry, "state");
   if (state == "SERVING")
--- a/src/wire/mysql_client.cpp
+++ b/src/wire/mysql_client.cpp
@@ -246,7 +246,7 @@
   if (statements_.size() >= max_statements || statement_memory() + sql.size() > max_statement_memory)
     return send_error(er_too_many_prepared_statements, "42000",
                       "Can't create more than max_prepared_stmt_count statements");
-  const auto id = next_statement_++;
+  const auto id = next_statement_id_++;
   auto& statement = statements_[id];
   statement.sql = sql;
   statement.placeholders = scan_statement(sql).placeholders;
--- a/src/wire/mysql_client.h
+++ b/src/wire/mysql_client.h
@@ -66,7 +66,7 @@
   bool logged_in_ = false;
   std::uint8_t sequence_ = 0;                      // of the next packet to write
   std::map<std::uint32_t, Statement> statements_;  // by the id that the client has been given
-  std::uint32_t next_statement_ = 1;               // the next id
+  std::uint32_t next_statement_id_ = 1;
 };
 
 }  // namespace cedarring::wire
--- a/src/wire/statement.cpp
+++ b/src/wire/statement.cpp
@@ -38,7 +38,7 @@
   else if (name == "d")
     return set_number(info.deadline_ms);
   else if (name == "cluster")
-    return set_number(info.cluster);
+    return set_number(info.group);
   else if (name == "after")
     return set_number(info.after_ms);
   return true;
@@ -48,7 +48,7 @@
   if (info.id.empty() || info.id.size() > max_id_size) return "id";
   if (info.class_name.empty()) return "c";
   if (!info.deadline_ms || *info.deadline_ms > max_deadline_ms) return "d";
-  if (!info.cluster) return "cluster";
+  if (!info.group) return "cluster";
   return {};
 }
 
--- a/src/wire/statement.h
+++ b/src/wire/statement.h
@@ -19,7 +19,7 @@
   std::string_view tenant;                  // t
   std::string_view key;                     // k: the deduplication key, for the hosts
   std::optional<std::int64_t> deadline_ms;  // d: counted from the arrival of the statement's last byte
-  std::optional<std::int64_t> cluster;      // cluster: the replica group
+  std::optional<std::int64_t> group;        // cluster: the replica group
   std::optional<std::int64_t> after_ms;     // after: the position (Unix time) that a read has to see
   bool retry = false;                       // r: whether the client repeats an earlier request
   std::string_view session;                 // the session's key: the first '...' literal before the comment
--- a/tests/support/bad_gateway.cpp
+++ b/tests/support/bad_gateway.cpp
@@ -131,7 +131,7 @@
     const auto members = fetch_members();
     std::vector<std::string> hosts;
     for (const auto& member : members.members)
-      if (member.group.value == *info.cluster && member.state == HostState::ready &&
+      if (member.group.value == *info.group && member.state == HostState::ready &&
           member.primary != for_replica)
         hosts.push_back(member.address);
     if (hosts.empty()) return;
