--- a/src/app/contracts_runner.cpp
+++ b/src/app/contracts_runner.cpp
@@ -25,13 +25,13 @@
 
 }  // namespace
 
-telemetry::Record record_of(const contracts::Breach& breach, const std::string& front_end,
+telemetry::Record record_of(const contracts::Breach& breach, const std::string& front,
                             const contracts::Config& config, const contracts::ServiceInfo& service) {
   telemetry::Record record;
   record.at = breach.to;
   record.kind = "breach";
   record.subject =
-      front_end + " " + config.teams[breach.team].name + " " + service.classes[breach.class_index].name;
+      front + " " + config.teams[breach.team].name + " " + service.classes[breach.class_index].name;
   if (breach.side == contracts::Side::team) {
     record.rule = "the team asked beyond its contract";
     record.readings = {{"promised_per_s", breach.promised}, {"asked_per_s", breach.measured}};
@@ -45,13 +45,13 @@
   return record;
 }
 
-telemetry::Record record_of(const contracts::ClosedWindow& window, const std::string& front_end,
+telemetry::Record record_of(const contracts::ClosedWindow& window, const std::string& front,
                             const contracts::Config& config, const contracts::ServiceInfo& service) {
   telemetry::Record record;
   record.at = window.to;
   record.kind = "ledger";
   record.subject =
-      front_end + " " + config.teams[window.team].name + " " + service.classes[window.class_index].name;
+      front + " " + config.teams[window.team].name + " " + service.classes[window.class_index].name;
   const auto& entry = window.entry;
   const auto add_count = [&](const char* name, std::uint64_t count) {
     record.readings.emplace_back(name, static_cast<double>(count));
@@ -74,10 +74,10 @@
   return record;
 }
 
-ContractsRunner::ContractsRunner(ev::loop_ref loop, std::string front_end, ContractsConfig config,
+ContractsRunner::ContractsRunner(ev::loop_ref loop, std::string front, ContractsConfig config,
                                  contracts::ServiceInfo service, broker::Broker& broker,
                                  broker::Broker::Clock clock, telemetry::Log& log)
-    : front_end_(std::move(front_end)),
+    : front_(std::move(front)),
       service_(service),
       calendar_(config.calendar),
       contracts_(with_closures(std::move(config), clock()), std::move(service)),
@@ -103,9 +103,8 @@
   std::vector<contracts::ClosedWindow> closed_windows;
   contracts_.step(now, contracts::resource_loads(views_), breaches, &closed_windows);
   for (const auto& window : closed_windows)
-    log_.record(record_of(window, front_end_, contracts_.config(), service_));
-  for (const auto& breach : breaches)
-    log_.record(record_of(breach, front_end_, contracts_.config(), service_));
+    log_.record(record_of(window, front_, contracts_.config(), service_));
+  for (const auto& breach : breaches) log_.record(record_of(breach, front_, contracts_.config(), service_));
 }
 
 void ContractsRunner::reload(ContractsConfig config) {
@@ -131,7 +130,7 @@
   };
   const auto& config = contracts_.config();
   writer.StartObject();
-  add_string("front", front_end_.c_str());
+  add_string("front", front_.c_str());
   add_string("mode", mode_name(config.mode));
   writer.Key("closure");
   writer.Bool(contracts_.in_closure(clock_()));
--- a/src/app/contracts_runner.h
+++ b/src/app/contracts_runner.h
@@ -1,4 +1,4 @@
-// Runs the contracts of one front end on the event loop: periodic steps, closure windows from the calendar,
+// Runs the contracts of one front on the event loop: periodic steps, closure windows from the calendar,
 // and records of ledger windows and breaches.
 #pragma once
 
@@ -14,20 +14,20 @@
 namespace cedarring::app {
 
 /// The log record of a breach.
-telemetry::Record record_of(const contracts::Breach& breach, const std::string& front_end,
+telemetry::Record record_of(const contracts::Breach& breach, const std::string& front,
                             const contracts::Config& config, const contracts::ServiceInfo& service);
 
 /// The log record of a closed ledger window. `cedarring report contracts` uses the names of its readings as
 /// columns.
-telemetry::Record record_of(const contracts::ClosedWindow& window, const std::string& front_end,
+telemetry::Record record_of(const contracts::ClosedWindow& window, const std::string& front,
                             const contracts::Config& config, const contracts::ServiceInfo& service);
 
-/// Evaluates the contracts of one front end on a timer of the event loop.
+/// Evaluates the contracts of one front on a timer of the event loop.
 class ContractsRunner {
  public:
   /// Adds the contracts to the broker's gates and starts the timer. `broker` and `log` have to outlive the
   /// runner.
-  ContractsRunner(ev::loop_ref loop, std::string front_end, ContractsConfig config,
+  ContractsRunner(ev::loop_ref loop, std::string front, ContractsConfig config,
                   contracts::ServiceInfo service, broker::Broker& broker, broker::Broker::Clock clock,
                   telemetry::Log& log);
   /// Applies a new configuration. Teams that keep their name keep their state.
@@ -39,7 +39,7 @@
 
  private:
   void tick(ev::timer&, int);
-  std::string front_end_;
+  std::string front_;
   contracts::ServiceInfo service_;
   Calendar calendar_;
   contracts::Contracts contracts_;
--- a/src/app/levels_runner.cpp
+++ b/src/app/levels_runner.cpp
@@ -26,14 +26,14 @@
 
 }  // namespace
 
-telemetry::Record to_record(const levels::AxisChange& axis_change, const std::string& front_end,
+telemetry::Record record_of(const levels::AxisChange& axis_change, const std::string& front,
                             const levels::ServiceInfo& service) {
   const auto& change = axis_change.change;
   telemetry::Record record;
   record.at = change.at;
   record.kind = "level";
   record.subject =
-      front_end + (axis_change.group ? " group " + std::to_string(axis_change.group->value) : " pressure");
+      front + (axis_change.group ? " group " + std::to_string(axis_change.group->value) : " pressure");
   record.from = change.from;
   record.to = change.to;
   record.rule = levels::name_of(change.cause);
@@ -59,10 +59,10 @@
   return record;
 }
 
-LevelsRunner::LevelsRunner(ev::loop_ref loop, std::string front_end, levels::Config config,
+LevelsRunner::LevelsRunner(ev::loop_ref loop, std::string front, levels::Config config,
                            levels::ServiceInfo service, broker::Broker& broker, broker::Broker::Clock clock,
                            Hooks hooks, telemetry::Log& log)
-    : front_end_(std::move(front_end)),
+    : front_(std::move(front)),
       service_(service),
       levels_(std::move(config), std::move(service)),
       broker_(broker),
@@ -101,7 +101,7 @@
 
 void LevelsRunner::publish(std::vector<levels::AxisChange>& changes) {
   if (changes.empty()) return;
-  for (const auto& change : changes) log_.record(to_record(change, front_end_, service_));
+  for (const auto& change : changes) log_.record(record_of(change, front_, service_));
   apply_adjustments();
 }
 
@@ -155,7 +155,7 @@
   };
   writer.StartObject();
   writer.Key("front");
-  writer.String(front_end_.c_str());
+  writer.String(front_.c_str());
   writer.Key("mode");
   const auto mode = levels_.config().mode;
   writer.String(mode == levels::Mode::on ? "on" : mode == levels::Mode::watch ? "watch" : "off");
--- a/src/app/levels_runner.h
+++ b/src/app/levels_runner.h
@@ -1,4 +1,4 @@
-// Runs the levels of reduced service of one front end: collects readings at a fixed interval, applies the
+// Runs the levels of reduced service of one front: collects readings at a fixed interval, applies the
 // adjustments of the current levels and records each level change.
 #pragma once
 
@@ -17,10 +17,10 @@
 namespace cedarring::app {
 
 /// The record of a level change, with readings and classes under their configured names.
-telemetry::Record to_record(const levels::AxisChange& axis_change, const std::string& front_end,
+telemetry::Record record_of(const levels::AxisChange& axis_change, const std::string& front,
                             const levels::ServiceInfo& service);
 
-/// Evaluates the levels of one front end on a timer of the event loop.
+/// Evaluates the levels of one front on a timer of the event loop.
 class LevelsRunner {
  public:
   /// Readings that only the surrounding service can take.
@@ -37,7 +37,7 @@
 
   /// Adds the levels to the broker's gates and starts the evaluation timer. `broker` and `log` have to
   /// outlive the runner.
-  LevelsRunner(ev::loop_ref loop, std::string front_end, levels::Config config, levels::ServiceInfo service,
+  LevelsRunner(ev::loop_ref loop, std::string front, levels::Config config, levels::ServiceInfo service,
                broker::Broker& broker, broker::Broker::Clock clock, Hooks hooks, telemetry::Log& log);
   /// Applies a new configuration.
   void reload(levels::Config config);
@@ -54,7 +54,6 @@
     levels_.restore(snapshot, clock_());
     apply_adjustments();
   }
-  [[nodiscard]] const levels::ServiceInfo& service() const { return service_; }
 
  private:
   void on_timer(ev::timer&, int);
@@ -62,7 +61,7 @@
   /// Records the changes and puts the adjustments of the new levels into effect.
   void publish(std::vector<levels::AxisChange>& changes);
 
-  std::string front_end_;
+  std::string front_;
   levels::ServiceInfo service_;
   levels::Levels levels_;
   broker::Broker& broker_;
--- a/src/app/service.h
+++ b/src/app/service.h
@@ -56,7 +56,8 @@
   /// The state for the successor. With `split` the successor starts serving now: budgets are divided between
   /// the two processes, and the result holds the successor's share.
   [[nodiscard]] StateSections snapshot(bool split);
-  /// Restores the predecessor's state; returns the names of the sections that cannot be read.
+  /// Restores the predecessor's state; returns the names of the sections that cannot be read. Budgets in such
+  /// a section count as spent.
   std::vector<std::string> restore(const StateSections& sections);
   /// To be called if the predecessor does not report its spending or the report cannot be read: from then on
   /// no more than this process's own share of the budgets is spent.
@@ -88,7 +89,7 @@
   }
   /// Stops listening; clients are closed as they become idle.
   void drain() { clients_.drain(); }
-  /// The longest deadline of a class in the settings.
+  /// The longest deadline of a class in the settings at the start.
   [[nodiscard]] Duration longest_deadline() const;
   /// Watches discovery at another address. The present host list applies until the new address has sent a
   /// list. An empty address is ignored.
@@ -122,8 +123,9 @@
   [[nodiscard]] broker::Broker& broker() { return broker_; }
 
  private:
-  /// Requests the host list from its source.
+  /// Requests the host list from its source; without one, the list at the start is applied again.
   void open_watch();
+  /// Divides the connections that this process may have between clients and hosts.
   void divide_connections();
   void start_levels(const levels::Config& config);
   ev::loop_ref loop_;
