--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -218,8 +218,9 @@
         return;
       }
       if (service_config.contracts || service_config.levels)
-        log_.write(telemetry::Level::warning, "configuration",
-                   "the classes have changed: contracts and levels need a restart");
+        log_.write(
+            telemetry::Level::warning, "configuration",
+            "the classes have changed: contracts and levels keep their former settings until a restart");
     };
     reload_gates(*services_[0], config.platform);
     if (config.mysql && services_.size() > 1) reload_gates(*services_[1], *config.mysql);
@@ -231,10 +232,10 @@
     services_[0]->change_discovery_address(config.platform.discovery);
     if (config.mysql && services_.size() > 1) services_[1]->change_discovery_address(config.mysql->discovery);
     ++configs_applied_;
-    std::cout << "reloaded, discovery " << config.platform.discovery << std::endl;
+    std::cout << "configuration reloaded, discovery " << config.platform.discovery << std::endl;
   } catch (const std::exception& e) {
     ++configs_rejected_;
-    std::cout << "not reloaded: " << e.what() << std::endl;
+    std::cout << "configuration not reloaded: " << e.what() << std::endl;
   }
 }
 
@@ -255,7 +256,7 @@
       for (const auto& attempt : trace.attempts)
         attempts += (attempts.empty() ? "" : " ") + attempt.host + '@' + milliseconds(attempt.sent_after) +
                     '+' + milliseconds(attempt.duration) + '=' + name_of(attempt.outcome);
-      log_.write(telemetry::Level::debug, "request", "is over",
+      log_.write(telemetry::Level::debug, "request", "request finished",
                  {{"id", trace.name},
                   {"class", trace.class_name},
                   {"group", std::to_string(trace.group.value)},
@@ -500,7 +501,8 @@
 
 void Gateway::log_unreadable(const std::string& front, const std::vector<std::string>& sections) {
   for (const auto& section : sections)
-    log_.write(telemetry::Level::warning, "upgrade", "a part of what the other process knows cannot be read",
+    log_.write(telemetry::Level::warning, "upgrade",
+               "cannot parse a section of the other process's state; the section is ignored",
                {{"front", front}, {"part", section}});
 }
 
@@ -631,7 +633,7 @@
     for (const auto& service : services_) remaining_clients += service->client_count();
     link_->send("stopped", std::to_string(remaining_clients));
     handover_drain_timer_.start(leave_after_s);
-    std::cout << "followed by another process" << std::endl;
+    std::cout << "replaced by a new process: this process hands its clients over, then ends" << std::endl;
   } else if (packet.kind == "client" && packet.fds.size() == 1) {
     if (auto* service = find_service(word); service && has_rest)
       service->adopt(std::move(packet.fds[0]), rest);
@@ -659,7 +661,7 @@
     for (auto& service : services_) service->cancel_handover();
     open_admin_socket();
     listen_for_successor();
-    std::cout << "the other process has ended, this one serves on" << std::endl;
+    std::cout << "the new process has ended: this process accepts clients again" << std::endl;
   }
   if (is_successor_) open_admin_socket();
   if (is_successor_ || budgets_split_)
--- a/tests/dns_test.cpp
+++ b/tests/dns_test.cpp
@@ -272,7 +272,7 @@
   };
   EXPECT_TRUE(run("a"));
   GatewayProcess next(first, first.pg());
-  ASSERT_TRUE(first.wait_output("followed", 1));
+  ASSERT_TRUE(first.wait_output("replaced by a new process", 1));
   EXPECT_TRUE(next.wait_output("listening dns " + first.dns(), 1));
   EXPECT_TRUE(next.wait_output("listening mysql " + first.mysql(), 1));
   EXPECT_EQ(next.pg(), first.pg());
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -208,7 +208,7 @@
   for (const auto& bad : {std::string("nonsense"), config_json("nowhere", list_of(1, {}))}) {
     fleet.program->configure(bad);
     fleet.program->signal(SIGHUP);
-    ASSERT_TRUE(fleet.program->wait_output("not reloaded: ", bad == "nonsense" ? 1 : 2));
+    ASSERT_TRUE(fleet.program->wait_output("configuration not reloaded: ", bad == "nonsense" ? 1 : 2));
   }
   EXPECT_EQ(client.query(statement("a2", "history")).types, "TDCZ");
   fleet.program->configure(config_json(next.address(), list_of(1, {})));
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -361,7 +361,7 @@
   const int pg_requests = client_count / 2 * (1 + max_open_requests_per_client);
   ASSERT_TRUE(gateway.wait_active(pg_requests + client_count)) << gateway.active_requests();
   GatewayProcess next(gateway.program, gateway.program.pg());
-  ASSERT_TRUE(gateway.program.wait_output("followed", 1));
+  ASSERT_TRUE(gateway.program.wait_output("replaced by a new process", 1));
   pg_clients.clear();
   mysql_clients.clear();
   ASSERT_TRUE(gateway.wait_active(0, 2s)) << gateway.active_requests();
--- a/tests/reduced_test.cpp
+++ b/tests/reduced_test.cpp
@@ -164,12 +164,12 @@
   gateway.program->configure_gateway(
       R"({"admin":{"socket":"@DIR@/admin.sock"},"levels":{"mode":"sometimes"}})");
   gateway.program->signal(SIGHUP);
-  ASSERT_TRUE(gateway.program->wait_output("not reloaded: ", 1));
+  ASSERT_TRUE(gateway.program->wait_output("configuration not reloaded: ", 1));
   EXPECT_NE(gateway.program->output().find("/levels/mode"), std::string::npos);
   ASSERT_TRUE(gateway.wait_levels(R"("mode":"on")"));
   gateway.program->configure_gateway(R"({"admin":{"socket":"@DIR@/admin.sock"},"levels":{"mode":"watch"}})");
   gateway.program->signal(SIGHUP);
-  ASSERT_TRUE(gateway.program->wait_output("reloaded, discovery", 1));
+  ASSERT_TRUE(gateway.program->wait_output("configuration reloaded, discovery", 1));
   ASSERT_TRUE(gateway.wait_levels(R"("mode":"watch")"));
   gateway.program->configure_gateway(R"({"admin":{"socket":"@DIR@/admin.sock"}})");
   gateway.program->signal(SIGHUP);
@@ -216,7 +216,7 @@
   // After a reload without contracts, the request that was refused before is served.
   gateway.program->configure_gateway(R"({"admin":{"socket":"@DIR@/admin.sock"}})");
   gateway.program->signal(SIGHUP);
-  ASSERT_TRUE(gateway.program->wait_output("reloaded, discovery", 1));
+  ASSERT_TRUE(gateway.program->wait_output("configuration reloaded, discovery", 1));
   EXPECT_EQ(client.query(statement("d", "history")).types, "TDCZ");
 }
 
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -341,7 +341,7 @@
     busy.socket.send(pg_query(statement("a", "pay")));
     if (!service.primary.wait_for(1)) return;
     next = std::make_unique<GatewayProcess>(*service.program, service.program->pg());
-    started = service.program->wait_output("followed", 1);
+    started = service.program->wait_output("replaced by a new process", 1);
   }
 };
 
@@ -368,14 +368,14 @@
   EXPECT_EQ(client.query(statement("a", "pay")).types, "TDCZ");
   {
     GatewayProcess next(*service.program, service.program->pg());
-    ASSERT_TRUE(service.program->wait_output("followed", 1));
+    ASSERT_TRUE(service.program->wait_output("replaced by a new process", 1));
   }  // the destructor kills it
-  ASSERT_TRUE(service.program->wait_output("serves on", 1));
+  ASSERT_TRUE(service.program->wait_output("this process accepts clients again", 1));
   PgClient fresh(service.program->pg());
   EXPECT_EQ(fresh.query(statement("b", "pay")).types, "TDCZ");
   EXPECT_EQ(service.call("GET", "/-/ready").status, 200);
   GatewayProcess third(*service.program, service.program->pg());
-  ASSERT_TRUE(service.program->wait_output("followed", 2));
+  ASSERT_TRUE(service.program->wait_output("replaced by a new process", 2));
   EXPECT_EQ(call(third.control(), "GET", "/-/ready").status, 200);
 }
 
@@ -433,7 +433,7 @@
   next = replaced(next, R"("needs_by_class":[)", R"("needs_by_class":["eventual",)");
   next = replaced(next, R"("class_bound":[)", R"("class_bound":[0,)");
   next = replaced(next, "\"effect\":\"idempotency_key\"", "\"effect\":\"non_idempotent\"");
-  reload(next, "reloaded, discovery", 1);
+  reload(next, "configuration reloaded, discovery", 1);
   EXPECT_EQ(service.metric_value("app_config_applied"), 1);
   EXPECT_EQ(service.metric_value("app_ok{kind=\"audit\"}"), 0);
   EXPECT_EQ(client.query(statement("c", "audit")).types, "TDCZ");
@@ -446,10 +446,11 @@
   EXPECT_EQ(service.metric_value("app_errors{kind=\"bid\"}"), 1);
   for (const auto& bad : {std::string(), next.substr(0, next.size() / 2),
                           replaced(next, "\"deadline\":5000", "\"deadline\":0")})
-    reload(bad, "not reloaded", static_cast<int>(service.metric_value("app_config_rejected")) + 1);
+    reload(bad, "configuration not reloaded",
+           static_cast<int>(service.metric_value("app_config_rejected")) + 1);
   EXPECT_EQ(service.metric_value("app_config_rejected"), 3);
   EXPECT_EQ(client.query(statement("e", "audit")).types, "TDCZ");
-  reload(service.config, "reloaded, discovery", 2);
+  reload(service.config, "configuration reloaded, discovery", 2);
   // Still served, as clients learn of the removal later.
   EXPECT_EQ(client.query(statement("f", "audit")).types, "TDCZ");
   const auto start = Clock::now();
@@ -827,7 +828,7 @@
   std::this_thread::sleep_for(700ms);  // until the old process has spent the allowance
   const auto before = cold.count();
   GatewayProcess next(old, old.pg());
-  ASSERT_TRUE(old.wait_output("followed", 1));
+  ASSERT_TRUE(old.wait_output("replaced by a new process", 1));
   old.signal(SIGTERM);
   EXPECT_EQ(old.wait_exit(), 0);
   std::this_thread::sleep_until(start + 1900ms);  // within the window that began with the load
@@ -857,7 +858,7 @@
     EXPECT_EQ(client.query(statement("a" + std::to_string(++asked), "history")).types, "TDCZ");
   const auto before = service.replica.count();
   GatewayProcess next(*service.program, service.program->pg());
-  ASSERT_TRUE(service.program->wait_output("followed", 1));
+  ASSERT_TRUE(service.program->wait_output("replaced by a new process", 1));
   const auto at_upgrade = service.replica.count();
   for (int i = 0; i < 40; ++i)
     EXPECT_EQ(client.query(statement("b" + std::to_string(i), "history")).types, "TDCZ");
@@ -886,7 +887,7 @@
   send_requests(6);
   EXPECT_EQ(served, 6);
   GatewayProcess next(*service.program, service.program->pg());
-  ASSERT_TRUE(service.program->wait_output("followed", 1));
+  ASSERT_TRUE(service.program->wait_output("replaced by a new process", 1));
   service.program->signal(SIGTERM);
   EXPECT_EQ(service.program->wait_exit(), 0);
   send_requests(20);
@@ -906,7 +907,7 @@
   PgClient client(service.program->pg());
   EXPECT_EQ(client.query(statement("a", "pay")).types, "TDCZ");
   GatewayProcess next(*service.program, service.program->pg());
-  ASSERT_TRUE(service.program->wait_output("followed", 1));
+  ASSERT_TRUE(service.program->wait_output("replaced by a new process", 1));
   const auto before = service.replica.count();
   for (int i = 0; i < 10; ++i)
     EXPECT_EQ(client.query(statement("b" + std::to_string(i), "view")).types, "TDCZ");
@@ -940,8 +941,8 @@
       replaced(service.config, "\"effect\":\"non_idempotent\"", "\"effect\":\"idempotency_key\""));
   service.program->signal(SIGHUP);
   next.signal(SIGHUP);
-  ASSERT_TRUE(service.program->wait_output("reloaded, discovery", 1));
-  ASSERT_TRUE(next.wait_output("reloaded, discovery", 1));
+  ASSERT_TRUE(service.program->wait_output("configuration reloaded, discovery", 1));
+  ASSERT_TRUE(next.wait_output("configuration reloaded, discovery", 1));
   // The open request arrived under a class that must not be retried.
   service.primary.behavior = Behavior::reset_once;
   EXPECT_EQ(call(next.control(), "GET", "/-/ready").status, 200);
