--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -30,7 +30,7 @@
 }
 std::string require_string(const Json& object, const char* key) {
   const auto& value = require(object, key);
-  if (!value.IsString()) throw ConfigError(std::string(key) + ": not a string");
+  if (!value.IsString()) throw ConfigError(std::string(key) + ": must be a string");
   return value.GetString();
 }
 
@@ -77,9 +77,9 @@
   std::vector<broker::TenantBudget> budgets;
   const auto realms = settings.FindMember("realms");
   if (realms == settings.MemberEnd()) return budgets;
-  if (!realms->value.IsArray()) throw ConfigError("settings.realms: not a list");
+  if (!realms->value.IsArray()) throw ConfigError("settings.realms: must be a list");
   for (const auto& realm : realms->value.GetArray()) {
-    if (!realm.IsObject()) throw ConfigError("settings.realms: not a list of objects");
+    if (!realm.IsObject()) throw ConfigError("settings.realms: must be a list of objects");
     broker::TenantBudget budget;
     budget.tenant = require_string(realm, "name");
     const auto quota = realm.FindMember("quota_per_s");
@@ -98,19 +98,23 @@
   const auto it = limits->value.FindMember(key);
   if (it == limits->value.MemberEnd()) return fallback;
   if (!it->value.IsNumber() || it->value.GetDouble() < minimum || it->value.GetDouble() > max_limit)
-    throw ConfigError("limits." + std::string(key) + ": out of range");
+    throw ConfigError("limits." + std::string(key) + ": must be a number from " +
+                      std::to_string(std::llround(minimum)) + " to " +
+                      std::to_string(std::llround(max_limit)));
   return static_cast<std::size_t>(it->value.GetDouble());
 }
 
 void check_address(const std::string& key, const std::string& address) {
-  if (!wire::valid_address(address)) throw ConfigError(key + ": not an address: " + address);
+  if (!wire::valid_address(address))
+    throw ConfigError(key + ": must be an IPv4 address and port, such as 127.0.0.1:7000; found '" + address +
+                      "'");
 }
 
 std::string read_file(const char* path) {
   std::ifstream in(path);
   std::stringstream text;
   text << in.rdbuf();
-  if (!in) throw ConfigError(std::string("cannot read ") + path);
+  if (!in) throw ConfigError(std::string("cannot read the file ") + path);
   return text.str();
 }
 
@@ -118,18 +122,20 @@
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(json.c_str());
   if (document.HasParseError() || !document.IsObject())
-    throw ConfigError(std::string(file_kind) + ": not a JSON object");
+    throw ConfigError(std::string(file_kind) + " is not a valid JSON object");
   return document;
 }
 
 std::uint64_t read_seed(const Json& root) {
   const auto& seed = require(root, "seed");
   if (seed.IsUint64()) return seed.GetUint64();
-  if (!seed.IsString()) throw ConfigError("seed: not a number");
+  if (!seed.IsString())
+    throw ConfigError("seed: must be an unsigned integer or a string of hexadecimal digits");
   const std::string text = seed.GetString();
   char* end = nullptr;
   const auto number = std::strtoull(text.c_str(), &end, 16);
-  if (text.empty() || *end != '\0') throw ConfigError("seed: not a number");
+  if (text.empty() || *end != '\0')
+    throw ConfigError("seed: must be an unsigned integer or a string of hexadecimal digits");
   return number;
 }
 
@@ -144,16 +150,17 @@
   const auto require_object = [&](const char* key) -> const Json& {
     require_keys(settings, "settings.", {key});
     const auto& value = settings[key];
-    if (!value.IsObject()) throw ConfigError(path + "settings." + key + ": not an object");
+    if (!value.IsObject()) throw ConfigError(path + "settings." + key + ": must be an object");
     return value;
   };
   require_keys(settings, "settings.", {"classes", "registry_mode"});
   const auto& classes = settings["classes"];
   if (!classes.IsArray() || classes.Empty())
-    throw ConfigError(path + "settings.classes: not a list of classes");
+    throw ConfigError(path + "settings.classes: must be a list of at least one class");
   for (rapidjson::SizeType i = 0; i < classes.Size(); ++i) {
-    const auto at = "settings.classes[" + std::to_string(i) + "].";
-    if (!classes[i].IsObject()) throw ConfigError(path + at + ": not an object");
+    const auto class_path = "settings.classes[" + std::to_string(i) + "]";
+    if (!classes[i].IsObject()) throw ConfigError(path + class_path + ": must be an object");
+    const auto at = class_path + ".";
     require_keys(classes[i], at, {"name", "aim", "deadline", "effect"});
     const auto& effect = classes[i]["effect"];
     if (effect.IsString() && std::string_view(effect.GetString()) == "idempotency_key")
@@ -166,19 +173,20 @@
   require_keys(specifics, "settings.specifics.", {"needs_by_class", "checks"});
   const auto& requirements = specifics["needs_by_class"];
   if (!requirements.IsArray() || requirements.Size() != classes.Size())
-    throw ConfigError(path + "settings.specifics.needs_by_class: not one for each class");
+    throw ConfigError(path +
+                      "settings.specifics.needs_by_class: must be a list with one entry for each class");
 }
 
 /// Reads the list of hosts and the settings, if present. `path` precedes the key in error messages.
 void read_service(const Json& root, std::uint64_t seed, const std::string& path, ServiceConfig& config) {
   if (const auto known = root.FindMember("known"); known != root.MemberEnd() && !known->value.IsNull()) {
     const auto list = wire::parse_members(to_setting_value(known->value));
-    if (!list) throw ConfigError(path + "known: not a list");
+    if (!list) throw ConfigError(path + "known: must be a member list in the form that discovery sends");
     config.known_hosts = *list;
   }
   const auto settings = root.FindMember("settings");
   if (settings == root.MemberEnd()) return;
-  if (!settings->value.IsObject()) throw ConfigError(path + "settings: not an object");
+  if (!settings->value.IsObject()) throw ConfigError(path + "settings: must be an object");
   check_required_keys(settings->value, path);
   std::string settings_text;
   flatten(settings->value, "", settings_text);
@@ -189,8 +197,11 @@
     // A request refused after half its deadline without having been sent costs 0.3 of its value.
     config.settings.late_refusal_costs = true;
     check(config.settings);
+  } catch (const std::invalid_argument& e) {
+    // The text is a key: with its path from parse_settings(), without it from check().
+    throw ConfigError(path + "settings: the value of " + e.what() + " is invalid");
   } catch (const std::exception& e) {
-    throw ConfigError(path + "settings." + e.what() + ": bad value");
+    throw ConfigError(path + "settings: " + e.what());
   }
   config.budgets = read_budgets(settings->value, config.settings.instance_count);
 }
@@ -198,7 +209,7 @@
 }  // namespace
 
 Config parse_config(const std::string& json) {
-  const auto document = parse_json(json, "config");
+  const auto document = parse_json(json, "the platform's configuration");
   Config config;
   config.platform_text = json;
   config.name = require_string(document, "name");
@@ -234,7 +245,7 @@
 
 void check_keys_kept(const Json& before, const Json& after, const std::string& path) {
   if (before.IsObject()) {
-    if (!after.IsObject()) throw ConfigError(path + ": not an object");
+    if (!after.IsObject()) throw ConfigError(path + ": must be an object, as in the configuration in force");
     for (const auto& member : before.GetObject()) {
       const auto at = (path.empty() ? "" : path + ".") + member.name.GetString();
       const auto it = after.FindMember(member.name);
@@ -243,7 +254,7 @@
       if (at != "known.servers") check_keys_kept(member.value, it->value, at);
     }
   } else if (before.IsArray()) {
-    if (!after.IsArray()) throw ConfigError(path + ": not a list");
+    if (!after.IsArray()) throw ConfigError(path + ": must be a list, as in the configuration in force");
     if (!before.Empty() && before[0].IsObject()) check_list_items(before, after, path);
   }
 }
@@ -256,14 +267,14 @@
                     (!integer_only || value.GetDouble() == std::floor(value.GetDouble()));
   if (!fits)
     throw ConfigError(path + key +
-                      (integer_only ? ": not a whole number above 0" : ": not a number above 0"));
+                      (integer_only ? ": must be a whole number above 0" : ": must be a number above 0"));
 }
 
 }  // namespace
 
 void check_reload(const std::string& in_force, const std::string& candidate) {
-  const auto before = parse_json(in_force, "config");
-  const auto after = parse_json(candidate, "config");
+  const auto before = parse_json(in_force, "the configuration in force");
+  const auto after = parse_json(candidate, "the platform's configuration");
   check_keys_kept(before, after, "");
   const auto settings = after.FindMember("settings");
   if (settings == after.MemberEnd() || !settings->value.IsObject()) return;
@@ -278,9 +289,9 @@
 }
 
 std::optional<ServiceConfig> parse_mysql_config(const std::string& json, const ServiceConfig& platform) {
-  const auto document = parse_json(json, "mysql");
+  const auto document = parse_json(json, "the MySQL front end's configuration");
   const auto& enabled = require(document, "enabled");
-  if (!enabled.IsBool()) throw ConfigError("mysql.enabled: not true or false");
+  if (!enabled.IsBool()) throw ConfigError("mysql.enabled: must be true or false");
   if (!enabled.GetBool()) return std::nullopt;
   auto config = platform;
   config.listen = require_string(document, "listen");
@@ -290,14 +301,14 @@
   if (!config.discovery.empty()) check_address("mysql.discovery", config.discovery);
   config.known_hosts = {};
   if (const auto dns = document.FindMember("dns"); dns != document.MemberEnd()) {
-    if (!dns->value.IsObject()) throw ConfigError("mysql.dns: not an object");
+    if (!dns->value.IsObject()) throw ConfigError("mysql.dns: must be an object");
     config.dns_update_address = require_string(dns->value, "listen");
     if (!wire::is_loopback(config.dns_update_address))
-      throw ConfigError("mysql.dns.listen: not a loopback address");
+      throw ConfigError("mysql.dns.listen: must be a loopback address");
     std::string error;
     if (!wire::dns::parse_zone(read_file(require_string(dns->value, "zone_file").c_str()),
                                require_string(dns->value, "origin"), config.dns_zone, error))
-      throw ConfigError("mysql.dns.zone_file: " + error);
+      throw ConfigError("mysql.dns.zone_file: the zone is invalid: " + error);
     config.known_hosts = wire::dns::member_list_of(config.dns_zone, 1);
     config.discovery.clear();
   }
@@ -363,7 +374,7 @@
 
 Config load_config(bool reload, const std::string& file, const std::string& in_force) {
   const char* path = std::getenv("ROUTER_CONFIG");
-  if (!path) throw ConfigError("ROUTER_CONFIG: not set");
+  if (!path) throw ConfigError("the environment variable ROUTER_CONFIG is not set");
   const auto text = read_file(path);
   if (!in_force.empty()) check_reload(in_force, text);
   auto config = parse_config(text);
--- a/src/app/contracts_config.cpp
+++ b/src/app/contracts_config.cpp
@@ -34,7 +34,8 @@
   Calendar calendar;
   calendar.zone = json["zone"].GetString();
   if (!has_zone_data(calendar.zone))
-    throw config_error_at(file, "/contracts/calendar/zone", "a zone by its IANA name that this machine has",
+    throw config_error_at(file, "/contracts/calendar/zone",
+                          "the IANA name of a time zone that is installed on this machine",
                           to_excerpt(json["zone"]));
   for (const auto& item : json["closures"].GetArray()) {
     DailyClosure closure;
@@ -44,7 +45,7 @@
     if (closure.hour > max_hour)
       throw config_error_at(
           file, "/contracts/calendar/closures/" + std::to_string(calendar.closures.size()) + "/at",
-          "a time of day", to_excerpt(item["at"]));
+          "a time of day from 00:00 to 23:59", to_excerpt(item["at"]));
     if (const auto* list = member(item, "days")) {
       closure.days = 0;
       for (const auto& day : list->GetArray())
@@ -105,7 +106,7 @@
             [&](const RequestClass& request_class) { return request_class.name == entry.name.GetString(); });
         if (it == service.classes.end())
           throw config_error_at(file.name, path + "/classes/" + entry.name.GetString(),
-                                "a class of the settings", "another name");
+                                "a class of the settings", "'" + std::string(entry.name.GetString()) + "'");
         contracts::ClassTerms terms;
         contracts::Terms base;
         base.latency_target = it->latency_target;
--- a/src/app/gateway_file.cpp
+++ b/src/app/gateway_file.cpp
@@ -79,7 +79,8 @@
       for (rapidjson::SizeType i = 1; i < ladder.Size(); ++i) {
         const auto level_pointer = pointer + "/" + std::to_string(i);
         if (std::find(pointers.begin(), pointers.end(), level_pointer) == pointers.end())
-          throw config_error_at(file_, level_pointer + "/after", "a path up from the first level", "a cycle");
+          throw config_error_at(file_, level_pointer + "/after",
+                                "a chain of levels that begins with the first one", "a cycle");
       }
     return ordered;
   }
@@ -164,7 +165,8 @@
     }
     // An empty list means every class; a selection that matches no class must not be taken for it.
     if (selects_classes && rule.classes.empty())
-      throw config_error_at(file_, pointer + "/needs", "needs that some class has", "none");
+      throw config_error_at(file_, pointer + "/needs",
+                            "at least one class of the settings that matches the rule", "none");
     if (const auto* tenant = member(value, "tenant")) {
       const auto found = std::find(tenants_.begin(), tenants_.end(), std::string(tenant->GetString()));
       if (found == tenants_.end())
@@ -175,7 +177,8 @@
     if (const auto* flag = member(value, "without_primary")) rule.only_without_primary = flag->GetBool();
     if (const auto* flag = member(value, "only_hopeless")) rule.only_past_takeover_deadline = flag->GetBool();
     if (rule.only_past_takeover_deadline && !rule.only_without_primary)
-      throw config_error_at(file_, pointer + "/only_hopeless", "without_primary beside it", "none");
+      throw config_error_at(file_, pointer + "/only_hopeless", "without_primary to be true in the same rule",
+                            "none");
     rule.share = number_or(value, "share", 1);
     return rule;
   }
--- a/src/app/json_schema.cpp
+++ b/src/app/json_schema.cpp
@@ -83,7 +83,7 @@
       pointer += "/" + key;
     else
       key = pointer.substr(pointer.rfind('/') + 1);
-    throw config_error_at(file, pointer, "no such key", "'" + key + "'");
+    throw config_error_at(file, pointer, "a key that the schema defines", "'" + key + "'");
   }
   std::string expected = keyword;
   if (violated && violated->IsObject())
--- a/src/contracts/contracts.cpp
+++ b/src/contracts/contracts.cpp
@@ -646,12 +646,13 @@
     const auto path = "/teams/" + std::to_string(team_index);
     const auto& team = config.teams[team_index];
     for (std::size_t other = 0; other < team_index; ++other)
-      if (config.teams[other].name == team.name) return ConfigIssue{path + "/name", "taken by another team"};
+      if (config.teams[other].name == team.name)
+        return ConfigIssue{path + "/name", "the name is used by another team"};
     for (const auto tenant : team.tenants) {
       if (tenant < 0 || static_cast<std::size_t>(tenant) >= owner.size())
-        return ConfigIssue{path + "/tenants", "no such tenant"};
+        return ConfigIssue{path + "/tenants", "a tenant is not in the settings"};
       if (owner[static_cast<std::size_t>(tenant)] >= 0)
-        return ConfigIssue{path + "/tenants", "a tenant of two teams"};
+        return ConfigIssue{path + "/tenants", "a tenant belongs to two teams"};
       owner[static_cast<std::size_t>(tenant)] = static_cast<std::int32_t>(team_index);
     }
     if (team.classes.size() != service.classes.size())
@@ -662,14 +663,16 @@
              {&class_terms->usual, class_terms->closure ? &*class_terms->closure : &class_terms->usual})
           if (!(terms->rate >= 0) || !(terms->burst >= 1) || !(terms->weight > 0) ||
               !(terms->in_time_share > 0 && terms->in_time_share <= 1))
-            return ConfigIssue{path + "/classes",
-                               "rate from 0, burst from 1, weight above 0, share above 0 and at most 1"};
+            return ConfigIssue{
+                path + "/classes",
+                "expected a rate of at least 0, a burst of at least 1, a weight above 0, and a share "
+                "above 0 and at most 1"};
   }
   for (std::size_t i = 0; i < config.closures.size(); ++i)
     if (config.closures[i].to <= config.closures[i].from ||
         (i > 0 && config.closures[i].from < config.closures[i - 1].to))
-      return ConfigIssue{"/calendar", "closures that overlap or end before they begin"};
-  if (config.gateways < 1) return ConfigIssue{"/gateways", "at least one"};
+      return ConfigIssue{"/calendar", "closures overlap, or one does not end after its beginning"};
+  if (config.gateways < 1) return ConfigIssue{"/gateways", "expected at least one gateway"};
   return std::nullopt;
 }
 
--- a/src/levels/ladder.cpp
+++ b/src/levels/ladder.cpp
@@ -310,44 +310,47 @@
           condition_path + "/reading",
           std::string("reading ") + reading_info(condition.reading).name + " does not belong to this axis"};
     if (is_empty(range_of(condition)))
-      return ConfigIssue{condition_path, "can never hold: no value of the reading satisfies it"};
+      return ConfigIssue{condition_path,
+                         "the condition can never hold: no value of the reading satisfies it"};
   }
   if (rule.require_all && !overlap(rule.conditions, rule.conditions))
-    return ConfigIssue{path, "can never hold: its conditions exclude each other"};
+    return ConfigIssue{path, "the rule can never hold: its conditions exclude each other"};
   return std::nullopt;
 }
 
 }  // namespace
 
 std::optional<ConfigIssue> find_config_issue(const LadderConfig& config, Scope scope) {
-  if (config.levels.empty()) return ConfigIssue{"", "no level"};
-  if (config.levels.size() > max_levels) return ConfigIssue{"", "more than 16 levels"};
+  if (config.levels.empty()) return ConfigIssue{"", "the ladder has no levels"};
+  if (config.levels.size() > max_levels) return ConfigIssue{"", "the ladder has more than 16 levels"};
   std::set<std::string> names;
   for (std::size_t i = 0; i < config.levels.size(); ++i) {
     const auto& level = config.levels[i];
     const auto path = "/" + std::to_string(i);
     if (level.name.empty() || !names.insert(level.name).second)
-      return ConfigIssue{path + "/name", "empty, or used by another level"};
+      return ConfigIssue{path + "/name", "the name is empty or is used by another level"};
     if (i == 0) {
       if (!level.enter.conditions.empty() || !level.exit.conditions.empty() || !level.shed_rules.empty())
-        return ConfigIssue{path,
-                           "the first level is the normal level: it has no conditions and sheds nothing"};
+        return ConfigIssue{
+            path, "the first level is the normal level: it must have no conditions and shed nothing"};
       continue;
     }
     if (level.enter.conditions.empty())
-      return ConfigIssue{path + "/enter", "unreachable: no condition to enter the level"};
+      return ConfigIssue{path + "/enter", "the level is unreachable: it has no entry condition"};
     if (level.exit.conditions.empty())
-      return ConfigIssue{path + "/exit", "no exit: no condition to leave the level"};
+      return ConfigIssue{path + "/exit", "the level cannot be left: it has no exit condition"};
     if (auto issue = find_rule_issue(level.enter, scope, path + "/enter")) return issue;
     if (auto issue = find_rule_issue(level.exit, scope, path + "/exit")) return issue;
     for (const auto& entry : sufficient_sets(level.enter))
       for (const auto& exit : sufficient_sets(level.exit))
         if (overlap(entry, exit))
-          return ConfigIssue{path + "/exit",
-                             "overlaps the entry rule: the level would be left and entered at the same time"};
+          return ConfigIssue{
+              path + "/exit",
+              "the exit rule overlaps the entry rule: the level would be left and entered at the same time"};
     for (std::size_t j = 0; j < level.shed_rules.size(); ++j)
       if (!(level.shed_rules[j].share >= 0 && level.shed_rules[j].share <= 1))
-        return ConfigIssue{path + "/shed/" + std::to_string(j) + "/share", "not between 0 and 1"};
+        return ConfigIssue{path + "/shed/" + std::to_string(j) + "/share",
+                           "the share is not between 0 and 1"};
   }
   if (config.min_change_interval <= Duration::zero())
     return ConfigIssue{"", "the minimum time between changes has to be positive"};
--- a/src/levels/levels.cpp
+++ b/src/levels/levels.cpp
@@ -371,8 +371,9 @@
   for (std::size_t i = 0; i < config.faults.levels.size(); ++i)
     for (std::size_t j = 0; j < config.faults.levels[i].shed_rules.size(); ++j)
       if (config.faults.levels[i].shed_rules[j].tenant >= 0)
-        return ConfigIssue{"/faults/" + std::to_string(i) + "/shed/" + std::to_string(j) + "/tenant",
-                           "not allowed here: a fault affects all tenants of a group alike"};
+        return ConfigIssue{
+            "/faults/" + std::to_string(i) + "/shed/" + std::to_string(j) + "/tenant",
+            "the key is not allowed on the axis faults: a fault affects all tenants of a group alike"};
   // Writes within their budget are the last requests that pressure may shed.
   const auto class_count = service.classes.size();
   for (std::size_t i = 0; i < config.pressure.levels.size(); ++i) {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -55,7 +55,8 @@
     text << in.rdbuf();
     if (!in) throw ConfigError(file + ": cannot be read");
     const auto parsed = parse_gateway_file(text.str(), file);
-    std::cout << "the syntax is valid; set ROUTER_CONFIG to check levels against its classes\n";
+    std::cout << "the syntax is valid; set ROUTER_CONFIG to the platform's configuration to check levels and "
+                 "contracts against its classes and tenants\n";
   }
   return 0;
 }
@@ -87,7 +88,8 @@
 
 int main(int argc, char** argv) {
   if (argc > 1 && names_tool(argv[1])) run_tool(argv);
-  CLI::App app("cedarring, a gateway for ledgers kept by replica groups", "cedarring");
+  CLI::App app("cedarring, a gateway that distributes database requests over the hosts of replica groups",
+               "cedarring");
   std::string file;
   std::string checked_file;
   app.add_option("--config", file, "The gateway file (default: CEDARRING_GATEWAY, else deploy/gateway.json)");
@@ -95,7 +97,7 @@
       ->add_option("--config", file, "The gateway file");
   auto* check_command =
       app.add_subcommand("check", "Validate a gateway file and print the resulting settings");
-  check_command->add_option("FILE", checked_file, "The file")->required();
+  check_command->add_option("FILE", checked_file, "The gateway file")->required();
   auto* version_command = app.add_subcommand("version", "Print the version");
   app.footer("Any other command NAME runs the program cedarring-NAME, such as: ctl");
   app.require_subcommand(0, 1);
--- a/src/router/fields.h
+++ b/src/router/fields.h
@@ -75,7 +75,7 @@
 
 /// Converts finite milliseconds, rounded to whole microseconds; throws ParseError beyond max_ms.
 inline Duration from_ms(double ms) {
-  if (std::fabs(ms) > max_ms) throw ParseError("time out of range");
+  if (std::fabs(ms) > max_ms) throw ParseError("a time is out of range: at most 1e13 ms are accepted");
   return Duration(std::llround(ms * 1000.0));
 }
 
--- a/tests/gateway_file_test.cpp
+++ b/tests/gateway_file_test.cpp
@@ -63,7 +63,7 @@
   const std::vector<Case> cases = {
       {"{", "/", "a JSON object", "Line 1"},
       {"[]", "/", "a JSON object", "[]"},
-      {R"({"level":{}})", "/level", "no such key", "'level'"},
+      {R"({"level":{}})", "/level", "a key that the schema defines", "'level'"},
       {R"({"log":{"level":"loud"}})", "/log/level", "\"debug\",\"info\"", "\"loud\""},
       {R"({"log":{"per_cause":0}})", "/log/per_cause", "minimum 1", "0"},
       {R"({"log":{"per_cause":"many"}})", "/log/per_cause", "integer", "\"many\""},
@@ -88,7 +88,7 @@
       {ladder(R"({"name":"a",)" + rules + R"(,"shed":[{"classes":["tea"]}]})"),
        "/levels/pressure/1/shed/0/classes/0", "a class of the settings", "'tea'"},
       {ladder(R"({"name":"a",)" + rules + R"(,"shed":[{"needs":["session"]}]})"),
-       "/levels/pressure/1/shed/0/needs", "needs that some class has", "none"},
+       "/levels/pressure/1/shed/0/needs", "at least one class of the settings that matches the rule", "none"},
       {ladder(R"({"name":"a",)" + rules + R"(,"shed":[{"tenant":"nobody"}]})"),
        "/levels/pressure/1/shed/0/tenant", "a tenant of the settings", "nobody"},
       {ladder(R"({"name":"a",)" + rules + R"(,"shed":[{"share":2}]})"), "/levels/pressure/1/shed/0/share",
@@ -96,7 +96,7 @@
       {ladder(R"({"name":"a",)" + rules + R"(,"shed":[{"only_hopeless":true}]})"),
        "/levels/pressure/1/shed/0/only_hopeless", "without_primary", "none"},
       {ladder(R"({"name":"a","after":"b",)" + rules + R"(},{"name":"b","after":"a",)" + rules + "}"),
-       "/levels/pressure/1/after", "a path up from the first level", "a cycle"},
+       "/levels/pressure/1/after", "a chain of levels that begins with the first one", "a cycle"},
       {ladder(R"({"name":"a",)" + rules + R"(},{"name":"b","after":"normal",)" + rules + "}"),
        "/levels/pressure/2/after", "no other level follows", "'normal'"},
       {ladder(R"({"name":"a","after":"c",)" + rules + "}"), "/levels/pressure/1/after", "the name of a level",
@@ -153,9 +153,9 @@
           {teams(R"({"name":"a","tenants":["nobody"]})"), "/contracts/teams/0/tenants/0",
            "a tenant of the settings"},
           {teams(R"({"name":"a","tenants":["acme"]},{"name":"b","tenants":["acme"]})"),
-           "/contracts/teams/1/tenants", "a tenant of two teams"},
+           "/contracts/teams/1/tenants", "a tenant belongs to two teams"},
           {teams(R"({"name":"a","tenants":[]},{"name":"a","tenants":[]})"), "/contracts/teams/1/name",
-           "taken"},
+           "the name is used by another team"},
           {teams(R"({"name":"a","tenants":[],"classes":{"tea":{"rate":1}}})"),
            "/contracts/teams/0/classes/tea", "a class of the settings"},
           {teams(R"({"name":"a","tenants":[],"classes":{"bid":{"rate":-1}}})"),
@@ -168,7 +168,7 @@
           {calendar(R"({"zone":"UTC","closures":[{"at":"9"}]})"), "/contracts/calendar/closures/0/at",
            "pattern"},
           {calendar(R"({"zone":"UTC","closures":[{"at":"25:00"}]})"), "/contracts/calendar/closures/0/at",
-           "a time of day"}}) {
+           "a time of day from 00:00 to 23:59"}}) {
     const auto error = contracts_error_in(test_case.text);
     EXPECT_EQ(error.rfind("g.json: " + test_case.pointer + ": ", 0), 0U) << test_case.text << "\n" << error;
     EXPECT_NE(error.find(test_case.expected), std::string::npos) << test_case.text << "\n" << error;
