--- a/src/tools/ctl/main.cpp
+++ b/src/tools/ctl/main.cpp
@@ -10,7 +10,8 @@
   CLI::App app("Query and control a running gateway over its admin socket", "cedarring ctl");
   std::string socket = "/run/cedarring/admin.sock";
   bool json = false;
-  app.add_option("-s,--socket", socket, "Path of the admin socket, as in the section admin")
+  app.add_option("-s,--socket", socket,
+                 "Path of the admin socket, as in the section admin of the gateway file")
       ->envname("CEDARRING_ADMIN");
   app.add_flag("--json", json, "Print the response as received");
   std::string command;
--- a/src/tools/ctl/show.cpp
+++ b/src/tools/ctl/show.cpp
@@ -104,7 +104,7 @@
   std::string out;
   append_value(document, "", out);
   while (!out.empty() && out.back() == '\n') out.pop_back();
-  return out.empty() ? "nothing" : out;
+  return out.empty() ? "(empty)" : out;
 }
 
 }  // namespace cedarring::tools
--- a/src/tools/lab/main.cpp
+++ b/src/tools/lab/main.cpp
@@ -73,8 +73,8 @@
     runs.push_back({"reads x" + std::to_string(factor).substr(0, 3), 0.8, {factor, factor, 1, 1}, {}});
   runs.push_back(
       {"primary lost 4 s", 0.8, {}, {{std::chrono::seconds(length / 2), 0, std::chrono::seconds(4)}}});
-  std::printf("%-18s %5s  %-7s  %-16s  %-8s %-8s %-8s %-8s  %s\n", "load", "", "levels", "worth", "desk",
-              "history", "gate", "bid", "rules broken, changes");
+  std::printf("%-18s %5s  %-7s  %-16s  %-8s %-8s %-8s %-8s  %s\n", "load", "", "levels", "value earned",
+              "desk", "history", "gate", "bid", "rule violations, level changes");
   for (const auto& run : runs) {
     std::vector<SimulationResult> results_by_mode[2];  // levels off, levels on
     for (const bool on : {false, true}) {
@@ -197,15 +197,15 @@
                          entry.refused_levels),
                     in_time_share.mean, in_time_share.half_width);
       }
-    std::printf("%-22s rules broken %llu\n", run.name, static_cast<unsigned long long>(violation_count));
+    std::printf("%-22s rule violations %llu\n", run.name, static_cast<unsigned long long>(violation_count));
   }
   return 0;
 }
 
 /// The placement's name in the printed table.
 const char* placement_name(ReadPlacement placement) {
-  return placement == ReadPlacement::router   ? "module"
-         : placement == ReadPlacement::random ? "blind"
+  return placement == ReadPlacement::router   ? "router"
+         : placement == ReadPlacement::random ? "random"
                                               : "oracle";
 }
 
@@ -216,11 +216,16 @@
                       bool print_autocorrelation) {
   constexpr double probe_cost = 0.05;
   std::printf(
-      "%d groups of %d, %d s, %d seeds%s; reads at a replica: variance over mean in 0.1, 1 and 10 s\n",
-      groups, hosts_per_group, length, seeds, traffic_skew > 1 ? ", traffic uneven over gateways" : "");
-  std::printf("%8s %5s %-7s %7s %7s %7s %7s %7s  %-8s %-8s %-8s %-8s %s\n", "gateways", "load", "by", "0.1 s",
-              "1 s", "10 s", "least", "idle", "desk", "history", "gate", "bid",
-              "probes a request, rules broken");
+      "%d groups of %d hosts, %d s, %d seeds%s\n"
+      "0.1 s, 1 s, 10 s: variance over mean of the reads at a replica, in windows of this length\n"
+      "least: reads at the replica with the fewest, over the mean of its group\n"
+      "idle: share of the time with a free core at one replica while requests wait at another of its group\n"
+      "desk, history, gate, bid: share of the class's requests that are answered in time\n",
+      groups, hosts_per_group, length, seeds,
+      traffic_skew > 1 ? ", traffic distributed unevenly over the gateways" : "");
+  std::printf("%8s %5s %-9s %7s %7s %7s %7s %7s  %-8s %-8s %-8s %-8s %s\n", "gateways", "load", "placement",
+              "0.1 s", "1 s", "10 s", "least", "idle", "desk", "history", "gate", "bid",
+              "probes per request, rule violations");
   for (const int gateways : gateway_counts)
     for (const double load : loads)
       for (const auto placement : {ReadPlacement::router, ReadPlacement::random, ReadPlacement::oracle}) {
@@ -255,7 +260,7 @@
           probes += result.probes;
           requests += result.requests;
         }
-        std::printf("%8d %5.2f %-7s", gateways, load, placement_name(placement));
+        std::printf("%8d %5.2f %-9s", gateways, load, placement_name(placement));
         for (const std::size_t w : {0, 1, 2})
           std::printf(" %7.2f", estimate_of([w](const auto& result) {
                                   return result.read_distribution.dispersion[w];
@@ -269,7 +274,7 @@
                     static_cast<double>(probes) / std::max<double>(1, static_cast<double>(requests)),
                     static_cast<unsigned long long>(violation_count));
         if (print_autocorrelation) {
-          std::printf("%23s", "after 0.1 to 2 s:");
+          std::printf("%25s", "autocorrelation:");
           for (std::size_t lag = 0; lag < ReadDistribution::lag_count; ++lag)
             std::printf(" %+.2f", estimate_of([lag](const auto& result) {
                                     return result.read_distribution.autocorrelation[lag];
@@ -292,7 +297,7 @@
   levels->add_option("--seeds", seeds, "Runs of each configuration")->check(CLI::Range(1, 1000));
   levels->add_option("--seconds", length, "Simulated seconds of each run")->check(CLI::Range(10, 3600));
   auto* contracts = app.add_subcommand(
-      "contracts", "Three teams, one of which sends far beyond its contract around a closure");
+      "contracts", "Three teams, one of which exceeds its contract in the middle third of a run");
   contracts->add_option("--seeds", seeds, "Runs of each configuration")->check(CLI::Range(1, 1000));
   contracts->add_option("--seconds", length, "Simulated seconds of each run")->check(CLI::Range(10, 3600));
   auto* spread = app.add_subcommand(
@@ -308,15 +313,17 @@
   spread->add_option("--gateways", gateway_counts, "Numbers of gateways")
       ->delimiter(',')
       ->check(CLI::Range(1, 1000));
-  spread->add_option("--loads", loads, "Shares of what the hosts can serve")
+  spread->add_option("--loads", loads, "Offered loads, as shares of the hosts' capacity")
       ->delimiter(',')
       ->check(CLI::Range(0.01, 3.0));
   spread->add_option("--groups", groups, "Groups of hosts")->check(CLI::Range(1, 1000));
   spread->add_option("--members", hosts_per_group, "Hosts in a group, one of them its primary")
       ->check(CLI::Range(2, 20));
-  spread->add_option("--uneven", traffic_skew, "Ratio of the largest gateway's traffic to the middle one's")
+  spread
+      ->add_option("--uneven", traffic_skew, "Ratio of the largest gateway's traffic to the median gateway's")
       ->check(CLI::Range(1.0, 100.0));
-  spread->add_flag("--swings", print_autocorrelation, "Print the autocorrelation of the reads at a replica");
+  spread->add_flag("--swings", print_autocorrelation,
+                   "Print the autocorrelation of the reads at a replica, for lags of 0.1 to 2 s");
   CLI11_PARSE(app, argc, argv);
   if (spread->parsed())
     return spread_experiment(seeds, length, gateway_counts, loads, groups, hosts_per_group, traffic_skew,
--- a/src/tools/plan/main.cpp
+++ b/src/tools/plan/main.cpp
@@ -105,22 +105,24 @@
     }
   const auto limits = capacity_limits(rates, fleet);
   const auto solution = solve(rates, limits);
-  std::printf("%zu promises, %zu limits: %s\n", rates.size(), limits.size(),
-              solution.fits ? "all fit at once" : "they do not fit at once");
+  std::printf("%zu contracted rates, %zu capacity limits: %s\n", rates.size(), limits.size(),
+              solution.fits ? "all rates fit together" : "the rates exceed the capacity");
   for (std::size_t j = 0; j < limits.size(); ++j)
     if (solution.usage[j] > limits[j].cores || solution.shadow_prices[j] > min_printed_shadow_price)
-      std::printf("  binds: %s: %.2f cores asked for, %.2f there (%+.2f); a core more saves %.3f\n",
-                  limits[j].description.c_str(), solution.usage[j], limits[j].cores,
-                  solution.usage[j] - limits[j].cores, solution.shadow_prices[j]);
+      std::printf(
+          "  binding limit: %s: %.2f cores needed, %.2f available (%+.2f); one more core would lower the "
+          "penalty of the reductions by %.3f\n",
+          limits[j].description.c_str(), solution.usage[j], limits[j].cores,
+          solution.usage[j] - limits[j].cores, solution.shadow_prices[j]);
   for (const auto& line : find_conflicts(rates, limits, solution)) std::printf("  %s\n", line.c_str());
   for (std::size_t i = 0; i < rates.size(); ++i)
     if (solution.reductions[i] > min_printed_reduction)
-      std::printf("  cheapest change: %s, %s, %s: %.2f a second less of %.2f\n", rates[i].team.c_str(),
-                  rates[i].class_name.c_str(), rates[i].period.c_str(), solution.reductions[i],
-                  rates[i].rate);
+      std::printf("  cheapest reduction: %s, %s, %s: by %.2f of %.2f requests a second\n",
+                  rates[i].team.c_str(), rates[i].class_name.c_str(), rates[i].period.c_str(),
+                  solution.reductions[i], rates[i].rate);
   const bool certified = solution.certificate_error.empty();
-  std::printf("certificate: %s\n",
-              certified ? "checked, trim and dual values agree" : solution.certificate_error.c_str());
+  std::printf("certificate: %s\n", certified ? "verified, the primal and the dual objective are equal"
+                                             : solution.certificate_error.c_str());
   return certified ? (solution.fits ? exit_fits : exit_does_not_fit) : exit_bad_certificate;
 }
 
@@ -131,11 +133,13 @@
   std::string gateway_file;
   std::string platform_file;
   std::string fleet_file;
-  app.add_option("FILE", gateway_file, "The gateway's file, with the section contracts")->required();
+  app.add_option("FILE", gateway_file, "The gateway file, with a section contracts")->required();
   app.add_option("--platform", platform_file, "The platform's configuration, for classes and tenants")
       ->envname("ROUTER_CONFIG")
       ->required();
-  app.add_option("--fleet", fleet_file, "Groups, hosts and costs, as JSON")->required();
+  app.add_option("--fleet", fleet_file,
+                 "JSON file with the groups, their hosts and the cost of a request by class")
+      ->required();
   app.footer(
       "Exits with 0 if all contracts fit, 3 if they do not, 4 if the solution cannot be verified, 1 if a "
       "file "
--- a/src/tools/plan/plan.cpp
+++ b/src/tools/plan/plan.cpp
@@ -38,7 +38,7 @@
     result.push_back(capacity);
   };
   std::vector<bool> none(group.cores.size(), false);
-  add("all well", none);
+  add("no failure", none);
   if (fleet.survive_replica_loss && group.cores.size() > 1) {
     auto lost = none;
     const auto largest_replica = std::max_element(group.cores.begin() + 1, group.cores.end());
@@ -164,19 +164,20 @@
     dual_objective -= rates[i].rate * std::max(0.0, price - rates[i].reduction_penalty);
   }
   for (std::size_t j = 0; j < limits.size(); ++j) {
-    if (solution.shadow_prices[j] < 0) return "a dual value is below zero";
+    if (solution.shadow_prices[j] < 0) return "a dual value is negative";
     double reduced_usage = 0;
     double full_usage = 0;
     for (std::size_t i = 0; i < rates.size(); ++i) {
       reduced_usage += limits[j].coefficients[i] * (rates[i].rate - solution.reductions[i]);
       full_usage += limits[j].coefficients[i] * rates[i].rate;
     }
-    if (reduced_usage > limits[j].cores + slack) return "over the limit: " + limits[j].description;
+    if (reduced_usage > limits[j].cores + slack)
+      return "the reduced rates exceed the limit " + limits[j].description;
     dual_objective += solution.shadow_prices[j] * (full_usage - limits[j].cores);
   }
   return std::abs(primal_objective - dual_objective) <= slack * duality_gap_factor
              ? ""
-             : "the reductions are not the cheapest";
+             : "the primal and the dual objective differ, so the reductions may not be the cheapest";
 }
 
 std::vector<std::string> find_conflicts(const std::vector<ContractedRate>& rates,
--- a/src/tools/report/main.cpp
+++ b/src/tools/report/main.cpp
@@ -20,7 +20,7 @@
   contracts->add_flag("--json", json, "Print JSON");
   contracts->add_flag("--csv", csv, "Print comma-separated values")->excludes("--json");
   std::size_t max_rows = 20;
-  auto* requests = app.add_subcommand("requests", "How requests ended, from logs at the level debug");
+  auto* requests = app.add_subcommand("requests", "How requests ended, from logs written at the level debug");
   requests->add_option("LOGS", files, "Logs of one gateway or several")->required()->check(CLI::ExistingFile);
   requests->add_option("--rows", max_rows, "Maximum number of rows in each list");
   app.require_subcommand(1);
--- a/src/tools/report/requests.cpp
+++ b/src/tools/report/requests.cpp
@@ -35,7 +35,7 @@
   char text[256];
   const auto served = count_of(stats.by_end, "served");
   std::snprintf(text, sizeof text,
-                "%-14s %8zu %8zu %8zu %7zu %7zu %7zu %8.1f  %7zu %7zu %7zu %7zu %7zu %7zu\n", name.c_str(),
+                "%-14s %8zu %8zu %8zu %7zu %7zu %7zu %8.1f  %7zu %7zu %7zu %7zu %9zu %7zu\n", name.c_str(),
                 stats.requests, served, count_of(stats.by_end, "refused"), stats.unsent,
                 count_of(stats.by_end, "failed"), count_of(stats.by_end, "left"),
                 served > 0 ? stats.served_ms / static_cast<double>(served) : 0.0,
@@ -92,8 +92,7 @@
 std::string print(const RequestReport& report, std::size_t max_rows) {
   const std::string header =
       "               requests   served  refused  unsent  failed    left  mean_ms       ok no_conn    full "
-      "timeout  taken "
-      "  broke\n";
+      "timeout cancelled  errors\n";
   auto out = header + format_row("all", report.all);
   for (const auto& [name, stats] : report.by_class) out += format_row(name, stats);
   for (const auto& [second, stats] : report.by_second) out += format_row(std::to_string(second), stats);
@@ -105,18 +104,18 @@
     for (std::size_t i = 0; i < std::min(max_rows, ranked.size()) && ranked[i].first > 0; ++i)
       out += format_line(ranked[i].first, ranked[i].second);
   };
-  out += "\ncourses of what was not served at the first attempt\n";
+  out += "\nrequests not served at the first attempt, by class, end and outcomes of their attempts\n";
   append_top(
       report.patterns, [](std::size_t count) { return count; },
       [](std::size_t count, const std::string& name) { return std::to_string(count) + "  " + name + "\n"; });
-  out += "\ngroups by what they refused or failed\n";
+  out += "\ngroups with the most refused and failed requests\n";
   append_top(
       report.by_group,
       [](const RequestStats& stats) {
         return count_of(stats.by_end, "refused") + count_of(stats.by_end, "failed");
       },
       [&](std::size_t, const std::string& name) { return format_row(name, report.by_group.at(name)); });
-  out += "\nhosts by attempts that came to nothing\n";
+  out += "\nhosts with the most unsuccessful attempts\n";
   const auto count_unsuccessful = [](const std::map<std::string, std::size_t>& outcomes) {
     std::size_t total = 0;
     for (const auto& [outcome, count] : outcomes) total += outcome == "ok" ? 0 : count;
--- a/src/tools/rig/main.cpp
+++ b/src/tools/rig/main.cpp
@@ -54,7 +54,7 @@
   for (const auto& second : result.seconds) worst = std::max(worst, second.p99_ms);
   return worst;
 }
-constexpr ComparedMetric compared_metrics[] = {{"worth served", true, value_served},
+constexpr ComparedMetric compared_metrics[] = {{"value served", true, value_served},
                                                {"refused", false, refused},
                                                {"failed or lost", false, failed_or_lost},
                                                {"worst second's p99, ms", false, worst_p99}};
@@ -83,7 +83,7 @@
         rules_broken = true;
       }
       if (result.too_slow)
-        std::cout << "seed " << scenario.seed << ": too slow a machine for a verdict on figures\n";
+        std::cout << "seed " << scenario.seed << ": the machine was too slow to judge the figures\n";
       for (const auto& metric : compared_metrics) values[variant].push_back(metric.value_of(result));
     }
     for (std::size_t m = 0; m < std::size(compared_metrics); ++m)
@@ -131,8 +131,8 @@
     else
       ++left_out;
   const auto result = lab::simulate(config);
-  std::printf("%s in simulated time, %zu faults left out\n%-12s %8s %8s\n", scenario.name.c_str(), left_out,
-              "class", "asked", "in time");
+  std::printf("%s in simulated time, %zu faults not simulated\n%-12s %8s %8s\n", scenario.name.c_str(),
+              left_out, "class", "asked", "in time");
   for (std::size_t i = 0; i < config.classes.size(); ++i) {
     const auto& within = result.within[i];
     const auto& beyond = result.beyond[i];
@@ -177,7 +177,7 @@
   bool simulate_only = false;
   run->add_flag("--simulate", simulate_only,
                 "Run in simulated time; only the loss of a primary is simulated");
-  run->add_flag("--live", options.live, "Print a line a second");
+  run->add_flag("--live", options.live, "Print a line of results every second");
   CLI11_PARSE(app, argc, argv);
   try {
     std::ifstream in(file);
@@ -212,7 +212,8 @@
     if (result.violation_count > 0 || result.crashes > 0) return exit_failed;
     if (result.too_slow) return exit_too_slow;
     if (result.value_served < scenario.min_value_served) {
-      std::cout << "served less than the " << scenario.min_value_served << " that the scenario requires\n";
+      std::cout << "value served is below the " << scenario.min_value_served
+                << " that the scenario requires\n";
       return exit_failed;
     }
     return exit_passed;
--- a/src/tools/rig/report.cpp
+++ b/src/tools/rig/report.cpp
@@ -76,8 +76,8 @@
           quantile(class_result.latencies_ms, 0.5), quantile(class_result.latencies_ms, 0.99));
   }
   print(
-      "worth served %.4f; attempts at a replica a second, variance over mean %.2f; gateways: %.1f s of "
-      "processor, %.0f MB together\n",
+      "value served %.4f; attempts per second at a replica, variance over mean %.2f; all gateways: %.1f s "
+      "of CPU time, %.0f MB of memory\n",
       result.value_served, dispersion(scenario, result), result.gateways_cpu_seconds, result.gateways_mb);
   print("the rig's own sends: p99 %.1f ms late%s\n", result.send_delay_p99_ms,
         result.too_slow ? "; TOO SLOW for a verdict on figures" : "");
--- a/src/tools/rig/scenario.cpp
+++ b/src/tools/rig/scenario.cpp
@@ -90,7 +90,8 @@
   if (const auto* zone = app::member(json, "zone")) {
     target.zone = zone->GetString();
     if (std::find(scenario.zones.begin(), scenario.zones.end(), target.zone) == scenario.zones.end())
-      throw app::config_error_at(file, pointer + "/zone", "one of the zones", app::to_excerpt(*zone));
+      throw app::config_error_at(file, pointer + "/zone", "one of the zones of the scenario",
+                                 app::to_excerpt(*zone));
   }
   if (const auto* numbers = app::member(json, "numbers")) {
     const int limit = target.kind == Target::Kind::gateways ? scenario.gateways
@@ -178,7 +179,7 @@
   scenario.probe_cost = number("probe_price", scenario.probe_cost);
   scenario.min_value_served = number("served_least", 0);
   if (scenario.warm_up >= scenario.run_time)
-    throw app::config_error_at(file, "/warm_up_s", "less than seconds",
+    throw app::config_error_at(file, "/warm_up_s", "a value below the key seconds",
                                std::to_string(number("warm_up_s", 2)));
   if (const auto* gateway_file = app::member(document, "gateway_file")) {
     rapidjson::StringBuffer buffer;
@@ -197,23 +198,27 @@
           std::begin(fault_words));
       fault.target = parse_target(json["on"], file, pointer + "/on", scenario);
       if (!fault_applies_to(fault.kind, fault.target.kind))
-        throw app::config_error_at(file, pointer + "/on/of",
-                                   "a target of '" + std::string(json["do"].GetString()) + "'",
-                                   app::to_excerpt(json["on"]["of"]));
+        throw app::config_error_at(
+            file, pointer + "/on/of",
+            "a target that the fault '" + std::string(json["do"].GetString()) + "' applies to",
+            app::to_excerpt(json["on"]["of"]));
       const bool datagram_fault = fault.kind == FaultKind::loss || fault.kind == FaultKind::duplicate ||
                                   fault.kind == FaultKind::reorder;
       const bool link_fault =
           fault.kind == FaultKind::cut || fault.kind == FaultKind::delay || datagram_fault;
       if (link_fault != json.HasMember("to"))
-        throw app::config_error_at(file, pointer + "/to", link_fault ? "the hosts of the link" : "none",
-                                   link_fault ? "none" : "one");
+        throw app::config_error_at(file, pointer + "/to",
+                                   std::string(link_fault ? "the other end of the links" : "no such key") +
+                                       ", since the fault '" + json["do"].GetString() +
+                                       (link_fault ? "' affects links" : "' does not affect links"),
+                                   link_fault ? "none" : app::to_excerpt(json["to"]));
       if (link_fault) {
         fault.link_end = parse_target(json["to"], file, pointer + "/to", scenario);
         if (datagram_fault && fault.link_end.kind != Target::Kind::gateways)
           throw app::config_error_at(file, pointer + "/to/of", "gateways, as only they send datagrams",
                                      app::to_excerpt(json["to"]["of"]));
         if (fault.link_end.kind == Target::Kind::gateways && !scenario.peer_links)
-          throw app::config_error_at(file, "/peers", "true, where links between gateways have faults",
+          throw app::config_error_at(file, "/peers", "true, since a fault affects links between gateways",
                                      "none");
       }
       if (const auto* seconds = app::member(json, "for_s"))
@@ -226,7 +231,8 @@
         fault.reverse = direction != "there";
       }
       if (fault.at >= scenario.run_time)
-        throw app::config_error_at(file, pointer + "/at_s", "before the end", app::to_excerpt(json["at_s"]));
+        throw app::config_error_at(file, pointer + "/at_s", "a time before the end of the run",
+                                   app::to_excerpt(json["at_s"]));
       scenario.faults.push_back(fault);
     }
   return scenario;
