--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -122,7 +122,7 @@
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(json.c_str());
   if (document.HasParseError() || !document.IsObject())
-    throw ConfigError(std::string(file_kind) + " is not a valid JSON object");
+    throw ConfigError(std::string(file_kind) + ": the configuration is not a valid JSON object");
   return document;
 }
 
@@ -199,7 +199,7 @@
     check(config.settings);
   } catch (const std::invalid_argument& e) {
     // The text is a key: with its path from parse_settings(), without it from check().
-    throw ConfigError(path + "settings: the value of " + e.what() + " is invalid");
+    throw ConfigError(path + "settings." + e.what() + ": the value is invalid");
   } catch (const std::exception& e) {
     throw ConfigError(path + "settings: " + e.what());
   }
@@ -209,7 +209,7 @@
 }  // namespace
 
 Config parse_config(const std::string& json) {
-  const auto document = parse_json(json, "the platform's configuration");
+  const auto document = parse_json(json, "config");
   Config config;
   config.platform_text = json;
   config.name = require_string(document, "name");
@@ -273,8 +273,8 @@
 }  // namespace
 
 void check_reload(const std::string& in_force, const std::string& candidate) {
-  const auto before = parse_json(in_force, "the configuration in force");
-  const auto after = parse_json(candidate, "the platform's configuration");
+  const auto before = parse_json(in_force, "config");
+  const auto after = parse_json(candidate, "config");
   check_keys_kept(before, after, "");
   const auto settings = after.FindMember("settings");
   if (settings == after.MemberEnd() || !settings->value.IsObject()) return;
@@ -289,7 +289,7 @@
 }
 
 std::optional<ServiceConfig> parse_mysql_config(const std::string& json, const ServiceConfig& platform) {
-  const auto document = parse_json(json, "the MySQL front end's configuration");
+  const auto document = parse_json(json, "mysql");
   const auto& enabled = require(document, "enabled");
   if (!enabled.IsBool()) throw ConfigError("mysql.enabled: must be true or false");
   if (!enabled.GetBool()) return std::nullopt;
