--- a/src/tools/lab/main.cpp
+++ b/src/tools/lab/main.cpp
@@ -204,8 +204,8 @@
 
 /// The placement's name in the printed table.
 const char* placement_name(ReadPlacement placement) {
-  return placement == ReadPlacement::router   ? "router"
-         : placement == ReadPlacement::random ? "random"
+  return placement == ReadPlacement::router   ? "module"
+         : placement == ReadPlacement::random ? "blind"
                                               : "oracle";
 }
 
